--- /dev/null
+++ b/crates/store/tests/golden/main.rs
@@ -0,0 +1,175 @@
+//! A store's slot files, as the builds before wrote them: a store that is upgraded, or rolled back, begins with what it
+//! finds on its disk. The golden files are never edited.
+
+#[path = "../../../transport/tests/golden/files.rs"]
+mod files;
+#[path = "../../../transport/tests/golden/older.rs"]
+mod older;
+
+use files::GoldenFolder;
+use older::OlderControlState;
+use serde::Serialize;
+use siphasher::sip::SipHasher13;
+use std::collections::BTreeSet;
+use std::hash::Hasher;
+use std::net::Ipv4Addr;
+use std::path::PathBuf;
+use violetyoke_store::disk::{look_at, Found, Slots};
+use violetyoke_store::register::Durable;
+use violetyoke_transport::messages::{AcceptedVersions, ControlState, Member, Record, Stamp};
+
+fn golden(name: &str, current: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
+    GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR")).read(name, current)
+}
+
+/// An empty folder that is removed with this value.
+struct DataDir(PathBuf);
+
+impl DataDir {
+    fn new(test: &str) -> DataDir {
+        let path = std::env::temp_dir().join(format!("store-golden-{}-{test}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder");
+        DataDir(path)
+    }
+
+    fn write(&self, slot: &str, bytes: &[u8]) {
+        std::fs::write(self.0.join(slot), bytes).expect("written");
+    }
+
+    fn read(&self, slot: &str) -> Vec<u8> {
+        std::fs::read(self.0.join(slot)).expect("a slot's file")
+    }
+}
+
+impl Drop for DataDir {
+    fn drop(&mut self) {
+        std::fs::remove_dir_all(&self.0).expect("removed");
+    }
+}
+
+fn store(number: u8) -> Member {
+    Member {
+        id: u64::MAX - u64::from(number),
+        ip: Ipv4Addr::new(127, 10, 3, number),
+        zone: format!("zone-{number}"),
+    }
+}
+
+/// A state with a value in each field.
+fn full_state(version: u64) -> Durable {
+    let text = format!("{{\"version\": {version}, \"note\": \"größe\"}}");
+    let mut accepted = AcceptedVersions::default();
+    assert!(accepted.insert(version - 1, "{}"));
+    assert!(accepted.insert(version, &text));
+    let stamp = Stamp { epoch: 70_000, seq: version };
+    let evacuated = BTreeSet::from(["zone-1".to_owned(), "zone-2".to_owned()]);
+    Durable {
+        id: store(1).id,
+        fresh: true,
+        promised: 70_001,
+        record: Record {
+            epoch: 70_000,
+            voters: vec![store(1), store(2), store(3)],
+            holders: vec![store(1).id, store(2).id],
+            prior_voters: vec![vec![store(1), store(4)], vec![store(4)]],
+        },
+        held: ControlState { stamp, version, text, evacuated, accepted },
+    }
+}
+
+const FIRST_VERSION: u64 = 300;
+const SECOND_VERSION: u64 = 301;
+
+/// Both slots after two writes.
+fn written_slots(test: &str) -> (Vec<u8>, Vec<u8>) {
+    let folder = DataDir::new(test);
+    let (mut slots, found) = Slots::open(&folder.0).expect("an empty folder");
+    assert_eq!(found, None);
+    slots.put(&full_state(FIRST_VERSION)).expect("written");
+    slots.put(&full_state(SECOND_VERSION)).expect("written");
+    (folder.read("state-0"), folder.read("state-1"))
+}
+
+#[test]
+fn states_are_written_with_the_bytes_of_earlier_builds() {
+    let (first, second) = written_slots("written");
+
+    assert!(first.starts_with(b"barogr01"));
+    assert_eq!(first, golden("state-0", || first.clone()));
+    assert_eq!(second, golden("state-1", || second.clone()));
+}
+
+#[test]
+fn slots_of_earlier_builds_are_read() {
+    let folder = DataDir::new("read");
+    folder.write("state-0", &golden("state-0", || written_slots("read-first").0));
+    folder.write("state-1", &golden("state-1", || written_slots("read-second").1));
+
+    let [first, second] = look_at(&folder.0).expect("read");
+    let (_, newest) = Slots::open(&folder.0).expect("opened");
+
+    assert_eq!(first, Found::State { number: 1, state: Box::new(full_state(FIRST_VERSION)) });
+    assert_eq!(second, Found::State { number: 2, state: Box::new(full_state(SECOND_VERSION)) });
+    assert_eq!(newest, Some(full_state(SECOND_VERSION)));
+}
+
+#[test]
+fn the_state_of_an_earlier_build_is_followed_by_the_next_one() {
+    let folder = DataDir::new("next");
+    folder.write("state-0", &golden("state-0", || written_slots("next-first").0));
+    folder.write("state-1", &golden("state-1", || written_slots("next-second").1));
+    let (mut slots, _) = Slots::open(&folder.0).expect("opened");
+
+    slots.put(&full_state(302)).expect("written");
+
+    let [first, second] = look_at(&folder.0).expect("read");
+    assert_eq!(first, Found::State { number: 3, state: Box::new(full_state(302)) });
+    assert_eq!(second, Found::State { number: 2, state: Box::new(full_state(SECOND_VERSION)) });
+}
+
+/// What builds before the history of accepted versions kept.
+#[derive(Serialize)]
+struct OlderDurable {
+    id: u64,
+    fresh: bool,
+    promised: u64,
+    record: Record,
+    held: OlderControlState,
+}
+
+/// A slot's bytes as such a build wrote them.
+fn older_slot(number: u64, state: &Durable) -> Vec<u8> {
+    let Durable { id, fresh, promised, record, held } = state.clone();
+    let older = OlderDurable { id, fresh, promised, record, held: OlderControlState::of(&held) };
+    let payload = rmp_serde::to_vec(&older).expect("encoded");
+    let mut digest = SipHasher13::new();
+    digest.write_u64(number);
+    digest.write(&payload);
+    let length = payload.len() as u64;
+    [
+        b"barogr01".as_slice(),
+        &number.to_le_bytes(),
+        &length.to_le_bytes(),
+        &digest.finish().to_le_bytes(),
+        &payload,
+    ]
+    .concat()
+}
+
+#[test]
+fn slots_of_builds_without_accepted_versions_are_read() {
+    let older = older_slot(7, &full_state(FIRST_VERSION));
+    let slot = golden("older-state-0", || older.clone());
+    assert_eq!(slot, older);
+    let folder = DataDir::new("older");
+    folder.write("state-0", &slot);
+
+    let (mut slots, found) = Slots::open(&folder.0).expect("opened");
+
+    let mut expected = full_state(FIRST_VERSION);
+    expected.held.accepted = AcceptedVersions::default();
+    assert_eq!(found, Some(expected));
+    slots.put(&full_state(SECOND_VERSION)).expect("written");
+    let (_, newest) = Slots::open(&folder.0).expect("opened again");
+    assert_eq!(newest, Some(full_state(SECOND_VERSION)));
+}
--- /dev/null
+++ b/crates/transport/tests/golden/control.rs
@@ -0,0 +1,116 @@
+//! The control state, and the messages between registries and stores.
+
+use crate::samples::{sample, Sample};
+use crate::{stores, variants};
+use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
+use violetyoke_transport::messages::{
+    AcceptedVersions, ControlState, Order, Outcome, Owners, Stamp, StoreReply, StoreRequest,
+};
+
+variants!(StoreRequest {
+    StoreRequest::Watch { .. } => "watch",
+    StoreRequest::Do { .. } => "do",
+    StoreRequest::Envelope(_) => "envelope",
+});
+variants!(Order {
+    Order::Replace { .. } => "replace",
+    Order::Evacuate { .. } => "evacuate",
+    Order::Read => "read",
+});
+variants!(StoreReply {
+    StoreReply::Status { .. } => "status",
+    StoreReply::News(_) => "news",
+    StoreReply::Done { .. } => "done",
+});
+variants!(Outcome {
+    Outcome::Acknowledged => "acknowledged",
+    Outcome::Read(_) => "read",
+    Outcome::VersionTaken => "version-taken",
+    Outcome::Elsewhere => "elsewhere",
+});
+
+/// A revision. Its numbers take several bytes.
+pub fn stamp(seq: u64) -> Stamp {
+    Stamp { epoch: 0x0102_0304_0506_0708, seq }
+}
+
+pub fn address(last: u8) -> Ipv4Addr {
+    Ipv4Addr::new(127, 10, 3, last)
+}
+
+pub fn zones(names: &[&str]) -> BTreeSet<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
+}
+
+/// A state with a value in each field.
+pub fn full_state() -> ControlState {
+    let text = r#"{"version": 70000, "note": "größe"}"#;
+    let mut accepted = AcceptedVersions::default();
+    assert!(accepted.insert(69_999, r#"{"version": 69999}"#));
+    assert!(accepted.insert(70_000, text));
+    ControlState {
+        stamp: stamp(300),
+        version: 70_000,
+        text: text.to_owned(),
+        evacuated: zones(&["zone-a", "zone-b"]),
+        accepted,
+    }
+}
+
+pub fn owners() -> Owners {
+    Owners { fence: stamp(65_536), registries: vec![address(1), address(2), address(250)] }
+}
+
+pub fn store_requests() -> Vec<Sample<StoreRequest>> {
+    let replace = Order::Replace { version: 70_000, text: "{\"version\": 70000}".to_owned() };
+    let mut samples = vec![
+        sample("store-request-watch", StoreRequest::Watch { registry: address(7), have: stamp(9) }),
+        sample("store-request-do-replace", StoreRequest::Do { call: 1, order: replace }),
+        sample(
+            "store-request-do-evacuate",
+            StoreRequest::Do { call: 300, order: Order::Evacuate { zone: "zone-c".to_owned(), empty: true } },
+        ),
+        sample(
+            "store-request-do-evacuate-undone",
+            StoreRequest::Do {
+                call: 70_000,
+                order: Order::Evacuate { zone: "zone-c".to_owned(), empty: false },
+            },
+        ),
+        sample("store-request-do-read", StoreRequest::Do { call: u64::MAX, order: Order::Read }),
+    ];
+    samples.extend(stores::envelopes());
+    samples
+}
+
+pub fn store_replies() -> Vec<Sample<StoreReply>> {
+    let done = |call, outcome| StoreReply::Done { call, outcome };
+    vec![
+        sample(
+            "store-reply-status",
+            StoreReply::Status {
+                epoch: 70_000,
+                active: true,
+                owners: owners(),
+                stores: vec![address(1), address(2), address(3)],
+            },
+        ),
+        sample(
+            "store-reply-status-inactive",
+            StoreReply::Status { epoch: 0, active: false, owners: Owners::default(), stores: Vec::new() },
+        ),
+        sample("store-reply-news", StoreReply::News(full_state())),
+        sample("store-reply-news-empty", StoreReply::News(ControlState::default())),
+        sample("store-reply-done-acknowledged", done(1, Outcome::Acknowledged)),
+        sample("store-reply-done-read", done(300, Outcome::Read(full_state()))),
+        sample("store-reply-done-version-taken", done(70_000, Outcome::VersionTaken)),
+        sample("store-reply-done-elsewhere", done(u64::MAX, Outcome::Elsewhere)),
+    ]
+}
+
+/// A state that is large enough to be sent deflated.
+pub fn large_state() -> ControlState {
+    let text = (0..500).map(|number| format!("{{\"route\": \"route-{number}\"}}\n")).collect();
+    ControlState { text, ..full_state() }
+}
--- /dev/null
+++ b/crates/transport/tests/golden/payloads.rs
@@ -0,0 +1,122 @@
+//! What registries send proxies within a message: a configuration, and what makes one configuration another.
+
+use crate::variants;
+use violetyoke_api::change::{Change, Rows};
+use violetyoke_api::configuration::{Kind, Limits, Part, Route, Service, Tenant};
+use violetyoke_api::Configuration;
+
+variants!(Kind {
+    Kind::Idempotent => "idempotent",
+    Kind::Nonidempotent => "nonidempotent",
+});
+
+fn full_route() -> Route {
+    Route {
+        name: "route-1".to_owned(),
+        host: "rooms.example".to_owned(),
+        path_prefix: "/search/".to_owned(),
+        route_kind: Kind::Idempotent,
+        timeout_ms: 1000.5,
+        target_ms: Some(200.0),
+        priority: -3,
+        split: Some(vec![
+            Part { service: "search".to_owned(), weight: 0.9 },
+            Part { service: "search-next".to_owned(), weight: 0.1 },
+        ]),
+        attempts: 3,
+        public: true,
+        home_regions: vec!["region-1".to_owned(), "region-2".to_owned()],
+        service: Some("search".to_owned()),
+    }
+}
+
+fn bare_route() -> Route {
+    Route {
+        name: "route-2".to_owned(),
+        host: String::new(),
+        path_prefix: "/".to_owned(),
+        route_kind: Kind::Nonidempotent,
+        timeout_ms: 0.0,
+        target_ms: None,
+        priority: 0,
+        split: None,
+        attempts: 1,
+        public: false,
+        home_regions: Vec::new(),
+        service: None,
+    }
+}
+
+fn full_service() -> Service {
+    Service {
+        name: "search".to_owned(),
+        health_path: Some("/health".to_owned()),
+        max_conns: Some(64.0),
+        cold_s: 12.5,
+        cold_rate_s: 2.0,
+    }
+}
+
+fn bare_service() -> Service {
+    Service {
+        name: "search-next".to_owned(),
+        health_path: None,
+        max_conns: None,
+        cold_s: 0.0,
+        cold_rate_s: 0.0,
+    }
+}
+
+fn full_tenant() -> Tenant {
+    Tenant {
+        name: "tenant-1".to_owned(),
+        api_keys: vec!["key-1".to_owned(), "key-2".to_owned()],
+        priority: Some(2),
+        rate_per_s: 100.0,
+        burst: 50.0,
+        home_regions: vec!["region-1".to_owned()],
+    }
+}
+
+fn bare_tenant() -> Tenant {
+    Tenant {
+        name: "tenant-2".to_owned(),
+        api_keys: Vec::new(),
+        priority: None,
+        rate_per_s: 0.0,
+        burst: 0.0,
+        home_regions: Vec::new(),
+    }
+}
+
+fn limits() -> Limits {
+    Limits { max_header_bytes: 1.0, max_body_bytes: 2.0, header_timeout_ms: 3.0, idle_timeout_ms: 4.0 }
+}
+
+/// A configuration with each optional field once filled and once empty.
+pub fn configuration() -> Configuration {
+    Configuration {
+        version: 70_000,
+        routes: vec![full_route(), bare_route()],
+        services: vec![full_service(), bare_service()],
+        tenants: vec![full_tenant(), bare_tenant()],
+        limits: limits(),
+    }
+}
+
+/// A change with rows that are new and names that are gone in each table.
+pub fn change() -> Change {
+    let gone = |name: &str| vec![name.to_owned()];
+    Change {
+        version: 70_001,
+        routes: Rows { set: vec![full_route(), bare_route()], gone: gone("route-3") },
+        services: Rows { set: vec![full_service(), bare_service()], gone: gone("service-3") },
+        tenants: Rows { set: vec![full_tenant(), bare_tenant()], gone: gone("tenant-3") },
+        limits: limits(),
+        digest: u64::MAX,
+    }
+}
+
+/// The digest of [`configuration`]. A change carries such a digest, and another build compares it with its own, which
+/// covers the encoding of each row.
+pub const CONFIGURATION_DIGEST: u64 = 10_780_380_243_959_800_687;
