--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -3,6 +3,8 @@
 //!
 //! A record is one line of the log: [`MARK`], then JSON. Whatever else stands in a log is passed over.
 
+#![allow(missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod table;
 
 pub use table::Table;
--- a/crates/api/tests/change.rs
+++ b/crates/api/tests/change.rs
@@ -1,5 +1,7 @@
 //! From one configuration to another: only what differs goes over, and what it leads to is checked.
 
+#![cfg(test)]
+
 use serde_json::{json, Value};
 use violetyoke_api::change::{digest, Change};
 use violetyoke_api::Configuration;
--- a/crates/api/tests/configuration.rs
+++ b/crates/api/tests/configuration.rs
@@ -1,5 +1,11 @@
 //! Configurations as operators send them: each kind of invalid one is refused with its field's name.
 
+#![cfg(test)]
+#![allow(
+    clippy::redundant_closure_for_method_calls,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 use serde_json::{json, Value};
 use violetyoke_api::routing::{Caller, Table};
 use violetyoke_api::Configuration;
--- a/crates/api/tests/settings.rs
+++ b/crates/api/tests/settings.rs
@@ -1,5 +1,7 @@
 //! The settings file: read whole, errors with the field's path, unknown fields passed over.
 
+#![cfg(test)]
+
 use serde_json::{json, Value};
 use violetyoke_api::schema::{Checker, Schema};
 use violetyoke_api::settings::Process;
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -1,6 +1,8 @@
 //! Which backend gets a request, how many at once, and whether a request may be sent again. Nothing here does I/O or
 //! reads a clock; chance is seeded.
 
+#![allow(clippy::unused_self, missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 pub mod backend;
 pub mod budget;
 pub mod choose;
--- a/crates/balancing/tests/choice.rs
+++ b/crates/balancing/tests/choice.rs
@@ -1,5 +1,7 @@
 //! Which backend, by what backends have shown and where they stand.
 
+#![cfg(test)]
+
 use std::collections::{BTreeSet, HashMap};
 use violetyoke_balancing::backend::Observation;
 use violetyoke_balancing::cold::part;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,6 +5,13 @@
 //! Times in the file are milliseconds and end in `_ms`; in [`Service`] they are microseconds, as everywhere in
 //! the decision module.
 
+#![allow(
+    clippy::too_many_lines,
+    missing_docs,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod consult;
 mod control;
 mod duties;
--- a/crates/control/tests/store.rs
+++ b/crates/control/tests/store.rs
@@ -1,5 +1,12 @@
 //! The store: schemas from the first on, transactions of several processes, and the audit log.
 
+#![cfg(test)]
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::needless_pass_by_value,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 use rusqlite::Connection;
 use serde_json::{json, Value};
 use std::path::PathBuf;
--- a/crates/ctl/tests/plan.rs
+++ b/crates/ctl/tests/plan.rs
@@ -1,5 +1,7 @@
 //! What a change would move, in words.
 
+#![cfg(test)]
+
 use violetyoke_api::Configuration;
 use violetyoke_ctl::capacity::{gather, table, Seen};
 use violetyoke_ctl::plan::Plan;
--- a/crates/ctl/tests/store.rs
+++ b/crates/ctl/tests/store.rs
@@ -1,5 +1,8 @@
 //! A store's disk by hand: whole, torn, changed, empty.
 
+#![cfg(test)]
+#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use std::path::PathBuf;
 use violetyoke_ctl::store::Inspected;
 use violetyoke_ctl::verbs::{read, run, Ended};
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,6 +3,17 @@
 //! what happens (`happen`), `world` plays it, `judge` holds the rules against the records, `story` shortens a day that
 //! breaks one. There is no model of processors: what a day is worth is told by delays, losses and decisions alone.
 
+#![allow(
+    clippy::allow_attributes_without_reason,
+    clippy::let_underscore_must_use,
+    clippy::rc_buffer,
+    clippy::too_many_lines,
+    clippy::unused_self,
+    missing_docs,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod backends;
 mod calls;
 pub mod changes;
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,5 +1,7 @@
 //! Whole systems on drawn days: the shipped daemons keep the rules, and a world that cheats is found out.
 
+#![cfg(test)]
+
 use slog::{o, Discard, Logger};
 use violetyoke_emulator::day::{Day, Event, What};
 use violetyoke_emulator::dayfile;
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -6,6 +6,14 @@
 //! attempts than were allowed when the request came, and an honest word on whether an attempt may have run. The
 //! program's driver runs it over sockets, the laboratory over an emulated fleet.
 
+#![allow(
+    clippy::option_option,
+    clippy::wildcard_imports,
+    missing_docs,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 pub mod nodes;
 pub mod port;
 mod timers;
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -3,6 +3,20 @@
 //!
 //! [`platform`] is one pool in the form that the platform expects, [`service`] several of them in one process.
 
+#![allow(
+    clippy::allow_attributes_without_reason,
+    clippy::let_underscore_must_use,
+    clippy::match_wildcard_for_single_variants,
+    clippy::needless_pass_by_value,
+    clippy::redundant_closure_for_method_calls,
+    clippy::too_many_lines,
+    clippy::unused_self,
+    clippy::wildcard_imports,
+    missing_docs,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod account;
 mod backend;
 mod clients;
--- a/crates/ingress/src/passed.rs
+++ b/crates/ingress/src/passed.rs
@@ -12,7 +12,7 @@
     // SAFETY: the platform opened this number before the program began and left it to it; it is taken up once,
     // before the program has opened anything. The standard library has no other way to a descriptor that was
     // inherited. A number that is not open, or no listening socket, fails in the calls below.
-    #[allow(unsafe_code)]
+    #[allow(unsafe_code, reason = "the standard library has no safe way to an inherited descriptor")]
     let socket = unsafe { OwnedFd::from_raw_fd(number) };
     let listener = TcpListener::from(socket);
     listener.local_addr()?;
--- a/crates/lab/benches/speed.rs
+++ b/crates/lab/benches/speed.rs
@@ -2,6 +2,8 @@
 //!
 //!     cargo bench --package violetyoke-lab
 
+#![allow(clippy::expect_used, missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use std::hint::black_box;
 use violetyoke_lab::experiment::{parse, variants};
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -4,6 +4,18 @@
 //!
 //! Times are microseconds of the emulated clock, which begins at [`START`].
 
+#![allow(
+    clippy::enum_glob_use,
+    clippy::expect_used,
+    clippy::let_underscore_must_use,
+    clippy::redundant_closure_for_method_calls,
+    clippy::too_many_lines,
+    clippy::wildcard_imports,
+    missing_docs,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 pub mod account;
 pub mod compare;
 mod counter;
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,5 +1,7 @@
 //! A small fleet that tests change.
 
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+
 use violetyoke_lab::experiment::{parse, Experiment};
 
 /// 12 ingresses, 8 nodes: a run takes a moment.
--- a/crates/lab/tests/files.rs
+++ b/crates/lab/tests/files.rs
@@ -1,5 +1,7 @@
 //! What is wrong with an experiment's file is told with its line and key.
 
+#![cfg(test)]
+
 mod common;
 
 use common::BASE;
--- a/crates/lab/tests/hard.rs
+++ b/crates/lab/tests/hard.rs
@@ -1,5 +1,7 @@
 //! Each hard case is caused, and what it must show is looked for.
 
+#![cfg(test)]
+
 mod common;
 
 use common::{changed, with, BASE};
--- a/crates/local/tests/bodies.rs
+++ b/crates/local/tests/bodies.rs
@@ -1,5 +1,11 @@
 //! Bodies pass as they come, whole or visibly not, and a proxy holds no more than a part of them.
 
+#![cfg(test)]
+#![allow(
+    clippy::redundant_closure_for_method_calls,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod common;
 
 use common::{configuration, stage, Stage};
--- a/crates/local/tests/common/mod.rs
+++ b/crates/local/tests/common/mod.rs
@@ -1,7 +1,8 @@
 //! A whole system for one test: three core machines, four edges, stand-in backends, list and operator.
 
+#![allow(clippy::needless_pass_by_value, reason = "not yet revised for readers: see docs/ROADMAP.md")]
 // Each test file uses a part of it.
-#![allow(dead_code)]
+#![allow(dead_code, unreachable_pub, reason = "each file of tests uses its own part")]
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
--- a/crates/local/tests/control.rs
+++ b/crates/local/tests/control.rs
@@ -1,5 +1,7 @@
 //! Control of the whole system as real processes, while machines stop, die, leave and are cut off.
 
+#![cfg(test)]
+
 mod common;
 
 use common::{configuration, stage, Stage, LONG, REPLACE};
--- a/crates/local/tests/joining.rs
+++ b/crates/local/tests/joining.rs
@@ -1,5 +1,7 @@
 //! A tenant joins: one change, and from its acknowledgement on it is served alike wherever its requests land.
 
+#![cfg(test)]
+
 mod common;
 
 use common::{configuration, stage, Stage};
--- a/crates/local/tests/orders.rs
+++ b/crates/local/tests/orders.rs
@@ -1,5 +1,7 @@
 //! Operators' orders at real processes: once, in their order, and with an answer before their operator moves on.
 
+#![cfg(test)]
+
 mod common;
 
 use common::{configuration, stage, Stage, LONG, READ, REPLACE};
--- a/crates/local/tests/requests.rs
+++ b/crates/local/tests/requests.rs
@@ -1,5 +1,7 @@
 //! Requests through the whole system as real processes.
 
+#![cfg(test)]
+
 mod common;
 
 use common::{stage, Stage, LONG};
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -9,6 +9,14 @@
 //! Nothing here does I/O or reads a clock: times are microseconds of the caller's own monotonic clock, and grantor
 //! and holder never compare theirs.
 
+#![allow(
+    clippy::needless_pass_by_value,
+    clippy::unused_self,
+    missing_docs,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod candidates;
 mod change;
 pub mod deal;
--- a/crates/ownership/tests/crowd.rs
+++ b/crates/ownership/tests/crowd.rs
@@ -1,5 +1,7 @@
 //! Many candidates at once: one winner, few calls, few moves.
 
+#![cfg(test)]
+
 mod desk;
 
 use desk::*;
--- a/crates/ownership/tests/desk/mod.rs
+++ b/crates/ownership/tests/desk/mod.rs
@@ -1,6 +1,7 @@
 //! A grantor and its store in virtual time, and calls to it without delay.
 
-#![allow(dead_code)] // Each test uses a part of it.
+#![allow(clippy::needless_pass_by_value, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+#![allow(dead_code, unreachable_pub, reason = "each file of tests uses its own part")]
 
 use violetyoke_ownership::duty::{Duty, Kind};
 use violetyoke_ownership::grantor::Grantor;
--- a/crates/ownership/tests/leases.rs
+++ b/crates/ownership/tests/leases.rs
@@ -1,5 +1,7 @@
 //! Grantor and holder together, in virtual time: what each hard case does to both.
 
+#![cfg(test)]
+
 mod desk;
 
 use desk::*;
--- a/crates/ownership/tests/parts.rs
+++ b/crates/ownership/tests/parts.rs
@@ -1,5 +1,7 @@
 //! Epochs, fences, deals and declarations, each for itself.
 
+#![cfg(test)]
+
 use proptest::prelude::*;
 use violetyoke_ownership::deal::Deal;
 use violetyoke_ownership::duty::{Duty, Kind};
--- a/crates/ownership/tests/world/mod.rs
+++ b/crates/ownership/tests/world/mod.rs
@@ -1,6 +1,8 @@
 //! The world of the model check. One tick is half of a lease's length; what may go wrong, and how often anybody
 //! calls, is counted, so that the world is finite.
 
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+
 mod state;
 
 use state::{Message, State, LENGTH, TICK};
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -1,5 +1,7 @@
 //! Each answer belongs to one request: by its connection, and by the id that it bears.
 
+#![cfg(test)]
+
 mod common;
 
 use common::backends::{answer, ledger, ok, Act, Backend, Seen};
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -1,5 +1,7 @@
 //! What may have run is not sent again: one case a test, by what backends saw.
 
+#![cfg(test)]
+
 mod common;
 
 use common::backends::{answer, ledger, ok, Act, Backend, Seen};
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,7 +1,12 @@
 //! One proxy in virtual time, between registries and backends that do as a test tells them.
 
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::needless_pass_by_value,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
 // Each test file uses a part of it.
-#![allow(dead_code)]
+#![allow(dead_code, unreachable_pub, reason = "each file of tests uses its own part")]
 
 pub mod backends;
 pub mod registries;
--- a/crates/proxy/tests/cut.rs
+++ b/crates/proxy/tests/cut.rs
@@ -1,5 +1,8 @@
 //! A registry that is cut off from the core, seen by a proxy that reaches it and others.
 
+#![cfg(test)]
+#![allow(clippy::unused_async, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod common;
 
 use common::backends::{ok, Act, Backend};
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -13,6 +13,8 @@
 //! assert!(window.add(2_001, limit).is_ok());
 //! ```
 
+#![allow(missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 pub mod absent;
 pub mod deal;
 pub mod holder;
--- a/crates/ratelimit-proto/src/lib.rs
+++ b/crates/ratelimit-proto/src/lib.rs
@@ -2,6 +2,14 @@
 //! `envoy/service/ratelimit/v3/rls.proto` and of what it imports. Only what clients and servers of this service
 //! use is here; unknown fields are passed over, as protobuf has it.
 
+#![allow(
+    clippy::allow_attributes_without_reason,
+    clippy::too_many_lines,
+    missing_docs,
+    unused_qualifications,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod channel;
 
 pub mod envoy {
--- a/crates/ratelimit/src/lib.rs
+++ b/crates/ratelimit/src/lib.rs
@@ -3,6 +3,8 @@
 //! ([`claim`]), how the answers for several descriptors become one ([`verdict`]), and what an outside server's
 //! answers mean, in time or late ([`consult`]).
 
+#![allow(missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 pub mod breaker;
 pub mod claim;
 pub mod consult;
--- a/crates/ratelimit/tests/consult.rs
+++ b/crates/ratelimit/tests/consult.rs
@@ -1,5 +1,10 @@
 //! An outside server's answers: in time, late, never; the breaker; and that nothing is left over.
 
+#![allow(
+    clippy::match_wildcard_for_single_variants,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use violetyoke_ratelimit::breaker::{self, Breaker, Leave};
--- a/crates/ratelimit/tests/questions.rs
+++ b/crates/ratelimit/tests/questions.rs
@@ -1,5 +1,7 @@
 //! Mapping and checks: what a question is about, and what is no question at all.
 
+#![cfg(test)]
+
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use violetyoke_ratelimit::{questions, timeout, verdict, Asked, Bounds, Domain, Mapping, Rule, Unknown};
--- a/crates/registry/tests/orders.rs
+++ b/crates/registry/tests/orders.rs
@@ -1,5 +1,7 @@
 //! Orders at a registry: each answer belongs to one sending on one connection, and nobody waits longer than it helps.
 
+#![allow(clippy::needless_pass_by_value, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use std::net::Ipv4Addr;
 use violetyoke_registry::orders::{
     Orders, Step, StoreConnection, ANSWER_WITHIN, TAKEOVER_TAKES, WITHOUT_PRIMARY,
--- a/crates/registry/tests/platform.rs
+++ b/crates/registry/tests/platform.rs
@@ -1,5 +1,8 @@
 //! Calls to the platform: what ends with them, and what an answer that comes late does.
 
+#![cfg(test)]
+#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -1,5 +1,11 @@
 //! Sessions, the backends' list, and the platform's pages.
 
+#![cfg(test)]
+#![allow(
+    clippy::redundant_closure_for_method_calls,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 use std::net::Ipv4Addr;
 use violetyoke_registry::backends::Lists;
 use violetyoke_registry::platform::page;
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -8,6 +8,16 @@
 //!
 //! Everything is on loopback addresses, and every child is ended by its own id, also when a test panics.
 
+#![allow(
+    clippy::implicit_clone,
+    clippy::let_underscore_must_use,
+    clippy::needless_pass_by_value,
+    clippy::redundant_closure_for_method_calls,
+    clippy::too_many_lines,
+    missing_docs,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 pub mod cause;
 pub mod client;
 pub mod datagrams;
--- a/crates/routes/benches/lookup.rs
+++ b/crates/routes/benches/lookup.rs
@@ -1,5 +1,12 @@
 //! The time of one look-up as the table grows: `cargo bench -p violetyoke-routes`.
 
+#![allow(
+    clippy::expect_used,
+    clippy::semicolon_if_nothing_returned,
+    missing_docs,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 use criterion::{criterion_group, criterion_main, Criterion};
 use std::hint::black_box;
 use violetyoke_routes::{Host, Path, Rule, Table};
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -24,6 +24,12 @@
 //! assert_eq!(table.find("example.org", "/rooms", "GET", None), None);
 //! ```
 
+#![allow(
+    clippy::semicolon_if_nothing_returned,
+    missing_docs,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod host;
 mod path;
 mod table;
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,6 +1,8 @@
 //! Which rule a request matches: the order of specificity, ties, and agreement with a plain search through
 //! all rules.
 
+#![cfg(test)]
+
 use proptest::prelude::*;
 use violetyoke_routes::{Host, Path, Rule, Table, Tie};
 
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -3,6 +3,12 @@
 //! spends at several sizes ([`run`]), fits how each figure grows ([`fit`]), and writes what `docs/CAPACITY.md` quotes
 //! ([`record`], [`page`]).
 
+#![allow(
+    clippy::let_underscore_must_use,
+    missing_docs,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 pub mod crowd;
 pub mod documents;
 pub mod figures;
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -1,5 +1,7 @@
 //! The protocol of a hollow ingress: what it sends, and when it counts as settled.
 
+#![cfg(test)]
+
 use std::net::{Ipv4Addr, SocketAddrV4};
 use violetyoke_scale::hollow::{Hollow, Requests};
 use violetyoke_transport::messages::{List, ListChange, Members, ProxyReply, ProxyRequest, Session, Stamp};
--- a/crates/scale/tests/work.rs
+++ b/crates/scale/tests/work.rs
@@ -1,5 +1,7 @@
 //! What registries do for a wave of ingresses does not grow with what they hold: only what is sent is copied.
 
+#![cfg(test)]
+
 use std::path::Path;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,8 @@
 //! The settings object that the platform gives an ingress, read from JSON into the decision module's own
 //! [`Settings`]. Times are microseconds. Unknown keys are ignored: the platform may tell more than is used.
 
+#![allow(clippy::wildcard_imports, missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 pub mod changes;
 
 use serde_json::Value;
--- a/crates/settings/tests/changes.rs
+++ b/crates/settings/tests/changes.rs
@@ -1,5 +1,10 @@
 //! Settings that are replaced.
 
+#![allow(
+    clippy::redundant_closure_for_method_calls,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 use serde_json::json;
 use violetyoke_decision::interface::{Class, Effect, Group, Plan, Settings};
 use violetyoke_settings::changes::{missing, Numbers};
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -2,6 +2,8 @@
 //! on the core is next, [`Stock`] says who may take one more of something that there is only so much of
 //! (descriptors, bytes buffered).
 
+#![allow(missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod stock;
 mod turns;
 
--- a/crates/shares/tests/turns.rs
+++ b/crates/shares/tests/turns.rs
@@ -1,5 +1,7 @@
 //! Turns by weight: parts, bounds, and that neither idling nor debt is of use to anyone.
 
+#![cfg(test)]
+
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use violetyoke_shares::Turns;
--- a/crates/sim/src/bin/nettlehub-drill.rs
+++ b/crates/sim/src/bin/nettlehub-drill.rs
@@ -1,6 +1,8 @@
 //! Plays the decision module on the simulator's wire: batches on standard input, one reply each on
 //! standard output. Hosts many instances, which share nothing. Decides nothing itself.
 
+#![allow(clippy::expect_used, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
--- a/crates/sim/tests/drill.rs
+++ b/crates/sim/tests/drill.rs
@@ -1,5 +1,8 @@
 //! The drill program itself: clean ends, plain messages, no panic.
 
+#![cfg(test)]
+#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/crates/sim/tests/wire.rs
+++ b/crates/sim/tests/wire.rs
@@ -1,5 +1,7 @@
 //! Frames of the wire page, byte for byte, and what is refused.
 
+#![cfg(test)]
+
 use violetyoke_decision::interface::*;
 use violetyoke_sim::wire::{reply, Batch, Decoder, Input, WireError, BATCH_HEADER};
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,14 @@
 //! Stand-ins for what an ingress meets, each as a library for tests and as a subcommand of
 //! `violetyoke-standin`. They listen on loopback addresses only, and each is a few threads.
 
+#![allow(
+    clippy::expect_used,
+    clippy::let_underscore_must_use,
+    clippy::option_option,
+    missing_docs,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 pub mod counter;
 pub mod discovery;
 pub mod http;
--- a/crates/standin/tests/node.rs
+++ b/crates/standin/tests/node.rs
@@ -1,5 +1,7 @@
 //! The node itself: its workers, its queue, its slow start and its faults.
 
+#![cfg(test)]
+
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
--- a/crates/store/tests/cluster/mod.rs
+++ b/crates/store/tests/cluster/mod.rs
@@ -1,6 +1,8 @@
 //! Three stores without chance: messages arrive at once unless a link is cut, syncs take as long as the test says, and
 //! each order's outcome can be looked up.
 
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use violetyoke_store::register::{Durable, Effect, Event, Millis, Register, Start};
--- a/crates/store/tests/days.rs
+++ b/crates/store/tests/days.rs
@@ -1,5 +1,7 @@
 //! Days of drawn faults: nothing acknowledged is lost, and somebody answers at the end.
 
+#![allow(clippy::too_many_lines, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod simulation;
 
 use simulation::operators::{insist, read_back, replace};
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,5 +1,7 @@
 //! The two slots through torn, missing and spoiled writes.
 
+#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use violetyoke_store::disk::{look, read, write, Found, Slots};
 use violetyoke_store::register::Durable;
 
--- a/crates/store/tests/disk_losses.rs
+++ b/crates/store/tests/disk_losses.rs
@@ -1,6 +1,8 @@
 //! Slots through processes that die and power that goes at each step of a write, one after the other: what counted once
 //! is there, or something newer.
 
+#![cfg(test)]
+
 mod lossy;
 
 use lossy::{LossyFiles, Unsynced};
--- a/crates/store/tests/lossy/mod.rs
+++ b/crates/store/tests/lossy/mod.rs
@@ -1,5 +1,8 @@
 //! Two files in memory whose writes stop at any step, and which lose or tear with the power what was not synced.
 
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+#![allow(clippy::ref_option, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
--- a/crates/store/tests/membership.rs
+++ b/crates/store/tests/membership.rs
@@ -1,6 +1,8 @@
 //! Who votes: learners take the places of voters that are silent, leave or lost their disks, early enough for a second
 //! loss; what returns or leaves does no harm.
 
+#![cfg(test)]
+
 mod simulation;
 
 use simulation::operators::{insist, primary, read_back};
--- a/crates/store/tests/model/main.rs
+++ b/crates/store/tests/model/main.rs
@@ -1,6 +1,9 @@
 //! The shipped register at three stores, in every order in which envelopes, syncs, silence, deaths and orders can come, from a
 //! standing epoch on. The same with receivers that don't check epochs has to find what that guard is for.
 
+#![cfg(test)]
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+
 mod change;
 mod moment;
 mod sizes;
--- a/crates/store/tests/orders.rs
+++ b/crates/store/tests/orders.rs
@@ -1,6 +1,8 @@
 //! Orders once: one text under each version, the same order again is acknowledged for good, and nothing is confirmed
 //! without contact with the backups.
 
+#![cfg(test)]
+
 mod cluster;
 
 use cluster::{replace, Cluster};
--- a/crates/store/tests/schedules/main.rs
+++ b/crates/store/tests/schedules/main.rs
@@ -3,6 +3,14 @@
 //! A few hundred in the ordinary test. More, with how often each fault landed inside the act that it is meant for:
 //! `SCHEDULES=20000 cargo test --profile proof -p violetyoke-store --test schedules -- --nocapture`
 
+#![cfg(test)]
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+#![allow(
+    clippy::needless_pass_by_value,
+    clippy::redundant_closure_for_method_calls,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod draws;
 mod faults;
 mod figures;
--- a/crates/store/tests/simulation/mod.rs
+++ b/crates/store/tests/simulation/mod.rs
@@ -1,8 +1,11 @@
 //! Stores in virtual time, seeded: links with delays and cuts, disks that stall, tear and vanish, processes that are
 //! killed, frozen and come back. Its rules are taken from what clients were answered, never from a store's own belief.
 
-// Each test file uses a part of it.
-#![allow(dead_code)]
+#![allow(
+    clippy::redundant_closure_for_method_calls,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+#![allow(dead_code, unreachable_pub, reason = "each file of tests uses its own part")]
 
 mod clients;
 pub mod events;
--- a/crates/store/tests/takeover.rs
+++ b/crates/store/tests/takeover.rs
@@ -1,6 +1,8 @@
 //! How long no store answers after its primary is lost, over many losses. Shown by
 //! `cargo test -p violetyoke-store --test takeover -- --nocapture`.
 
+#![cfg(test)]
+
 mod simulation;
 
 use simulation::operators::primary;
--- a/crates/succession/src/lib.rs
+++ b/crates/succession/src/lib.rs
@@ -10,6 +10,8 @@
 //!   (new: never serves) --------> old: takes back, goes on
 //! ```
 
+#![allow(missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod lending;
 mod seal;
 
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -1,6 +1,12 @@
 //! What a hosted service knows of its tenants, without input or output: [`model`] is what administrators write,
 //! [`snapshot`] what ingresses get of it, and [`account_number`] how an account by any name becomes a number.
 
+#![allow(
+    clippy::semicolon_if_nothing_returned,
+    missing_docs,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 pub mod model;
 pub mod snapshot;
 
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -1,5 +1,7 @@
 //! Connections on slow links, in virtual time: a large message crosses while heartbeats go on, and silence ends them.
 
+#![cfg(test)]
+
 mod slow;
 
 use bytes::Bytes;
--- a/crates/transport/tests/slow/mod.rs
+++ b/crates/transport/tests/slow/mod.rs
@@ -1,5 +1,8 @@
 //! A world with one listener, whose connections carry so many bytes a second in each direction, in virtual time.
 
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use futures_util::future::LocalBoxFuture;
 use futures_util::FutureExt;
 use std::cell::{Cell, RefCell};
--- a/crates/violetyoke/src/bin/violetyoke-service.rs
+++ b/crates/violetyoke/src/bin/violetyoke-service.rs
@@ -1,5 +1,13 @@
 //! The program with its commands: several pools by a file of our own.
 
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::needless_pass_by_value,
+    clippy::too_many_lines,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 #[path = "../admin.rs"]
 mod admin;
 #[path = "../client.rs"]
--- a/crates/violetyoke/src/main.rs
+++ b/crates/violetyoke/src/main.rs
@@ -2,6 +2,8 @@
 //! all is answered. With arguments it becomes `violetyoke-service`, which stands beside it: what that needs (a
 //! command line, a file of our own) would be memory that an ingress of the platform holds and never uses.
 
+#![allow(clippy::needless_pass_by_value, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 use std::os::unix::process::CommandExt;
 use std::process::{Command, ExitCode};
 use tokio::runtime::Builder;
--- a/crates/violetyoke/tests/account.rs
+++ b/crates/violetyoke/tests/account.rs
@@ -1,5 +1,7 @@
 //! What an ingress writes down of its decisions: each answer with its rule where it is asked for, nothing elsewhere.
 
+#![cfg(test)]
+
 mod common;
 
 use common::*;
--- a/crates/violetyoke/tests/bodies.rs
+++ b/crates/violetyoke/tests/bodies.rs
@@ -1,5 +1,8 @@
 //! Bodies of every form and length, in both directions, on real sockets.
 
+#![cfg(test)]
+#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod common;
 
 use common::*;
--- a/crates/violetyoke/tests/commands.rs
+++ b/crates/violetyoke/tests/commands.rs
@@ -1,5 +1,8 @@
 //! The command line: what a newcomer types, and what a bad file is answered with.
 
+#![cfg(test)]
+#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod common;
 
 use common::*;
--- a/crates/violetyoke/tests/common/mod.rs
+++ b/crates/violetyoke/tests/common/mod.rs
@@ -1,7 +1,13 @@
 //! The program as a process, its clients, and the platform's settings. What stands round it comes from
 //! `violetyoke-standin`. Everything is on loopback; waits are on conditions, with a limit after which a test
 //! fails.
-#![allow(dead_code, unused_imports)] // Each file of tests uses its own part.
+
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::needless_pass_by_value,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+#![allow(dead_code, unreachable_pub, unused_imports, reason = "each file of tests uses its own part")]
 
 pub mod control;
 pub mod grpc;
--- a/crates/violetyoke/tests/consult.rs
+++ b/crates/violetyoke/tests/consult.rs
@@ -1,6 +1,8 @@
 //! A pool that asks an outside rate limit server before it admits: answers in time, late, wrong and never, on real
 //! sockets with the stand-in server.
 
+#![cfg(test)]
+
 mod common;
 
 use common::grpc::*;
--- a/crates/violetyoke/tests/control.rs
+++ b/crates/violetyoke/tests/control.rs
@@ -1,5 +1,8 @@
 //! The control plane as a process: its API, who may do what, and what survives its death.
 
+#![cfg(test)]
+#![allow(clippy::too_many_lines, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod common;
 
 use common::control::*;
--- a/crates/violetyoke/tests/control_access.rs
+++ b/crates/violetyoke/tests/control_access.rs
@@ -1,5 +1,7 @@
 //! Who may do what at the administration API, and how often.
 
+#![cfg(test)]
+
 mod common;
 
 use common::control::*;
--- a/crates/violetyoke/tests/control_commands.rs
+++ b/crates/violetyoke/tests/control_commands.rs
@@ -1,5 +1,7 @@
 //! The administration API by its page and by the command line.
 
+#![cfg(test)]
+
 mod common;
 
 use common::control::*;
--- a/crates/violetyoke/tests/control_lasting.rs
+++ b/crates/violetyoke/tests/control_lasting.rs
@@ -1,5 +1,8 @@
 //! What outlives a tenant, a process, and a change.
 
+#![cfg(test)]
+#![allow(clippy::too_many_lines, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+
 mod common;
 
 use common::control::*;
--- a/crates/violetyoke/tests/crowd.rs
+++ b/crates/violetyoke/tests/crowd.rs
@@ -1,6 +1,8 @@
 //! Thousands of connections that say nothing, or half of something, on a process that may hold few: requests on new
 //! connections are served all the same, also over restarts.
 
+#![cfg(test)]
+
 mod common;
 
 use common::held::{Held, Process};
--- a/crates/violetyoke/tests/duties.rs
+++ b/crates/violetyoke/tests/duties.rs
@@ -1,6 +1,13 @@
 //! Duties at the control plane: who may have a lease, what is refused and by which field, and upkeep by one of two
 //! control planes on one store.
 
+#![cfg(test)]
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::too_many_lines,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod common;
 
 use common::control::*;
--- a/crates/violetyoke/tests/handed_down.rs
+++ b/crates/violetyoke/tests/handed_down.rs
@@ -1,5 +1,7 @@
 //! What a process that takes over is handed by the one before it, and what it believes of that.
 
+#![cfg(test)]
+
 mod common;
 
 use common::held::{serves, Held, Process};
--- a/crates/violetyoke/tests/lab.rs
+++ b/crates/violetyoke/tests/lab.rs
@@ -1,5 +1,7 @@
 //! `violetyoke lab` as it is typed: a file is checked, played and compared.
 
+#![cfg(test)]
+
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
--- a/crates/violetyoke/tests/operations.rs
+++ b/crates/violetyoke/tests/operations.rs
@@ -1,6 +1,8 @@
 //! What operators do while the program serves, on real sockets: calls to the second address, nodes taken out by
 //! hand, drains and new settings.
 
+#![cfg(test)]
+
 mod common;
 
 use common::held::{call, serves};
--- a/crates/violetyoke/tests/platform.rs
+++ b/crates/violetyoke/tests/platform.rs
@@ -1,5 +1,12 @@
 //! The real program on loopback sockets, with fakes for all that stands round it.
 
+#![cfg(test)]
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::semicolon_if_nothing_returned,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod common;
 
 use common::*;
--- a/crates/violetyoke/tests/ratelimit.rs
+++ b/crates/violetyoke/tests/ratelimit.rs
@@ -1,5 +1,12 @@
 //! The gRPC rate limit service on real sockets, with a client of tonic's and raw HTTP/2 frames.
 
+#![cfg(test)]
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::redundant_closure_for_method_calls,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod common;
 
 use common::grpc::*;
--- a/crates/violetyoke/tests/reload.rs
+++ b/crates/violetyoke/tests/reload.rs
@@ -1,6 +1,8 @@
 //! A table that is replaced while requests are on their way: one answer each, by the table that matched them, and
 //! nobody's quota anew.
 
+#![cfg(test)]
+
 mod common;
 
 use common::*;
--- a/crates/violetyoke/tests/service.rs
+++ b/crates/violetyoke/tests/service.rs
@@ -1,6 +1,8 @@
 //! Several pools in one process, on real sockets: routes, what goes on to nodes, quotas apart, pools that fail
 //! apart, and connections that say nothing.
 
+#![cfg(test)]
+
 mod common;
 
 use common::*;
--- a/crates/violetyoke/tests/takeover.rs
+++ b/crates/violetyoke/tests/takeover.rs
@@ -1,5 +1,7 @@
 //! A process that takes over from another on a passed socket.
 
+#![cfg(test)]
+
 mod common;
 
 use common::held::{call, serves, Held};
--- a/crates/violetyoke/tests/tenants.rs
+++ b/crates/violetyoke/tests/tenants.rs
@@ -1,6 +1,13 @@
 //! Tenants from the control plane in a running service: what is put in force, what is refused, and what goes on when
 //! the control plane does not.
 
+#![cfg(test)]
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::needless_pass_by_value,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod common;
 
 use common::control::*;
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,6 +1,16 @@
 //! `cargo xtask prove NAME` runs a subsystem's proof: it prints its figures as `key=value` and exits 1 when one
 //! falls short. `cargo xtask measure NAME` prints figures that have no verdict.
 
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::needless_pass_by_value,
+    clippy::redundant_closure_for_method_calls,
+    clippy::too_many_lines,
+    clippy::unused_self,
+    unreachable_pub,
+    reason = "not yet revised for readers: see docs/ROADMAP.md"
+)]
+
 mod account;
 mod draw_days;
 mod figures;
