--- a/crates/balancing/src/cold.rs
+++ b/crates/balancing/src/cold.rs
@@ -50,13 +50,13 @@
     if members.binary_search(&me).is_err() {
         return 0;
     }
-    let weight = |member: u32| {
-        let mut x = seed ^ u64::from(member).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let weight = |proxy_id: u32| {
+        let mut x = seed ^ u64::from(proxy_id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x ^ (x >> 27)
     };
     let mine = weight(me);
-    let rank = members.iter().filter(|member| weight(**member) > mine).count();
+    let rank = members.iter().filter(|proxy_id| weight(**proxy_id) > mine).count();
     let whole = rate.max(0.0) as usize;
     let (each, rest) = (whole / members.len(), whole % members.len());
     (each + usize::from(rank < rest)) as u32
--- a/crates/balancing/src/fleet.rs
+++ b/crates/balancing/src/fleet.rs
@@ -15,7 +15,7 @@
     pub region: String,
     pub slots: u32,
     pub draining: bool,
-    pub cold_left_ms: Millis,
+    pub slow_start_left_ms: Millis,
 }
 
 /// Where this ingress stands, and who the others are.
@@ -114,14 +114,15 @@
             if self.ended.contains_key(&line.id) {
                 continue;
             }
-            let ListedBackend { id, service, address, zone, region, slots, draining, cold_left_ms } = line;
+            let ListedBackend { id, service, address, zone, region, slots, draining, slow_start_left_ms } =
+                line;
             let backend = self
                 .backends
                 .entry(id.clone())
                 .or_insert_with(|| Backend::new(id, service, address, zone, region, slots));
             backend.slots = slots.max(1);
             backend.leaving |= draining;
-            backend.cold.set(if cold_left_ms > 0 { at + cold_left_ms } else { 0 });
+            backend.cold.set(if slow_start_left_ms > 0 { at + slow_start_left_ms } else { 0 });
         }
         self.index();
     }
--- a/crates/balancing/tests/choice.rs
+++ b/crates/balancing/tests/choice.rs
@@ -17,7 +17,7 @@
         region: zone[..1].into(),
         slots,
         draining: false,
-        cold_left_ms: 0,
+        slow_start_left_ms: 0,
     }
 }
 
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -43,7 +43,7 @@
                     format!("place {n}: spoiled: its digest is not that of its bytes, or it is cut short")
                 }
                 Found::State { number, state } => {
-                    let (epoch, version) = (state.record.epoch, state.held.version);
+                    let (epoch, version) = (state.config.epoch, state.held.version);
                     format!("place {n}: write {number}, epoch {epoch}, version {version}, digest fine")
                 }
             });
@@ -53,21 +53,21 @@
             return lines.join("\n");
         };
         let member = |id: &u64| {
-            let voter = state.record.voters.iter().find(|voter| voter.id == *id);
+            let voter = state.config.voters.iter().find(|voter| voter.id == *id);
             voter.map_or_else(|| format!("{id:x}"), |voter| format!("{} ({})", voter.ip, voter.zone))
         };
         let names = |ids: Vec<u64>| ids.iter().map(member).collect::<Vec<_>>().join(", ");
         lines.push(format!("this store: {}, disk {:x}", member(&state.id), state.id));
         lines.push(format!("promised: epoch {}", state.promised));
-        lines.push(format!("voters: {}", names(state.record.voters.iter().map(|voter| voter.id).collect())));
-        lines.push(format!("holders, the primary first: {}", names(state.record.holders.clone())));
+        lines.push(format!("voters: {}", names(state.config.voters.iter().map(|voter| voter.id).collect())));
+        lines.push(format!("holders, the primary first: {}", names(state.config.data_replicas.clone())));
         let held = &state.held;
         lines.push(format!(
             "held: version {}, {} bytes, stamp {}.{}",
             held.version,
             held.text.len(),
-            held.stamp.epoch,
-            held.stamp.seq
+            held.revision.epoch,
+            held.revision.sequence
         ));
         if !held.evacuated.is_empty() {
             let zones: Vec<&str> = held.evacuated.iter().map(String::as_str).collect();
@@ -81,9 +81,9 @@
             Found::Missing => json!({"found": "missing"}),
             Found::Spoiled => json!({"found": "spoiled"}),
             Found::State { number, state } => json!({
-                "found": "state", "write": number, "epoch": state.record.epoch, "version": state.held.version,
-                "promised": state.promised, "holders": state.record.holders, "evacuated": state.held.evacuated,
-                "voters": state.record.voters.iter().map(|it| json!({"id": it.id, "ip": it.ip, "zone": it.zone}))
+                "found": "state", "write": number, "epoch": state.config.epoch, "version": state.held.version,
+                "promised": state.promised, "holders": state.config.data_replicas, "evacuated": state.held.evacuated,
+                "voters": state.config.voters.iter().map(|it| json!({"id": it.id, "ip": it.ip, "zone": it.zone}))
                     .collect::<Vec<_>>(),
             }),
         };
--- a/crates/ctl/tests/store.rs
+++ b/crates/ctl/tests/store.rs
@@ -8,7 +8,7 @@
 use violetyoke_ctl::verbs::{read, run, Ended};
 use violetyoke_store::disk::Slots;
 use violetyoke_store::register::Durable;
-use violetyoke_transport::messages::{AcceptedVersions, ControlState, Member, Record, Stamp};
+use violetyoke_transport::messages::{AcceptedVersions, ControlState, ReplicaConfig, Revision, StoreNode};
 
 struct Folder(PathBuf);
 
@@ -20,22 +20,22 @@
 }
 
 fn state(version: u64) -> Durable {
-    let voter = |n: u8| Member { id: u64::from(n), ip: [10, 0, 0, n].into(), zone: "a".into() };
-    let record = Record {
+    let voter = |n: u8| StoreNode { id: u64::from(n), ip: [10, 0, 0, n].into(), zone: "a".into() };
+    let record = ReplicaConfig {
         epoch: 3,
         voters: (1..=3).map(voter).collect(),
-        holders: vec![2, 1],
-        prior_voters: Vec::new(),
+        data_replicas: vec![2, 1],
+        previous_voters: Vec::new(),
     };
     let text = format!("{{\"version\":{version}}}");
     let held = ControlState {
-        stamp: Stamp { epoch: 3, seq: version },
+        revision: Revision { epoch: 3, sequence: version },
         version,
         text,
         evacuated: ["b".to_owned()].into(),
         accepted: AcceptedVersions::default(),
     };
-    Durable { id: 2, fresh: false, promised: 3, record, held }
+    Durable { id: 2, fresh: false, promised: 3, config: record, held }
 }
 
 /// A folder with two states in it.
--- a/crates/proxy/src/counting.rs
+++ b/crates/proxy/src/counting.rs
@@ -16,7 +16,7 @@
 use violetyoke_quota::own::Passed;
 use violetyoke_quota::Limit;
 use violetyoke_transport::frame::encode;
-use violetyoke_transport::messages::{Owners, ProxyRequest, RegistryRequest};
+use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, ShardOwners};
 
 /// The holder is waited for as long as its answers usually take, several times over, within these bounds (ms).
 const TIMES: f64 = 3.0;
@@ -48,7 +48,7 @@
 pub struct Counting {
     passed: Passed,
     dealt: Dealt,
-    pub owners: Owners,
+    pub owners: ShardOwners,
     /// On which connection a tenant's use here was last told.
     told: HashMap<String, Connection>,
     pending: HashMap<u32, PendingAdd>,
@@ -60,8 +60,8 @@
 
 impl Counting {
     /// A newer deal of counts.
-    pub fn deal(&mut self, owners: Owners) {
-        if owners.fence <= self.owners.fence {
+    pub fn deal(&mut self, owners: ShardOwners) {
+        if owners.fencing_token <= self.owners.fencing_token {
             return;
         }
         let names: Vec<String> = owners.registries.iter().map(ToString::to_string).collect();
@@ -142,12 +142,17 @@
     let registry = registries.get(&owner)?;
     let sender = registry.sender.as_ref()?;
     let connection = Connection { registry: owner, life: registry.lives };
-    let fence = counting.owners.fence;
+    let fence = counting.owners.fencing_token;
     if counting.told.get(&tenant.name) != Some(&connection) {
         let (current, previous) = counting.passed.told(now, &tenant.name, limit);
         if current + previous > 0.0 {
             let (current, previous) = (current as u32, previous as u32);
-            let tell = ProxyRequest::Tell { tenant: tenant.name.clone(), fence, current, previous };
+            let tell = ProxyRequest::TransferCount {
+                tenant: tenant.name.clone(),
+                fencing_token: fence,
+                current,
+                previous,
+            };
             sender.send(encode(&RegistryRequest::Proxy(tell)));
         }
         counting.told.insert(tenant.name.clone(), connection);
@@ -156,7 +161,7 @@
     let call = counting.next_call;
     let (answer, receiver) = oneshot::channel();
     counting.pending.insert(call, PendingAdd { asked: connection, answer });
-    let add = ProxyRequest::Add { call, tenant: tenant.name.clone(), fence };
+    let add = ProxyRequest::Increment { request_id: call, tenant: tenant.name.clone(), fencing_token: fence };
     sender.send(encode(&RegistryRequest::Proxy(add)));
     let round_trip = counting.round_trips.get(&owner).copied().unwrap_or(MOST / TIMES);
     Some((owner, call, receiver, (round_trip * TIMES).clamp(LEAST, MOST)))
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -12,7 +12,7 @@
 use violetyoke_api::Settings;
 use violetyoke_transport::life::Life;
 use violetyoke_transport::link;
-use violetyoke_transport::messages::Members;
+use violetyoke_transport::messages::Membership;
 use violetyoke_transport::net::{self, Listener};
 use violetyoke_transport::program::Failed;
 
@@ -110,7 +110,7 @@
 fn in_contact(proxy: &Proxy) -> bool {
     let registries = proxy.registries.borrow();
     let up = registries.values().filter(|registry| registry.sender.is_some());
-    up.map(|registry| &registry.members).any(|it| it.in_contact && it.newest <= proxy.stamp())
+    up.map(|registry| &registry.members).any(|it| it.in_contact && it.newest <= proxy.revision())
 }
 
 /// All registries that are connected have told how new a state they have, none a newer one than is known here, and
@@ -118,7 +118,7 @@
 fn all_heard(proxy: &Proxy) -> bool {
     let registries = proxy.registries.borrow();
     let up = registries.values().filter(|registry| registry.sender.is_some());
-    let told = |members: &Members| members.digest != 0 && members.newest <= proxy.stamp();
+    let told = |members: &Membership| members.digest != 0 && members.newest <= proxy.revision();
     let certain = up.clone().any(|registry| registry.members.in_contact);
     certain && up.clone().all(|registry| told(&registry.members)) && up.count() * 2 > registries.len()
 }
--- a/crates/proxy/src/learning.rs
+++ b/crates/proxy/src/learning.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout_at, Duration, Instant};
 use violetyoke_transport::frame::encode;
-use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Stamp};
+use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Revision};
 
 /// An answer is waited for so long.
 const PATIENCE: Duration = Duration::from_millis(250);
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 struct Question {
     number: u32,
-    have: Stamp,
+    have: Revision,
     /// Registries that have not answered yet.
     due: BTreeSet<Ipv4Addr>,
     /// One that is in contact with the core knew of nothing newer.
@@ -47,15 +47,15 @@
 }
 
 impl Learning {
-    /// A registry knows of nothing newer than `stamp`; `in_contact`: it is not cut off from the core. The last of those
+    /// A registry knows of nothing newer than `revision`; `in_contact`: it is not cut off from the core. The last of those
     /// that were asked ends the question. An answer to an earlier question, or from one that is behind what is in force
     /// here, proves nothing.
-    pub fn newest(&self, registry: Ipv4Addr, in_contact: bool, number: u32, stamp: Stamp) {
+    pub fn newest(&self, registry: Ipv4Addr, in_contact: bool, number: u32, revision: Revision) {
         let question = &mut *self.question.borrow_mut();
         if question.number != number || !question.due.remove(&registry) {
             return;
         }
-        question.certain |= in_contact && stamp >= question.have;
+        question.certain |= in_contact && revision >= question.have;
         if question.due.is_empty() && question.certain {
             self.answered.set(Some(Instant::now()));
             self.end();
@@ -78,7 +78,7 @@
     }
 
     /// Begins a question to those registries; its number.
-    fn ask(&self, now: Instant, have: Stamp, due: BTreeSet<Ipv4Addr>) -> u32 {
+    fn ask(&self, now: Instant, have: Revision, due: BTreeSet<Ipv4Addr>) -> u32 {
         let question = &mut *self.question.borrow_mut();
         let number = question.number.wrapping_add(1);
         *question = Question { number, have, due, certain: false };
@@ -90,7 +90,7 @@
 impl Proxy {
     /// Asks whether there is anything newer than what is in force here.
     pub async fn learn(self: &Rc<Self>) -> Learned {
-        let before = self.stamp();
+        let before = self.revision();
         let now = Instant::now();
         if self.learning.rests(now) {
             return Learned::Nothing;
@@ -103,7 +103,7 @@
             return Learned::Unknown;
         }
         let _ = timeout_at(now + PATIENCE, ended).await;
-        if self.stamp() > before {
+        if self.revision() > before {
             return Learned::Newer;
         }
         // All have to answer to end a question; where some are silent, one that would know is enough in the end.
@@ -116,12 +116,15 @@
     }
 
     /// Asks all registries: the one that is asked first may be the one that is cut off.
-    fn ask_for_newer(&self, now: Instant, have: Stamp) {
+    fn ask_for_newer(&self, now: Instant, have: Revision) {
         let registries = self.registries.borrow();
         let connected =
             registries.iter().filter_map(|(ip, it)| it.sender.as_ref().map(|sender| (*ip, sender)));
         let question = self.learning.ask(now, have, connected.clone().map(|(ip, _)| ip).collect());
-        let frame = encode(&RegistryRequest::Proxy(ProxyRequest::Newer { question, have }));
+        let frame = encode(&RegistryRequest::Proxy(ProxyRequest::CheckFreshness {
+            request_id: question,
+            known: have,
+        }));
         for (_, sender) in connected {
             sender.send(frame.clone());
         }
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -16,7 +16,7 @@
 use violetyoke_transport::frame::{decode, encode};
 use violetyoke_transport::link;
 use violetyoke_transport::messages::{
-    Backend, Members, ProxyReply, ProxyRequest, RegistryRequest, Session, Stamp,
+    Backend, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
 };
 
 impl Proxy {
@@ -29,7 +29,7 @@
             if registries.contains_key(&ip) {
                 continue;
             }
-            registries.insert(ip, Registry { sender: None, members: Members::default(), lives: 0 });
+            registries.insert(ip, Registry { sender: None, members: Membership::default(), lives: 0 });
             let inputs = inputs.clone();
             let address = SocketAddrV4::new(ip, self.settings.inner(Process::Registry));
             tokio::task::spawn_local(link::keep(address, move |event| {
@@ -45,10 +45,10 @@
         };
         ProxyRequest::Hello(Session {
             node: self.settings.me.node.clone(),
-            front,
+            front_address: front,
             zone: self.settings.me.zone.clone(),
             region: self.settings.me.region.clone(),
-            ready: self.serving(),
+            is_ready: self.serving(),
         })
     }
 
@@ -77,10 +77,10 @@
         for (ip, registry) in registries.iter() {
             let Some(sender) = &registry.sender else { continue };
             let ask = ProxyRequest::Poll {
-                have: if self.lacking.get() { Stamp::default() } else { self.stamp() },
-                list: self.list.get(),
-                members: registry.members.digest,
-                lead: lead == Some(*ip),
+                revision: if self.lacking.get() { Revision::default() } else { self.revision() },
+                backend_list: self.list.get(),
+                membership: registry.members.digest,
+                is_primary: lead == Some(*ip),
             };
             sender.send(encode(&RegistryRequest::Proxy(ask)));
         }
@@ -100,43 +100,43 @@
             link::Event::Down => {
                 if let Some(registry) = self.registries.borrow_mut().get_mut(&ip) {
                     registry.sender = None;
-                    registry.members = Members::default();
+                    registry.members = Membership::default();
                 }
                 self.counting.borrow_mut().disconnected(ip);
                 self.members_changed();
                 self.poll();
             }
             link::Event::Frame(frame) => match decode(&frame) {
-                Ok(ProxyReply::Newest { question, stamp }) => {
+                Ok(ProxyReply::Freshness { request_id: question, newest: revision }) => {
                     let registries = self.registries.borrow();
                     let in_contact = registries.get(&ip).is_some_and(|it| it.members.in_contact);
-                    self.learning.newest(ip, in_contact, question, stamp);
+                    self.learning.newest(ip, in_contact, question, revision);
                 }
-                Ok(ProxyReply::Whole { stamp, evacuated, packed }) => {
+                Ok(ProxyReply::FullState { revision, evacuated, configuration: packed }) => {
                     let configuration = packed.open::<Configuration>();
-                    self.state_received(stamp, evacuated, configuration.map(Some));
+                    self.state_received(revision, evacuated, configuration.map(Some));
                 }
-                Ok(ProxyReply::Change { from, stamp, evacuated, packed }) => {
-                    let old = self.snapshot().filter(|snapshot| snapshot.stamp == from);
+                Ok(ProxyReply::StateChange { from, revision, evacuated, change: packed }) => {
+                    let old = self.snapshot().filter(|snapshot| snapshot.revision == from);
                     let change = packed.open::<Change>();
                     let next = change.map(|change| old.and_then(|old| change.apply(&old.configuration)));
-                    self.state_received(stamp, evacuated, next);
+                    self.state_received(revision, evacuated, next);
                 }
-                Ok(ProxyReply::List(list)) => {
+                Ok(ProxyReply::BackendList(list)) => {
                     let (digest, age) = (list.digest, list.age_ms);
                     let lines = list.backends.into_iter().map(|it| self.listed_backend(it)).collect();
                     self.list_received(digest, age, |fleet, now, at| fleet.replace_list(now, at, lines));
                 }
-                Ok(ProxyReply::ListChange(list)) if list.from == self.list.get() => {
-                    let lines = list.set.into_iter().map(|it| self.listed_backend(it)).collect();
-                    let gone = list.gone;
+                Ok(ProxyReply::BackendListChange(list)) if list.from == self.list.get() => {
+                    let lines = list.upserted.into_iter().map(|it| self.listed_backend(it)).collect();
+                    let gone = list.removed;
                     self.list_received(list.digest, list.age_ms, |fleet, now, at| {
                         fleet.apply_list_change(now, at, lines, &gone)
                     });
                 }
                 // Made for another list than the one that is known here by now.
-                Ok(ProxyReply::ListChange(_)) => self.poll(),
-                Ok(ProxyReply::Members(members)) => {
+                Ok(ProxyReply::BackendListChange(_)) => self.poll(),
+                Ok(ProxyReply::Membership(members)) => {
                     if let Some(registry) = self.registries.borrow_mut().get_mut(&ip) {
                         registry.members = members;
                     }
@@ -145,10 +145,12 @@
                         self.poll();
                     }
                 }
-                Ok(ProxyReply::Counted { call, retry_ms }) => {
+                Ok(ProxyReply::Counted { request_id: call, retry_ms }) => {
                     self.holder_replied(ip, call, HolderReply::Counted(retry_ms));
                 }
-                Ok(ProxyReply::NotMine { call }) => self.holder_replied(ip, call, HolderReply::NotMine),
+                Ok(ProxyReply::NotOwner { request_id: call }) => {
+                    self.holder_replied(ip, call, HolderReply::NotMine)
+                }
                 Err(error) => slog::warn!(self.log, "unread frame"; "why" => error.to_string()),
             },
         }
@@ -157,13 +159,13 @@
     /// A state of control was told; where it can't be made of what is known here, the whole is asked for.
     fn state_received(
         &self,
-        stamp: Stamp,
+        revision: Revision,
         evacuated: BTreeSet<String>,
         next: std::io::Result<Option<Configuration>>,
     ) {
         match next {
-            Ok(Some(configuration)) => self.install(stamp, evacuated, configuration),
-            Ok(None) if stamp > self.stamp() => self.lacking.set(true),
+            Ok(Some(configuration)) => self.install(revision, evacuated, configuration),
+            Ok(None) if revision > self.revision() => self.lacking.set(true),
             Ok(None) => {}
             Err(error) => slog::error!(self.log, "configuration not taken"; "why" => error.to_string()),
         }
@@ -180,7 +182,7 @@
             zone: backend.zone,
             slots: backend.slots,
             draining: backend.draining,
-            cold_left_ms: backend.cold_left_ms,
+            slow_start_left_ms: backend.slow_start_left_ms,
         }
     }
 
@@ -216,8 +218,8 @@
             fleet.ingresses = proxies.len();
         }
         fleet.place.members = proxies;
-        if let Some(newest) = views.max_by_key(|members| members.owners.fence) {
-            counting.deal(newest.owners.clone());
+        if let Some(newest) = views.max_by_key(|members| members.shard_owners.fencing_token) {
+            counting.deal(newest.shard_owners.clone());
         }
     }
 }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -18,12 +18,12 @@
 use violetyoke_balancing::fleet::{self, Fleet, Place};
 use violetyoke_balancing::Millis;
 use violetyoke_transport::link::Sender;
-use violetyoke_transport::messages::{member, Members, Stamp};
+use violetyoke_transport::messages::{proxy_id, Membership, Revision};
 
 /// What is in force: swapped whole.
 #[derive(Debug)]
 pub struct Snapshot {
-    pub stamp: Stamp,
+    pub revision: Revision,
     pub table: Table,
     /// What the table was made of, for the next change.
     pub configuration: Configuration,
@@ -32,7 +32,7 @@
 /// A connection to a registry, and what was last told there.
 pub struct Registry {
     pub sender: Option<Sender>,
-    pub members: Members,
+    pub members: Membership,
     /// Connections to it so far: a later one may be to another life.
     pub lives: u64,
 }
@@ -68,7 +68,7 @@
 impl Proxy {
     pub fn new(settings: Settings, life: u64, log: Logger) -> Proxy {
         let place = Place {
-            me: member(&settings.me.node),
+            me: proxy_id(&settings.me.node),
             zone: settings.me.zone.clone(),
             region: settings.me.region.clone(),
             members: Vec::new(),
@@ -111,8 +111,8 @@
         self.snapshot.borrow().clone()
     }
 
-    pub fn stamp(&self) -> Stamp {
-        self.snapshot.borrow().as_ref().map(|snapshot| snapshot.stamp).unwrap_or_default()
+    pub fn revision(&self) -> Revision {
+        self.snapshot.borrow().as_ref().map(|snapshot| snapshot.revision).unwrap_or_default()
     }
 
     /// How many ingresses share what is cut over all of them.
@@ -121,8 +121,8 @@
     }
 
     /// A newer state of control; an older one changes nothing.
-    pub fn install(&self, stamp: Stamp, evacuated: BTreeSet<String>, configuration: Configuration) {
-        if stamp <= self.stamp() {
+    pub fn install(&self, revision: Revision, evacuated: BTreeSet<String>, configuration: Configuration) {
+        if revision <= self.revision() {
             return;
         }
         let terms = configuration.services.iter().map(|service| {
@@ -135,12 +135,12 @@
         });
         let lag = self.settings.platform.cloud_api.as_ref().map_or(1000.0, |api| api.lag_ms) as Millis + 700;
         self.fleet.borrow_mut().configure(self.now(), terms.collect(), evacuated.clone(), lag);
-        slog::info!(self.log, "in force"; "version" => configuration.version, "epoch" => stamp.epoch,
+        slog::info!(self.log, "in force"; "version" => configuration.version, "epoch" => revision.epoch,
             "evacuated" => evacuated.len());
         *self.evacuated.borrow_mut() = evacuated;
         let table = Table::new(&configuration);
         self.counting.borrow_mut().retain(&table);
-        *self.snapshot.borrow_mut() = Some(Rc::new(Snapshot { stamp, table, configuration }));
+        *self.snapshot.borrow_mut() = Some(Rc::new(Snapshot { revision, table, configuration }));
         self.waiting.borrow_mut().all();
         self.learning.installed_newer();
     }
--- a/crates/proxy/tests/common/backends.rs
+++ b/crates/proxy/tests/common/backends.rs
@@ -73,7 +73,7 @@
             zone: "a".into(),
             slots: 4,
             draining: false,
-            cold_left_ms: 0,
+            slow_start_left_ms: 0,
         }
     }
 
--- a/crates/proxy/tests/common/registries.rs
+++ b/crates/proxy/tests/common/registries.rs
@@ -10,7 +10,7 @@
 use violetyoke_transport::frame::{decode, encode};
 use violetyoke_transport::link::{self, Event, Sender};
 use violetyoke_transport::messages::{
-    self, List, Members, Owners, ProxyReply, ProxyRequest, RegistryRequest, Stamp,
+    self, BackendList, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision, ShardOwners,
 };
 use violetyoke_transport::net::listen;
 use violetyoke_transport::pack::Packed;
@@ -28,9 +28,9 @@
 }
 
 pub struct Script {
-    pub state: Option<(Stamp, Configuration)>,
-    pub list: List,
-    pub members: Members,
+    pub state: Option<(Revision, Configuration)>,
+    pub list: BackendList,
+    pub members: Membership,
     pub counts: Counts,
     /// It answers questions for something newer.
     pub answers: bool,
@@ -53,8 +53,8 @@
     pub fn new(number: u8) -> Registry {
         let script = Script {
             state: None,
-            list: List::default(),
-            members: Members::default(),
+            list: BackendList::default(),
+            members: Membership::default(),
             counts: Counts::Passes,
             answers: true,
             tells_all: true,
@@ -82,28 +82,31 @@
         }));
     }
 
-    /// It knows that state of control, under a stamp of that number, and those backends.
-    pub fn knows(&self, seq: u64, configuration: Value, backends: &[&Backend]) {
+    /// It knows that state of control, under a revision of that number, and those backends.
+    pub fn knows(&self, sequence: u64, configuration: Value, backends: &[&Backend]) {
         let configuration = Configuration::parse(configuration.to_string().as_bytes()).expect("valid");
         let script = &mut *self.script.borrow_mut();
-        script.state = Some((Stamp { epoch: 1, seq }, configuration));
+        script.state = Some((Revision { epoch: 1, sequence }, configuration));
         let backends = backends.iter().map(|backend| backend.line()).collect();
-        script.list = List { digest: 77, age_ms: 10, backends };
+        script.list = BackendList { digest: 77, age_ms: 10, backends };
     }
 
     /// It sees that many proxies, and knows of those registries, to which counts are dealt under a fence of that number.
     pub fn members_under(&self, fence: u64, proxies: u32, registries: &[&Registry], in_contact: bool) {
         let registries: Vec<Ipv4Addr> = registries.iter().map(|registry| registry.ip).collect();
-        let mut numbers: Vec<u32> = (1..proxies).chain([messages::member("edge-1")]).collect();
+        let mut numbers: Vec<u32> = (1..proxies).chain([messages::proxy_id("edge-1")]).collect();
         numbers.sort_unstable();
         let script = &mut *self.script.borrow_mut();
-        script.members = Members {
+        script.members = Membership {
             digest: script.members.digest + 1,
             proxies: numbers,
-            owners: Owners { fence: Stamp { epoch: fence, seq: 0 }, registries: registries.clone() },
+            shard_owners: ShardOwners {
+                fencing_token: Revision { epoch: fence, sequence: 0 },
+                registries: registries.clone(),
+            },
             registries,
             in_contact,
-            newest: script.state.as_ref().map(|(stamp, _)| *stamp).unwrap_or_default(),
+            newest: script.state.as_ref().map(|(revision, _)| *revision).unwrap_or_default(),
         };
     }
 
@@ -121,7 +124,7 @@
     /// Sends what it knows of members to all.
     pub fn tell_members(&self) {
         let members = self.script.borrow().members.clone();
-        self.tell(&ProxyReply::Members(members));
+        self.tell(&ProxyReply::Membership(members));
     }
 
     pub fn connected(&self) -> bool {
@@ -133,7 +136,7 @@
         let script = self.script.borrow();
         let polls = script.asked.iter().rev();
         let mut leads = polls.filter_map(|ask| match ask {
-            ProxyRequest::Poll { lead, .. } => Some(*lead),
+            ProxyRequest::Poll { is_primary: lead, .. } => Some(*lead),
             _ => None,
         });
         leads.next().unwrap_or(false)
@@ -157,34 +160,39 @@
 }
 
 impl Script {
-    fn whole(&self, have: Stamp) -> Option<ProxyReply> {
-        let (stamp, configuration) = self.state.as_ref().filter(|(stamp, _)| *stamp > have)?;
+    fn whole(&self, have: Revision) -> Option<ProxyReply> {
+        let (revision, configuration) = self.state.as_ref().filter(|(revision, _)| *revision > have)?;
         let packed = Packed::new(configuration).expect("packed");
-        Some(ProxyReply::Whole { stamp: *stamp, evacuated: BTreeSet::new(), packed })
+        Some(ProxyReply::FullState { revision: *revision, evacuated: BTreeSet::new(), configuration: packed })
     }
 
     fn replies(&self, ask: &ProxyRequest) -> Vec<ProxyReply> {
         let mut replies = Vec::new();
         match ask {
-            ProxyRequest::Poll { have, list, members, lead } => {
+            ProxyRequest::Poll {
+                revision: have,
+                backend_list: list,
+                membership: members,
+                is_primary: lead,
+            } => {
                 if *lead || self.tells_all {
                     replies.extend(self.whole(*have));
                     if *list != self.list.digest {
-                        replies.push(ProxyReply::List(self.list.clone()));
+                        replies.push(ProxyReply::BackendList(self.list.clone()));
                     }
                 }
                 if *members != self.members.digest {
-                    replies.push(ProxyReply::Members(self.members.clone()));
+                    replies.push(ProxyReply::Membership(self.members.clone()));
                 }
             }
-            ProxyRequest::Newer { question, have } if self.answers => {
-                let stamp = self.state.as_ref().map(|(stamp, _)| *stamp).unwrap_or_default();
-                let newest = ProxyReply::Newest { question: *question, stamp };
+            ProxyRequest::CheckFreshness { request_id: question, known: have } if self.answers => {
+                let revision = self.state.as_ref().map(|(revision, _)| *revision).unwrap_or_default();
+                let newest = ProxyReply::Freshness { request_id: *question, newest: revision };
                 replies.push(self.whole(*have).unwrap_or(newest));
             }
-            ProxyRequest::Add { call, .. } => match self.counts {
-                Counts::Passes => replies.push(ProxyReply::Counted { call: *call, retry_ms: None }),
-                Counts::NotMine => replies.push(ProxyReply::NotMine { call: *call }),
+            ProxyRequest::Increment { request_id: call, .. } => match self.counts {
+                Counts::Passes => replies.push(ProxyReply::Counted { request_id: *call, retry_ms: None }),
+                Counts::NotMine => replies.push(ProxyReply::NotOwner { request_id: *call }),
                 Counts::Silent => {}
             },
             _ => {}
--- a/crates/proxy/tests/cut.rs
+++ b/crates/proxy/tests/cut.rs
@@ -101,12 +101,12 @@
         let (_proxy, registry) = stage(&[&finder]).await;
         registry.script.borrow_mut().answers = false;
         sleep(SOON).await;
-        let stamp = registry.script.borrow().state.as_ref().expect("a state").0;
+        let revision = registry.script.borrow().state.as_ref().expect("a state").0;
         let late = registry.clone();
         tokio::task::spawn_local(async move {
             for _ in 0..40 {
                 // Of a question that was asked long ago.
-                late.tell(&ProxyReply::Newest { question: 9_999, stamp });
+                late.tell(&ProxyReply::Freshness { request_id: 9_999, newest: revision });
                 sleep(Duration::from_millis(5)).await;
             }
         });
@@ -134,7 +134,7 @@
         tokio::task::spawn_local(async move {
             for _ in 0..400 {
                 for call in 0..20 {
-                    other.tell(&ProxyReply::Counted { call, retry_ms: None });
+                    other.tell(&ProxyReply::Counted { request_id: call, retry_ms: None });
                 }
                 sleep(Duration::from_millis(5)).await;
             }
--- a/crates/registry/src/backends.rs
+++ b/crates/registry/src/backends.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::hash::{Hash, Hasher};
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{Backend, List, ListChange};
+use violetyoke_transport::messages::{Backend, BackendList, BackendListChange};
 
 /// The pause between two calls for the list.
 const EVERY: Millis = 500;
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Lists {
-    newest: Option<(Millis, List)>,
+    newest: Option<(Millis, BackendList)>,
     next: Millis,
     refusals: u32,
     asking: bool,
@@ -31,29 +31,30 @@
     for backend in backends {
         (&backend.id, &backend.service, backend.address, &backend.zone).hash(&mut hasher);
         (backend.slots, backend.draining).hash(&mut hasher);
-        let warm_at = if backend.cold_left_ms > 0 { (asked_at + backend.cold_left_ms) / GRAIN } else { 0 };
+        let warm_at =
+            if backend.slow_start_left_ms > 0 { (asked_at + backend.slow_start_left_ms) / GRAIN } else { 0 };
         (warm_at > 0).hash(&mut hasher);
     }
     hasher.finish()
 }
 
 /// What makes one list another.
-pub fn change(old: &List, new: &List) -> ListChange {
+pub fn change(old: &BackendList, new: &BackendList) -> BackendListChange {
     let before: HashMap<&str, &Backend> = old.backends.iter().map(|it| (it.id.as_str(), it)).collect();
     let after: HashSet<&str> = new.backends.iter().map(|it| it.id.as_str()).collect();
     // Cold times run down by themselves; one that is warm by now, or has become cold, is another.
     let same = |a: &Backend, b: &Backend| {
-        let but_cold = Backend { cold_left_ms: b.cold_left_ms, ..a.clone() };
-        but_cold == *b && (a.cold_left_ms > 0) == (b.cold_left_ms > 0)
+        let but_cold = Backend { slow_start_left_ms: b.slow_start_left_ms, ..a.clone() };
+        but_cold == *b && (a.slow_start_left_ms > 0) == (b.slow_start_left_ms > 0)
     };
     let set = new.backends.iter().filter(|it| !before.get(it.id.as_str()).is_some_and(|old| same(old, it)));
     let gone = old.backends.iter().filter(|it| !after.contains(it.id.as_str())).map(|it| it.id.clone());
-    ListChange {
+    BackendListChange {
         from: old.digest,
         digest: new.digest,
         age_ms: new.age_ms,
-        set: set.cloned().collect(),
-        gone: gone.collect(),
+        upserted: set.cloned().collect(),
+        removed: gone.collect(),
     }
 }
 
@@ -77,12 +78,12 @@
         // Cold times run from when a page was written, which is after the call was made: long after, for the last of many
         // pages from afar. Counted from the answer they end late, never early.
         let took = now.saturating_sub(asked_at);
-        for backend in backends.iter_mut().filter(|backend| backend.cold_left_ms > 0) {
-            backend.cold_left_ms += took;
+        for backend in backends.iter_mut().filter(|backend| backend.slow_start_left_ms > 0) {
+            backend.slow_start_left_ms += took;
         }
         backends.sort_by(|a, b| a.id.cmp(&b.id));
         let digest = digest(&backends, asked_at);
-        self.take(asked_at, List { digest, age_ms: 0, backends })
+        self.take(asked_at, BackendList { digest, age_ms: 0, backends })
     }
 
     /// No answer, or a refusal.
@@ -93,7 +94,7 @@
     }
 
     /// Another registry's list; one without backends only says that its last one still holds.
-    pub fn told(&mut self, now: Millis, list: List) -> bool {
+    pub fn told(&mut self, now: Millis, list: BackendList) -> bool {
         let at = now.saturating_sub(list.age_ms);
         match &mut self.newest {
             Some((known, mine)) if list.backends.is_empty() => {
@@ -106,7 +107,7 @@
         }
     }
 
-    fn take(&mut self, at: Millis, list: List) -> bool {
+    fn take(&mut self, at: Millis, list: BackendList) -> bool {
         if self.newest.as_ref().is_some_and(|(known, _)| at < *known) {
             return false;
         }
@@ -120,10 +121,10 @@
     }
 
     /// The newest list, with its age; `whole`: with its backends.
-    pub fn newest(&self, now: Millis, whole: bool) -> Option<List> {
+    pub fn newest(&self, now: Millis, whole: bool) -> Option<BackendList> {
         let (at, list) = self.newest.as_ref()?;
         let backends = if whole { list.backends.clone() } else { Vec::new() };
-        Some(List { digest: list.digest, age_ms: now.saturating_sub(*at), backends })
+        Some(BackendList { digest: list.digest, age_ms: now.saturating_sub(*at), backends })
     }
 
     pub fn digest(&self) -> u64 {
--- a/crates/registry/src/daemon/mod.rs
+++ b/crates/registry/src/daemon/mod.rs
@@ -209,8 +209,8 @@
                 Ok(RegistryRequest::Registry(gossip)) => {
                     self.heard.insert(number, gossip.from);
                     self.sessions.told(gossip.from, gossip.sessions);
-                    self.proxies.absent.told(now, &gossip.away);
-                    if let Some(list) = gossip.list {
+                    self.proxies.absent.told(now, &gossip.partitioned);
+                    if let Some(list) = gossip.backends {
                         self.lists.told(now, list);
                     }
                     self.publish();
@@ -221,9 +221,14 @@
     }
 
     /// Tells all other registries the sessions that stand here.
-    fn gossip(&self, list: Option<violetyoke_transport::messages::List>) {
+    fn gossip(&self, list: Option<violetyoke_transport::messages::BackendList>) {
         let away = self.proxies.absent.away();
-        let gossip = Gossip { from: self.settings.me.ip, sessions: self.sessions.own(), away, list };
+        let gossip = Gossip {
+            from: self.settings.me.ip,
+            sessions: self.sessions.own(),
+            partitioned: away,
+            backends: list,
+        };
         let frame = encode(&RegistryRequest::Registry(gossip));
         for sender in self.registries.values().flatten() {
             sender.send(frame.clone());
--- a/crates/registry/src/daemon/orders.rs
+++ b/crates/registry/src/daemon/orders.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 use violetyoke_transport::frame::encode_deflated;
-use violetyoke_transport::messages::{Order, Outcome, StoreRequest};
+use violetyoke_transport::messages::{Command, Outcome, StoreRequest};
 
 pub(super) struct Clients {
     orders: Orders,
@@ -20,7 +20,7 @@
         Clients { orders: Orders::new(drawn), waiting: BTreeMap::new() }
     }
 
-    pub fn give(&mut self, now: Millis, order: Order, stores: &Stores) -> oneshot::Receiver<Outcome> {
+    pub fn give(&mut self, now: Millis, order: Command, stores: &Stores) -> oneshot::Receiver<Outcome> {
         let (sender, outcome) = oneshot::channel();
         let number = self.orders.give(now, order);
         self.waiting.insert(number, sender);
@@ -44,7 +44,7 @@
         }
         let Some((_, sender)) = primary else { return };
         for (call, order) in step.calls {
-            sender.send(encode_deflated(&StoreRequest::Do { call, order }));
+            sender.send(encode_deflated(&StoreRequest::Execute { request_id: call, command: order }));
         }
     }
 
--- a/crates/registry/src/daemon/outside.rs
+++ b/crates/registry/src/daemon/outside.rs
@@ -16,7 +16,7 @@
 use tokio::time::{timeout_at, Instant};
 use violetyoke_api::calls::{find, query, Call, Taker};
 use violetyoke_api::{Configuration, Invalid};
-use violetyoke_transport::messages::{Order, Outcome};
+use violetyoke_transport::messages::{Command, Outcome};
 use violetyoke_transport::net::Listener;
 
 /// The largest body of an order.
@@ -90,7 +90,7 @@
             Err(error) => refusal(413, &Invalid::new("document", error)),
             Ok(body) => replace(registry, &body.to_bytes()).await,
         },
-        Call::ConfigurationRead => match order(registry, Order::Read).await {
+        Call::ConfigurationRead => match order(registry, Command::Read).await {
             Some(Outcome::Read(state)) if !state.text.is_empty() => plain(200, state.text),
             Some(Outcome::Read(_)) => refusal(404, &Invalid::new("configuration", "none was ever sent")),
             _ => unclear(),
@@ -103,7 +103,7 @@
             // While this waits, a call whose client is gone ends.
             tokio::time::sleep(STALE_WITHIN).await;
             let empty = call == Call::EvacuationBegin;
-            match order(registry, Order::Evacuate { zone: zone.to_owned(), empty }).await {
+            match order(registry, Command::Evacuate { zone: zone.to_owned(), empty }).await {
                 Some(Outcome::Acknowledged) => plain(200, "{}"),
                 _ => unclear(),
             }
@@ -130,7 +130,7 @@
         return refusal(400, &Invalid::new("document", "is not UTF-8"));
     };
     let answered_by = Instant::now() + ACKNOWLEDGED_WITHIN;
-    match order(registry, Order::Replace { version, text }).await {
+    match order(registry, Command::Replace { version, text }).await {
         Some(Outcome::Acknowledged) => {
             installed_by_all(registry, version, answered_by).await;
             plain(200, "{}")
@@ -161,7 +161,7 @@
     }
 }
 
-async fn order(registry: &Shared, order: Order) -> Option<Outcome> {
+async fn order(registry: &Shared, order: Command) -> Option<Outcome> {
     let outcome = {
         let registry = &mut *registry.borrow_mut();
         let now = registry.now();
--- a/crates/registry/src/daemon/proxies.rs
+++ b/crates/registry/src/daemon/proxies.rs
@@ -12,7 +12,7 @@
 use violetyoke_quota::Limit;
 use violetyoke_transport::frame::encode;
 use violetyoke_transport::link::Sender;
-use violetyoke_transport::messages::{ControlState, Owners, ProxyReply, ProxyRequest, Stamp};
+use violetyoke_transport::messages::{ControlState, ProxyReply, ProxyRequest, Revision, ShardOwners};
 
 /// Of the part by which a limit may be passed, so much bears what proxies pass that can't ask; ways and turns of windows
 /// take the rest.
@@ -23,21 +23,21 @@
     pub hello: bool,
     pub lead: bool,
     /// The state that it was sent, and the one that it says it holds.
-    pub have: Stamp,
-    pub holds: Stamp,
+    pub have: Revision,
+    pub holds: Revision,
     /// The list that it was sent, and the one that it says it holds.
     pub list: u64,
     pub holds_list: u64,
     pub members: u64,
     /// The deal of counts, and the contact, that it was told of.
-    pub deal: (bool, Stamp),
+    pub deal: (bool, Revision),
     pub waits: Waits,
 }
 
 #[derive(Default)]
 pub(super) struct Proxies {
     pub by_connection: BTreeMap<u64, Proxy>,
-    pub counts: Holder<Stamp>,
+    pub counts: Holder<Revision>,
     /// Proxies that may pass requests without asking.
     pub absent: Absent,
     /// Whether this registry may count at all.
@@ -48,7 +48,7 @@
 
 impl Proxies {
     pub fn opened(&mut self, number: u64, sender: Sender) {
-        let (have, list, members) = (Stamp::default(), 0, 0);
+        let (have, list, members) = (Revision::default(), 0, 0);
         let waits = Waits::default();
         let proxy = Proxy {
             sender,
@@ -59,14 +59,14 @@
             list,
             holds_list: list,
             members,
-            deal: (false, Stamp::default()),
+            deal: (false, Revision::default()),
             waits,
         };
         self.by_connection.insert(number, proxy);
     }
 
     /// Another deal of counts.
-    pub fn deal(&mut self, owners: &Owners) {
+    pub fn deal(&mut self, owners: &ShardOwners) {
         let names: Vec<String> = owners.registries.iter().map(ToString::to_string).collect();
         self.dealt = Dealt::new(&names.iter().map(String::as_str).collect::<Vec<_>>());
     }
@@ -95,15 +95,15 @@
 
     /// All proxies that have a session here hold that version, or a later one.
     pub(super) fn all_hold(&self, version: u64) -> bool {
-        let Some(stamp) = self.telling.stamp_of(version) else { return self.held.version > version };
-        self.proxies.by_connection.values().filter(|proxy| proxy.hello).all(|proxy| proxy.holds >= stamp)
+        let Some(revision) = self.telling.stamp_of(version) else { return self.held.version > version };
+        self.proxies.by_connection.values().filter(|proxy| proxy.hello).all(|proxy| proxy.holds >= revision)
     }
 
     pub(super) fn proxy(&mut self, number: u64, ask: ProxyRequest) {
         let now = self.now();
         match ask {
             ProxyRequest::Hello(session) => {
-                info!(self.log, "session"; "proxy" => &session.node, "ready" => session.ready);
+                info!(self.log, "session"; "proxy" => &session.node, "ready" => session.is_ready);
                 self.sessions.begin(number, session);
                 if let Some(proxy) = self.proxies.by_connection.get_mut(&number) {
                     proxy.hello = true;
@@ -111,7 +111,12 @@
                 self.gossip(None);
                 self.publish();
             }
-            ProxyRequest::Poll { have, list, members, lead } => {
+            ProxyRequest::Poll {
+                revision: have,
+                backend_list: list,
+                membership: members,
+                is_primary: lead,
+            } => {
                 if let Some(proxy) = self.proxies.by_connection.get_mut(&number) {
                     proxy.waits.polled(have > proxy.holds, list != proxy.holds_list);
                     (proxy.have, proxy.list, proxy.members, proxy.lead) = (have, list, members, lead);
@@ -120,43 +125,45 @@
                 self.polled.notify_waiters();
                 self.publish();
             }
-            ProxyRequest::Newer { question, have } => {
-                let newest = self.telling.stamp().unwrap_or_default();
+            ProxyRequest::CheckFreshness { request_id: question, known: have } => {
+                let newest = self.telling.revision().unwrap_or_default();
                 if let Some(proxy) = self.proxies.by_connection.get_mut(&number) {
                     if newest > have {
                         // Sent before, perhaps; told again to one that waits for it.
                         proxy.have = have;
                         proxy.lead = true;
                     } else {
-                        proxy.sender.send(encode(&ProxyReply::Newest { question, stamp: newest }));
+                        proxy
+                            .sender
+                            .send(encode(&ProxyReply::Freshness { request_id: question, newest: newest }));
                     }
                 }
                 self.publish();
             }
-            ProxyRequest::Add { call, tenant, fence } => {
+            ProxyRequest::Increment { request_id: call, tenant, fencing_token: fence } => {
                 let mine = self.counts(&tenant);
                 let slack = self.settings.terms.bounds.quota_overshoot * BORNE;
                 let left = 1.0 - self.proxies.absent.reserve(now, slack);
                 let says = match self.proxies.limits.get(&tenant).copied() {
                     // A tenant of a configuration that has not come here yet: whoever asks knows its limit.
-                    None => ProxyReply::NotMine { call },
-                    Some(None) => ProxyReply::Counted { call, retry_ms: None },
+                    None => ProxyReply::NotOwner { request_id: call },
+                    Some(None) => ProxyReply::Counted { request_id: call, retry_ms: None },
                     Some(Some(limit)) if mine => {
                         match self.proxies.counts.add(now, &tenant, fence, limit.part(left, limit.length)) {
-                            Err(_) => ProxyReply::NotMine { call },
+                            Err(_) => ProxyReply::NotOwner { request_id: call },
                             Ok(counted) => {
                                 let retry_ms = counted.err().map(|ms| ms.min(60_000) as u32);
-                                ProxyReply::Counted { call, retry_ms }
+                                ProxyReply::Counted { request_id: call, retry_ms }
                             }
                         }
                     }
-                    Some(Some(_)) => ProxyReply::NotMine { call },
+                    Some(Some(_)) => ProxyReply::NotOwner { request_id: call },
                 };
                 if let Some(proxy) = self.proxies.by_connection.get(&number) {
                     proxy.sender.send(encode(&says));
                 }
             }
-            ProxyRequest::Tell { tenant, fence, current, previous } => {
+            ProxyRequest::TransferCount { tenant, fencing_token: fence, current, previous } => {
                 if let Some(Some(limit)) = self.proxies.limits.get(&tenant).copied() {
                     let told = (f64::from(current), f64::from(previous));
                     // A word under an older deal is of no use to anybody.
--- a/crates/registry/src/daemon/stores.rs
+++ b/crates/registry/src/daemon/stores.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use violetyoke_transport::frame::{decode, encode};
 use violetyoke_transport::link::{self, Sender};
-use violetyoke_transport::messages::{Owners, StoreReply, StoreRequest};
+use violetyoke_transport::messages::{ShardOwners, StoreReply, StoreRequest};
 
 #[derive(Default)]
 struct Store {
@@ -24,12 +24,18 @@
     port: u16,
     by_ip: BTreeMap<Ipv4Addr, Store>,
     known: BTreeSet<Ipv4Addr>,
-    pub owners: Owners,
+    pub owners: ShardOwners,
 }
 
 impl Stores {
     pub fn new(me: Ipv4Addr, port: u16) -> Stores {
-        Stores { me, port, by_ip: BTreeMap::new(), known: BTreeSet::from([me]), owners: Owners::default() }
+        Stores {
+            me,
+            port,
+            by_ip: BTreeMap::new(),
+            known: BTreeSet::from([me]),
+            owners: ShardOwners::default(),
+        }
     }
 
     pub fn known(&self) -> impl Iterator<Item = Ipv4Addr> + '_ {
@@ -79,7 +85,7 @@
         let now = self.now();
         match event {
             link::Event::Up(sender) => {
-                let watch = StoreRequest::Watch { registry: self.settings.me.ip, have: self.held.stamp };
+                let watch = StoreRequest::Watch { registry: self.settings.me.ip, known: self.held.revision };
                 sender.send(encode(&watch));
                 self.stores.opened(ip, sender);
             }
@@ -88,24 +94,24 @@
                 self.orders.lost(connection);
             }
             link::Event::Frame(frame) => match decode(&frame) {
-                Ok(StoreReply::Status { epoch, active, owners, stores }) => {
+                Ok(StoreReply::Status { epoch, is_leader: active, shard_owners: owners, stores }) => {
                     self.stores.known.extend(stores);
                     let store = self.stores.by_ip.entry(ip).or_default();
                     (store.epoch, store.active) = (epoch, active);
-                    if owners.fence > self.stores.owners.fence {
-                        self.proxies.counts.raise(owners.fence);
+                    if owners.fencing_token > self.stores.owners.fencing_token {
+                        self.proxies.counts.raise(owners.fencing_token);
                         self.stores.owners = owners;
                         self.publish();
                     }
                 }
-                Ok(StoreReply::News(held)) => {
-                    if held.stamp > self.held.stamp {
-                        info!(self.log, "in force"; "version" => held.version, "epoch" => held.stamp.epoch,
+                Ok(StoreReply::State(held)) => {
+                    if held.revision > self.held.revision {
+                        info!(self.log, "in force"; "version" => held.version, "epoch" => held.revision.epoch,
                             "evacuated" => held.evacuated.len());
                         self.take(held);
                     }
                 }
-                Ok(StoreReply::Done { call, outcome }) => {
+                Ok(StoreReply::Completed { request_id: call, outcome }) => {
                     let from = self.stores.connection(ip);
                     self.orders.done(now, from, call, outcome);
                 }
--- a/crates/registry/src/daemon/telling.rs
+++ b/crates/registry/src/daemon/telling.rs
@@ -13,7 +13,7 @@
 use violetyoke_api::change::Change;
 use violetyoke_api::Configuration;
 use violetyoke_transport::frame::encode;
-use violetyoke_transport::messages::{ControlState, List, Members, ProxyReply, Stamp};
+use violetyoke_transport::messages::{BackendList, ControlState, Membership, ProxyReply, Revision};
 use violetyoke_transport::pack::Packed;
 
 /// Earlier states and lists that are known here.
@@ -23,7 +23,7 @@
 
 /// A state of control, ready to be told.
 struct State {
-    stamp: Stamp,
+    revision: Revision,
     evacuated: BTreeSet<String>,
     configuration: Configuration,
 }
@@ -32,10 +32,10 @@
 #[derive(Default)]
 pub(super) struct Telling {
     states: VecDeque<State>,
-    made: HashMap<Stamp, Bytes>,
-    lists: VecDeque<List>,
+    made: HashMap<Revision, Bytes>,
+    lists: VecDeque<BackendList>,
     list_made: HashMap<u64, Bytes>,
-    pub members: Members,
+    pub members: Membership,
     members_at: Millis,
 }
 
@@ -49,35 +49,39 @@
         }
         self.made.clear();
         let evacuated = held.evacuated.clone();
-        self.states.push_back(State { stamp: held.stamp, evacuated, configuration });
+        self.states.push_back(State { revision: held.revision, evacuated, configuration });
         if self.states.len() > KNOWN {
             self.states.pop_front();
         }
         true
     }
 
-    /// The newest state's stamp.
-    pub fn stamp(&self) -> Option<Stamp> {
-        self.states.back().map(|state| state.stamp)
+    /// The newest state's revision.
+    pub fn revision(&self) -> Option<Revision> {
+        self.states.back().map(|state| state.revision)
     }
 
-    /// Under which stamp proxies were told of a version first.
-    pub fn stamp_of(&self, version: u64) -> Option<Stamp> {
-        self.states.iter().find(|state| state.configuration.version == version).map(|state| state.stamp)
+    /// Under which revision proxies were told of a version first.
+    pub fn stamp_of(&self, version: u64) -> Option<Revision> {
+        self.states.iter().find(|state| state.configuration.version == version).map(|state| state.revision)
     }
 
-    /// The message for a proxy that has the state under that stamp.
-    fn state_since(&mut self, have: Stamp) -> Option<Bytes> {
+    /// The message for a proxy that has the state under that revision.
+    fn state_since(&mut self, have: Revision) -> Option<Bytes> {
         if let Some(made) = self.made.get(&have) {
             return Some(made.clone());
         }
         let newest = self.states.back()?;
-        let (stamp, evacuated) = (newest.stamp, newest.evacuated.clone());
-        let old = self.states.iter().find(|state| state.stamp == have);
+        let (revision, evacuated) = (newest.revision, newest.evacuated.clone());
+        let old = self.states.iter().find(|state| state.revision == have);
         let change = old.and_then(|old| Change::between(&old.configuration, &newest.configuration));
         let says = match change.map(|change| Packed::new(&change)) {
-            Some(Ok(packed)) => ProxyReply::Change { from: have, stamp, evacuated, packed },
-            _ => ProxyReply::Whole { stamp, evacuated, packed: Packed::new(&newest.configuration).ok()? },
+            Some(Ok(packed)) => ProxyReply::StateChange { from: have, revision, evacuated, change: packed },
+            _ => ProxyReply::FullState {
+                revision,
+                evacuated,
+                configuration: Packed::new(&newest.configuration).ok()?,
+            },
         };
         let frame = encode(&says);
         self.made.insert(have, frame.clone());
@@ -90,7 +94,7 @@
     }
 
     /// The newest list is another.
-    pub fn list(&mut self, list: Option<List>) {
+    pub fn list(&mut self, list: Option<BackendList>) {
         if let Some(list) =
             list.filter(|list| self.lists.back().is_none_or(|last| last.digest != list.digest))
         {
@@ -102,14 +106,14 @@
         }
     }
 
-    fn list_since(&mut self, have: u64, newest: List) -> Bytes {
+    fn list_since(&mut self, have: u64, newest: BackendList) -> Bytes {
         if let Some(made) = self.list_made.get(&have) {
             return made.clone();
         }
         let old = self.lists.iter().find(|list| list.digest == have);
         let says = match old {
-            Some(old) => ProxyReply::ListChange(change(old, &newest)),
-            None => ProxyReply::List(newest),
+            Some(old) => ProxyReply::BackendListChange(change(old, &newest)),
+            None => ProxyReply::BackendList(newest),
         };
         let frame = encode(&says);
         self.list_made.insert(have, frame.clone());
@@ -127,13 +131,13 @@
         if self.telling.list_digest() != digest {
             self.telling.list(self.lists.newest(now, true));
         }
-        let newest = self.telling.stamp();
+        let newest = self.telling.revision();
         // Ages in messages that were made before are too young by now.
         self.telling.list_made.clear();
         // The same for all proxies: encoded, and deflated where there are many members, once.
         let mut members_frame: Option<Bytes> = None;
         for proxy in self.proxies.by_connection.values_mut().filter(|proxy| proxy.hello) {
-            let news = newest.filter(|stamp| *stamp > proxy.have);
+            let news = newest.filter(|revision| *revision > proxy.have);
             let other_list = digest != 0 && proxy.list != digest;
             let other_members = proxy.members != self.telling.members.digest;
             if news.is_none() && !other_list && !other_members {
@@ -141,9 +145,9 @@
                 continue;
             }
             proxy.waits.see(now, news.is_some(), other_list, other_members);
-            if let Some(stamp) = news.filter(|_| proxy.lead || proxy.waits.state_is_due(now)) {
+            if let Some(revision) = news.filter(|_| proxy.lead || proxy.waits.state_is_due(now)) {
                 if let Some(frame) = self.telling.state_since(proxy.have) {
-                    proxy.have = stamp;
+                    proxy.have = revision;
                     proxy.waits.state = None;
                     proxy.sender.send(frame);
                 }
@@ -155,7 +159,7 @@
                 proxy.waits.list = None;
                 proxy.sender.send(frame);
             }
-            let deal = self.telling.members.deal();
+            let deal = self.telling.members.ownership();
             // One that knows of nobody here begins: it waits to hear from all registries before it serves.
             let at_once = proxy.lead || proxy.members == 0 || proxy.deal != deal;
             if other_members && (at_once || proxy.waits.members_are_due(now)) {
@@ -164,8 +168,8 @@
                 proxy.waits.members = None;
                 let frame = members_frame.get_or_insert_with(|| {
                     let members =
-                        Members { newest: newest.unwrap_or_default(), ..self.telling.members.clone() };
-                    encode(&ProxyReply::Members(members))
+                        Membership { newest: newest.unwrap_or_default(), ..self.telling.members.clone() };
+                    encode(&ProxyReply::Membership(members))
                 });
                 proxy.sender.send(frame.clone());
             }
@@ -180,26 +184,27 @@
         // A registry that is cut off names those that it can't reach too: a proxy may reach them.
         let mut registries: BTreeSet<Ipv4Addr> = self.stores.known().chain(seeds).chain(live).collect();
         registries.extend(&owners.registries);
-        let mut members = Members {
+        let mut members = Membership {
             digest: 0,
             proxies: self.sessions.members().to_vec(),
             registries: registries.into_iter().collect(),
             in_contact,
-            owners,
-            newest: Stamp::default(),
+            shard_owners: owners,
+            newest: Revision::default(),
         };
         self.proxies.absent.see(now, &members.proxies, self.sessions.not_ready());
         let mut hasher = DefaultHasher::new();
-        (&members.proxies, &members.registries, members.in_contact, members.owners.fence).hash(&mut hasher);
+        (&members.proxies, &members.registries, members.in_contact, members.shard_owners.fencing_token)
+            .hash(&mut hasher);
         members.digest = hasher.finish() | 1;
         let last = &self.telling.members;
-        let dealt = members.owners != last.owners;
+        let dealt = members.shard_owners != last.shard_owners;
         let at_once = dealt || members.in_contact != last.in_contact;
         if members.digest == last.digest || !(at_once || now >= self.telling.members_at + MEMBERS_EVERY) {
             return;
         }
         if dealt {
-            self.proxies.deal(&members.owners);
+            self.proxies.deal(&members.shard_owners);
         }
         self.telling.members_at = now;
         self.telling.members = members;
--- a/crates/registry/src/orders.rs
+++ b/crates/registry/src/orders.rs
@@ -5,7 +5,7 @@
 use crate::Millis;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{Order, Outcome};
+use violetyoke_transport::messages::{Command, Outcome};
 
 /// An order that no store answers for so long has no clear answer. Its operator goes on to another registry after a second
 /// of silence: an answer after that is for nobody.
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug)]
 struct Waiting {
-    order: Order,
+    order: Command,
     since: Millis,
     sent: Option<Sent>,
     not_before: Millis,
@@ -42,7 +42,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Step {
     /// Call numbers and orders to be sent to the primary.
-    pub calls: Vec<(u64, Order)>,
+    pub calls: Vec<(u64, Command)>,
     /// Orders whose time is up: they may be in force or may not.
     pub unclear: Vec<u64>,
 }
@@ -65,7 +65,7 @@
     }
 
     /// Takes an order; its number.
-    pub fn give(&mut self, now: Millis, order: Order) -> u64 {
+    pub fn give(&mut self, now: Millis, order: Command) -> u64 {
         self.arrivals += 1;
         let waiting = Waiting { order, since: now, sent: None, not_before: 0 };
         self.waiting.insert(self.arrivals, waiting);
@@ -113,7 +113,7 @@
     ) -> Option<(u64, Outcome)> {
         let answered = Some(Sent { to: from, call });
         let (number, one) = self.waiting.iter_mut().find(|(_, one)| one.sent == answered)?;
-        if outcome == Outcome::Elsewhere {
+        if outcome == Outcome::NotLeader {
             (one.sent, one.not_before) = (None, now + RETRY_AFTER);
             return None;
         }
--- a/crates/registry/src/platform.rs
+++ b/crates/registry/src/platform.rs
@@ -58,7 +58,7 @@
         zone: instance.zone,
         slots: instance.slots.max(1),
         draining: instance.state == State::Draining,
-        cold_left_ms: instance.cold_left_ms.max(0.0).ceil() as u64,
+        slow_start_left_ms: instance.cold_left_ms.max(0.0).ceil() as u64,
     });
     Ok((backends.collect(), page.next_token))
 }
--- a/crates/registry/src/sessions.rs
+++ b/crates/registry/src/sessions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use violetyoke_transport::messages::{member, Session};
+use violetyoke_transport::messages::{proxy_id, Session};
 
 /// The most addresses in one answer.
 const MOST: usize = 64;
@@ -14,12 +14,12 @@
     others: BTreeMap<Ipv4Addr, Vec<Session>>,
     /// Computed anew when a session begins, changes or ends, not each time that it is read: the registry reads it at
     /// each message of a proxy, and a table of all sessions for each message makes the work grow with their square.
-    members: Members,
+    members: ProxyIds,
 }
 
 /// Numbers of all proxies, in order, and of those that are not ready.
 #[derive(Clone, Debug, Default)]
-struct Members {
+struct ProxyIds {
     all: Vec<u32>,
     not_ready: Vec<u32>,
 }
@@ -82,22 +82,24 @@
 
     fn update_members(&mut self) {
         let all = self.all();
-        let members: BTreeSet<u32> = all.keys().map(|name| member(name)).collect();
-        let not_ready = all.values().filter(|session| !session.ready).map(|session| member(&session.node));
-        self.members = Members { all: members.into_iter().collect(), not_ready: not_ready.collect() };
+        let members: BTreeSet<u32> = all.keys().map(|name| proxy_id(name)).collect();
+        let not_ready =
+            all.values().filter(|session| !session.is_ready).map(|session| proxy_id(&session.node));
+        self.members = ProxyIds { all: members.into_iter().collect(), not_ready: not_ready.collect() };
     }
 
     /// Where a client of that zone is to go: ready proxies of its zone, or else of its region, or else any.
     pub fn resolve(&self, region: &str, zone: &str) -> Vec<SocketAddrV4> {
         let all = self.all();
-        let ready: Vec<&Session> = all.into_values().filter(|session| session.ready).collect();
+        let ready: Vec<&Session> = all.into_values().filter(|session| session.is_ready).collect();
         let near = [
             ready.iter().filter(|it| it.zone == zone).copied().collect::<Vec<_>>(),
             ready.iter().filter(|it| it.region == region).copied().collect(),
             ready,
         ];
         let chosen = near.into_iter().find(|some| !some.is_empty()).unwrap_or_default();
-        let fronts: BTreeSet<SocketAddrV4> = chosen.into_iter().map(|session| session.front).collect();
+        let fronts: BTreeSet<SocketAddrV4> =
+            chosen.into_iter().map(|session| session.front_address).collect();
         fronts.into_iter().take(MOST).collect()
     }
 }
--- a/crates/registry/tests/orders.rs
+++ b/crates/registry/tests/orders.rs
@@ -6,13 +6,13 @@
 use violetyoke_registry::orders::{
     Orders, Step, StoreConnection, ANSWER_WITHIN, TAKEOVER_TAKES, WITHOUT_PRIMARY,
 };
-use violetyoke_transport::messages::{ControlState, Order, Outcome};
+use violetyoke_transport::messages::{Command, ControlState, Outcome};
 
 const ONE: StoreConnection = StoreConnection { ip: Ipv4Addr::new(10, 0, 0, 1), connection: 1 };
 const TWO: StoreConnection = StoreConnection { ip: Ipv4Addr::new(10, 0, 0, 2), connection: 1 };
 
-fn evacuate(zone: &str) -> Order {
-    Order::Evacuate { zone: zone.to_owned(), empty: true }
+fn evacuate(zone: &str) -> Command {
+    Command::Evacuate { zone: zone.to_owned(), empty: true }
 }
 
 /// The number of the one call that is to be made.
@@ -24,7 +24,7 @@
 #[test]
 fn an_answer_counts_only_for_its_own_sending_on_its_own_connection() {
     let mut orders = Orders::new(7_000);
-    let number = orders.give(1, Order::Read);
+    let number = orders.give(1, Command::Read);
     let first = call(orders.step(1, Some(ONE)));
     assert_eq!(orders.step(2, Some(ONE)), Step::default(), "sent once on a connection");
     // Another store leads: the order goes there, and the first one's late answer is nobody's.
@@ -35,7 +35,7 @@
     assert_eq!(orders.done(110, ONE, second, stale.clone()), None, "the number of another's call");
     let before = StoreConnection { connection: 0, ..TWO };
     assert_eq!(orders.done(110, before, second, stale.clone()), None, "a connection that was before");
-    assert_eq!(orders.done(110, ONE, first, Outcome::Elsewhere), None);
+    assert_eq!(orders.done(110, ONE, first, Outcome::NotLeader), None);
     assert_eq!(orders.step(200, Some(TWO)), Step::default(), "a late Elsewhere sends nothing again");
     assert_eq!(orders.done(210, TWO, second, Outcome::Acknowledged), Some((number, Outcome::Acknowledged)));
     assert_eq!(orders.done(211, TWO, second, Outcome::Acknowledged), None, "answered once");
@@ -44,7 +44,8 @@
 #[test]
 fn answers_that_change_places_reach_their_own_orders() {
     let mut orders = Orders::new(u64::MAX - 1);
-    let numbers = [orders.give(1, evacuate("a")), orders.give(1, Order::Read), orders.give(1, evacuate("b"))];
+    let numbers =
+        [orders.give(1, evacuate("a")), orders.give(1, Command::Read), orders.give(1, evacuate("b"))];
     let calls: Vec<u64> = orders.step(1, Some(ONE)).calls.into_iter().map(|(call, _)| call).collect();
     assert_eq!(calls, [u64::MAX, 0, 1], "numbers go round");
     let read = Outcome::Read(ControlState::default());
@@ -62,7 +63,7 @@
     let numbers = |drawn: u64| {
         let mut orders = Orders::new(drawn);
         for _ in 0..100 {
-            orders.give(1, Order::Read);
+            orders.give(1, Command::Read);
         }
         let calls = orders.step(1, Some(ONE)).calls.into_iter().map(|(call, _)| call);
         calls.collect::<std::collections::BTreeSet<u64>>()
@@ -81,7 +82,7 @@
     let again = StoreConnection { connection: 2, ..ONE };
     let second = call(orders.step(3, Some(again)));
     assert_ne!(first, second);
-    assert_eq!(orders.done(4, again, second, Outcome::Elsewhere), None);
+    assert_eq!(orders.done(4, again, second, Outcome::NotLeader), None);
     assert_eq!(orders.step(5, Some(again)), Step::default(), "not at once");
     let third = call(orders.step(60, Some(again)));
     assert_eq!(orders.done(61, again, third, Outcome::Acknowledged), Some((number, Outcome::Acknowledged)));
@@ -90,7 +91,7 @@
 #[test]
 fn an_order_without_an_answer_is_unclear_before_its_operator_moves_on() {
     let mut orders = Orders::new(0);
-    let number = orders.give(1_000, Order::Read);
+    let number = orders.give(1_000, Command::Read);
     let call = call(orders.step(1_000, Some(ONE)));
     assert!(orders.step(1_000 + ANSWER_WITHIN, Some(ONE)).unclear.is_empty());
     assert_eq!(orders.step(1_001 + ANSWER_WITHIN, Some(ONE)).unclear, [number]);
@@ -104,7 +105,7 @@
     // A primary is lost; the next comes 800 ms later and gets the order that has waited.
     orders.step(1, Some(ONE));
     orders.step(100, None);
-    let waits = orders.give(150, Order::Read);
+    let waits = orders.give(150, Command::Read);
     assert_eq!(orders.step(800, None), Step::default());
     let taken = call(orders.step(900, Some(TWO)));
     assert!(orders.done(901, TWO, taken, Outcome::Acknowledged).is_some_and(|(number, _)| number == waits));
@@ -118,7 +119,7 @@
         now += 1_000;
     }
     // Contact again.
-    let number = orders.give(now, Order::Read);
+    let number = orders.give(now, Command::Read);
     let after = call(orders.step(now + 10, Some(TWO)));
     assert!(orders.done(now + 20, TWO, after, Outcome::Acknowledged).is_some_and(|(it, _)| it == number));
 }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -10,15 +10,15 @@
 use violetyoke_registry::backends::Lists;
 use violetyoke_registry::platform::page;
 use violetyoke_registry::sessions::Sessions;
-use violetyoke_transport::messages::{member, Backend, List, Session};
+use violetyoke_transport::messages::{proxy_id, Backend, BackendList, Session};
 
 fn session(node: &str, zone: &str, port: u16, ready: bool) -> Session {
     Session {
         node: node.into(),
-        front: format!("10.0.0.1:{port}").parse().expect("an address"),
+        front_address: format!("10.0.0.1:{port}").parse().expect("an address"),
         zone: zone.into(),
         region: zone[..1].into(),
-        ready,
+        is_ready: ready,
     }
 }
 
@@ -39,35 +39,35 @@
     assert_eq!(ports(&sessions, "a", "a1"), [3], "another registry's session is one too");
     sessions.lost(Ipv4Addr::new(10, 0, 0, 9));
     assert!(ports(&sessions, "a", "a1").is_empty());
-    assert_eq!(sessions.members(), [member("edge-1")], "not ready, and still a member");
+    assert_eq!(sessions.members(), [proxy_id("edge-1")], "not ready, and still a member");
 }
 
 #[test]
 fn members_follow_each_beginning_change_and_end_of_a_session() {
     let other = Ipv4Addr::new(10, 0, 0, 9);
-    let mut numbers = [member("edge-1"), member("edge-2")];
+    let mut numbers = [proxy_id("edge-1"), proxy_id("edge-2")];
     numbers.sort();
     let mut sessions = Sessions::default();
     assert!(sessions.members().is_empty());
     sessions.begin(1, session("edge-1", "a1", 1, false));
     assert_eq!(
         (sessions.members(), sessions.not_ready()),
-        (&[member("edge-1")][..], &[member("edge-1")][..])
+        (&[proxy_id("edge-1")][..], &[proxy_id("edge-1")][..])
     );
     sessions.begin(1, session("edge-1", "a1", 1, true));
     assert!(sessions.not_ready().is_empty(), "it says on the same connection that it is ready");
     sessions.told(other, vec![session("edge-2", "a1", 2, false)]);
-    assert_eq!((sessions.members(), sessions.not_ready()), (&numbers[..], &[member("edge-2")][..]));
+    assert_eq!((sessions.members(), sessions.not_ready()), (&numbers[..], &[proxy_id("edge-2")][..]));
     sessions.told(other, vec![session("edge-2", "a1", 2, true)]);
     assert!(sessions.not_ready().is_empty());
     assert!(!sessions.end(7), "a connection without a session");
     assert!(sessions.end(1));
-    assert_eq!(sessions.members(), [member("edge-2")]);
+    assert_eq!(sessions.members(), [proxy_id("edge-2")]);
     sessions.lost(other);
     assert!(sessions.members().is_empty());
 }
 
-fn backend(id: &str, draining: bool, cold_left_ms: u64) -> Backend {
+fn backend(id: &str, draining: bool, slow_start_left_ms: u64) -> Backend {
     Backend {
         id: id.into(),
         service: "finder".into(),
@@ -75,7 +75,7 @@
         zone: "a1".into(),
         slots: 6,
         draining,
-        cold_left_ms,
+        slow_start_left_ms,
     }
 }
 
@@ -86,8 +86,8 @@
     // Asked at 1,000, answered 600 ms later: the last page was written just then, with a second to go.
     assert!(lists.answered(1_600, 1_000, vec![backend("i-1", false, 1_000), backend("i-2", false, 0)]));
     let told = lists.newest(1_700, true).expect("a list");
-    let ends = |n: usize| 1_700 - told.age_ms + told.backends[n].cold_left_ms;
-    assert_eq!((ends(0), told.backends[1].cold_left_ms), (2_600, 0));
+    let ends = |n: usize| 1_700 - told.age_ms + told.backends[n].slow_start_left_ms;
+    assert_eq!((ends(0), told.backends[1].slow_start_left_ms), (2_600, 0));
 }
 
 const ONE: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
@@ -106,7 +106,7 @@
     assert!(!second.due(1_500, TWO, &[ONE, TWO]));
     // Only the word that it still holds: fresh again.
     let still = first.newest(400, false).expect("a list");
-    assert!(!second.told(2_000, List { age_ms: 0, ..still }));
+    assert!(!second.told(2_000, BackendList { age_ms: 0, ..still }));
     assert!(!second.due(3_500, TWO, &[ONE, TWO]));
     assert!(second.due(3_900, TWO, &[ONE, TWO]), "no word for too long");
     assert!(second.due(3_900, TWO, &[TWO]));
@@ -116,7 +116,7 @@
 fn a_list_that_was_asked_for_earlier_never_goes_before_a_later_one() {
     let mut lists = Lists::default();
     assert!(lists.answered(500, 480, vec![backend("i-1", true, 0)]));
-    let old = List { digest: 7, age_ms: 300, backends: vec![backend("i-1", false, 0)] };
+    let old = BackendList { digest: 7, age_ms: 300, backends: vec![backend("i-1", false, 0)] };
     assert!(!lists.told(600, old));
     assert!(lists.newest(600, true).is_some_and(|list| list.backends[0].draining));
 }
@@ -151,7 +151,7 @@
     let (backends, next) = page(text).expect("a page");
     assert_eq!(next.as_deref(), Some("p-50"));
     assert_eq!(
-        (backends[0].id.as_str(), backends[0].draining, backends[0].cold_left_ms),
+        (backends[0].id.as_str(), backends[0].draining, backends[0].slow_start_left_ms),
         ("i-7f3a91c2", true, 13)
     );
     assert!(page(b"{\"instances\":{}}").is_ok_and(|(backends, next)| backends.is_empty() && next.is_none()));
--- a/crates/scale/src/crowd.rs
+++ b/crates/scale/src/crowd.rs
@@ -16,13 +16,13 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::{AbortHandle, LocalSet};
 use violetyoke_transport::link;
-use violetyoke_transport::messages::{Session, Stamp};
+use violetyoke_transport::messages::{Revision, Session};
 
 /// What all hollow ingresses report.
 #[derive(Debug, Default)]
 pub struct Report {
     pub traffic: Traffic,
-    pub states: Seen<Stamp>,
+    pub states: Seen<Revision>,
     pub lists: Seen<u64>,
     /// Ingresses that are settled, and those that know all members.
     pub settled: AtomicUsize,
@@ -142,10 +142,10 @@
     let front = Ipv4Addr::from(0x0a00_0000 + number as u32);
     let session = Session {
         node: format!("edge-hollow-{number}"),
-        front: SocketAddrV4::new(front, 8080),
+        front_address: SocketAddrV4::new(front, 8080),
         zone: if number.is_multiple_of(2) { "a" } else { "b" }.into(),
         region: "west".into(),
-        ready: false,
+        is_ready: false,
     };
     let known: Vec<Ipv4Addr> = registries.keys().copied().collect();
     let drawn = life.wrapping_mul(0x85eb_ca6b) ^ (number as u32).wrapping_mul(0x9e37_79b1);
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{ProxyReply, ProxyRequest, Session, Stamp};
+use violetyoke_transport::messages::{ProxyReply, ProxyRequest, Revision, Session};
 
 /// Requests to be sent, each to a registry.
 pub type Requests = Vec<(Ipv4Addr, ProxyRequest)>;
@@ -14,7 +14,7 @@
     connected: bool,
     members: u64,
     member_count: usize,
-    newest: Stamp,
+    newest: Revision,
 }
 
 /// One hollow ingress.
@@ -23,7 +23,7 @@
     session: Session,
     /// A number of its own: ingresses differ in which registry they ask first.
     life: u32,
-    have: Stamp,
+    have: Revision,
     list: u64,
     registries: BTreeMap<Ipv4Addr, View>,
 }
@@ -31,10 +31,10 @@
 impl Hollow {
     pub fn new(session: Session, life: u32, registries: &[Ipv4Addr]) -> Hollow {
         let registries = registries.iter().map(|ip| (*ip, View::default())).collect();
-        Hollow { session, life, have: Stamp::default(), list: 0, registries }
+        Hollow { session, life, have: Revision::default(), list: 0, registries }
     }
 
-    pub fn have(&self) -> Stamp {
+    pub fn have(&self) -> Revision {
         self.have
     }
 
@@ -45,7 +45,7 @@
     /// A session with each registry, each has told of its members, and none has a newer state than this one.
     pub fn is_settled(&self) -> bool {
         let told = |view: &View| view.connected && view.members != 0 && view.newest <= self.have;
-        self.list != 0 && self.have != Stamp::default() && self.registries.values().all(told)
+        self.list != 0 && self.have != Revision::default() && self.registries.values().all(told)
     }
 
     /// Every registry has told of at least that many members.
@@ -70,30 +70,34 @@
     /// A registry says something.
     pub fn replied(&mut self, registry: Ipv4Addr, reply: ProxyReply) -> Requests {
         let mut requests = match reply {
-            ProxyReply::Whole { stamp, .. } => self.take_state(stamp),
-            ProxyReply::Change { from, stamp, .. } if from == self.have => self.take_state(stamp),
-            ProxyReply::Change { .. } => self.poll(),
-            ProxyReply::List(list) => self.take_list(list.digest),
-            ProxyReply::ListChange(change) if change.from == self.list => self.take_list(change.digest),
-            ProxyReply::ListChange(_) => self.poll(),
-            ProxyReply::Members(members) => {
+            ProxyReply::FullState { revision, .. } => self.take_state(revision),
+            ProxyReply::StateChange { from, revision, .. } if from == self.have => self.take_state(revision),
+            ProxyReply::StateChange { .. } => self.poll(),
+            ProxyReply::BackendList(list) => self.take_list(list.digest),
+            ProxyReply::BackendListChange(change) if change.from == self.list => {
+                self.take_list(change.digest)
+            }
+            ProxyReply::BackendListChange(_) => self.poll(),
+            ProxyReply::Membership(members) => {
                 let view = self.registries.entry(registry).or_default();
                 view.members = members.digest;
                 view.member_count = members.proxies.len();
                 view.newest = members.newest;
                 Vec::new()
             }
-            ProxyReply::Counted { .. } | ProxyReply::NotMine { .. } | ProxyReply::Newest { .. } => Vec::new(),
+            ProxyReply::Counted { .. } | ProxyReply::NotOwner { .. } | ProxyReply::Freshness { .. } => {
+                Vec::new()
+            }
         };
-        if !self.session.ready && self.is_settled() {
-            self.session.ready = true;
+        if !self.session.is_ready && self.is_settled() {
+            self.session.is_ready = true;
             requests.extend(self.to_all(|_| ProxyRequest::Hello(self.session.clone())));
         }
         requests
     }
 
-    fn take_state(&mut self, stamp: Stamp) -> Requests {
-        self.have = self.have.max(stamp);
+    fn take_state(&mut self, revision: Revision) -> Requests {
+        self.have = self.have.max(revision);
         self.poll()
     }
 
@@ -107,10 +111,10 @@
         let connected = self.registries.iter().filter(|(_, view)| view.connected).map(|(ip, _)| *ip);
         let lead = connected.min_by_key(|ip| u32::from(*ip).wrapping_mul(0x9e37_79b9) ^ self.life);
         self.to_all(|ip| ProxyRequest::Poll {
-            have: self.have,
-            list: self.list,
-            members: self.registries.get(&ip).map_or(0, |view| view.members),
-            lead: lead == Some(ip),
+            revision: self.have,
+            backend_list: self.list,
+            membership: self.registries.get(&ip).map_or(0, |view| view.members),
+            is_primary: lead == Some(ip),
         })
     }
 
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -13,7 +13,7 @@
 use violetyoke_quota::deal::Dealt;
 use violetyoke_transport::frame::{decode, encode};
 use violetyoke_transport::link::{Event, Sender};
-use violetyoke_transport::messages::{Owners, ProxyReply, ProxyRequest, RegistryRequest};
+use violetyoke_transport::messages::{ProxyReply, ProxyRequest, RegistryRequest, ShardOwners};
 
 /// Adds are for so many tenants in turn.
 const TENANTS: usize = 8;
@@ -22,7 +22,7 @@
 pub struct Ingress {
     hollow: RefCell<Hollow>,
     senders: RefCell<BTreeMap<Ipv4Addr, Sender>>,
-    owners: RefCell<Owners>,
+    owners: RefCell<ShardOwners>,
     dealt: RefCell<Dealt>,
     settled: Cell<bool>,
     complete: Cell<bool>,
@@ -44,7 +44,7 @@
 
     /// Something has happened on its connection to a registry.
     pub fn event(&self, registry: Ipv4Addr, event: Event) {
-        let (stamp, list) = (self.hollow.borrow().have(), self.hollow.borrow().list());
+        let (revision, list) = (self.hollow.borrow().have(), self.hollow.borrow().list());
         let requests = match event {
             Event::Up(sender) => {
                 self.senders.borrow_mut().insert(registry, sender);
@@ -57,7 +57,7 @@
             Event::Frame(frame) => self.frame(registry, &frame),
         };
         self.send(requests);
-        if self.hollow.borrow().have() != stamp {
+        if self.hollow.borrow().have() != revision {
             self.report.states.took(self.hollow.borrow().have());
         }
         if self.hollow.borrow().list() != list {
@@ -69,12 +69,13 @@
     fn frame(&self, registry: Ipv4Addr, frame: &[u8]) -> Requests {
         let Ok(reply) = decode::<ProxyReply>(frame) else { return Vec::new() };
         self.report.traffic.count(kind_of_reply(&reply), frame.len());
-        if let ProxyReply::Members(members) = &reply {
-            if members.owners.fence > self.owners.borrow().fence {
-                let names: Vec<String> = members.owners.registries.iter().map(ToString::to_string).collect();
+        if let ProxyReply::Membership(members) = &reply {
+            if members.shard_owners.fencing_token > self.owners.borrow().fencing_token {
+                let names: Vec<String> =
+                    members.shard_owners.registries.iter().map(ToString::to_string).collect();
                 let names: Vec<&str> = names.iter().map(String::as_str).collect();
                 *self.dealt.borrow_mut() = Dealt::new(&names);
-                *self.owners.borrow_mut() = members.owners.clone();
+                *self.owners.borrow_mut() = members.shard_owners.clone();
             }
         }
         self.hollow.borrow_mut().replied(registry, reply)
@@ -95,9 +96,12 @@
     pub fn add(&self, call: u32) {
         let tenant = tenant(call as usize % TENANTS);
         let owner = self.dealt.borrow().owner(&tenant).and_then(|owner| owner.parse().ok());
-        let fence = self.owners.borrow().fence;
+        let fence = self.owners.borrow().fencing_token;
         if let Some(owner) = owner {
-            self.send(vec![(owner, ProxyRequest::Add { call, tenant, fence })]);
+            self.send(vec![(
+                owner,
+                ProxyRequest::Increment { request_id: call, tenant, fencing_token: fence },
+            )]);
         }
     }
 
--- a/crates/scale/src/traffic.rs
+++ b/crates/scale/src/traffic.rs
@@ -27,22 +27,22 @@
     match request {
         ProxyRequest::Hello(_) => 0,
         ProxyRequest::Poll { .. } => 1,
-        ProxyRequest::Add { .. } => 2,
-        ProxyRequest::Newer { .. } | ProxyRequest::Tell { .. } => 3,
+        ProxyRequest::Increment { .. } => 2,
+        ProxyRequest::CheckFreshness { .. } | ProxyRequest::TransferCount { .. } => 3,
     }
 }
 
 /// The kind of a message from a registry.
 pub fn kind_of_reply(reply: &ProxyReply) -> usize {
     match reply {
-        ProxyReply::Whole { .. } => 4,
-        ProxyReply::Change { .. } => 5,
-        ProxyReply::List(_) => 6,
-        ProxyReply::ListChange(_) => 7,
-        ProxyReply::Members(_) => 8,
+        ProxyReply::FullState { .. } => 4,
+        ProxyReply::StateChange { .. } => 5,
+        ProxyReply::BackendList(_) => 6,
+        ProxyReply::BackendListChange(_) => 7,
+        ProxyReply::Membership(_) => 8,
         ProxyReply::Counted { .. } => 9,
-        ProxyReply::NotMine { .. } => 10,
-        ProxyReply::Newest { .. } => 11,
+        ProxyReply::NotOwner { .. } => 10,
+        ProxyReply::Freshness { .. } => 11,
     }
 }
 
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -4,7 +4,9 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use violetyoke_scale::hollow::{Hollow, Requests};
-use violetyoke_transport::messages::{List, ListChange, Members, ProxyReply, ProxyRequest, Session, Stamp};
+use violetyoke_transport::messages::{
+    BackendList, BackendListChange, Membership, ProxyReply, ProxyRequest, Revision, Session,
+};
 use violetyoke_transport::pack::Packed;
 
 const FIRST: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
@@ -13,40 +15,54 @@
 fn hollow() -> Hollow {
     let session = Session {
         node: "edge-1".into(),
-        front: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 80),
+        front_address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 80),
         zone: "a".into(),
         region: "west".into(),
-        ready: false,
+        is_ready: false,
     };
     Hollow::new(session, 7, &[FIRST, SECOND])
 }
 
-fn stamp(seq: u64) -> Stamp {
-    Stamp { epoch: 1, seq }
+fn revision(sequence: u64) -> Revision {
+    Revision { epoch: 1, sequence }
 }
 
-fn whole(seq: u64) -> ProxyReply {
-    ProxyReply::Whole { stamp: stamp(seq), evacuated: Default::default(), packed: Packed::new(&()).unwrap() }
+fn whole(sequence: u64) -> ProxyReply {
+    ProxyReply::FullState {
+        revision: revision(sequence),
+        evacuated: Default::default(),
+        configuration: Packed::new(&()).unwrap(),
+    }
 }
 
 fn change(from: u64, to: u64) -> ProxyReply {
     let packed = Packed::new(&()).unwrap();
-    ProxyReply::Change { from: stamp(from), stamp: stamp(to), evacuated: Default::default(), packed }
+    ProxyReply::StateChange {
+        from: revision(from),
+        revision: revision(to),
+        evacuated: Default::default(),
+        change: packed,
+    }
 }
 
 fn members(count: u32, newest: u64) -> ProxyReply {
     let proxies = (0..count).collect();
-    ProxyReply::Members(Members { digest: 5, proxies, newest: stamp(newest), ..Members::default() })
+    ProxyReply::Membership(Membership {
+        digest: 5,
+        proxies,
+        newest: revision(newest),
+        ..Membership::default()
+    })
 }
 
 fn list(digest: u64) -> ProxyReply {
-    ProxyReply::List(List { digest, age_ms: 0, backends: Vec::new() })
+    ProxyReply::BackendList(BackendList { digest, age_ms: 0, backends: Vec::new() })
 }
 
 /// Polls among some requests: to whom, with which state, and who is to answer first.
-fn polls(requests: &Requests) -> Vec<(Ipv4Addr, Stamp, bool)> {
+fn polls(requests: &Requests) -> Vec<(Ipv4Addr, Revision, bool)> {
     let poll = |(to, request): &(Ipv4Addr, ProxyRequest)| match request {
-        ProxyRequest::Poll { have, lead, .. } => Some((*to, *have, *lead)),
+        ProxyRequest::Poll { revision: have, is_primary: lead, .. } => Some((*to, *have, *lead)),
         _ => None,
     };
     requests.iter().filter_map(poll).collect()
@@ -56,8 +72,8 @@
 fn a_session_begins_with_hello_and_exactly_one_registry_answers_first() {
     let mut hollow = hollow();
     let first = hollow.opened(FIRST);
-    assert!(matches!(first.first(), Some((FIRST, ProxyRequest::Hello(session))) if !session.ready));
-    assert_eq!(polls(&first), vec![(FIRST, Stamp::default(), true)]);
+    assert!(matches!(first.first(), Some((FIRST, ProxyRequest::Hello(session))) if !session.is_ready));
+    assert_eq!(polls(&first), vec![(FIRST, Revision::default(), true)]);
     let second = hollow.opened(SECOND);
     assert_eq!(polls(&second).iter().filter(|(.., lead)| *lead).count(), 1);
     assert_eq!(polls(&second).len(), 2);
@@ -75,7 +91,7 @@
     let said = hollow.replied(SECOND, members(2, 3));
     assert!(hollow.is_settled());
     assert!(hollow.knows(2) && !hollow.knows(3));
-    let hellos = said.iter().filter(|(_, it)| matches!(it, ProxyRequest::Hello(session) if session.ready));
+    let hellos = said.iter().filter(|(_, it)| matches!(it, ProxyRequest::Hello(session) if session.is_ready));
     assert_eq!(hellos.count(), 2, "both registries hear that it is ready");
 }
 
@@ -101,11 +117,11 @@
     hollow.opened(FIRST);
     hollow.replied(FIRST, whole(3));
     let asked = hollow.replied(FIRST, change(2, 5));
-    assert_eq!(hollow.have(), stamp(3));
-    assert_eq!(polls(&asked), vec![(FIRST, stamp(3), true)]);
+    assert_eq!(hollow.have(), revision(3));
+    assert_eq!(polls(&asked), vec![(FIRST, revision(3), true)]);
     hollow.replied(FIRST, list(9));
-    let other = ListChange { from: 8, digest: 10, ..ListChange::default() };
-    hollow.replied(FIRST, ProxyReply::ListChange(other));
+    let other = BackendListChange { from: 8, digest: 10, ..BackendListChange::default() };
+    hollow.replied(FIRST, ProxyReply::BackendListChange(other));
     assert_eq!(hollow.list(), 9);
 }
 
@@ -115,5 +131,5 @@
     hollow.opened(FIRST);
     hollow.replied(FIRST, whole(5));
     hollow.replied(FIRST, whole(4));
-    assert_eq!(hollow.have(), stamp(5));
+    assert_eq!(hollow.have(), revision(5));
 }
--- a/crates/store/src/daemon/encoder.rs
+++ b/crates/store/src/daemon/encoder.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use violetyoke_transport::frame::encode_deflated;
 use violetyoke_transport::messages::{
-    ControlState, Envelope, Member, PeerMessage, Stamp, StoreReply, StoreRequest,
+    ControlState, Envelope, PeerMessage, Revision, StoreNode, StoreReply, StoreRequest,
 };
 
 /// Messages between stores are remembered from so many bytes on.
@@ -13,13 +13,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Encoder {
     peer: Option<(PeerMessage, Bytes)>,
-    /// A stamp names one state for good.
-    news: Option<(Stamp, Bytes)>,
+    /// A revision names one state for good.
+    news: Option<(Revision, Bytes)>,
 }
 
 impl Encoder {
     /// The bytes of a message to another store; `from` is always this store.
-    pub fn envelope(&mut self, from: &Member, message: PeerMessage) -> Bytes {
+    pub fn envelope(&mut self, from: &StoreNode, message: PeerMessage) -> Bytes {
         if let Some((_, bytes)) = self.peer.as_ref().filter(|(last, _)| *last == message) {
             return bytes.clone();
         }
@@ -38,11 +38,11 @@
 
     /// The bytes that tell registries of a state.
     pub fn news(&mut self, state: &ControlState) -> Bytes {
-        if let Some((_, bytes)) = self.news.as_ref().filter(|(stamp, _)| *stamp == state.stamp) {
+        if let Some((_, bytes)) = self.news.as_ref().filter(|(revision, _)| *revision == state.revision) {
             return bytes.clone();
         }
-        let bytes = encode_deflated(&StoreReply::News(state.clone()));
-        self.news = Some((state.stamp, bytes.clone()));
+        let bytes = encode_deflated(&StoreReply::State(state.clone()));
+        self.news = Some((state.revision, bytes.clone()));
         bytes
     }
 }
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -18,7 +18,7 @@
 use violetyoke_transport::frame::decode;
 use violetyoke_transport::life::Life;
 use violetyoke_transport::link::{self, Sender};
-use violetyoke_transport::messages::{Member, StoreRequest};
+use violetyoke_transport::messages::{StoreNode, StoreRequest};
 use violetyoke_transport::net;
 use violetyoke_transport::program::Failed;
 use watchers::Watchers;
@@ -44,7 +44,7 @@
 
 struct Daemon {
     register: Register,
-    me: Member,
+    me: StoreNode,
     port: u16,
     begun: Instant,
     keeper: Keeper,
@@ -74,7 +74,7 @@
         tolerance: settings.terms.fault_tolerance.machines,
         kept: kept.unwrap_or_default(),
     };
-    info!(log, "begins"; "epoch" => start.kept.record.epoch, "version" => start.kept.held.version);
+    info!(log, "begins"; "epoch" => start.kept.config.epoch, "version" => start.kept.held.version);
     let (inputs, mut queue) = unbounded_channel();
     let opened = inputs.clone();
     let numbers = std::cell::Cell::new(0u64);
@@ -85,7 +85,7 @@
     }));
     let register = Register::new(start, 1, life.drawn, settings.me.bootstrap);
     let mut daemon = Daemon {
-        me: register.member().clone(),
+        me: register.node().clone(),
         register,
         port,
         begun: Instant::now(),
@@ -179,13 +179,13 @@
                 }
                 self.handle(Event::Envelope(envelope));
             }
-            (Ok(StoreRequest::Watch { registry, have }), Some(number)) => {
+            (Ok(StoreRequest::Watch { registry, known: have }), Some(number)) => {
                 self.watchers.watch(number, registry, have);
                 self.publish();
             }
-            (Ok(StoreRequest::Do { call, order }), Some(number)) => {
+            (Ok(StoreRequest::Execute { request_id: call, command: order }), Some(number)) => {
                 let client = self.watchers.client(number, call);
-                self.handle(Event::Order { client, order });
+                self.handle(Event::Command { client, order });
             }
             (Ok(_), None) => {}
             (Err(error), _) => slog::warn!(self.log, "unread frame"; "why" => error.to_string()),
--- a/crates/store/src/daemon/watchers.rs
+++ b/crates/store/src/daemon/watchers.rs
@@ -6,12 +6,12 @@
 use std::net::Ipv4Addr;
 use violetyoke_transport::frame::{encode, encode_deflated};
 use violetyoke_transport::link::Sender;
-use violetyoke_transport::messages::{Outcome, Owners, Stamp, StoreReply};
+use violetyoke_transport::messages::{Outcome, Revision, ShardOwners, StoreReply};
 
 struct Watcher {
     sender: Sender,
     registry: Option<Ipv4Addr>,
-    have: Stamp,
+    have: Revision,
     /// The status that it was told last.
     told: Option<StoreReply>,
 }
@@ -21,12 +21,12 @@
     by_connection: BTreeMap<u64, Watcher>,
     clients: BTreeMap<Client, (u64, u64)>,
     next: Client,
-    owners: Owners,
+    owners: ShardOwners,
 }
 
 impl Watchers {
     pub fn opened(&mut self, number: u64, sender: Sender) {
-        let watcher = Watcher { sender, registry: None, have: Stamp::default(), told: None };
+        let watcher = Watcher { sender, registry: None, have: Revision::default(), told: None };
         self.by_connection.insert(number, watcher);
     }
 
@@ -39,7 +39,7 @@
         self.clients.retain(|_, (connection, _)| *connection != number);
     }
 
-    pub fn watch(&mut self, number: u64, registry: Ipv4Addr, have: Stamp) {
+    pub fn watch(&mut self, number: u64, registry: Ipv4Addr, have: Revision) {
         if let Some(watcher) = self.by_connection.get_mut(&number) {
             watcher.registry = Some(registry);
             watcher.have = have;
@@ -55,7 +55,7 @@
     pub fn answer(&mut self, client: Client, outcome: Outcome) {
         let Some((number, call)) = self.clients.remove(&client) else { return };
         if let Some(watcher) = self.by_connection.get(&number) {
-            watcher.sender.send(encode_deflated(&StoreReply::Done { call, outcome }));
+            watcher.sender.send(encode_deflated(&StoreReply::Completed { request_id: call, outcome }));
         }
     }
 
@@ -66,21 +66,26 @@
             let live: BTreeSet<Ipv4Addr> =
                 self.by_connection.values().filter_map(|watcher| watcher.registry).collect();
             let live: Vec<Ipv4Addr> = live.into_iter().collect();
-            if live != self.owners.registries || self.owners.fence.epoch != epoch {
-                let seq = if self.owners.fence.epoch == epoch { self.owners.fence.seq + 1 } else { 0 };
-                self.owners = Owners { fence: Stamp { epoch, seq }, registries: live };
+            if live != self.owners.registries || self.owners.fencing_token.epoch != epoch {
+                let sequence = if self.owners.fencing_token.epoch == epoch {
+                    self.owners.fencing_token.sequence + 1
+                } else {
+                    0
+                };
+                self.owners = ShardOwners { fencing_token: Revision { epoch, sequence }, registries: live };
             }
         }
-        let owners = if register.active() { self.owners.clone() } else { Owners::default() };
+        let owners = if register.active() { self.owners.clone() } else { ShardOwners::default() };
         let active = register.leads_in_contact();
-        let status = StoreReply::Status { epoch, active, owners, stores: register.stores() };
+        let status =
+            StoreReply::Status { epoch, is_leader: active, shard_owners: owners, stores: register.stores() };
         for watcher in self.by_connection.values_mut().filter(|watcher| watcher.registry.is_some()) {
             if watcher.told.as_ref() != Some(&status) {
                 watcher.sender.send(encode(&status));
                 watcher.told = Some(status.clone());
             }
-            if let Some(held) = register.committed().filter(|held| held.stamp > watcher.have) {
-                watcher.have = held.stamp;
+            if let Some(held) = register.committed().filter(|held| held.revision > watcher.have) {
+                watcher.have = held.revision;
                 watcher.sender.send(encoder.news(held));
             }
         }
--- a/crates/store/src/register/mod.rs
+++ b/crates/store/src/register/mod.rs
@@ -1,12 +1,12 @@
 //! One register of control state, held by a primary and its backups. Witnesses keep only epochs, and with them decide
 //! who takes over. There is no log: a state is small, and is handed on whole.
 //!
-//! - A *record* says who votes, who holds (the primary first) and under which epoch.
-//! - A record is installed once a majority of the voters of the record before it and of its own have accepted it, and
-//!   all its holders have the state on their disks. Holders are more than half of the voters, so that any majority has
+//! - A *replica set* says who votes, who holds (the primary first) and under which epoch.
+//! - A replica set is installed once a majority of the voters of the replica set before it and of its own have accepted it, and
+//!   all its data_replicas have the state on their disks. Holders are more than half of the voters, so that any majority has
 //!   one.
 //! - Who promises an epoch takes nothing of a lower one any more; receivers check, whatever the sender believes.
-//! - An order is acknowledged when all holders have it on their disks.
+//! - An order is acknowledged when all data_replicas have it on their disks.
 //! - A voter is a disk, not a machine: one that comes back empty is a learner, which the primary makes a voter.
 
 mod membership;
@@ -25,11 +25,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use takeover::Promised;
-use violetyoke_transport::messages::{Heartbeat, Member, Order, Outcome, PeerMessage, Record, Stamp};
+use violetyoke_transport::messages::{
+    Command, Heartbeat, Outcome, PeerMessage, ReplicaConfig, Revision, StoreNode,
+};
 
 #[derive(Clone, Debug)]
 struct Peer {
-    member: Member,
+    node: StoreNode,
     heartbeat: Heartbeat,
     heard: Millis,
 }
@@ -44,11 +46,11 @@
         epoch: u64,
         since: Millis,
         /// The voters that a primary wants; none where one takes over.
-        voters: Option<Vec<Member>>,
+        voters: Option<Vec<StoreNode>>,
         promises: BTreeMap<u64, Promised>,
     },
-    /// Has them, and offers its record.
-    Offering { record: Record, number: u64, since: Millis, accepted: BTreeSet<u64> },
+    /// Has them, and offers its replica set.
+    Offering { config: ReplicaConfig, number: u64, since: Millis, accepted: BTreeSet<u64> },
     /// Primary, and its epoch stands.
     Active,
 }
@@ -72,7 +74,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Register {
-    me: Member,
+    me: StoreNode,
     seeds: Vec<Ipv4Addr>,
     tolerance: u32,
     now: Millis,
@@ -80,8 +82,8 @@
     /// Numbers of the last write that the disk was asked for, and of the last that it has done.
     requested: u64,
     persisted: u64,
-    /// The stamp of the newest state that is on the disk.
-    persisted_state: Stamp,
+    /// The revision of the newest state that is on the disk.
+    persisted_state: Revision,
     /// What may go out once so much is on the disk.
     gated: VecDeque<(u64, Effect)>,
     out: Vec<Effect>,
@@ -91,12 +93,12 @@
     /// The process is to end.
     leaving: bool,
     /// What was last sent to each learner, and when.
-    snapshots: BTreeMap<u64, (Stamp, Millis)>,
+    snapshots: BTreeMap<u64, (Revision, Millis)>,
     role: Role,
-    committed: Stamp,
+    committed: Revision,
     /// The highest epoch heard of.
     highest: u64,
-    waiting: VecDeque<(Client, Order, Millis)>,
+    waiting: VecDeque<(Client, Command, Millis)>,
     pending: Option<Pending>,
     confirming: BTreeMap<u64, Confirming>,
     nonce: u64,
@@ -119,9 +121,9 @@
             durable.id = drawn.max(1);
             durable.fresh = bootstrap;
         }
-        let me = Member { id: durable.id, ip: start.ip, zone: start.zone };
+        let me = StoreNode { id: durable.id, ip: start.ip, zone: start.zone };
         // The seeds may be gone, or be cut off, when all stores begin anew: those that voted are known from the disk.
-        let voters = durable.record.prior_voters.iter().flatten().chain(&durable.record.voters);
+        let voters = durable.config.previous_voters.iter().flatten().chain(&durable.config.voters);
         let addresses = start.seeds.iter().copied().chain(voters.map(|voter| voter.ip));
         let known = addresses.filter(|ip| *ip != me.ip).collect();
         let mut register = Register {
@@ -130,7 +132,7 @@
             tolerance: start.tolerance,
             now,
             highest: durable.promised,
-            persisted_state: durable.held.stamp,
+            persisted_state: durable.held.revision,
             durable,
             requested: 0,
             persisted: 0,
@@ -142,7 +144,7 @@
             leaving: false,
             snapshots: BTreeMap::new(),
             role: Role::Follower,
-            committed: Stamp::default(),
+            committed: Revision::default(),
             waiting: VecDeque::new(),
             pending: None,
             confirming: BTreeMap::new(),
@@ -172,7 +174,7 @@
                 self.disk = disk;
                 self.tick();
             }
-            Event::Order { client, order } => self.order(client, order),
+            Event::Command { client, order } => self.order(client, order),
             Event::Leave => {
                 self.leaving = true;
                 self.greet();
@@ -189,16 +191,16 @@
     fn own_persisted(&mut self) {
         let (id, kept) = (self.me.id, self.persisted);
         if self.persisted == self.requested {
-            self.persisted_state = self.durable.held.stamp;
+            self.persisted_state = self.durable.held.revision;
         }
-        if let Role::Offering { record, number, .. } = &self.role {
-            let epoch = record.epoch;
+        if let Role::Offering { config, number, .. } = &self.role {
+            let epoch = config.epoch;
             if *number <= kept {
                 self.accepted(id, epoch);
             }
         }
         if self.pending.as_ref().is_some_and(|pending| pending.number <= kept) {
-            self.written(id, self.durable.record.epoch, self.durable.held.stamp);
+            self.written(id, self.durable.config.epoch, self.durable.held.revision);
         }
     }
 
@@ -218,13 +220,13 @@
     }
 
     fn ip_of(&self, id: u64) -> Option<Ipv4Addr> {
-        let voters = self.durable.record.voters.iter();
+        let voters = self.durable.config.voters.iter();
         voters.clone().find(|voter| voter.id == id).map(|voter| voter.ip)
     }
 
-    /// Backups of the record in force.
+    /// Backups of the replica set in force.
     fn backups(&self) -> Vec<(u64, Ipv4Addr)> {
-        let others = self.durable.record.holders.iter().filter(|id| **id != self.me.id);
+        let others = self.durable.config.data_replicas.iter().filter(|id| **id != self.me.id);
         others.filter_map(|id| Some((*id, self.ip_of(*id)?))).collect()
     }
 
--- a/crates/store/src/register/model.rs
+++ b/crates/store/src/register/model.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{ControlState, Envelope, Order, Outcome, PeerMessage, Record};
+use violetyoke_transport::messages::{Command, ControlState, Envelope, Outcome, PeerMessage, ReplicaConfig};
 
 /// Milliseconds of a clock that only advances; it begins anywhere.
 pub type Millis = u64;
@@ -13,10 +13,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Durable {
     pub id: u64,
-    /// First start of the whole system, and no record since.
+    /// First start of the whole system, and no replica set since.
     pub fresh: bool,
     pub promised: u64,
-    pub record: Record,
+    pub config: ReplicaConfig,
     pub held: ControlState,
 }
 
@@ -29,9 +29,9 @@
     Tick {
         disk: bool,
     },
-    Order {
+    Command {
         client: Client,
-        order: Order,
+        order: Command,
     },
     /// The process is to end: others take over what this store has.
     Leave,
@@ -51,7 +51,7 @@
         client: Client,
         outcome: Outcome,
     },
-    /// There is a newer state that all holders have, or this store's standing is another.
+    /// There is a newer state that all data_replicas have, or this store's standing is another.
     Publish,
 }
 
@@ -71,9 +71,9 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// A record needs a majority of the voters before it too.
+    /// A replica set needs a majority of the voters before it too.
     pub prior_majorities: bool,
-    /// Only a voter of the newest record takes over and is a holder.
+    /// Only a voter of the newest replica set takes over and is a holder.
     pub holders_vote: bool,
     /// Only a learner that has the state gets a vote.
     pub learner_first: bool,
--- a/crates/store/src/register/orders.rs
+++ b/crates/store/src/register/orders.rs
@@ -1,9 +1,9 @@
-//! Operators' orders at the primary: those that wait are written together, and each is answered once all holders have the
+//! Operators' orders at the primary: those that wait are written together, and each is answered once all data_replicas have the
 //! state on their disks, or have confirmed the epoch where nothing had to be written.
 
 use super::{Client, Confirming, Effect, Millis, Pending, Register, Role};
 use std::collections::BTreeSet;
-use violetyoke_transport::messages::{Acceptance, ControlState, Order, Outcome, PeerMessage, Stamp};
+use violetyoke_transport::messages::{Acceptance, Command, ControlState, Outcome, PeerMessage, Revision};
 
 /// A state that a backup has not said to have is sent again after so long.
 const RESEND_AFTER: Millis = 250;
@@ -15,12 +15,12 @@
 pub(super) type Answers = Vec<(Client, Outcome)>;
 
 /// Applies one order to a state: its outcome once that state is committed, and whether the state is another.
-fn apply(state: &mut ControlState, order: Order) -> (Outcome, bool) {
+fn apply(state: &mut ControlState, order: Command) -> (Outcome, bool) {
     match order {
-        Order::Read => (Outcome::Read(state.clone()), false),
-        Order::Evacuate { zone, empty: true } => (Outcome::Acknowledged, state.evacuated.insert(zone)),
-        Order::Evacuate { zone, empty: false } => (Outcome::Acknowledged, state.evacuated.remove(&zone)),
-        Order::Replace { version, text } => replace(state, version, text),
+        Command::Read => (Outcome::Read(state.clone()), false),
+        Command::Evacuate { zone, empty: true } => (Outcome::Acknowledged, state.evacuated.insert(zone)),
+        Command::Evacuate { zone, empty: false } => (Outcome::Acknowledged, state.evacuated.remove(&zone)),
+        Command::Replace { version, text } => replace(state, version, text),
     }
 }
 
@@ -40,9 +40,9 @@
 }
 
 impl Register {
-    pub(super) fn order(&mut self, client: Client, order: Order) {
+    pub(super) fn order(&mut self, client: Client, order: Command) {
         if !self.active() && !self.trying() {
-            return self.out.push(Effect::Answer { client, outcome: Outcome::Elsewhere });
+            return self.out.push(Effect::Answer { client, outcome: Outcome::NotLeader });
         }
         self.waiting.push_back((client, order, self.now));
         self.next_orders();
@@ -51,7 +51,7 @@
     /// Tells clients to ask elsewhere. Nothing that this answer says rests on the disk.
     pub(super) fn turn_away(&mut self, clients: impl IntoIterator<Item = Client>) {
         let answers =
-            clients.into_iter().map(|client| Effect::Answer { client, outcome: Outcome::Elsewhere });
+            clients.into_iter().map(|client| Effect::Answer { client, outcome: Outcome::NotLeader });
         self.out.extend(answers);
     }
 
@@ -108,7 +108,7 @@
     }
 
     fn write_state(&mut self, answers: Answers, mut state: ControlState) {
-        state.stamp.seq += 1;
+        state.revision.sequence += 1;
         self.durable.held = state;
         self.keep();
         self.pending =
@@ -122,11 +122,13 @@
         let Some(pending) = &mut self.pending else { return };
         pending.sent = self.now;
         let written = pending.written.clone();
-        let (epoch, held) = (self.durable.record.epoch, self.durable.held.clone());
+        let (epoch, held) = (self.durable.config.epoch, self.durable.held.clone());
         for (id, ip) in self.backups() {
             if !written.contains(&id) {
-                self.out
-                    .push(Effect::Send { to: ip, message: PeerMessage::Write { epoch, held: held.clone() } });
+                self.out.push(Effect::Send {
+                    to: ip,
+                    message: PeerMessage::Write { epoch, state: held.clone() },
+                });
             }
         }
     }
@@ -139,9 +141,9 @@
         }
     }
 
-    pub(super) fn written(&mut self, id: u64, epoch: u64, stamp: Stamp) {
-        let now = self.durable.held.stamp;
-        if epoch != self.durable.record.epoch || stamp != now || !self.active() {
+    pub(super) fn written(&mut self, id: u64, epoch: u64, revision: Revision) {
+        let now = self.durable.held.revision;
+        if epoch != self.durable.config.epoch || revision != now || !self.active() {
             return;
         }
         if let Some(pending) = &mut self.pending {
@@ -151,10 +153,11 @@
     }
 
     fn maybe_committed(&mut self) {
-        let committed =
-            |pending: &mut Pending| self.durable.record.holders.iter().all(|id| pending.written.contains(id));
+        let committed = |pending: &mut Pending| {
+            self.durable.config.data_replicas.iter().all(|id| pending.written.contains(id))
+        };
         let Some(pending) = self.pending.take_if(committed) else { return };
-        self.committed = self.durable.held.stamp;
+        self.committed = self.durable.held.revision;
         self.answer_all(pending.answers);
         self.gated.push_back((self.requested, Effect::Publish));
         self.send_snapshots();
@@ -173,7 +176,7 @@
         let nonce = self.nonce;
         let confirmed = BTreeSet::from([self.me.id]);
         self.confirming.insert(nonce, Confirming { answers, confirmed, since: self.now });
-        let epoch = self.durable.record.epoch;
+        let epoch = self.durable.config.epoch;
         for (_, ip) in self.backups() {
             self.send(ip, PeerMessage::Confirm { epoch, nonce });
         }
@@ -181,13 +184,13 @@
     }
 
     pub(super) fn confirmed(&mut self, id: u64, epoch: u64, nonce: u64) {
-        if epoch != self.durable.record.epoch || !self.active() {
+        if epoch != self.durable.config.epoch || !self.active() {
             return;
         }
         let Some(one) = self.confirming.get_mut(&nonce) else { return };
         one.confirmed.insert(id);
         let confirmed = &one.confirmed;
-        if self.durable.record.holders.iter().all(|id| confirmed.contains(id)) {
+        if self.durable.config.data_replicas.iter().all(|id| confirmed.contains(id)) {
             if let Some(one) = self.confirming.remove(&nonce) {
                 self.answer_all(one.answers);
             }
@@ -196,14 +199,14 @@
 
     /// This primary's next epoch begins with a state that a voter promised. Answers that wait rest on this store's own
     /// state: they are given under the next epoch only if no other store has led since.
-    pub(super) fn keep_answers_if_newest(&mut self, chosen: Stamp) {
-        if chosen > self.durable.held.stamp {
+    pub(super) fn keep_answers_if_newest(&mut self, chosen: Revision) {
+        if chosen > self.durable.held.revision {
             let answers = self.take_answers();
             self.turn_away(answers.into_iter().map(|(client, _)| client));
         }
     }
 
-    /// The next epoch is installed: all holders have what was pending under the one before.
+    /// The next epoch is installed: all data_replicas have what was pending under the one before.
     pub(super) fn answer_under_next_epoch(&mut self) {
         let answers = self.take_answers();
         self.answer_all(answers);
--- a/crates/store/src/register/quorum.rs
+++ b/crates/store/src/register/quorum.rs
@@ -1,15 +1,15 @@
 //! When enough voters have said yes; and how stores that would do the same at the same time are told apart.
 
-use violetyoke_transport::messages::{Member, Record};
+use violetyoke_transport::messages::{ReplicaConfig, StoreNode};
 
-/// Enough have said yes to a record: of its voters, and of those of records before it that may not have installed.
-pub(super) fn enough(record: &Record, has: impl Fn(u64) -> bool + Copy) -> bool {
-    majority(&record.voters, has) && record.prior_voters.iter().all(|voters| majority(voters, has))
+/// Enough have said yes to a replica set: of its voters, and of those of configurations before it that may not have installed.
+pub(super) fn enough(config: &ReplicaConfig, has: impl Fn(u64) -> bool + Copy) -> bool {
+    majority(&config.voters, has) && config.previous_voters.iter().all(|voters| majority(voters, has))
 }
 
 /// More than half of the members of a list are in a set.
-pub(super) fn majority(of: &[Member], has: impl Fn(u64) -> bool) -> bool {
-    of.iter().filter(|member| has(member.id)).count() * 2 > of.len()
+pub(super) fn majority(of: &[StoreNode], has: impl Fn(u64) -> bool) -> bool {
+    of.iter().filter(|node| has(node.id)).count() * 2 > of.len()
 }
 
 /// A figure in `0..most` that differs between stores and epochs, the same for the same two.
--- a/crates/store/src/register/status.rs
+++ b/crates/store/src/register/status.rs
@@ -2,12 +2,13 @@
 
 use super::{Guards, Register, Role};
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{ControlState, Member};
+use violetyoke_transport::messages::{ControlState, StoreNode};
 
 impl Register {
-    /// The state that all holders have, as far as this store knows.
+    /// The state that all data_replicas have, as far as this store knows.
     pub fn committed(&self) -> Option<&ControlState> {
-        (self.committed == self.durable.held.stamp && self.committed.epoch > 0).then_some(&self.durable.held)
+        (self.committed == self.durable.held.revision && self.committed.epoch > 0)
+            .then_some(&self.durable.held)
     }
 
     /// Machines whose stores are asked first, as the settings have them by now.
@@ -15,12 +16,12 @@
         self.known.extend(seeds.into_iter().filter(|ip| *ip != self.me.ip));
     }
 
-    pub fn member(&self) -> &Member {
+    pub fn node(&self) -> &StoreNode {
         &self.me
     }
 
     pub fn epoch(&self) -> u64 {
-        self.durable.record.epoch
+        self.durable.config.epoch
     }
 
     pub fn active(&self) -> bool {
--- a/crates/store/tests/cluster/mod.rs
+++ b/crates/store/tests/cluster/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use violetyoke_store::register::{Durable, Effect, Event, Millis, Register, Start};
-use violetyoke_transport::messages::{Envelope, Order, Outcome};
+use violetyoke_transport::messages::{Command, Envelope, Outcome};
 
 const STORES: usize = 3;
 const TICK: Millis = 50;
@@ -31,8 +31,8 @@
     answers: BTreeMap<u64, (Outcome, Millis)>,
 }
 
-pub fn replace(version: u64, text: &str) -> Order {
-    Order::Replace { version, text: text.to_owned() }
+pub fn replace(version: u64, text: &str) -> Command {
+    Command::Replace { version, text: text.to_owned() }
 }
 
 fn ip(store: usize) -> Ipv4Addr {
@@ -86,9 +86,9 @@
     }
 
     /// Gives a store an order, and the number to ask for its outcome with.
-    pub fn give(&mut self, store: usize, order: Order) -> u64 {
+    pub fn give(&mut self, store: usize, order: Command) -> u64 {
         self.orders += 1;
-        self.handle(store, Event::Order { client: self.orders, order });
+        self.handle(store, Event::Command { client: self.orders, order });
         self.orders
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Gives the primary an order and waits for its outcome.
-    pub fn ask(&mut self, order: Order) -> Option<Outcome> {
+    pub fn ask(&mut self, order: Command) -> Option<Outcome> {
         let primary = self.primary();
         let order = self.give(primary, order);
         self.run_for(1_000);
@@ -136,7 +136,7 @@
     }
 
     fn handle(&mut self, store: usize, event: Event) {
-        let from = self.stores[store].member().clone();
+        let from = self.stores[store].node().clone();
         for effect in self.stores[store].handle(self.now, event) {
             match effect {
                 Effect::Send { to, message } => {
--- a/crates/store/tests/days.rs
+++ b/crates/store/tests/days.rs
@@ -6,7 +6,7 @@
 
 use simulation::operators::{insist, read_back, replace};
 use simulation::Cluster;
-use violetyoke_transport::messages::Order;
+use violetyoke_transport::messages::Command;
 
 /// Faults drawn by the seed, with no more counted losses at once than are to be borne.
 fn day(seed: u64, machines: usize, tolerance: u32) -> Cluster {
@@ -77,7 +77,7 @@
                 replace(&mut cluster, n, version);
             }
             31..=40 => {
-                cluster.order(n, Order::Read);
+                cluster.order(n, Command::Read);
             }
             _ => {}
         }
--- a/crates/store/tests/golden/main.rs
+++ b/crates/store/tests/golden/main.rs
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 use violetyoke_store::disk::{look_at, Found, Slots};
 use violetyoke_store::register::Durable;
-use violetyoke_transport::messages::{AcceptedVersions, ControlState, Member, Record, Stamp};
+use violetyoke_transport::messages::{AcceptedVersions, ControlState, ReplicaConfig, Revision, StoreNode};
 
 fn golden(name: &str, current: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
     GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR")).read(name, current)
@@ -47,8 +47,8 @@
     }
 }
 
-fn store(number: u8) -> Member {
-    Member {
+fn store(number: u8) -> StoreNode {
+    StoreNode {
         id: u64::MAX - u64::from(number),
         ip: Ipv4Addr::new(127, 10, 3, number),
         zone: format!("zone-{number}"),
@@ -61,19 +61,19 @@
     let mut accepted = AcceptedVersions::default();
     assert!(accepted.insert(version - 1, "{}"));
     assert!(accepted.insert(version, &text));
-    let stamp = Stamp { epoch: 70_000, seq: version };
+    let revision = Revision { epoch: 70_000, sequence: version };
     let evacuated = BTreeSet::from(["zone-1".to_owned(), "zone-2".to_owned()]);
     Durable {
         id: store(1).id,
         fresh: true,
         promised: 70_001,
-        record: Record {
+        config: ReplicaConfig {
             epoch: 70_000,
             voters: vec![store(1), store(2), store(3)],
-            holders: vec![store(1).id, store(2).id],
-            prior_voters: vec![vec![store(1), store(4)], vec![store(4)]],
+            data_replicas: vec![store(1).id, store(2).id],
+            previous_voters: vec![vec![store(1), store(4)], vec![store(4)]],
         },
-        held: ControlState { stamp, version, text, evacuated, accepted },
+        held: ControlState { revision, version, text, evacuated, accepted },
     }
 }
 
@@ -133,14 +133,14 @@
     id: u64,
     fresh: bool,
     promised: u64,
-    record: Record,
+    config: ReplicaConfig,
     held: OlderControlState,
 }
 
 /// A slot's bytes as such a build wrote them.
 fn older_slot(number: u64, state: &Durable) -> Vec<u8> {
-    let Durable { id, fresh, promised, record, held } = state.clone();
-    let older = OlderDurable { id, fresh, promised, record, held: OlderControlState::of(&held) };
+    let Durable { id, fresh, promised, config, held } = state.clone();
+    let older = OlderDurable { id, fresh, promised, config, held: OlderControlState::of(&held) };
     let payload = rmp_serde::to_vec(&older).expect("encoded");
     let mut digest = SipHasher13::new();
     digest.write_u64(number);
--- a/crates/store/tests/guards.rs
+++ b/crates/store/tests/guards.rs
@@ -71,7 +71,7 @@
     assert!(found > 0);
 }
 
-/// Joint majorities and the holders' copies keep what is acknowledged, whatever a new voter has: the rule that
+/// Joint majorities and the data_replicas' copies keep what is acknowledged, whatever a new voter has: the rule that
 /// learners come first is for time alone.
 #[test]
 fn without_learners_first_nothing_acknowledged_is_lost() {
--- a/crates/store/tests/linearizability.rs
+++ b/crates/store/tests/linearizability.rs
@@ -5,14 +5,14 @@
 use simulation::history::{Answer, History, Operation};
 use simulation::linearizability::check;
 use std::collections::BTreeSet;
-use violetyoke_transport::messages::{ControlState, Order, Outcome};
+use violetyoke_transport::messages::{Command, ControlState, Outcome};
 
-fn replace(version: u64, text: &str) -> Order {
-    Order::Replace { version, text: text.into() }
+fn replace(version: u64, text: &str) -> Command {
+    Command::Replace { version, text: text.into() }
 }
 
-fn empty(zone: &str) -> Order {
-    Order::Evacuate { zone: zone.into(), empty: true }
+fn empty(zone: &str) -> Command {
+    Command::Evacuate { zone: zone.into(), empty: true }
 }
 
 fn state(version: u64, text: &str, evacuated: &[&str]) -> Answer {
@@ -20,11 +20,11 @@
     Answer::Read(ControlState { version, text: text.into(), evacuated, ..ControlState::default() })
 }
 
-fn answered(order: Order, invoked: u64, returned: u64, answer: Answer) -> Operation {
+fn answered(order: Command, invoked: u64, returned: u64, answer: Answer) -> Operation {
     Operation { order, invoked, returned: Some((returned, answer)) }
 }
 
-fn unclear(order: Order, invoked: u64) -> Operation {
+fn unclear(order: Command, invoked: u64) -> Operation {
     Operation { order, invoked, returned: None }
 }
 
@@ -32,7 +32,7 @@
 fn a_read_between_two_acknowledged_orders_sees_the_first() {
     let history = [
         answered(replace(1, "a"), 1, 2, Answer::Acknowledged),
-        answered(Order::Read, 3, 4, state(1, "a", &[])),
+        answered(Command::Read, 3, 4, state(1, "a", &[])),
         answered(replace(2, "b"), 5, 6, Answer::Acknowledged),
     ];
     assert_eq!(check(&history), Ok(()));
@@ -43,7 +43,7 @@
     let history = [
         answered(replace(1, "a"), 1, 2, Answer::Acknowledged),
         answered(replace(2, "b"), 3, 4, Answer::Acknowledged),
-        answered(Order::Read, 5, 6, state(1, "a", &[])),
+        answered(Command::Read, 5, 6, state(1, "a", &[])),
     ];
     assert_eq!(check(&history).expect_err("a stale read").operation, 2);
 }
@@ -53,28 +53,28 @@
     let before = [
         answered(replace(1, "a"), 1, 2, Answer::Acknowledged),
         answered(replace(2, "b"), 3, 10, Answer::Acknowledged),
-        answered(Order::Read, 4, 5, state(1, "a", &[])),
-        answered(Order::Read, 6, 7, state(2, "b", &[])),
+        answered(Command::Read, 4, 5, state(1, "a", &[])),
+        answered(Command::Read, 6, 7, state(2, "b", &[])),
     ];
     assert_eq!(check(&before), Ok(()));
     let mut back = before.to_vec();
-    back.push(answered(Order::Read, 8, 9, state(1, "a", &[])));
+    back.push(answered(Command::Read, 8, 9, state(1, "a", &[])));
     assert_eq!(check(&back).expect_err("it goes back").operation, 4);
 }
 
 #[test]
 fn an_order_without_a_clear_answer_may_take_effect_late_or_never_but_once() {
-    let never = [unclear(replace(1, "a"), 1), answered(Order::Read, 2, 3, state(0, "", &[]))];
+    let never = [unclear(replace(1, "a"), 1), answered(Command::Read, 2, 3, state(0, "", &[]))];
     assert_eq!(check(&never), Ok(()));
     let late = [
         unclear(empty("a"), 1),
-        answered(Order::Read, 2, 3, state(0, "", &[])),
-        answered(Order::Read, 4, 5, state(0, "", &["a"])),
-        answered(Order::Evacuate { zone: "a".into(), empty: false }, 6, 7, Answer::Acknowledged),
+        answered(Command::Read, 2, 3, state(0, "", &[])),
+        answered(Command::Read, 4, 5, state(0, "", &["a"])),
+        answered(Command::Evacuate { zone: "a".into(), empty: false }, 6, 7, Answer::Acknowledged),
     ];
     assert_eq!(check(&late), Ok(()));
     let mut twice = late.to_vec();
-    twice.push(answered(Order::Read, 8, 9, state(0, "", &["a"])));
+    twice.push(answered(Command::Read, 8, 9, state(0, "", &["a"])));
     assert_eq!(check(&twice).expect_err("it took effect twice").operation, 4);
 }
 
@@ -83,8 +83,8 @@
     let history = [
         answered(empty("a"), 1, 2, Answer::Acknowledged),
         answered(empty("a"), 3, 6, Answer::Acknowledged),
-        answered(Order::Evacuate { zone: "a".into(), empty: false }, 4, 5, Answer::Acknowledged),
-        answered(Order::Read, 7, 8, state(0, "", &[])),
+        answered(Command::Evacuate { zone: "a".into(), empty: false }, 4, 5, Answer::Acknowledged),
+        answered(Command::Read, 7, 8, state(0, "", &[])),
     ];
     assert_eq!(check(&history), Ok(()));
 }
@@ -95,7 +95,7 @@
         answered(replace(2, "b"), 1, 2, Answer::Acknowledged),
         answered(replace(1, "a"), 3, 4, Answer::Acknowledged),
         answered(replace(2, "b"), 5, 6, Answer::Acknowledged),
-        answered(Order::Read, 7, 8, state(2, "b", &[])),
+        answered(Command::Read, 7, 8, state(2, "b", &[])),
     ];
     assert_eq!(check(&history), Ok(()));
     history.push(answered(replace(2, "another"), 9, 10, Answer::Acknowledged));
@@ -110,7 +110,7 @@
         history.answered(client, &Outcome::Acknowledged);
     }
     history.invoked(4, &replace(7, "d"));
-    history.answered(4, &Outcome::Elsewhere);
+    history.answered(4, &Outcome::NotLeader);
     assert_eq!(history.ambiguous_numbers(), [5]);
     assert!(history.operations[3].returned.is_none());
 }
@@ -120,7 +120,7 @@
     let mut history = vec![
         answered(replace(2, "b"), 1, 2, Answer::Acknowledged),
         answered(replace(2, "another"), 3, 4, Answer::Refused),
-        answered(Order::Read, 5, 6, state(2, "b", &[])),
+        answered(Command::Read, 5, 6, state(2, "b", &[])),
     ];
     assert_eq!(check(&history), Ok(()));
     history.push(answered(replace(3, "c"), 7, 8, Answer::Refused));
--- a/crates/store/tests/membership.rs
+++ b/crates/store/tests/membership.rs
@@ -8,7 +8,7 @@
 use simulation::operators::{insist, primary, read_back};
 use simulation::Cluster;
 use violetyoke_store::register::{Effect, Event};
-use violetyoke_transport::messages::{PeerMessage, Record};
+use violetyoke_transport::messages::{PeerMessage, ReplicaConfig};
 
 /// The fourth machine, at an address that nobody knows before it starts.
 const NEWCOMER: usize = 3;
@@ -23,7 +23,7 @@
 }
 
 /// What a store says in its heartbeats.
-fn record(cluster: &Cluster, n: usize) -> Record {
+fn config(cluster: &Cluster, n: usize) -> ReplicaConfig {
     let mut copy = cluster.machines[n].register.clone().expect("it runs");
     copy.greet();
     let effects = copy.handle(cluster.now, Event::Tick { disk: true });
@@ -31,12 +31,12 @@
         Effect::Send { message: PeerMessage::Heartbeat(heartbeat), .. } => Some(heartbeat),
         _ => None,
     });
-    heartbeat.expect("a heartbeat").record
+    heartbeat.expect("a heartbeat").config
 }
 
 fn votes(cluster: &Cluster, n: usize) -> bool {
     let leader = primary(cluster).expect("a primary");
-    record(cluster, leader).voters.iter().any(|voter| voter.ip == cluster.machines[n].ip)
+    config(cluster, leader).voters.iter().any(|voter| voter.ip == cluster.machines[n].ip)
 }
 
 fn leave(cluster: &mut Cluster, n: usize) {
@@ -91,7 +91,7 @@
         cluster.wipe(lost);
         cluster.run(cluster.now + 500);
         cluster.restart(NEWCOMER);
-        // Somewhere in the changes of holders and voters, at times before and after them.
+        // Somewhere in the changes of data_replicas and voters, at times before and after them.
         let moment = cluster.now + 200 + 13 * seed;
         cluster.run(moment);
         let Some(leader) = primary(&cluster) else { continue };
@@ -119,7 +119,7 @@
         assert!(insist(&mut cluster, 2, 4_000), "seed {seed}");
         cluster.run(cluster.now + 4_000);
         let leader = primary(&cluster).expect("a primary");
-        let before = record(&cluster, leader);
+        let before = config(&cluster, leader);
         assert!(!votes(&cluster, cut), "seed {seed}");
         // Backups are heard before the primary.
         cluster.network.keep_cuts_of(leader);
@@ -127,8 +127,8 @@
         cluster.network.restore_all();
         cluster.run(cluster.now + 1_500);
         assert_eq!(primary(&cluster), Some(leader), "seed {seed}");
-        assert_eq!(record(&cluster, leader), before, "seed {seed}: the epoch is another");
-        assert_eq!(record(&cluster, cut), before, "seed {seed}: it doesn't know who votes");
+        assert_eq!(config(&cluster, leader), before, "seed {seed}: the epoch is another");
+        assert_eq!(config(&cluster, cut), before, "seed {seed}: it doesn't know who votes");
         assert!(read_back(&mut cluster, 1_000), "seed {seed}");
         assert!(cluster.broken.is_empty(), "seed {seed}: {:?}", cluster.broken);
     }
@@ -150,10 +150,10 @@
         cluster.run(cluster.now + 300);
         cluster.network.restore_all();
         cluster.run(cluster.now + 2_500);
-        let newest = record(&cluster, primary(&cluster).expect("a primary"));
-        assert!(newest.prior_voters.is_empty(), "seed {seed}: {newest:?}");
+        let newest = config(&cluster, primary(&cluster).expect("a primary"));
+        assert!(newest.previous_voters.is_empty(), "seed {seed}: {newest:?}");
         for n in [leader, witness, NEWCOMER] {
-            assert_eq!(record(&cluster, n), newest, "seed {seed}: store {n}");
+            assert_eq!(config(&cluster, n), newest, "seed {seed}: store {n}");
         }
         assert!(cluster.broken.is_empty(), "seed {seed}: {:?}", cluster.broken);
     }
@@ -193,10 +193,10 @@
             leave(&mut cluster, leaver);
             longest = longest.max(ends(&mut cluster, leaver));
             let leader = primary(&cluster).expect("a primary");
-            let newest = record(&cluster, leader);
+            let newest = config(&cluster, leader);
             let holds = |n: usize| {
                 let ip = cluster.machines[n].ip;
-                newest.voters.iter().any(|voter| voter.ip == ip && newest.holders.contains(&voter.id))
+                newest.voters.iter().any(|voter| voter.ip == ip && newest.data_replicas.contains(&voter.id))
             };
             assert!(!holds(leaver) && leader != leaver, "seed {seed}: {leaver} holds a copy");
             assert!(insist(&mut cluster, 2 + leaver as u64, 600), "seed {seed}: no order without {leaver}");
--- a/crates/store/tests/model/change.rs
+++ b/crates/store/tests/model/change.rs
@@ -4,7 +4,7 @@
 use crate::moment::{begin, ip, Moment, Store};
 use stateright::{Model, Property};
 use violetyoke_store::register::{Durable, Event, Guards, Register};
-use violetyoke_transport::messages::{Order, PeerMessage};
+use violetyoke_transport::messages::{Command, PeerMessage};
 
 const SILENT: usize = 1;
 const OTHER: usize = 2;
@@ -29,7 +29,7 @@
 /// From where all orders are looked at.
 #[derive(PartialEq)]
 pub enum Start {
-    /// The record that names the learner has just been sent.
+    /// The replica set that names the learner has just been sent.
     Offered,
     /// The learner and the third voter have accepted it.
     Accepted,
@@ -60,17 +60,17 @@
     }
 }
 
-/// A record that names the learner is on its way.
+/// A replica set that names the learner is on its way.
 fn offered(moment: &Moment) -> bool {
     let names = |message: &PeerMessage| match message {
-        PeerMessage::Accept { record, .. } => record.voters.iter().any(|voter| voter.ip == ip(LEARNER)),
+        PeerMessage::Accept { config, .. } => config.voters.iter().any(|voter| voter.ip == ip(LEARNER)),
         _ => false,
     };
     moment.envelopes.iter().any(|(_, envelope)| names(&envelope.message))
 }
 
 impl Change {
-    /// From the first start to the moment in which the record that names the learner is sent, and an order waits.
+    /// From the first start to the moment in which the replica set that names the learner is sent, and an order waits.
     fn begun(&self) -> Moment {
         let store = |n: usize| {
             let mut register = begin(n, Durable::default(), 1);
@@ -91,8 +91,8 @@
         assert!(offered(&moment), "no change of voters begins");
         moment.envelopes.retain(|(_, envelope)| matches!(envelope.message, PeerMessage::Accept { .. }));
         moment.sent = 1;
-        let order = Order::Replace { version: 1, text: "configuration 1".into() };
-        moment.handle(0, Event::Order { client: 1, order }, false);
+        let order = Command::Replace { version: 1, text: "configuration 1".into() };
+        moment.handle(0, Event::Command { client: 1, order }, false);
         moment
     }
 
--- a/crates/store/tests/model/main.rs
+++ b/crates/store/tests/model/main.rs
@@ -12,7 +12,7 @@
 use moment::{begin, ip, Moment, Store};
 use stateright::{Checker, Model, Property};
 use violetyoke_store::register::{Durable, Event, Register};
-use violetyoke_transport::messages::{Envelope, Order, PeerMessage};
+use violetyoke_transport::messages::{Command, Envelope, PeerMessage};
 
 /// More silence than a store is believed to be well through, and less than that.
 const SILENCE: u64 = 900;
@@ -98,14 +98,14 @@
             Step::Deliver(place) => {
                 let (to, envelope) = moment.envelopes.remove(place);
                 match (&envelope.message, &moment.stores[to].register) {
-                    (PeerMessage::Write { epoch, held }, Some(register))
+                    (PeerMessage::Write { epoch, state: held }, Some(register))
                         if self.unchecked
                             && *epoch < register.epoch().max(moment.stores[to].kept.promised) =>
                     {
                         // Taken, and overtaken: the old primary is told that it is on the disk.
                         let back = (0..3).find(|n| ip(*n) == envelope.from.ip)?;
-                        let message = PeerMessage::Written { epoch: *epoch, stamp: held.stamp };
-                        moment.envelopes.push((back, Envelope { from: register.member().clone(), message }));
+                        let message = PeerMessage::Written { epoch: *epoch, revision: held.revision };
+                        moment.envelopes.push((back, Envelope { from: register.node().clone(), message }));
                     }
                     _ => moment.handle(to, Event::Envelope(envelope), false),
                 }
@@ -116,8 +116,8 @@
             Step::Send(n) => {
                 moment.sent += 1;
                 let version = moment.sent;
-                let order = Order::Replace { version, text: format!("configuration {version}") };
-                moment.handle(n, Event::Order { client: version, order }, false);
+                let order = Command::Replace { version, text: format!("configuration {version}") };
+                moment.handle(n, Event::Command { client: version, order }, false);
             }
             Step::Deaf(n) => {
                 let active = |it: usize| moment.stores[it].register.as_ref().is_some_and(Register::active);
--- a/crates/store/tests/model/moment.rs
+++ b/crates/store/tests/model/moment.rs
@@ -53,7 +53,7 @@
         let now = self.now;
         let Some(register) = &mut self.stores[n].register else { return };
         let effects = register.handle(now, event);
-        let from = register.member().clone();
+        let from = register.node().clone();
         for effect in effects {
             match effect {
                 Effect::Send { message: PeerMessage::Heartbeat(_), .. } if !heartbeats => {}
--- a/crates/store/tests/model/sizes.rs
+++ b/crates/store/tests/model/sizes.rs
@@ -3,7 +3,7 @@
 
 use crate::moment::{begin, ip, Moment, Store};
 use violetyoke_store::register::{Durable, Event, Register, Start};
-use violetyoke_transport::messages::{HolderState, Order, PeerMessage};
+use violetyoke_transport::messages::{Command, InitialState, PeerMessage};
 
 /// Three stores with an acknowledged order, and the primary among them.
 fn settled() -> (Moment, usize) {
@@ -17,8 +17,8 @@
     moment.settle();
     let active = |n: &usize| moment.stores[*n].register.as_ref().is_some_and(Register::active);
     let primary = (0..3).find(active).expect("a primary");
-    let order = Order::Replace { version: 1, text: "configuration 1".into() };
-    moment.handle(primary, Event::Order { client: 1, order }, false);
+    let order = Command::Replace { version: 1, text: "configuration 1".into() };
+    moment.handle(primary, Event::Command { client: 1, order }, false);
     moment.settle();
     assert_eq!(moment.acknowledged, 1);
     (moment, primary)
@@ -49,7 +49,7 @@
     moment.now += 50;
     moment.handle(backup, Event::Tick { disk: true }, false);
     moment.sync_all();
-    let whole = |message: &PeerMessage| matches!(message, PeerMessage::Accept { state: Some(HolderState::Whole(state)), .. } if state.version == 1);
+    let whole = |message: &PeerMessage| matches!(message, PeerMessage::Accept { state: Some(InitialState::Full(state)), .. } if state.version == 1);
     let to_witness =
         moment.envelopes.iter().filter(|(to, envelope)| *to == witness && whole(&envelope.message));
     assert_eq!(to_witness.count(), 1, "{:?}", moment.envelopes);
@@ -73,13 +73,13 @@
         PeerMessage::Accept { state, .. } if *to == backup => Some(state.clone()),
         _ => None,
     });
-    assert!(matches!(to_backup, Some(Some(HolderState::Promised { .. }))), "{to_backup:?}");
-    // It has the new stamp, and both lead on.
+    assert!(matches!(to_backup, Some(Some(InitialState::Promised { .. }))), "{to_backup:?}");
+    // It has the new revision, and both lead on.
     deliver(&mut moment);
     deliver(&mut moment);
     let leads = moment.stores[witness].register.as_ref().is_some_and(Register::active);
     assert!(leads && moment.stores[backup].kept.held.version == 1);
-    assert_eq!(moment.stores[backup].kept.held.stamp.epoch, moment.stores[backup].kept.record.epoch);
+    assert_eq!(moment.stores[backup].kept.held.revision.epoch, moment.stores[backup].kept.config.epoch);
 }
 
 #[test]
@@ -92,10 +92,10 @@
         let start = Start { ip: ip(moved), zone: format!("moved-{moved}"), seeds, tolerance: 1, kept };
         moment.stores[moved].register = Some(Register::new(start, moment.now, 99, false));
         moment.settle();
-        let record = &moment.stores[primary].kept.record;
+        let config = &moment.stores[primary].kept.config;
         let named: Vec<&str> =
-            record.voters.iter().filter(|voter| voter.id == id).map(|voter| voter.zone.as_str()).collect();
-        assert_eq!((named, record.voters.len()), (vec![format!("moved-{moved}").as_str()], 3));
-        assert!(record.prior_voters.is_empty() && moment.stores[moved].kept.record == *record);
+            config.voters.iter().filter(|voter| voter.id == id).map(|voter| voter.zone.as_str()).collect();
+        assert_eq!((named, config.voters.len()), (vec![format!("moved-{moved}").as_str()], 3));
+        assert!(config.previous_voters.is_empty() && moment.stores[moved].kept.config == *config);
     }
 }
--- a/crates/store/tests/orders.rs
+++ b/crates/store/tests/orders.rs
@@ -6,13 +6,13 @@
 mod cluster;
 
 use cluster::{replace, Cluster};
-use violetyoke_transport::messages::{Acceptance, AcceptedVersions, ControlState, Order, Outcome};
+use violetyoke_transport::messages::{Acceptance, AcceptedVersions, Command, ControlState, Outcome};
 
 /// How long a control machine is cut off in the operators' words.
 const LONG_CUT: u64 = 20_000;
 
 fn read(cluster: &mut Cluster) -> ControlState {
-    match cluster.ask(Order::Read) {
+    match cluster.ask(Command::Read) {
         Some(Outcome::Read(state)) => state,
         other => panic!("no read: {other:?}"),
     }
@@ -82,7 +82,7 @@
     let mut given = Vec::new();
     while cluster.now < until {
         for order in
-            [replace(4, "four"), replace(4, "other"), replace(3, "three"), replace(9, "nine"), Order::Read]
+            [replace(4, "four"), replace(4, "other"), replace(3, "three"), replace(9, "nine"), Command::Read]
         {
             given.push(cluster.give(old, order));
         }
@@ -92,7 +92,7 @@
     assert_eq!(given.len(), 200);
     for order in given {
         let said = cluster.outcome(order);
-        assert!(matches!(said, None | Some(Outcome::Elsewhere)), "cut off, and it says {said:?}");
+        assert!(matches!(said, None | Some(Outcome::NotLeader)), "cut off, and it says {said:?}");
     }
 }
 
@@ -141,7 +141,7 @@
     cluster.sync_ms = 100;
     let (primary, begun) = (cluster.primary(), cluster.now);
     let first = cluster.give(primary, replace(1, "one"));
-    let second = [replace(1, "one"), replace(1, "other"), replace(2, "two"), Order::Read]
+    let second = [replace(1, "one"), replace(1, "other"), replace(2, "two"), Command::Read]
         .map(|order| cluster.give(primary, order));
     cluster.run_for(1_000);
     let at = |order| cluster.answered_at(order).expect("an answer") - begun;
--- a/crates/store/tests/recovery.rs
+++ b/crates/store/tests/recovery.rs
@@ -41,22 +41,22 @@
     }
 }
 
-/// Some hundred changes, with `member` in trouble for most of them.
-fn hundreds_of_changes(cluster: &mut Cluster, member: usize, trouble: Trouble, story: &str) {
+/// Some hundred changes, with `store` in trouble for most of them.
+fn hundreds_of_changes(cluster: &mut Cluster, store: usize, trouble: Trouble, story: &str) {
     changes(cluster, 2, 20, story);
     match trouble {
-        Trouble::Restart => cluster.kill(member, false),
-        Trouble::PowerLoss => cluster.kill(member, true),
-        Trouble::Wipe => cluster.wipe(member),
-        Trouble::Freeze => cluster.machines[member].frozen_until = cluster.now + 40_000,
+        Trouble::Restart => cluster.kill(store, false),
+        Trouble::PowerLoss => cluster.kill(store, true),
+        Trouble::Wipe => cluster.wipe(store),
+        Trouble::Freeze => cluster.machines[store].frozen_until = cluster.now + 40_000,
     }
     changes(cluster, 22, 250, story);
     match trouble {
         Trouble::Freeze => {
-            let thawed = cluster.machines[member].frozen_until.max(cluster.now) + 1;
+            let thawed = cluster.machines[store].frozen_until.max(cluster.now) + 1;
             cluster.run(thawed);
         }
-        _ => cluster.restart(member),
+        _ => cluster.restart(store),
     }
 }
 
@@ -64,15 +64,15 @@
 fn a_member_that_is_back_carries_the_newest_alone_with_one_other_after_catch_up() {
     for (seed, trouble) in (0..24).zip(TROUBLES.into_iter().cycle()) {
         let mut cluster = Cluster::new(seed, 3, 1);
-        let member = (seed / 4) as usize % 3;
-        let story = format!("seed {seed}, member {member}, {trouble:?}");
+        let store = (seed / 4) as usize % 3;
+        let story = format!("seed {seed}, store {store}, {trouble:?}");
         assert!(insist(&mut cluster, 1, 5_000), "{story}: no start");
         cluster.run(cluster.now + 2_500);
-        hundreds_of_changes(&mut cluster, member, trouble, &story);
+        hundreds_of_changes(&mut cluster, store, trouble, &story);
         // More changes while it catches up.
         changes(&mut cluster, 272, 10, &story);
         cluster.run(cluster.now + CATCH_UP);
-        let lost = (0..3).filter(|n| *n != member).nth(seed as usize % 2).expect("two others");
+        let lost = (0..3).filter(|n| *n != store).nth(seed as usize % 2).expect("two others");
         cluster.wipe(lost);
         assert!(read_back(&mut cluster, 8_000), "{story}: nobody answers without {lost}");
         check_leader(&cluster, &story);
@@ -85,11 +85,11 @@
 fn a_member_that_is_back_among_killed_ones_leads_with_the_newest_or_not_at_all() {
     for (seed, trouble) in (100..124).zip(TROUBLES.into_iter().cycle()) {
         let mut cluster = Cluster::new(seed, 3, 1);
-        let member = (seed / 4) as usize % 3;
-        let story = format!("seed {seed}, member {member}, {trouble:?}");
+        let store = (seed / 4) as usize % 3;
+        let story = format!("seed {seed}, store {store}, {trouble:?}");
         assert!(insist(&mut cluster, 1, 5_000), "{story}: no start");
         cluster.run(cluster.now + 2_500);
-        hundreds_of_changes(&mut cluster, member, trouble, &story);
+        hundreds_of_changes(&mut cluster, store, trouble, &story);
         let acked = cluster.acked;
         // All lose power in the moment in which it is back: before, within and after its first exchange.
         cluster.run(cluster.now + seed * 13 % 900);
@@ -97,7 +97,7 @@
             cluster.kill(n, seed % 2 == 0);
         }
         // It comes first, and alone has nothing to say unless it holds the newest.
-        cluster.restart(member);
+        cluster.restart(store);
         cluster.run(cluster.now + 1_500);
         assert_eq!(primary(&cluster), None, "{story}: one of three leads");
         for n in 0..3 {
--- a/crates/store/tests/register.rs
+++ b/crates/store/tests/register.rs
@@ -4,7 +4,7 @@
 
 use simulation::operators::{insist, primary, read_back, replace};
 use simulation::Cluster;
-use violetyoke_transport::messages::Order;
+use violetyoke_transport::messages::Command;
 
 fn settled(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 1);
@@ -62,7 +62,7 @@
         cluster.run(cluster.now + 2_500);
         assert_eq!(cluster.acked, acked, "seed {seed}: acknowledged by one that is cut off");
         assert!(insist(&mut cluster, 7, 4_000), "seed {seed}: the others don't go on");
-        cluster.order(old, Order::Read);
+        cluster.order(old, Command::Read);
         cluster.run(cluster.now + 500);
         cluster.network.restore_all();
         assert!(read_back(&mut cluster, 4_000));
@@ -76,13 +76,13 @@
         let mut cluster = settled(seed);
         cluster.run(cluster.now + 3_000);
         let old = primary(&cluster).expect("a primary");
-        cluster.order(old, Order::Read);
+        cluster.order(old, Command::Read);
         cluster.machines[old].frozen_until = cluster.now + 4_000;
         assert!(insist(&mut cluster, 9, 3_500), "seed {seed}: nobody took over");
         let acked = cluster.acked;
         let woken = cluster.machines[old].frozen_until;
         cluster.run(woken);
-        cluster.order(old, Order::Read);
+        cluster.order(old, Command::Read);
         cluster.run(cluster.now + 3_000);
         assert_eq!(acked, 9);
         assert!(cluster.broken.is_empty(), "seed {seed}: {:?}", cluster.broken);
--- a/crates/store/tests/schedules/faults.rs
+++ b/crates/store/tests/schedules/faults.rs
@@ -16,18 +16,18 @@
 impl Player {
     /// The machine that is meant; nothing: there is none such.
     pub(super) fn resolve(&self, target: Target) -> Option<usize> {
-        let record = &self.cluster.newest_record;
+        let config = &self.cluster.newest_record;
         let by_id = |id: u64| {
-            let member = record.voters.iter().find(|member| member.id == id)?;
-            self.cluster.machines.iter().position(|machine| machine.ip == member.ip)
+            let node = config.voters.iter().find(|node| node.id == id)?;
+            self.cluster.machines.iter().position(|machine| machine.ip == node.ip)
         };
         let present: Vec<usize> =
             (0..self.cluster.machines.len()).filter(|n| !self.cluster.machines[*n].removed).collect();
         let found = match target {
-            Target::Primary => primary(&self.cluster).or_else(|| by_id(*record.holders.first()?)),
-            Target::Backup => record.holders.get(1).and_then(|id| by_id(*id)),
+            Target::Primary => primary(&self.cluster).or_else(|| by_id(*config.data_replicas.first()?)),
+            Target::Backup => config.data_replicas.get(1).and_then(|id| by_id(*id)),
             Target::Witness => {
-                let witness = record.voters.iter().find(|voter| !record.holders.contains(&voter.id));
+                let witness = config.voters.iter().find(|voter| !config.data_replicas.contains(&voter.id));
                 witness.and_then(|voter| by_id(voter.id))
             }
             Target::Newcomer => self.newcomer,
--- a/crates/store/tests/schedules/main.rs
+++ b/crates/store/tests/schedules/main.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults and planned work over simulated stores, by named generators; judged by the operators' records.
+//! Schedules of faults and planned work over simulated stores, by named generators; judged by the operators' configurations.
 //!
 //! A few hundred in the ordinary test. More, with how often each fault landed inside the act that it is meant for:
 //! `SCHEDULES=20000 cargo test --profile proof -p violetyoke-store --test schedules -- --nocapture`
@@ -165,7 +165,7 @@
     let mut found = 0;
     for seed in 0..20 {
         let step = |after, inside, step| Planned { after, inside, step };
-        // A loss that a higher number covers before anybody reads shows in no record: there are several.
+        // A loss that a higher number covers before anybody reads shows in no replica set: there are several.
         let honest = vec![step(3_000, None, Step::KillAll { power: true, down: 400 }); 6];
         let plan = Plan { seed, machines: 3, tolerance: 1, steps: honest };
         assert_eq!(play(&plan).broken, [], "seed {seed}: with honest disks");
--- a/crates/store/tests/schedules/operators.rs
+++ b/crates/store/tests/schedules/operators.rs
@@ -3,7 +3,7 @@
 use super::player::Player;
 use crate::simulation::events::Scheduled;
 use crate::simulation::Millis;
-use violetyoke_transport::messages::{Order, Outcome};
+use violetyoke_transport::messages::{Command, Outcome};
 
 /// How often an operator looks whether its answer is there.
 const LOOKS: Millis = 20;
@@ -25,7 +25,7 @@
 }
 
 pub struct Current {
-    order: Order,
+    order: Command,
     begun: Millis,
     /// How long it has waited in calm times, in one stretch.
     calm: Millis,
@@ -42,7 +42,7 @@
     duty: Duty,
     current: Option<Current>,
     /// An order that it has to send next, in place of one of its own.
-    pub next: Option<Order>,
+    pub next: Option<Command>,
 }
 
 impl Operator {
@@ -85,7 +85,7 @@
         LOOKS
     }
 
-    fn draw_order(&mut self, duty: Duty) -> Order {
+    fn draw_order(&mut self, duty: Duty) -> Command {
         match duty {
             Duty::Configure => {
                 self.version += 1 + self.cluster.random.below(3);
@@ -93,15 +93,15 @@
             }
             Duty::Evacuate => {
                 let zone = ["a", "b"][self.cluster.random.below(2) as usize].to_owned();
-                Order::Evacuate { zone, empty: self.cluster.random.one_in(2) }
+                Command::Evacuate { zone, empty: self.cluster.random.one_in(2) }
             }
-            Duty::Read => Order::Read,
+            Duty::Read => Command::Read,
         }
     }
 
-    pub(super) fn replacement(&self, version: u64, operator: &str) -> Order {
+    pub(super) fn replacement(&self, version: u64, operator: &str) -> Command {
         let text = format!("configuration {version} {operator}{}", " ".repeat(self.text));
-        Order::Replace { version, text }
+        Command::Replace { version, text }
     }
 
     fn look(&mut self, number: usize, mut current: Current) -> Millis {
@@ -150,7 +150,7 @@
     }
 
     /// Sends an order: every other time to a machine that says it leads, and else to any but the one before.
-    fn send(&mut self, order: &Order, sendings: usize, last: usize) -> (Millis, u64, usize) {
+    fn send(&mut self, order: &Command, sendings: usize, last: usize) -> (Millis, u64, usize) {
         let machines = &self.cluster.machines;
         let leads = |n: &usize| machines[*n].register.as_ref().is_some_and(|register| register.active());
         let mut leaders: Vec<usize> = (0..machines.len()).filter(leads).collect();
@@ -170,9 +170,9 @@
 }
 
 /// An order without the length of its text.
-fn shown(order: &Order) -> String {
+fn shown(order: &Command) -> String {
     match order {
-        Order::Replace { version, text } => format!("replace {version} {:?}", text.trim_end()),
+        Command::Replace { version, text } => format!("replace {version} {:?}", text.trim_end()),
         other => format!("{other:?}"),
     }
 }
--- a/crates/store/tests/simulation/clients.rs
+++ b/crates/store/tests/simulation/clients.rs
@@ -1,12 +1,12 @@
 //! What clients were answered, and what must hold of it.
 
 use super::{Cluster, Millis};
-use violetyoke_transport::messages::{ControlState, Order, Outcome};
+use violetyoke_transport::messages::{Command, ControlState, Outcome};
 
 /// What a client waits for, and what had been acknowledged when it asked.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    pub order: Order,
+    pub order: Command,
     pub acked: u64,
     pub at: Millis,
 }
@@ -17,13 +17,13 @@
 impl Cluster {
     /// A change has been sent a short while ago, and is not answered.
     pub fn order_pending(&self) -> bool {
-        let recent = |asked: &Asked| self.now <= asked.at + UNDER_WAY && asked.order != Order::Read;
+        let recent = |asked: &Asked| self.now <= asked.at + UNDER_WAY && asked.order != Command::Read;
         self.asked.values().rev().take(20).any(recent)
     }
 
-    /// The newest record names other voters than the one before it, and is not known to be installed.
+    /// The newest replica set names other voters than the one before it, and is not known to be installed.
     pub fn voters_changing(&self) -> bool {
-        !self.newest_record.prior_voters.is_empty()
+        !self.newest_record.previous_voters.is_empty()
     }
 
     /// A configuration that anybody is told must be one that was sent.
@@ -44,11 +44,11 @@
         }
         self.history.answered(client, &outcome);
         match (&asked.order, &outcome) {
-            (Order::Replace { version, .. }, Outcome::Acknowledged) => {
+            (Command::Replace { version, .. }, Outcome::Acknowledged) => {
                 self.acks += 1;
                 self.acked = self.acked.max(*version);
             }
-            (Order::Read, Outcome::Read(held)) => {
+            (Command::Read, Outcome::Read(held)) => {
                 self.reads += 1;
                 self.known(held, "read");
                 if held.version < asked.acked {
--- a/crates/store/tests/simulation/history.rs
+++ b/crates/store/tests/simulation/history.rs
@@ -1,7 +1,7 @@
-//! What clients asked and what they were answered, in the order in which it happened: the operators' side records.
+//! What clients asked and what they were answered, in the order in which it happened: the operators' side configurations.
 
 use std::collections::{BTreeMap, BTreeSet};
-use violetyoke_transport::messages::{ControlState, Order, Outcome};
+use violetyoke_transport::messages::{Command, ControlState, Outcome};
 
 /// A clear answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 /// One sending of an order to one store. Its place in the history counts, not its time.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    pub order: Order,
+    pub order: Command,
     pub invoked: u64,
     /// When its answer came, and which; nothing: it has none that is clear, and may take effect at any later time.
     pub returned: Option<(u64, Answer)>,
@@ -29,7 +29,7 @@
 }
 
 impl History {
-    pub fn invoked(&mut self, client: u64, order: &Order) {
+    pub fn invoked(&mut self, client: u64, order: &Command) {
         self.events += 1;
         self.places.insert(client, self.operations.len());
         self.operations.push(Operation { order: order.clone(), invoked: self.events, returned: None });
@@ -40,7 +40,7 @@
             Outcome::Acknowledged => Answer::Acknowledged,
             Outcome::Read(held) => Answer::Read(held.clone()),
             Outcome::VersionTaken => Answer::Refused,
-            Outcome::Elsewhere => return,
+            Outcome::NotLeader => return,
         };
         self.events += 1;
         if let Some(place) = self.places.remove(&client) {
@@ -54,7 +54,7 @@
         let mut ambiguous = Vec::new();
         for operation in &self.operations {
             let (version, text) = match (&operation.order, &operation.returned) {
-                (Order::Replace { version, text }, Some((_, Answer::Acknowledged))) => {
+                (Command::Replace { version, text }, Some((_, Answer::Acknowledged))) => {
                     (*version, text.as_str())
                 }
                 (_, Some((_, Answer::Read(held)))) if held.version > 0 => (held.version, held.text.as_str()),
@@ -72,7 +72,7 @@
         let answered = |wanted: Answer| {
             self.operations.iter().filter_map(move |operation| {
                 match (&operation.order, &operation.returned) {
-                    (Order::Replace { version, text }, Some((_, answer))) if *answer == wanted => {
+                    (Command::Replace { version, text }, Some((_, answer))) if *answer == wanted => {
                         Some((*version, text.as_str()))
                     }
                     _ => None,
--- a/crates/store/tests/simulation/linearizability.rs
+++ b/crates/store/tests/simulation/linearizability.rs
@@ -7,7 +7,7 @@
 
 use super::history::{Answer, Operation};
 use std::collections::{BTreeMap, BTreeSet};
-use violetyoke_transport::messages::{ControlState, Order};
+use violetyoke_transport::messages::{Command, ControlState};
 
 /// The register's state; texts are borrowed from the history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotLinearizable {
     pub operation: usize,
-    pub order: Order,
+    pub order: Command,
     pub answer: String,
 }
 
@@ -80,11 +80,11 @@
             return;
         }
         match &operation.order {
-            Order::Replace { version, text } => self.unclear_replacements.push((*version, text)),
-            Order::Evacuate { zone, empty } => {
+            Command::Replace { version, text } => self.unclear_replacements.push((*version, text)),
+            Command::Evacuate { zone, empty } => {
                 *self.unclear_evacuations.entry((zone, *empty)).or_default() += 1;
             }
-            Order::Read => {}
+            Command::Read => {}
         }
     }
 
@@ -120,7 +120,7 @@
     fn with_idle(&self, mut branch: Branch<'a>) -> Branch<'a> {
         for number in &self.open {
             let operation = &self.operations[*number];
-            let idle = !matches!(operation.order, Order::Evacuate { .. });
+            let idle = !matches!(operation.order, Command::Evacuate { .. });
             if idle && self.after(&branch.state, *number).is_some_and(|state| state == branch.state) {
                 branch.done.insert(*number);
             }
@@ -137,7 +137,7 @@
     /// The branch with one operation more.
     fn successors(&self, branch: &Branch<'a>) -> Vec<Branch<'a>> {
         let mut next = Vec::new();
-        let mut orders: Vec<&Order> = Vec::new();
+        let mut orders: Vec<&Command> = Vec::new();
         let mut open: Vec<usize> = self.open.difference(&branch.done).copied().collect();
         // Of equal orders the one that is answered first goes first.
         open.sort_by_key(|number| self.operations[*number].returned.as_ref().map(|(at, _)| *at));
@@ -173,7 +173,8 @@
     /// Leaves out each branch that another can follow in all that it does: in the same state, with no evacuation more
     /// that has taken effect without a clear answer, and with no read less.
     fn without_dominated(&self, branches: BTreeSet<Branch<'a>>) -> BTreeSet<Branch<'a>> {
-        let evacuation = |number: &&usize| matches!(self.operations[**number].order, Order::Evacuate { .. });
+        let evacuation =
+            |number: &&usize| matches!(self.operations[**number].order, Command::Evacuate { .. });
         let mut groups: BTreeMap<(State<'a>, BTreeSet<usize>), Vec<Branch<'a>>> = BTreeMap::new();
         for branch in branches {
             let evacuations = branch.done.iter().filter(evacuation).copied().collect();
@@ -202,21 +203,21 @@
 }
 
 /// The state after an order that got this answer; nothing: it can't have got it in this state.
-fn apply<'a>(state: &State<'a>, order: &'a Order, answer: &'a Answer) -> Option<State<'a>> {
+fn apply<'a>(state: &State<'a>, order: &'a Command, answer: &'a Answer) -> Option<State<'a>> {
     match (order, answer) {
-        (Order::Replace { version, text }, Answer::Acknowledged) if *version > state.version => {
+        (Command::Replace { version, text }, Answer::Acknowledged) if *version > state.version => {
             Some(State { version: *version, text, ..state.clone() })
         }
         // The number that is in force is acknowledged for its own text alone.
-        (Order::Replace { version, text }, Answer::Acknowledged) => {
+        (Command::Replace { version, text }, Answer::Acknowledged) => {
             (*version < state.version || *text == state.text).then(|| state.clone())
         }
-        (Order::Replace { version, text }, Answer::Refused) => {
+        (Command::Replace { version, text }, Answer::Refused) => {
             let own = *version == state.version && *text == state.text;
             (*version <= state.version && !own).then(|| state.clone())
         }
-        (Order::Evacuate { zone, empty }, Answer::Acknowledged) => Some(evacuate(state, zone, *empty)),
-        (Order::Read, Answer::Read(held)) => (*state == read(held)).then(|| state.clone()),
+        (Command::Evacuate { zone, empty }, Answer::Acknowledged) => Some(evacuate(state, zone, *empty)),
+        (Command::Read, Answer::Read(held)) => (*state == read(held)).then(|| state.clone()),
         _ => None,
     }
 }
--- a/crates/store/tests/simulation/machines.rs
+++ b/crates/store/tests/simulation/machines.rs
@@ -143,8 +143,8 @@
 
     /// A store asks its disk to keep a state.
     pub(super) fn keep(&mut self, n: usize, number: u64, state: Durable) {
-        if state.record.epoch >= self.newest_record.epoch {
-            self.newest_record = state.record.clone();
+        if state.config.epoch >= self.newest_record.epoch {
+            self.newest_record = state.config.clone();
         }
         let machine = &mut self.machines[n];
         machine.writing.push(Writing { number, state, asked: self.now });
--- a/crates/store/tests/simulation/mod.rs
+++ b/crates/store/tests/simulation/mod.rs
@@ -24,7 +24,7 @@
 use random::Random;
 use std::collections::BTreeMap;
 use violetyoke_store::register::{Effect, Event, Register};
-use violetyoke_transport::messages::{Envelope, Order, Outcome, Record};
+use violetyoke_transport::messages::{Command, Envelope, Outcome, ReplicaConfig};
 
 pub type Millis = u64;
 
@@ -55,8 +55,8 @@
     pub reads: u64,
     /// Rules that were broken, in the order in which that was seen.
     pub broken: Vec<String>,
-    /// The newest record that any store has asked its disk to keep.
-    pub newest_record: Record,
+    /// The newest replica set that any store has asked its disk to keep.
+    pub newest_record: ReplicaConfig,
     tolerance: u32,
     /// Disks say that they have synced what they have not: the negative control.
     pub lying_disks: bool,
@@ -82,7 +82,7 @@
             acknowledged_at: None,
             reads: 0,
             broken: Vec::new(),
-            newest_record: Record::default(),
+            newest_record: ReplicaConfig::default(),
             tolerance,
             lying_disks: false,
         };
@@ -102,10 +102,10 @@
     }
 
     /// A client gives a store an order; the client's number.
-    pub fn order(&mut self, n: usize, order: Order) -> u64 {
+    pub fn order(&mut self, n: usize, order: Command) -> u64 {
         self.clients += 1;
         let client = self.clients;
-        if let Order::Replace { version, text } = &order {
+        if let Command::Replace { version, text } = &order {
             let texts = self.sent.entry(*version).or_default();
             if !texts.contains(text) {
                 texts.push(text.clone());
@@ -113,7 +113,7 @@
         }
         self.history.invoked(client, &order);
         self.asked.insert(client, Asked { order: order.clone(), acked: self.acked, at: self.now });
-        self.event(n, Event::Order { client, order });
+        self.event(n, Event::Command { client, order });
         client
     }
 
@@ -215,7 +215,7 @@
                 if !self.up(to) {
                     return;
                 }
-                let envelope = Envelope { from: register.member().clone(), message };
+                let envelope = Envelope { from: register.node().clone(), message };
                 let arrival = self.network.arrival(self.now, n, to, &envelope, &mut self.random);
                 if let Some(when) = arrival {
                     self.at(when, Scheduled::Deliver { to, envelope: Box::new(envelope) });
--- a/crates/store/tests/simulation/operators.rs
+++ b/crates/store/tests/simulation/operators.rs
@@ -1,10 +1,10 @@
 //! What an operator does: insists, reads back, looks who leads.
 
 use super::Cluster;
-use violetyoke_transport::messages::Order;
+use violetyoke_transport::messages::Command;
 
 pub fn replace(cluster: &mut Cluster, n: usize, version: u64) {
-    cluster.order(n, Order::Replace { version, text: format!("configuration {version}") });
+    cluster.order(n, Command::Replace { version, text: format!("configuration {version}") });
 }
 
 /// Sends one configuration after the other to all stores until one acknowledges it, for so long.
@@ -25,7 +25,7 @@
     let reads = cluster.reads;
     while cluster.now < until && cluster.reads == reads {
         for n in 0..cluster.machines.len() {
-            cluster.order(n, Order::Read);
+            cluster.order(n, Command::Read);
         }
         cluster.run(cluster.now + 100);
     }
--- a/crates/store/tests/takeover.rs
+++ b/crates/store/tests/takeover.rs
@@ -7,7 +7,7 @@
 
 use simulation::operators::primary;
 use simulation::Cluster;
-use violetyoke_transport::messages::Order;
+use violetyoke_transport::messages::Command;
 
 /// What is lost with the primary.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -37,7 +37,7 @@
     let begun = cluster.now;
     while cluster.acked == 0 {
         for n in 0..machines {
-            cluster.order(n, Order::Replace { version: 1, text: "configuration 1".into() });
+            cluster.order(n, Command::Replace { version: 1, text: "configuration 1".into() });
         }
         cluster.run(cluster.now + 10);
         assert!(cluster.now < begun + 10_000, "seed {seed}, {loss:?}: nobody takes over");
--- a/crates/transport/examples/message_cost.rs
+++ b/crates/transport/examples/message_cost.rs
@@ -3,7 +3,9 @@
 
 use std::time::{Duration, Instant};
 use violetyoke_transport::frame::{decode, encode_deflated};
-use violetyoke_transport::messages::{ControlState, Envelope, Member, PeerMessage, Stamp, StoreRequest};
+use violetyoke_transport::messages::{
+    ControlState, Envelope, PeerMessage, Revision, StoreNode, StoreRequest,
+};
 
 const RUNS: u32 = 20;
 
@@ -26,7 +28,7 @@
         )
     });
     let text = format!(r#"{{"version":7,"routes":{{"rows":[{}]}}}}"#, rows.collect::<Vec<_>>().join(","));
-    ControlState { stamp: Stamp { epoch: 3, seq: 9 }, version: 7, text, ..ControlState::default() }
+    ControlState { revision: Revision { epoch: 3, sequence: 9 }, version: 7, text, ..ControlState::default() }
 }
 
 fn mean(mut run: impl FnMut()) -> Duration {
@@ -43,9 +45,9 @@
     for routes in [50, 500, 1_700, 5_000, 17_000, 60_000] {
         let held = state(routes);
         let plain = held.text.len();
-        let from = Member { id: 1, ip: [10, 0, 0, 1].into(), zone: "zone-a".into() };
+        let from = StoreNode { id: 1, ip: [10, 0, 0, 1].into(), zone: "zone-a".into() };
         let message =
-            StoreRequest::Envelope(Envelope { from, message: PeerMessage::Write { epoch: 3, held } });
+            StoreRequest::Envelope(Envelope { from, message: PeerMessage::Write { epoch: 3, state: held } });
         let bytes = encode_deflated(&message);
         let encoded = mean(|| drop(encode_deflated(&message)));
         let decoded = mean(|| assert!(decode::<StoreRequest>(&bytes).is_ok()));
--- a/crates/transport/src/messages/control.rs
+++ b/crates/transport/src/messages/control.rs
@@ -7,17 +7,18 @@
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
 
-/// The order of all states of control: a higher epoch's holder knows all that a lower one acknowledged.
+/// The version of the replicated control state, in its total order: the leader of a higher epoch knows all that a lower
+/// epoch acknowledged, and counts its writes by `sequence`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Revision {
     pub epoch: u64,
-    pub seq: u64,
+    pub sequence: u64,
 }
 
 /// The whole control state: the newest configuration, as its operator sent it, and the zones to be left empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ControlState {
-    pub stamp: Stamp,
+    pub revision: Revision,
     pub version: u64,
     pub text: String,
     pub evacuated: BTreeSet<String>,
@@ -97,58 +98,61 @@
     }
 }
 
-/// Which registries count for which tenants, under the store's epoch as a fence.
+/// The registries that own the tenants' quota counters. The token fences off increments of an earlier assignment: it
+/// begins with the epoch of the store that published it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owners {
-    pub fence: Stamp,
+pub struct ShardOwners {
+    pub fencing_token: Revision,
     pub registries: Vec<Ipv4Addr>,
 }
 
-/// An operator's order.
+/// An operator's command to the replicated control state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Order {
+pub enum Command {
     Replace { version: u64, text: String },
     Evacuate { zone: String, empty: bool },
     Read,
 }
 
-/// A registry to a store.
+/// From a registry to a store.
+///
+/// Variants keep the names under which builds up to 0.2 encode them: an upgrade mixes both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// Tell me what is newer than this.
-    Watch { registry: Ipv4Addr, have: Stamp },
-    /// Run an order. `call` is never used twice in one life of a registry, not even for the same order.
-    Do { call: u64, order: Order },
-    /// An envelope between stores comes on the same port.
+    /// Subscribes to states that are newer than `known`.
+    Watch { registry: Ipv4Addr, known: Revision },
+    /// Executes a command. A registry uses each `request_id` once in one incarnation, also for a command that it repeats.
+    #[serde(rename = "Do")]
+    Execute { request_id: u64, command: Command },
+    /// A message between stores, which share the port.
     Envelope(Envelope),
 }
 
-/// A store to a registry.
+/// From a store to a registry.
+///
+/// Variants keep the names under which builds up to 0.2 encode them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// `active`: this store is the primary of that epoch and hears all its backups.
-    Status {
-        epoch: u64,
-        active: bool,
-        owners: Owners,
-        stores: Vec<Ipv4Addr>,
-    },
-    News(ControlState),
-    /// The answer to the [`StoreRequest::Do`] with that number, on the connection on which it came.
-    Done {
-        call: u64,
-        outcome: Outcome,
-    },
+    /// `is_leader`: this store is the leader of that epoch and in contact with all its backups.
+    Status { epoch: u64, is_leader: bool, shard_owners: ShardOwners, stores: Vec<Ipv4Addr> },
+    /// A newer control state.
+    #[serde(rename = "News")]
+    State(ControlState),
+    /// The answer to the [`StoreRequest::Execute`] with that number, on the connection on which it came.
+    #[serde(rename = "Done")]
+    Completed { request_id: u64, outcome: Outcome },
 }
 
-/// What became of an order. All but `Elsewhere` rest on contact with all backups after the order came.
+/// The result of a command. All but `NotLeader` are given after contact with all backups that followed its arrival.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is on the disks of all holders.
+    /// The command's effect is on the disks of all data replicas.
     Acknowledged,
+    /// The state in force.
     Read(ControlState),
     /// Another text was accepted under the version; this one has no effect.
     VersionTaken,
-    /// This store may not say; ask another.
-    Elsewhere,
+    /// This store is not the leader; another has to be asked. (Encoded as before 0.3.)
+    #[serde(rename = "Elsewhere")]
+    NotLeader,
 }
--- a/crates/transport/src/messages/stores.rs
+++ b/crates/transport/src/messages/stores.rs
@@ -1,12 +1,12 @@
 //! Messages between stores.
 
-use super::{ControlState, Stamp};
+use super::{ControlState, Revision};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
 /// A store as others know it. A disk that was lost makes a new one, with another `id`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Member {
+pub struct StoreNode {
     pub id: u64,
     pub ip: Ipv4Addr,
     pub zone: String,
@@ -14,17 +14,17 @@
 
 /// The configuration of the store's own group under one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct ReplicaConfig {
     pub epoch: u64,
-    pub voters: Vec<Member>,
+    pub voters: Vec<StoreNode>,
     /// The first is the primary, the others its backups; voters that hold nothing are witnesses.
-    pub holders: Vec<u64>,
-    /// Lists of voters of the records before this one, until it is known to be installed: a majority of each has to
+    pub data_replicas: Vec<u64>,
+    /// Lists of voters of the configurations before this one, until it is known to be installed: a majority of each has to
     /// agree as well.
-    pub prior_voters: Vec<Vec<Member>>,
+    pub previous_voters: Vec<Vec<StoreNode>>,
 }
 
-impl Record {
+impl ReplicaConfig {
     pub fn has_voter(&self, id: u64) -> bool {
         self.voters.iter().any(|voter| voter.id == id)
     }
@@ -33,7 +33,7 @@
 /// What a store sends another, and from whom.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
-    pub from: Member,
+    pub from: StoreNode,
     pub message: PeerMessage,
 }
 
@@ -44,13 +44,13 @@
     Prepare {
         epoch: u64,
         /// The newest state that the sender has.
-        has: Stamp,
+        newest: Revision,
     },
-    /// Yes; with the newest record that the voter has, and its state where that is newer than the asker's.
+    /// Yes; with the newest replica set that the voter has, and its state where that is newer than the asker's.
     Promise {
         epoch: u64,
-        record: Record,
-        stamp: Stamp,
+        config: ReplicaConfig,
+        revision: Revision,
         state: Option<ControlState>,
     },
     /// No: a higher one is promised already.
@@ -58,10 +58,10 @@
         epoch: u64,
         promised: u64,
     },
-    /// An epoch's record; its holders get the state with it.
+    /// An epoch's replica set; its data_replicas get the state with it.
     Accept {
-        record: Record,
-        state: Option<HolderState>,
+        config: ReplicaConfig,
+        state: Option<InitialState>,
     },
     Accepted {
         epoch: u64,
@@ -74,11 +74,11 @@
     /// A state under an installed epoch, for a backup.
     Write {
         epoch: u64,
-        held: ControlState,
+        state: ControlState,
     },
     Written {
         epoch: u64,
-        stamp: Stamp,
+        revision: Revision,
     },
     /// Has no higher epoch been promised?
     Confirm {
@@ -93,31 +93,30 @@
 
 /// The state with which a holder begins an epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum HolderState {
-    /// The one that it has promised with, under a new stamp.
-    Promised {
-        from: Stamp,
-        to: Stamp,
-    },
-    Whole(ControlState),
+pub enum InitialState {
+    /// The one that it has promised with, under a new revision.
+    Promised { from: Revision, to: Revision },
+    /// The full state. (Encoded as before 0.3.)
+    #[serde(rename = "Whole")]
+    Full(ControlState),
 }
 
 /// What each store sends all others at an interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
-    pub record: Record,
-    /// The sender is primary of its record, and that record is installed.
-    pub active: bool,
-    /// The newest state known to be on all holders' disks.
-    pub committed: Stamp,
+    pub config: ReplicaConfig,
+    /// The sender is primary of its replica set, and that replica set is installed.
+    pub is_leader: bool,
+    /// The newest state known to be on all data_replicas' disks.
+    pub committed: Revision,
     /// The newest state that is on the sender's disk.
-    pub persisted: Stamp,
+    pub persisted: Revision,
     /// Its disk answers.
-    pub disk: bool,
+    pub disk_healthy: bool,
     /// It has got a SIGTERM: it hands over what it has, and ends.
-    pub leaving: bool,
-    /// First start of the whole system, and no record yet.
-    pub fresh: bool,
+    pub is_leaving: bool,
+    /// First start of the whole system, and no replica set yet.
+    pub is_bootstrapping: bool,
     /// Other stores that it knows of.
-    pub known: Vec<Ipv4Addr>,
+    pub known_stores: Vec<Ipv4Addr>,
 }
--- a/crates/transport/tests/golden/control.rs
+++ b/crates/transport/tests/golden/control.rs
@@ -5,34 +5,34 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use violetyoke_transport::messages::{
-    AcceptedVersions, ControlState, Order, Outcome, Owners, Stamp, StoreReply, StoreRequest,
+    AcceptedVersions, Command, ControlState, Outcome, Revision, ShardOwners, StoreReply, StoreRequest,
 };
 
 variants!(StoreRequest {
     StoreRequest::Watch { .. } => "watch",
-    StoreRequest::Do { .. } => "do",
+    StoreRequest::Execute { .. } => "do",
     StoreRequest::Envelope(_) => "envelope",
 });
-variants!(Order {
-    Order::Replace { .. } => "replace",
-    Order::Evacuate { .. } => "evacuate",
-    Order::Read => "read",
+variants!(Command {
+    Command::Replace { .. } => "replace",
+    Command::Evacuate { .. } => "evacuate",
+    Command::Read => "read",
 });
 variants!(StoreReply {
     StoreReply::Status { .. } => "status",
-    StoreReply::News(_) => "news",
-    StoreReply::Done { .. } => "done",
+    StoreReply::State(_) => "news",
+    StoreReply::Completed { .. } => "done",
 });
 variants!(Outcome {
     Outcome::Acknowledged => "acknowledged",
     Outcome::Read(_) => "read",
     Outcome::VersionTaken => "version-taken",
-    Outcome::Elsewhere => "elsewhere",
+    Outcome::NotLeader => "elsewhere",
 });
 
 /// A revision. Its numbers take several bytes.
-pub fn stamp(seq: u64) -> Stamp {
-    Stamp { epoch: 0x0102_0304_0506_0708, seq }
+pub fn revision(sequence: u64) -> Revision {
+    Revision { epoch: 0x0102_0304_0506_0708, sequence }
 }
 
 pub fn address(last: u8) -> Ipv4Addr {
@@ -50,7 +50,7 @@
     assert!(accepted.insert(69_999, r#"{"version": 69999}"#));
     assert!(accepted.insert(70_000, text));
     ControlState {
-        stamp: stamp(300),
+        revision: revision(300),
         version: 70_000,
         text: text.to_owned(),
         evacuated: zones(&["zone-a", "zone-b"]),
@@ -58,54 +58,65 @@
     }
 }
 
-pub fn owners() -> Owners {
-    Owners { fence: stamp(65_536), registries: vec![address(1), address(2), address(250)] }
+pub fn owners() -> ShardOwners {
+    ShardOwners { fencing_token: revision(65_536), registries: vec![address(1), address(2), address(250)] }
 }
 
 pub fn store_requests() -> Vec<Sample<StoreRequest>> {
-    let replace = Order::Replace { version: 70_000, text: "{\"version\": 70000}".to_owned() };
+    let replace = Command::Replace { version: 70_000, text: "{\"version\": 70000}".to_owned() };
     let mut samples = vec![
-        sample("store-request-watch", StoreRequest::Watch { registry: address(7), have: stamp(9) }),
-        sample("store-request-do-replace", StoreRequest::Do { call: 1, order: replace }),
+        sample("store-request-watch", StoreRequest::Watch { registry: address(7), known: revision(9) }),
+        sample("store-request-do-replace", StoreRequest::Execute { request_id: 1, command: replace }),
         sample(
             "store-request-do-evacuate",
-            StoreRequest::Do { call: 300, order: Order::Evacuate { zone: "zone-c".to_owned(), empty: true } },
+            StoreRequest::Execute {
+                request_id: 300,
+                command: Command::Evacuate { zone: "zone-c".to_owned(), empty: true },
+            },
         ),
         sample(
             "store-request-do-evacuate-undone",
-            StoreRequest::Do {
-                call: 70_000,
-                order: Order::Evacuate { zone: "zone-c".to_owned(), empty: false },
+            StoreRequest::Execute {
+                request_id: 70_000,
+                command: Command::Evacuate { zone: "zone-c".to_owned(), empty: false },
             },
         ),
-        sample("store-request-do-read", StoreRequest::Do { call: u64::MAX, order: Order::Read }),
+        sample(
+            "store-request-do-read",
+            StoreRequest::Execute { request_id: u64::MAX, command: Command::Read },
+        ),
     ];
     samples.extend(stores::envelopes());
     samples
 }
 
 pub fn store_replies() -> Vec<Sample<StoreReply>> {
-    let done = |call, outcome| StoreReply::Done { call, outcome };
+    let done = |call, outcome| StoreReply::Completed { request_id: call, outcome };
     vec![
         sample(
             "store-reply-status",
             StoreReply::Status {
                 epoch: 70_000,
-                active: true,
-                owners: owners(),
+                is_leader: true,
+                shard_owners: owners(),
                 stores: vec![address(1), address(2), address(3)],
             },
         ),
         sample(
             "store-reply-status-inactive",
-            StoreReply::Status { epoch: 0, active: false, owners: Owners::default(), stores: Vec::new() },
+            StoreReply::Status {
+                epoch: 0,
+                is_leader: false,
+                shard_owners: ShardOwners::default(),
+                stores: Vec::new(),
+            },
         ),
-        sample("store-reply-news", StoreReply::News(full_state())),
-        sample("store-reply-news-empty", StoreReply::News(ControlState::default())),
+        sample("store-reply-news", StoreReply::State(full_state())),
+        sample("store-reply-news-empty", StoreReply::State(ControlState::default())),
         sample("store-reply-done-acknowledged", done(1, Outcome::Acknowledged)),
         sample("store-reply-done-read", done(300, Outcome::Read(full_state()))),
         sample("store-reply-done-version-taken", done(70_000, Outcome::VersionTaken)),
-        sample("store-reply-done-elsewhere", done(u64::MAX, Outcome::Elsewhere)),
+        sample("store-reply-done-elsewhere", done(u64::MAX, Outcome::NotLeader)),
     ]
 }
 
--- a/crates/transport/tests/golden/main.rs
+++ b/crates/transport/tests/golden/main.rs
@@ -24,7 +24,7 @@
 use violetyoke_api::Configuration;
 use violetyoke_transport::frame::{decode, encode, encode_deflated};
 use violetyoke_transport::messages::{
-    member, AcceptedVersions, ControlState, Order, Outcome, PeerMessage, StoreReply, StoreRequest,
+    proxy_id, AcceptedVersions, Command, ControlState, Outcome, PeerMessage, StoreReply, StoreRequest,
 };
 use violetyoke_transport::pack::{inflate, Packed};
 
@@ -112,13 +112,13 @@
 
 #[test]
 fn the_number_of_a_proxy_stays() {
-    assert_eq!(member("proxy-1"), 2_103_902_533);
+    assert_eq!(proxy_id("proxy-1"), 2_103_902_533);
 }
 
 /// Compared after inflating: another release of the deflate library may write other bytes for the same content.
 #[test]
 fn deflated_messages_are_decoded() {
-    let reply = StoreReply::News(control::large_state());
+    let reply = StoreReply::State(control::large_state());
 
     let golden = folder().read(DEFLATED_NEWS, || encode_deflated(&reply).to_vec());
 
@@ -143,7 +143,7 @@
 
     assert_eq!(encode(&older), golden);
     let expected = ControlState { accepted: AcceptedVersions::default(), ..control::full_state() };
-    assert_eq!(decode::<StoreReply>(&golden).expect("decoded"), StoreReply::News(expected));
+    assert_eq!(decode::<StoreReply>(&golden).expect("decoded"), StoreReply::State(expected));
 }
 
 #[test]
@@ -151,18 +151,18 @@
     let requests: Vec<StoreRequest> = control::store_requests().into_iter().map(|it| it.value).collect();
     let replies: Vec<StoreReply> = control::store_replies().into_iter().map(|it| it.value).collect();
     let peer_messages: Vec<PeerMessage> = stores::peer_messages().into_iter().map(|(_, it)| it).collect();
-    let orders: Vec<&Order> = requests
+    let orders: Vec<&Command> = requests
         .iter()
         .filter_map(|request| match request {
-            StoreRequest::Do { order, .. } => Some(order),
+            StoreRequest::Execute { command: order, .. } => Some(order),
             StoreRequest::Watch { .. } | StoreRequest::Envelope(_) => None,
         })
         .collect();
     let outcomes: Vec<&Outcome> = replies
         .iter()
         .filter_map(|reply| match reply {
-            StoreReply::Done { outcome, .. } => Some(outcome),
-            StoreReply::Status { .. } | StoreReply::News(_) => None,
+            StoreReply::Completed { outcome, .. } => Some(outcome),
+            StoreReply::Status { .. } | StoreReply::State(_) => None,
         })
         .collect();
     let initial_states = peer_messages.iter().filter_map(|message| match message {
--- a/crates/transport/tests/golden/older.rs
+++ b/crates/transport/tests/golden/older.rs
@@ -3,11 +3,11 @@
 
 use serde::Serialize;
 use std::collections::BTreeSet;
-use violetyoke_transport::messages::{ControlState, Stamp};
+use violetyoke_transport::messages::{ControlState, Revision};
 
 #[derive(Serialize)]
 pub struct OlderControlState {
-    stamp: Stamp,
+    revision: Revision,
     version: u64,
     text: String,
     evacuated: BTreeSet<String>,
@@ -16,7 +16,7 @@
 impl OlderControlState {
     /// What such a build would have had of a state.
     pub fn of(state: &ControlState) -> OlderControlState {
-        let ControlState { stamp, version, text, evacuated, accepted: _ } = state.clone();
-        OlderControlState { stamp, version, text, evacuated }
+        let ControlState { revision, version, text, evacuated, accepted: _ } = state.clone();
+        OlderControlState { revision, version, text, evacuated }
     }
 }
