--- a/crates/transport/tests/golden/proxies.rs
+++ b/crates/transport/tests/golden/proxies.rs
@@ -1,31 +1,31 @@
 //! The messages between registries and proxies, and between registries.
 
-use crate::control::{address, owners, stamp, zones};
+use crate::control::{address, owners, revision, zones};
 use crate::samples::{sample, Sample};
 use crate::variants;
 use std::net::SocketAddrV4;
 use violetyoke_transport::messages::{
-    Backend, Gossip, List, ListChange, Members, Owners, ProxyReply, ProxyRequest, RegistryRequest, Session,
-    Stamp,
+    Backend, BackendList, BackendListChange, Gossip, Membership, ProxyReply, ProxyRequest, RegistryRequest,
+    Revision, Session, ShardOwners,
 };
 use violetyoke_transport::pack::Packed;
 
 variants!(ProxyRequest {
     ProxyRequest::Hello(_) => "hello",
     ProxyRequest::Poll { .. } => "poll",
-    ProxyRequest::Add { .. } => "add",
-    ProxyRequest::Newer { .. } => "newer",
-    ProxyRequest::Tell { .. } => "tell",
+    ProxyRequest::Increment { .. } => "add",
+    ProxyRequest::CheckFreshness { .. } => "newer",
+    ProxyRequest::TransferCount { .. } => "tell",
 });
 variants!(ProxyReply {
-    ProxyReply::Whole { .. } => "whole",
-    ProxyReply::Change { .. } => "change",
-    ProxyReply::Newest { .. } => "newest",
-    ProxyReply::List(_) => "list",
-    ProxyReply::ListChange(_) => "list-change",
-    ProxyReply::Members(_) => "members",
+    ProxyReply::FullState { .. } => "whole",
+    ProxyReply::StateChange { .. } => "change",
+    ProxyReply::Freshness { .. } => "newest",
+    ProxyReply::BackendList(_) => "list",
+    ProxyReply::BackendListChange(_) => "list-change",
+    ProxyReply::Membership(_) => "members",
     ProxyReply::Counted { .. } => "counted",
-    ProxyReply::NotMine { .. } => "not-mine",
+    ProxyReply::NotOwner { .. } => "not-mine",
 });
 variants!(RegistryRequest {
     RegistryRequest::Proxy(_) => "proxy",
@@ -35,10 +35,10 @@
 fn session(number: u8, ready: bool) -> Session {
     Session {
         node: format!("proxy-{number}"),
-        front: SocketAddrV4::new(address(number), 8000 + u16::from(number)),
+        front_address: SocketAddrV4::new(address(number), 8000 + u16::from(number)),
         zone: "zone-a".to_owned(),
         region: "region-1".to_owned(),
-        ready,
+        is_ready: ready,
     }
 }
 
@@ -50,37 +50,53 @@
         zone: "zone-b".to_owned(),
         slots: 70_000,
         draining,
-        cold_left_ms: 12_345,
+        slow_start_left_ms: 12_345,
     }
 }
 
-fn list() -> List {
-    List { digest: u64::MAX, age_ms: 300, backends: vec![backend(1, false), backend(2, true)] }
+fn list() -> BackendList {
+    BackendList { digest: u64::MAX, age_ms: 300, backends: vec![backend(1, false), backend(2, true)] }
 }
 
 pub fn proxy_requests() -> Vec<(&'static str, ProxyRequest)> {
     let tenant = || "tenant-1".to_owned();
-    let poll = |lead| ProxyRequest::Poll { have: stamp(300), list: u64::MAX, members: 70_000, lead };
+    let poll = |lead| ProxyRequest::Poll {
+        revision: revision(300),
+        backend_list: u64::MAX,
+        membership: 70_000,
+        is_primary: lead,
+    };
     vec![
         ("proxy-request-hello", ProxyRequest::Hello(session(1, false))),
         ("proxy-request-hello-ready", ProxyRequest::Hello(session(200, true))),
         ("proxy-request-poll", poll(false)),
         ("proxy-request-poll-lead", poll(true)),
-        ("proxy-request-add", ProxyRequest::Add { call: u32::MAX, tenant: tenant(), fence: stamp(1) }),
-        ("proxy-request-newer", ProxyRequest::Newer { question: 300, have: stamp(2) }),
+        (
+            "proxy-request-add",
+            ProxyRequest::Increment { request_id: u32::MAX, tenant: tenant(), fencing_token: revision(1) },
+        ),
+        ("proxy-request-newer", ProxyRequest::CheckFreshness { request_id: 300, known: revision(2) }),
         (
             "proxy-request-tell",
-            ProxyRequest::Tell { tenant: tenant(), fence: stamp(3), current: 70_000, previous: 200 },
+            ProxyRequest::TransferCount {
+                tenant: tenant(),
+                fencing_token: revision(3),
+                current: 70_000,
+                previous: 200,
+            },
         ),
     ]
 }
 
 pub fn gossip() -> Vec<(&'static str, Gossip)> {
     let from = address(9);
-    let empty = Gossip { from, sessions: Vec::new(), away: Vec::new(), list: None };
+    let empty = Gossip { from, sessions: Vec::new(), partitioned: Vec::new(), backends: None };
     let sessions = vec![session(1, true), session(2, false)];
     vec![
-        ("gossip-with-list", Gossip { from, sessions, away: vec![1, u32::MAX], list: Some(list()) }),
+        (
+            "gossip-with-list",
+            Gossip { from, sessions, partitioned: vec![1, u32::MAX], backends: Some(list()) },
+        ),
         ("gossip-without-list", empty),
     ]
 }
@@ -91,49 +107,54 @@
     proxies.chain(registries).collect()
 }
 
-fn members() -> Members {
-    Members {
+fn members() -> Membership {
+    Membership {
         digest: u64::MAX - 1,
         proxies: vec![1, 70_000, u32::MAX],
         registries: vec![address(1), address(2)],
         in_contact: true,
-        owners: owners(),
-        newest: stamp(300),
+        shard_owners: owners(),
+        newest: revision(300),
     }
 }
 
 /// The packed payloads come as golden bytes themselves: another release of the deflate library may pack them otherwise.
 pub fn proxy_replies(configuration: Packed, change: Packed) -> Vec<Sample<ProxyReply>> {
-    let list_change = ListChange {
+    let list_change = BackendListChange {
         from: 1,
         digest: 2,
         age_ms: 70_000,
-        set: vec![backend(3, false)],
-        gone: vec!["backend-4".to_owned()],
+        upserted: vec![backend(3, false)],
+        removed: vec!["backend-4".to_owned()],
     };
-    let nobody = Members { in_contact: false, owners: Owners::default(), ..Members::default() };
+    let nobody =
+        Membership { in_contact: false, shard_owners: ShardOwners::default(), ..Membership::default() };
     vec![
         sample(
             "proxy-reply-whole",
-            ProxyReply::Whole { stamp: stamp(300), evacuated: zones(&["zone-a"]), packed: configuration },
+            ProxyReply::FullState {
+                revision: revision(300),
+                evacuated: zones(&["zone-a"]),
+                configuration: configuration,
+            },
         ),
         sample(
             "proxy-reply-change",
-            ProxyReply::Change {
-                from: Stamp { epoch: 1, seq: 2 },
-                stamp: stamp(300),
+            ProxyReply::StateChange {
+                from: Revision { epoch: 1, sequence: 2 },
+                revision: revision(300),
                 evacuated: zones(&["zone-a", "zone-b"]),
-                packed: change,
+                change: change,
             },
         ),
-        sample("proxy-reply-newest", ProxyReply::Newest { question: 300, stamp: stamp(300) }),
-        sample("proxy-reply-list", ProxyReply::List(list())),
-        sample("proxy-reply-list-empty", ProxyReply::List(List::default())),
-        sample("proxy-reply-list-change", ProxyReply::ListChange(list_change)),
-        sample("proxy-reply-members", ProxyReply::Members(members())),
-        sample("proxy-reply-members-empty", ProxyReply::Members(nobody)),
-        sample("proxy-reply-counted", ProxyReply::Counted { call: 300, retry_ms: None }),
-        sample("proxy-reply-counted-over", ProxyReply::Counted { call: 300, retry_ms: Some(70_000) }),
-        sample("proxy-reply-not-mine", ProxyReply::NotMine { call: u32::MAX }),
+        sample("proxy-reply-newest", ProxyReply::Freshness { request_id: 300, newest: revision(300) }),
+        sample("proxy-reply-list", ProxyReply::BackendList(list())),
+        sample("proxy-reply-list-empty", ProxyReply::BackendList(BackendList::default())),
+        sample("proxy-reply-list-change", ProxyReply::BackendListChange(list_change)),
+        sample("proxy-reply-members", ProxyReply::Membership(members())),
+        sample("proxy-reply-members-empty", ProxyReply::Membership(nobody)),
+        sample("proxy-reply-counted", ProxyReply::Counted { request_id: 300, retry_ms: None }),
+        sample("proxy-reply-counted-over", ProxyReply::Counted { request_id: 300, retry_ms: Some(70_000) }),
+        sample("proxy-reply-not-mine", ProxyReply::NotOwner { request_id: u32::MAX }),
     ]
 }
--- a/crates/transport/tests/golden/stores.rs
+++ b/crates/transport/tests/golden/stores.rs
@@ -1,10 +1,10 @@
 //! The messages between stores.
 
-use crate::control::{address, full_state, stamp};
+use crate::control::{address, full_state, revision};
 use crate::samples::{sample, Sample};
 use crate::variants;
 use violetyoke_transport::messages::{
-    Envelope, Heartbeat, HolderState, Member, PeerMessage, Record, Stamp, StoreRequest,
+    Envelope, Heartbeat, InitialState, PeerMessage, ReplicaConfig, Revision, StoreNode, StoreRequest,
 };
 
 variants!(PeerMessage {
@@ -20,67 +20,68 @@
     PeerMessage::Confirm { .. } => "confirm",
     PeerMessage::Confirmed { .. } => "confirmed",
 });
-variants!(HolderState {
-    HolderState::Promised { .. } => "promised",
-    HolderState::Whole(_) => "whole",
+variants!(InitialState {
+    InitialState::Promised { .. } => "promised",
+    InitialState::Full(_) => "whole",
 });
 
-fn store(number: u8) -> Member {
-    Member { id: u64::MAX - u64::from(number), ip: address(number), zone: format!("zone-{number}") }
+fn store(number: u8) -> StoreNode {
+    StoreNode { id: u64::MAX - u64::from(number), ip: address(number), zone: format!("zone-{number}") }
 }
 
 /// A record with a value in each field.
-pub fn full_record() -> Record {
-    Record {
+pub fn full_config() -> ReplicaConfig {
+    ReplicaConfig {
         epoch: 70_000,
         voters: vec![store(1), store(2), store(3)],
-        holders: vec![store(1).id, store(2).id],
-        prior_voters: vec![vec![store(1), store(2), store(4)], vec![store(4)]],
+        data_replicas: vec![store(1).id, store(2).id],
+        previous_voters: vec![vec![store(1), store(2), store(4)], vec![store(4)]],
     }
 }
 
 fn full_heartbeat() -> Heartbeat {
     Heartbeat {
-        record: full_record(),
-        active: true,
-        committed: stamp(300),
-        persisted: stamp(301),
-        disk: true,
-        leaving: true,
-        fresh: true,
-        known: vec![address(1), address(2)],
+        config: full_config(),
+        is_leader: true,
+        committed: revision(300),
+        persisted: revision(301),
+        disk_healthy: true,
+        is_leaving: true,
+        is_bootstrapping: true,
+        known_stores: vec![address(1), address(2)],
     }
 }
 
 /// One flag of a heartbeat at a time: flags that change places are found.
 fn heartbeats_by_flag() -> Vec<(&'static str, Heartbeat)> {
     vec![
-        ("envelope-heartbeat-active", Heartbeat { active: true, ..Heartbeat::default() }),
-        ("envelope-heartbeat-disk", Heartbeat { disk: true, ..Heartbeat::default() }),
-        ("envelope-heartbeat-leaving", Heartbeat { leaving: true, ..Heartbeat::default() }),
-        ("envelope-heartbeat-fresh", Heartbeat { fresh: true, ..Heartbeat::default() }),
+        ("envelope-heartbeat-active", Heartbeat { is_leader: true, ..Heartbeat::default() }),
+        ("envelope-heartbeat-disk", Heartbeat { disk_healthy: true, ..Heartbeat::default() }),
+        ("envelope-heartbeat-leaving", Heartbeat { is_leaving: true, ..Heartbeat::default() }),
+        ("envelope-heartbeat-fresh", Heartbeat { is_bootstrapping: true, ..Heartbeat::default() }),
     ]
 }
 
 pub fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
     let epoch = 70_000;
-    let promised_state = HolderState::Promised { from: stamp(300), to: Stamp { epoch: 70_001, seq: 0 } };
-    let promise = |stamp, state| PeerMessage::Promise { epoch, record: full_record(), stamp, state };
-    let accept = |state| PeerMessage::Accept { record: full_record(), state };
+    let promised_state =
+        InitialState::Promised { from: revision(300), to: Revision { epoch: 70_001, sequence: 0 } };
+    let promise = |revision, state| PeerMessage::Promise { epoch, config: full_config(), revision, state };
+    let accept = |state| PeerMessage::Accept { config: full_config(), state };
     let mut messages = vec![
         ("envelope-heartbeat", PeerMessage::Heartbeat(full_heartbeat())),
         ("envelope-heartbeat-empty", PeerMessage::Heartbeat(Heartbeat::default())),
-        ("envelope-prepare", PeerMessage::Prepare { epoch, has: stamp(300) }),
-        ("envelope-promise-with-state", promise(stamp(300), Some(full_state()))),
-        ("envelope-promise-without-state", promise(stamp(1), None)),
+        ("envelope-prepare", PeerMessage::Prepare { epoch, newest: revision(300) }),
+        ("envelope-promise-with-state", promise(revision(300), Some(full_state()))),
+        ("envelope-promise-without-state", promise(revision(1), None)),
         ("envelope-refuse", PeerMessage::Refuse { epoch, promised: 70_002 }),
         ("envelope-accept-promised", accept(Some(promised_state))),
-        ("envelope-accept-whole", accept(Some(HolderState::Whole(full_state())))),
+        ("envelope-accept-whole", accept(Some(InitialState::Full(full_state())))),
         ("envelope-accept-witness", accept(None)),
         ("envelope-accepted", PeerMessage::Accepted { epoch }),
         ("envelope-snapshot", PeerMessage::Snapshot { epoch, state: full_state() }),
-        ("envelope-write", PeerMessage::Write { epoch, held: full_state() }),
-        ("envelope-written", PeerMessage::Written { epoch, stamp: stamp(300) }),
+        ("envelope-write", PeerMessage::Write { epoch, state: full_state() }),
+        ("envelope-written", PeerMessage::Written { epoch, revision: revision(300) }),
         ("envelope-confirm", PeerMessage::Confirm { epoch, nonce: u64::MAX }),
         ("envelope-confirmed", PeerMessage::Confirmed { epoch, nonce: 300 }),
     ];
