--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
-use violetyoke_transport::world::Disk;
+use violetyoke_transport::environment::Disk;
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -67,7 +67,7 @@
         self.0.places.borrow().clone()
     }
 
-    fn put(&self, place: usize, bytes: Vec<u8>) -> LocalBoxFuture<'static, io::Result<()>> {
+    fn write_slot(&self, place: usize, bytes: Vec<u8>) -> LocalBoxFuture<'static, io::Result<()>> {
         let disk = self.0.clone();
         async move {
             *disk.open.borrow_mut() = Some((place, bytes));
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use violetyoke_api::Settings;
-use violetyoke_transport::life::{Life, Words};
+use violetyoke_transport::lifecycle::{Lifecycle, LifecycleSender};
 
 const CONTROL: u16 = 8083;
 const DIRECTORY: u16 = 8084;
@@ -31,7 +31,7 @@
     pub zone: usize,
     pub core: bool,
     name: String,
-    processes: Vec<(Daemon, Process, Words)>,
+    processes: Vec<(Daemon, Process, LifecycleSender)>,
     pub up: bool,
     lives: u64,
 }
@@ -153,7 +153,7 @@
             // Each number is another's: spread as a hash spreads them.
             let drawn =
                 drawn.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-            let (life, words) = Life::new(drawn | 1);
+            let (life, words) = Lifecycle::new(drawn | 1);
             let (daemon, text) = (*daemon, text.clone());
             let body = async move { run(daemon, &text, life, log).await };
             (daemon, Process::start(&self.net, ip, body), words)
@@ -192,7 +192,7 @@
     pub fn leave(&self, n: usize) {
         for (.., words) in self.machines.get(n).iter().flat_map(|machine| &machine.processes) {
             // One that has ended already needs no word.
-            let _ = words.leave.send(());
+            let _ = words.shutdown.send(());
         }
     }
 
@@ -215,7 +215,7 @@
     }
 }
 
-async fn run(daemon: Daemon, text: &str, life: Life, log: Logger) {
+async fn run(daemon: Daemon, text: &str, life: Lifecycle, log: Logger) {
     let settings = match Settings::parse(text) {
         Ok(settings) => settings,
         Err(report) => return slog::error!(log, "no settings"; "why" => format!("{report:?}")),
--- a/crates/emulator/src/net/mod.rs
+++ b/crates/emulator/src/net/mod.rs
@@ -14,7 +14,7 @@
 use tokio::io::DuplexStream;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::Notify;
-use violetyoke_transport::world::{Disk, Opened, World};
+use violetyoke_transport::environment::{Disk, Environment, Incoming};
 
 use crate::disk::Platter;
 
@@ -190,7 +190,7 @@
     }
 }
 
-impl World for Net {
+impl Environment for Net {
     fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
         let from = RUNNING.get();
         match self.this.upgrade() {
@@ -199,7 +199,7 @@
         }
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Opened> {
+    fn listen(&self, at: SocketAddr) -> io::Result<Incoming> {
         let (opened, taken) = unbounded_channel();
         self.listeners.borrow_mut().insert(at, opened);
         Ok(taken)
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
-use violetyoke_transport::world::install;
+use violetyoke_transport::environment::install;
 
 const PLATFORM: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::new(10, 201, 0, 1)), 8082);
 const OPERATOR: Ipv4Addr = Ipv4Addr::new(10, 202, 0, 1);
--- a/crates/proxy/src/counting.rs
+++ b/crates/proxy/src/counting.rs
@@ -15,7 +15,7 @@
 use violetyoke_quota::deal::Dealt;
 use violetyoke_quota::own::Passed;
 use violetyoke_quota::Limit;
-use violetyoke_transport::frame::encode;
+use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, ShardOwners};
 
 /// The holder is waited for as long as its answers usually take, several times over, within these bounds (ms).
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -10,11 +10,11 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::{interval, sleep, Instant, MissedTickBehavior};
 use violetyoke_api::Settings;
-use violetyoke_transport::life::Life;
-use violetyoke_transport::link;
+use violetyoke_transport::connection;
+use violetyoke_transport::daemon::StartError;
+use violetyoke_transport::lifecycle::Lifecycle;
 use violetyoke_transport::messages::Membership;
 use violetyoke_transport::net::{self, Listener};
-use violetyoke_transport::program::Failed;
 
 const TICK: Duration = Duration::from_millis(50);
 /// Registries that may know something newer are waited for so long, once one has told its state.
@@ -27,25 +27,29 @@
 /// The program, with the arguments after its name.
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about = "The proxy: carries clients' requests to backends; one process on each edge machine.";
-    violetyoke_transport::program::run("proxy", about, arguments, run)
+    violetyoke_transport::daemon::run("proxy", about, arguments, run)
 }
 
-const FAILED: Failed = Failed("proxy");
+const FAILED: StartError = StartError("proxy");
 
 pub enum Input {
-    Registry(Ipv4Addr, link::Event),
+    Registry(Ipv4Addr, connection::Event),
 }
 
-fn listen(address: Option<SocketAddr>, field: &str) -> Result<Listener, Report<Failed>> {
+fn listen(address: Option<SocketAddr>, field: &str) -> Result<Listener, Report<StartError>> {
     let address = address.ok_or_else(|| Report::new(FAILED).attach(format!("{field} is missing")))?;
     net::listen(address).change_context(FAILED).attach_with(|| format!("{field}: {address}"))
 }
 
-pub async fn run(settings: Settings, mut life: Life, log: Logger) -> Result<(), Report<Failed>> {
+pub async fn run(
+    settings: Settings,
+    mut lifecycle: Lifecycle,
+    log: Logger,
+) -> Result<(), Report<StartError>> {
     let front = listen(settings.network.listen.front, "network.listen.front")?;
     let readiness = listen(settings.network.listen.ready, "network.listen.ready")?;
     let grace = Duration::from_secs_f64(settings.terms.bounds.grace_s.clamp(0.5, 60.0));
-    let proxy = Rc::new(Proxy::new(settings, life.drawn, log));
+    let proxy = Rc::new(Proxy::new(settings, lifecycle.incarnation, log));
     let (inputs, mut queue) = unbounded_channel();
     let taking = tokio::task::spawn_local(front::serve(front, proxy.clone()));
     tokio::task::spawn_local(ready::serve(readiness, proxy.clone()));
@@ -72,8 +76,8 @@
                     }
                 }
             }
-            Some(settings) = life.settings.recv() => *proxy.seeds.borrow_mut() = settings.seeds(),
-            _ = life.leave.recv() => break,
+            Some(settings) = lifecycle.settings.recv() => *proxy.seeds.borrow_mut() = settings.seeds(),
+            _ = lifecycle.shutdown.recv() => break,
         }
     }
     proxy.leaving.set(true);
--- a/crates/proxy/src/learning.rs
+++ b/crates/proxy/src/learning.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tokio::time::{timeout_at, Duration, Instant};
-use violetyoke_transport::frame::encode;
+use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Revision};
 
 /// An answer is waited for so long.
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -13,8 +13,8 @@
 use violetyoke_api::Configuration;
 use violetyoke_balancing::fleet::{Fleet, ListedBackend};
 use violetyoke_balancing::Millis;
-use violetyoke_transport::frame::{decode, encode};
-use violetyoke_transport::link;
+use violetyoke_transport::codec::{decode, encode};
+use violetyoke_transport::connection;
 use violetyoke_transport::messages::{
     Backend, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
 };
@@ -32,7 +32,7 @@
             registries.insert(ip, Registry { sender: None, members: Membership::default(), lives: 0 });
             let inputs = inputs.clone();
             let address = SocketAddrV4::new(ip, self.settings.inner(Process::Registry));
-            tokio::task::spawn_local(link::keep(address, move |event| {
+            tokio::task::spawn_local(connection::maintain(address, move |event| {
                 drop(inputs.send(Input::Registry(ip, event)));
             }));
         }
@@ -86,9 +86,9 @@
         }
     }
 
-    pub fn registry(self: &Rc<Self>, ip: Ipv4Addr, event: link::Event) {
+    pub fn registry(self: &Rc<Self>, ip: Ipv4Addr, event: connection::Event) {
         match event {
-            link::Event::Up(sender) => {
+            connection::Event::Connected(sender) => {
                 info!(self.log, "session"; "registry" => %ip);
                 sender.send(encode(&RegistryRequest::Proxy(self.session())));
                 if let Some(registry) = self.registries.borrow_mut().get_mut(&ip) {
@@ -97,7 +97,7 @@
                 }
                 self.poll();
             }
-            link::Event::Down => {
+            connection::Event::Disconnected => {
                 if let Some(registry) = self.registries.borrow_mut().get_mut(&ip) {
                     registry.sender = None;
                     registry.members = Membership::default();
@@ -106,19 +106,19 @@
                 self.members_changed();
                 self.poll();
             }
-            link::Event::Frame(frame) => match decode(&frame) {
+            connection::Event::Message(frame) => match decode(&frame) {
                 Ok(ProxyReply::Freshness { request_id: question, newest: revision }) => {
                     let registries = self.registries.borrow();
                     let in_contact = registries.get(&ip).is_some_and(|it| it.members.in_contact);
                     self.learning.newest(ip, in_contact, question, revision);
                 }
                 Ok(ProxyReply::FullState { revision, evacuated, configuration: packed }) => {
-                    let configuration = packed.open::<Configuration>();
+                    let configuration = packed.decode::<Configuration>();
                     self.state_received(revision, evacuated, configuration.map(Some));
                 }
                 Ok(ProxyReply::StateChange { from, revision, evacuated, change: packed }) => {
                     let old = self.snapshot().filter(|snapshot| snapshot.revision == from);
-                    let change = packed.open::<Change>();
+                    let change = packed.decode::<Change>();
                     let next = change.map(|change| old.and_then(|old| change.apply(&old.configuration)));
                     self.state_received(revision, evacuated, next);
                 }
@@ -149,7 +149,7 @@
                     self.holder_replied(ip, call, HolderReply::Counted(retry_ms));
                 }
                 Ok(ProxyReply::NotOwner { request_id: call }) => {
-                    self.holder_replied(ip, call, HolderReply::NotMine)
+                    self.holder_replied(ip, call, HolderReply::NotMine);
                 }
                 Err(error) => slog::warn!(self.log, "unread frame"; "why" => error.to_string()),
             },
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -17,7 +17,7 @@
 use violetyoke_balancing::budget::{Budget, Terms};
 use violetyoke_balancing::fleet::{self, Fleet, Place};
 use violetyoke_balancing::Millis;
-use violetyoke_transport::link::Sender;
+use violetyoke_transport::connection::Sender;
 use violetyoke_transport::messages::{proxy_id, Membership, Revision};
 
 /// What is in force: swapped whole.
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -28,9 +28,9 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::time::{sleep, timeout};
 use violetyoke_api::Settings;
-use violetyoke_transport::life::{Life, Words};
+use violetyoke_transport::environment::{install, Disk, Environment, Incoming};
+use violetyoke_transport::lifecycle::{Lifecycle, LifecycleSender};
 use violetyoke_transport::net;
-use violetyoke_transport::world::{install, Disk, Opened, World};
 
 const FRONT: &str = "10.1.0.9:8089";
 const READY: &str = "10.1.0.9:8085";
@@ -41,7 +41,7 @@
     listeners: RefCell<HashMap<SocketAddr, UnboundedSender<(DuplexStream, SocketAddr)>>>,
 }
 
-impl World for Network {
+impl Environment for Network {
     fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
         let (ours, theirs) = duplex(64 << 10);
         let from = SocketAddr::from(([10, 1, 0, 9], 10_000));
@@ -50,7 +50,7 @@
         async move { result }.boxed_local()
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Opened> {
+    fn listen(&self, at: SocketAddr) -> io::Result<Incoming> {
         let (opened, taken) = unbounded_channel();
         self.listeners.borrow_mut().insert(at, opened);
         Ok(taken)
@@ -94,7 +94,7 @@
 
 /// A proxy as it runs.
 pub struct Proxy {
-    pub words: Words,
+    pub words: LifecycleSender,
 }
 
 /// Starts a proxy that is told of these seeds.
@@ -108,7 +108,7 @@
         "terms": {"bounds": {"retry-ratio": 0.2, "retry-window-s": 10, "retry-slack": 58, "quota-overshoot": 0.1}}
     });
     let settings = Settings::parse(&text.to_string()).expect("settings");
-    let (life, words) = Life::new(7);
+    let (life, words) = Lifecycle::new(7);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     tokio::task::spawn_local(async move { violetyoke_proxy::daemon::run(settings, life, log).await });
     Proxy { words }
--- a/crates/proxy/tests/common/registries.rs
+++ b/crates/proxy/tests/common/registries.rs
@@ -7,13 +7,13 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use violetyoke_api::Configuration;
-use violetyoke_transport::frame::{decode, encode};
-use violetyoke_transport::link::{self, Event, Sender};
+use violetyoke_transport::codec::{decode, encode};
+use violetyoke_transport::compression::Compressed;
+use violetyoke_transport::connection::{self, Event, Sender};
 use violetyoke_transport::messages::{
     self, BackendList, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision, ShardOwners,
 };
 use violetyoke_transport::net::listen;
-use violetyoke_transport::pack::Packed;
 
 const PORT: u16 = 7461;
 
@@ -74,7 +74,7 @@
     pub fn listen(&self) {
         let listener = listen((self.ip, PORT).into()).expect("a place");
         let registry = self.clone();
-        tokio::task::spawn_local(link::take(listener, move |_| {
+        tokio::task::spawn_local(connection::accept_all(listener, move |_| {
             let registry = registry.clone();
             registry.script.borrow_mut().opened += 1;
             let number = registry.script.borrow().opened;
@@ -145,9 +145,9 @@
     fn event(&self, number: u64, event: Event) {
         let script = &mut *self.script.borrow_mut();
         match event {
-            Event::Up(sender) => drop(script.connections.insert(number, sender)),
-            Event::Down => drop(script.connections.remove(&number)),
-            Event::Frame(frame) => {
+            Event::Connected(sender) => drop(script.connections.insert(number, sender)),
+            Event::Disconnected => drop(script.connections.remove(&number)),
+            Event::Message(frame) => {
                 let Ok(RegistryRequest::Proxy(ask)) = decode(&frame) else { return };
                 let Some(sender) = script.connections.get(&number).cloned() else { return };
                 for reply in script.replies(&ask) {
@@ -162,7 +162,7 @@
 impl Script {
     fn whole(&self, have: Revision) -> Option<ProxyReply> {
         let (revision, configuration) = self.state.as_ref().filter(|(revision, _)| *revision > have)?;
-        let packed = Packed::new(configuration).expect("packed");
+        let packed = Compressed::encode(configuration).expect("packed");
         Some(ProxyReply::FullState { revision: *revision, evacuated: BTreeSet::new(), configuration: packed })
     }
 
--- a/crates/registry/src/daemon/mod.rs
+++ b/crates/registry/src/daemon/mod.rs
@@ -25,12 +25,12 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 use violetyoke_api::settings::{Process, Settings};
-use violetyoke_transport::frame::{decode, encode};
-use violetyoke_transport::life::Life;
-use violetyoke_transport::link::{self, Sender};
+use violetyoke_transport::codec::{decode, encode};
+use violetyoke_transport::connection::{self, Sender};
+use violetyoke_transport::daemon::StartError;
+use violetyoke_transport::lifecycle::Lifecycle;
 use violetyoke_transport::messages::{Backend, ControlState, Gossip, RegistryRequest};
 use violetyoke_transport::net::{self, Listener};
-use violetyoke_transport::program::Failed;
 
 /// After a SIGTERM, the longest that orders are waited for, and the least for answers to be on their way.
 const LEAVES: Duration = Duration::from_millis(3_000);
@@ -41,17 +41,17 @@
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about =
         "The registry: one process on each core machine; it takes the outside calls for the store too.";
-    violetyoke_transport::program::run("registry", about, arguments, run)
+    violetyoke_transport::daemon::run("registry", about, arguments, run)
 }
 
-const FAILED: Failed = Failed("registry");
+const FAILED: StartError = StartError("registry");
 
 /// What comes in.
 pub(crate) enum Input {
     /// From a proxy or a registry, on a connection of that number.
-    Connection(u64, link::Event),
-    Registry(Ipv4Addr, link::Event),
-    Store(Ipv4Addr, link::Event),
+    Connection(u64, connection::Event),
+    Registry(Ipv4Addr, connection::Event),
+    Store(Ipv4Addr, connection::Event),
     Listed {
         asked_at: Millis,
         backends: Option<Vec<Backend>>,
@@ -78,7 +78,11 @@
     log: Logger,
 }
 
-pub async fn run(settings: Settings, mut life: Life, log: Logger) -> Result<(), Report<Failed>> {
+pub async fn run(
+    settings: Settings,
+    mut lifecycle: Lifecycle,
+    log: Logger,
+) -> Result<(), Report<StartError>> {
     let (inputs, mut queue) = unbounded_channel();
     let me = settings.me.ip;
     let inner = bind((me, settings.inner(Process::Registry)).into(), "network.internal-ports")?;
@@ -88,7 +92,7 @@
         (bind(control, "network.listen.control")?, bind(directory, "network.listen.directory")?);
     let opened = inputs.clone();
     let numbers = std::cell::Cell::new(0u64);
-    tokio::task::spawn_local(link::take(inner, move |_| {
+    tokio::task::spawn_local(connection::accept_all(inner, move |_| {
         numbers.set(numbers.get() + 1);
         let (number, inputs) = (numbers.get(), opened.clone());
         move |event| drop(inputs.send(Input::Connection(number, event)))
@@ -98,7 +102,7 @@
         sessions: Sessions::default(),
         lists: Lists::default(),
         stores: Stores::new(me, settings.inner(Process::Store)),
-        orders: Clients::new(life.drawn),
+        orders: Clients::new(lifecycle.incarnation),
         proxies: Proxies::default(),
         telling: Telling::default(),
         held: ControlState::default(),
@@ -122,8 +126,8 @@
                 Some(input) => registry.borrow_mut().input(input),
                 None => return Ok(()),
             },
-            Some(settings) = life.settings.recv() => registry.borrow_mut().settings = settings,
-            Some(()) = life.leave.recv(), if leaves.is_none() => {
+            Some(settings) = lifecycle.settings.recv() => registry.borrow_mut().settings = settings,
+            Some(()) = lifecycle.shutdown.recv(), if leaves.is_none() => {
                 info!(registry.borrow().log, "leaves");
                 leaves = Some(Instant::now());
             }
@@ -140,11 +144,11 @@
     }
 }
 
-fn bind(address: SocketAddr, field: &str) -> Result<Listener, Report<Failed>> {
+fn bind(address: SocketAddr, field: &str) -> Result<Listener, Report<StartError>> {
     net::listen(address).change_context(FAILED).attach_with(|| format!("{field}: {address}"))
 }
 
-fn outside_address(address: Option<SocketAddr>, field: &str) -> Result<SocketAddr, Report<Failed>> {
+fn outside_address(address: Option<SocketAddr>, field: &str) -> Result<SocketAddr, Report<StartError>> {
     address.ok_or_else(|| Report::new(FAILED).attach(format!("{field} is missing")))
 }
 
@@ -169,7 +173,7 @@
                 self.registries.insert(ip, None);
                 let inputs = self.inputs.clone();
                 let address = SocketAddrV4::new(ip, self.settings.inner(Process::Registry));
-                tokio::task::spawn_local(link::keep(address, move |event| {
+                tokio::task::spawn_local(connection::maintain(address, move |event| {
                     drop(inputs.send(Input::Registry(ip, event)));
                 }));
             }
@@ -185,14 +189,16 @@
         match input {
             Input::Listed { asked_at, backends } => self.listed(now, asked_at, backends),
             Input::Store(ip, event) => self.store(ip, event),
-            Input::Registry(ip, link::Event::Up(sender)) => {
+            Input::Registry(ip, connection::Event::Connected(sender)) => {
                 self.registries.insert(ip, Some(sender));
                 self.gossip(self.lists.newest(now, true));
             }
-            Input::Registry(ip, link::Event::Down) => drop(self.registries.insert(ip, None)),
-            Input::Registry(_, link::Event::Frame(_)) => {}
-            Input::Connection(number, link::Event::Up(sender)) => self.proxies.opened(number, sender),
-            Input::Connection(number, link::Event::Down) => {
+            Input::Registry(ip, connection::Event::Disconnected) => drop(self.registries.insert(ip, None)),
+            Input::Registry(_, connection::Event::Message(_)) => {}
+            Input::Connection(number, connection::Event::Connected(sender)) => {
+                self.proxies.opened(number, sender);
+            }
+            Input::Connection(number, connection::Event::Disconnected) => {
                 self.proxies.closed(number);
                 if let Some(ip) = self.heard.remove(&number) {
                     if !self.heard.values().any(|other| *other == ip) {
@@ -204,7 +210,7 @@
                 }
                 self.publish();
             }
-            Input::Connection(number, link::Event::Frame(frame)) => match decode(&frame) {
+            Input::Connection(number, connection::Event::Message(frame)) => match decode(&frame) {
                 Ok(RegistryRequest::Proxy(ask)) => self.proxy(number, ask),
                 Ok(RegistryRequest::Registry(gossip)) => {
                     self.heard.insert(number, gossip.from);
--- a/crates/registry/src/daemon/orders.rs
+++ b/crates/registry/src/daemon/orders.rs
@@ -5,7 +5,7 @@
 use crate::Millis;
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
-use violetyoke_transport::frame::encode_deflated;
+use violetyoke_transport::codec::encode_deflated;
 use violetyoke_transport::messages::{Command, Outcome, StoreRequest};
 
 pub(super) struct Clients {
--- a/crates/registry/src/daemon/proxies.rs
+++ b/crates/registry/src/daemon/proxies.rs
@@ -10,8 +10,8 @@
 use violetyoke_quota::deal::Dealt;
 use violetyoke_quota::holder::Holder;
 use violetyoke_quota::Limit;
-use violetyoke_transport::frame::encode;
-use violetyoke_transport::link::Sender;
+use violetyoke_transport::codec::encode;
+use violetyoke_transport::connection::Sender;
 use violetyoke_transport::messages::{ControlState, ProxyReply, ProxyRequest, Revision, ShardOwners};
 
 /// Of the part by which a limit may be passed, so much bears what proxies pass that can't ask; ways and turns of windows
@@ -133,9 +133,7 @@
                         proxy.have = have;
                         proxy.lead = true;
                     } else {
-                        proxy
-                            .sender
-                            .send(encode(&ProxyReply::Freshness { request_id: question, newest: newest }));
+                        proxy.sender.send(encode(&ProxyReply::Freshness { request_id: question, newest }));
                     }
                 }
                 self.publish();
--- a/crates/registry/src/daemon/stores.rs
+++ b/crates/registry/src/daemon/stores.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio::sync::mpsc::UnboundedSender;
-use violetyoke_transport::frame::{decode, encode};
-use violetyoke_transport::link::{self, Sender};
+use violetyoke_transport::codec::{decode, encode};
+use violetyoke_transport::connection::{self, Sender};
 use violetyoke_transport::messages::{ShardOwners, StoreReply, StoreRequest};
 
 #[derive(Default)]
@@ -49,7 +49,7 @@
             }
             self.by_ip.insert(ip, Store::default());
             let inputs = inputs.clone();
-            tokio::task::spawn_local(link::keep(SocketAddrV4::new(ip, self.port), move |event| {
+            tokio::task::spawn_local(connection::maintain(SocketAddrV4::new(ip, self.port), move |event| {
                 drop(inputs.send(Input::Store(ip, event)));
             }));
         }
@@ -81,19 +81,19 @@
 }
 
 impl Registry {
-    pub(super) fn store(&mut self, ip: Ipv4Addr, event: link::Event) {
+    pub(super) fn store(&mut self, ip: Ipv4Addr, event: connection::Event) {
         let now = self.now();
         match event {
-            link::Event::Up(sender) => {
+            connection::Event::Connected(sender) => {
                 let watch = StoreRequest::Watch { registry: self.settings.me.ip, known: self.held.revision };
                 sender.send(encode(&watch));
                 self.stores.opened(ip, sender);
             }
-            link::Event::Down => {
+            connection::Event::Disconnected => {
                 let connection = self.stores.closed(ip);
                 self.orders.lost(connection);
             }
-            link::Event::Frame(frame) => match decode(&frame) {
+            connection::Event::Message(frame) => match decode(&frame) {
                 Ok(StoreReply::Status { epoch, is_leader: active, shard_owners: owners, stores }) => {
                     self.stores.known.extend(stores);
                     let store = self.stores.by_ip.entry(ip).or_default();
--- a/crates/registry/src/daemon/telling.rs
+++ b/crates/registry/src/daemon/telling.rs
@@ -12,9 +12,9 @@
 use std::net::Ipv4Addr;
 use violetyoke_api::change::Change;
 use violetyoke_api::Configuration;
-use violetyoke_transport::frame::encode;
+use violetyoke_transport::codec::encode;
+use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{BackendList, ControlState, Membership, ProxyReply, Revision};
-use violetyoke_transport::pack::Packed;
 
 /// Earlier states and lists that are known here.
 const KNOWN: usize = 8;
@@ -75,12 +75,12 @@
         let (revision, evacuated) = (newest.revision, newest.evacuated.clone());
         let old = self.states.iter().find(|state| state.revision == have);
         let change = old.and_then(|old| Change::between(&old.configuration, &newest.configuration));
-        let says = match change.map(|change| Packed::new(&change)) {
+        let says = match change.map(|change| Compressed::encode(&change)) {
             Some(Ok(packed)) => ProxyReply::StateChange { from: have, revision, evacuated, change: packed },
             _ => ProxyReply::FullState {
                 revision,
                 evacuated,
-                configuration: Packed::new(&newest.configuration).ok()?,
+                configuration: Compressed::encode(&newest.configuration).ok()?,
             },
         };
         let frame = encode(&says);
--- a/crates/scale/src/crowd.rs
+++ b/crates/scale/src/crowd.rs
@@ -1,5 +1,5 @@
 //! Hollow ingresses on real connections: many on each of a few threads, each with a session at every registry, kept up by
-//! the session code of the proxies (`violetyoke_transport::link`).
+//! the session code of the proxies (`violetyoke_transport::connection`).
 
 use crate::hollow::Hollow;
 use crate::ingress::Ingress;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::{AbortHandle, LocalSet};
-use violetyoke_transport::link;
+use violetyoke_transport::connection;
 use violetyoke_transport::messages::{Revision, Session};
 
 /// What all hollow ingresses report.
@@ -152,7 +152,8 @@
     let ingress = Rc::new(Ingress::new(Hollow::new(session, drawn, &known), report));
     let connect = |(ip, address): (&Ipv4Addr, &SocketAddrV4)| {
         let (ip, ingress) = (*ip, ingress.clone());
-        tokio::task::spawn_local(link::keep(*address, move |event| ingress.event(ip, event))).abort_handle()
+        tokio::task::spawn_local(connection::maintain(*address, move |event| ingress.event(ip, event)))
+            .abort_handle()
     };
     let connections = registries.iter().map(connect).collect();
     Running { ingress, connections }
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -11,8 +11,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use violetyoke_quota::deal::Dealt;
-use violetyoke_transport::frame::{decode, encode};
-use violetyoke_transport::link::{Event, Sender};
+use violetyoke_transport::codec::{decode, encode};
+use violetyoke_transport::connection::{Event, Sender};
 use violetyoke_transport::messages::{ProxyReply, ProxyRequest, RegistryRequest, ShardOwners};
 
 /// Adds are for so many tenants in turn.
@@ -46,15 +46,15 @@
     pub fn event(&self, registry: Ipv4Addr, event: Event) {
         let (revision, list) = (self.hollow.borrow().have(), self.hollow.borrow().list());
         let requests = match event {
-            Event::Up(sender) => {
+            Event::Connected(sender) => {
                 self.senders.borrow_mut().insert(registry, sender);
                 self.hollow.borrow_mut().opened(registry)
             }
-            Event::Down => {
+            Event::Disconnected => {
                 self.senders.borrow_mut().remove(&registry);
                 self.hollow.borrow_mut().closed(registry)
             }
-            Event::Frame(frame) => self.frame(registry, &frame),
+            Event::Message(frame) => self.frame(registry, &frame),
         };
         self.send(requests);
         if self.hollow.borrow().have() != revision {
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -4,10 +4,10 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use violetyoke_scale::hollow::{Hollow, Requests};
+use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
     BackendList, BackendListChange, Membership, ProxyReply, ProxyRequest, Revision, Session,
 };
-use violetyoke_transport::pack::Packed;
 
 const FIRST: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 const SECOND: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
@@ -31,12 +31,12 @@
     ProxyReply::FullState {
         revision: revision(sequence),
         evacuated: Default::default(),
-        configuration: Packed::new(&()).unwrap(),
+        configuration: Compressed::encode(&()).unwrap(),
     }
 }
 
 fn change(from: u64, to: u64) -> ProxyReply {
-    let packed = Packed::new(&()).unwrap();
+    let packed = Compressed::encode(&()).unwrap();
     ProxyReply::StateChange {
         from: revision(from),
         revision: revision(to),
--- a/crates/store/src/daemon/encoder.rs
+++ b/crates/store/src/daemon/encoder.rs
@@ -1,7 +1,7 @@
 //! Messages with a whole state are encoded once for all who get the same: deflating a megabyte takes tens of milliseconds.
 
 use bytes::Bytes;
-use violetyoke_transport::frame::encode_deflated;
+use violetyoke_transport::codec::encode_deflated;
 use violetyoke_transport::messages::{
     ControlState, Envelope, PeerMessage, Revision, StoreNode, StoreReply, StoreRequest,
 };
--- a/crates/store/src/daemon/keeper.rs
+++ b/crates/store/src/daemon/keeper.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::Instant;
-use violetyoke_transport::world::{here, Disk};
+use violetyoke_transport::environment::{current, Disk};
 
 /// A disk that takes longer for one state does not answer.
 const LATE: Duration = Duration::from_millis(600);
@@ -22,16 +22,16 @@
 /// Where states are kept.
 pub(super) enum Place {
     Folder(Slots),
-    World(Rc<dyn Disk>, Turn),
+    Environment(Rc<dyn Disk>, Turn),
 }
 
 impl Place {
     /// Opens a folder, and what it holds.
     pub fn open(folder: &Path) -> io::Result<(Place, Option<Durable>)> {
-        if let Some(world) = here() {
-            let disk = world.disk(folder);
+        if let Some(environment) = current() {
+            let disk = environment.disk(folder);
             let (turn, kept) = Turn::after(disk.read().map(|bytes| disk::read(&bytes)));
-            return Ok((Place::World(disk, turn), kept));
+            return Ok((Place::Environment(disk, turn), kept));
         }
         Slots::open(folder).map(|(slots, kept)| (Place::Folder(slots), kept))
     }
@@ -55,7 +55,7 @@
                 std::thread::spawn(move || work(slots, &taken, &inputs));
                 Queue::Thread(queue)
             }
-            Place::World(disk, turn) => {
+            Place::Environment(disk, turn) => {
                 let (queue, taken) = unbounded_channel();
                 tokio::task::spawn_local(emulated(disk, turn, taken, inputs));
                 Queue::Task(queue)
@@ -107,7 +107,7 @@
         while let Ok(later) = queue.try_recv() {
             (number, state) = later;
         }
-        while disk.put(turn.slot, turn.bytes(&state)).await.is_err() {
+        while disk.write_slot(turn.slot, turn.bytes(&state)).await.is_err() {
             tokio::time::sleep(AGAIN).await;
         }
         turn.done();
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -15,12 +15,12 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 use violetyoke_api::settings::{Process, Settings};
-use violetyoke_transport::frame::decode;
-use violetyoke_transport::life::Life;
-use violetyoke_transport::link::{self, Sender};
+use violetyoke_transport::codec::decode;
+use violetyoke_transport::connection::{self, Sender};
+use violetyoke_transport::daemon::StartError;
+use violetyoke_transport::lifecycle::Lifecycle;
 use violetyoke_transport::messages::{StoreNode, StoreRequest};
 use violetyoke_transport::net;
-use violetyoke_transport::program::Failed;
 use watchers::Watchers;
 
 /// After a SIGTERM others have until so long before the end of `grace-s` to take over what this store has.
@@ -30,15 +30,15 @@
 /// The program, with the arguments after its name.
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about = "The store of configuration: one process on each core machine.";
-    violetyoke_transport::program::run("store", about, arguments, run)
+    violetyoke_transport::daemon::run("store", about, arguments, run)
 }
 
-const FAILED: Failed = Failed("store");
+const FAILED: StartError = StartError("store");
 
 /// What comes in: from connections by their number, from the disk, from the clock.
 pub(crate) enum Input {
-    Connection(u64, link::Event),
-    Peer(Ipv4Addr, link::Event),
+    Connection(u64, connection::Event),
+    Peer(Ipv4Addr, connection::Event),
     Kept(u64),
 }
 
@@ -58,7 +58,11 @@
     told: (u64, bool),
 }
 
-pub async fn run(settings: Settings, mut life: Life, log: Logger) -> Result<(), Report<Failed>> {
+pub async fn run(
+    settings: Settings,
+    mut lifecycle: Lifecycle,
+    log: Logger,
+) -> Result<(), Report<StartError>> {
     let folder = settings.me.data_dir.clone().unwrap_or_else(|| std::env::temp_dir().join("store"));
     let (place, kept) = Place::open(&folder)
         .change_context(FAILED)
@@ -78,12 +82,12 @@
     let (inputs, mut queue) = unbounded_channel();
     let opened = inputs.clone();
     let numbers = std::cell::Cell::new(0u64);
-    tokio::task::spawn_local(link::take(listener, move |_| {
+    tokio::task::spawn_local(connection::accept_all(listener, move |_| {
         numbers.set(numbers.get() + 1);
         let (number, inputs) = (numbers.get(), opened.clone());
         move |event| drop(inputs.send(Input::Connection(number, event)))
     }));
-    let register = Register::new(start, 1, life.drawn, settings.me.bootstrap);
+    let register = Register::new(start, 1, lifecycle.incarnation, settings.me.bootstrap);
     let mut daemon = Daemon {
         me: register.node().clone(),
         register,
@@ -109,8 +113,8 @@
                 Some(input) => daemon.input(input),
                 None => return Ok(()),
             },
-            Some(settings) = life.settings.recv() => daemon.register.seeds(settings.seeds()),
-            Some(()) = life.leave.recv(), if leaves.is_none() => {
+            Some(settings) = lifecycle.settings.recv() => daemon.register.seeds(settings.seeds()),
+            Some(()) = lifecycle.shutdown.recv(), if leaves.is_none() => {
                 info!(daemon.log, "leaves"; "primary" => daemon.register.active());
                 leaves = Some(Instant::now());
                 daemon.handle(Event::Leave);
@@ -141,7 +145,7 @@
             }
             self.peers.insert(ip, None);
             let inputs = self.inputs.clone();
-            tokio::task::spawn_local(link::keep(SocketAddrV4::new(ip, self.port), move |event| {
+            tokio::task::spawn_local(connection::maintain(SocketAddrV4::new(ip, self.port), move |event| {
                 drop(inputs.send(Input::Peer(ip, event)));
             }));
         }
@@ -153,19 +157,21 @@
                 self.keeper.kept(number);
                 self.handle(Event::Kept(number));
             }
-            Input::Peer(ip, link::Event::Up(sender)) => {
+            Input::Peer(ip, connection::Event::Connected(sender)) => {
                 self.peers.insert(ip, Some(sender));
                 self.register.greet();
             }
-            Input::Peer(ip, link::Event::Down) => drop(self.peers.insert(ip, None)),
-            Input::Peer(_, link::Event::Frame(frame)) => self.frame(None, &frame),
-            Input::Connection(number, link::Event::Up(sender)) => self.watchers.opened(number, sender),
-            Input::Connection(number, link::Event::Down) => {
+            Input::Peer(ip, connection::Event::Disconnected) => drop(self.peers.insert(ip, None)),
+            Input::Peer(_, connection::Event::Message(frame)) => self.frame(None, &frame),
+            Input::Connection(number, connection::Event::Connected(sender)) => {
+                self.watchers.opened(number, sender)
+            }
+            Input::Connection(number, connection::Event::Disconnected) => {
                 self.heard.retain(|_, (other, _)| *other != number);
                 self.watchers.closed(number);
                 self.publish();
             }
-            Input::Connection(number, link::Event::Frame(frame)) => self.frame(Some(number), &frame),
+            Input::Connection(number, connection::Event::Message(frame)) => self.frame(Some(number), &frame),
         }
     }
 
--- a/crates/store/src/daemon/watchers.rs
+++ b/crates/store/src/daemon/watchers.rs
@@ -4,8 +4,8 @@
 use crate::register::{Client, Register};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
-use violetyoke_transport::frame::{encode, encode_deflated};
-use violetyoke_transport::link::Sender;
+use violetyoke_transport::codec::{encode, encode_deflated};
+use violetyoke_transport::connection::Sender;
 use violetyoke_transport::messages::{Outcome, Revision, ShardOwners, StoreReply};
 
 struct Watcher {
--- a/crates/store/tests/golden/main.rs
+++ b/crates/store/tests/golden/main.rs
@@ -1,6 +1,8 @@
 //! A store's slot files, as the builds before wrote them: a store that is upgraded, or rolled back, begins with what it
 //! finds on its disk. The golden files are never edited.
 
+#![cfg(test)]
+
 #[path = "../../../transport/tests/golden/files.rs"]
 mod files;
 #[path = "../../../transport/tests/golden/older.rs"]
--- a/crates/transport/examples/message_cost.rs
+++ b/crates/transport/examples/message_cost.rs
@@ -2,7 +2,7 @@
 //! message_cost`. Routes are like those of an operator's configuration, about 120 bytes each.
 
 use std::time::{Duration, Instant};
-use violetyoke_transport::frame::{decode, encode_deflated};
+use violetyoke_transport::codec::{decode, encode_deflated};
 use violetyoke_transport::messages::{
     ControlState, Envelope, PeerMessage, Revision, StoreNode, StoreRequest,
 };
--- a/crates/transport/src/chunks.rs
+++ b/crates/transport/src/chunks.rs
@@ -2,7 +2,7 @@
 //! link. A frame holds a whole message, or one chunk of a large one; chunks of one message come in order, and other
 //! messages may come between them.
 
-use crate::frame::LONGEST;
+use crate::codec::LONGEST;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::VecDeque;
 use std::io;
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/codec.rs
@@ -1,7 +1,7 @@
 //! Messages as MessagePack, those with a state of control deflated: it is text that repeats much, and bytes between zones
 //! have a price. `chunks` says how they go into frames.
 
-use crate::pack::{deflate, inflate};
+use crate::compression::{deflate, inflate};
 use bytes::Bytes;
 use serde::{de::DeserializeOwned, Serialize};
 use std::io;
--- a/crates/transport/src/pack.rs
+++ b/crates/transport/src/compression.rs
@@ -1,4 +1,4 @@
-//! Large messages made small by deflate. Names of routes and hosts repeat much.
+//! Compression of large payloads by deflate: names of routes and hosts repeat much.
 
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
@@ -6,20 +6,20 @@
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::io::{self, Read, Write};
 
-/// The most that is unpacked.
+/// The most bytes that are inflated from one payload.
 const LARGEST: u64 = 32 << 20;
 
-/// A message within a message.
+/// A payload within a message: MessagePack, deflated. It is decoded only where it is needed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Packed(#[serde(with = "serde_bytes")] Vec<u8>);
+pub struct Compressed(#[serde(with = "serde_bytes")] Vec<u8>);
 
-impl Packed {
-    pub fn new<T: Serialize>(message: &T) -> io::Result<Packed> {
+impl Compressed {
+    pub fn encode<T: Serialize>(message: &T) -> io::Result<Compressed> {
         let plain = rmp_serde::to_vec(message).map_err(io::Error::other)?;
-        deflate(Vec::new(), &plain).map(Packed)
+        deflate(Vec::new(), &plain).map(Compressed)
     }
 
-    pub fn open<T: DeserializeOwned>(&self) -> io::Result<T> {
+    pub fn decode<T: DeserializeOwned>(&self) -> io::Result<T> {
         let plain = inflate(&self.0)?;
         rmp_serde::from_slice(&plain).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
     }
--- /dev/null
+++ b/crates/transport/src/connection.rs
@@ -0,0 +1,145 @@
+//! Connections between own processes: kept up by the side that opens them, and closed by both sides after a time without
+//! any byte received. Each byte counts as a sign of life, so that a large message on a slow link does not end one.
+
+use crate::chunks::{append_keepalive, codec, Assembler, Outgoing, SendQueue, CHUNK};
+use crate::net::{connect, Listener, Stream};
+use bytes::{Buf, Bytes, BytesMut};
+use std::io;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{split, AsyncReadExt, AsyncWriteExt, ReadHalf, WriteHalf};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::time::{sleep, timeout};
+use tokio_util::codec::Decoder;
+
+/// An empty frame is sent after this time without another one.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(300);
+/// A connection on which nothing was received for this time is closed: three keep-alives and their way.
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(1100);
+/// How long a connection may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Bounds of the exponential backoff between attempts to connect.
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_millis(300);
+/// Bytes written at once; an urgent message waits for no more than these.
+const WRITE_BATCH: usize = CHUNK;
+
+/// Sends on one connection. What is sent after it has ended is lost: the receiver of its events learns of the end.
+#[derive(Clone, Debug)]
+pub struct Sender(UnboundedSender<Outgoing>);
+
+impl Sender {
+    /// Sends a message after those that were sent before it.
+    pub fn send(&self, payload: Bytes) {
+        self.enqueue(Outgoing { payload, urgent: false });
+    }
+
+    /// Sends a message that may overtake others: a heartbeat does not wait until a large state has crossed the link.
+    pub fn send_urgent(&self, payload: Bytes) {
+        self.enqueue(Outgoing { payload, urgent: true });
+    }
+
+    fn enqueue(&self, message: Outgoing) {
+        // Lost where the connection has ended, which `Event::Disconnected` reports.
+        let _ = self.0.send(message);
+    }
+}
+
+/// What happens on a connection.
+#[derive(Debug)]
+pub enum Event {
+    /// It is open; messages go out by the sender.
+    Connected(Sender),
+    /// A complete message was received.
+    Message(Bytes),
+    /// It has ended.
+    Disconnected,
+}
+
+/// Maintains a connection to `address`, with exponential backoff between attempts, until the task is aborted. `on_event` is
+/// called with each event.
+pub async fn maintain(address: SocketAddrV4, on_event: impl Fn(Event) + 'static) {
+    let on_event: Rc<dyn Fn(Event)> = Rc::new(on_event);
+    let mut backoff = MIN_BACKOFF;
+    loop {
+        if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, connect(address.into())).await {
+            if stream.ends_after(IDLE_TIMEOUT).is_ok() {
+                backoff = MIN_BACKOFF;
+                run(stream, &on_event).await;
+            }
+        }
+        sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
+    }
+}
+
+/// Accepts connections until the task is aborted. `open` returns the event handler of a connection from an address.
+pub async fn accept_all<F: Fn(Event) + 'static>(listener: Listener, open: impl Fn(SocketAddrV4) -> F) {
+    loop {
+        let Ok((stream, from)) = listener.accept().await else {
+            sleep(MIN_BACKOFF).await;
+            continue;
+        };
+        let std::net::SocketAddr::V4(from) = from else { continue };
+        if stream.ends_after(IDLE_TIMEOUT).is_ok() {
+            let on_event: Rc<dyn Fn(Event)> = Rc::new(open(from));
+            tokio::task::spawn_local(async move { run(stream, &on_event).await });
+        }
+    }
+}
+
+async fn run(stream: Stream, on_event: &Rc<dyn Fn(Event)>) {
+    let (reader, writer) = split(stream);
+    let (sender, queue) = unbounded_channel();
+    on_event(Event::Connected(Sender(sender)));
+    tokio::select! {
+        _ = read(reader, on_event) => {}
+        _ = write(writer, queue) => {}
+    }
+    on_event(Event::Disconnected);
+}
+
+async fn read(mut reader: ReadHalf<Stream>, on_event: &Rc<dyn Fn(Event)>) -> io::Result<()> {
+    let mut codec = codec();
+    let mut assembler = Assembler::default();
+    let mut received = BytesMut::new();
+    loop {
+        while let Some(frame) = codec.decode(&mut received)? {
+            if let Some(message) = assembler.take(frame)? {
+                on_event(Event::Message(message));
+            }
+        }
+        if timeout(IDLE_TIMEOUT, reader.read_buf(&mut received)).await?? == 0 {
+            return Ok(());
+        }
+    }
+}
+
+async fn write(mut writer: WriteHalf<Stream>, mut queue: UnboundedReceiver<Outgoing>) -> io::Result<()> {
+    let mut waiting = SendQueue::default();
+    let mut out = BytesMut::new();
+    loop {
+        if waiting.is_empty() {
+            match timeout(KEEPALIVE_INTERVAL, queue.recv()).await {
+                Ok(None) => return Ok(()),
+                Ok(Some(message)) => waiting.push(message),
+                Err(_) => append_keepalive(&mut out),
+            }
+        }
+        while let Ok(message) = queue.try_recv() {
+            waiting.push(message);
+        }
+        while out.len() < WRITE_BATCH && waiting.append_next(&mut out) {}
+        while !out.is_empty() {
+            let written = timeout(IDLE_TIMEOUT, writer.write(&out)).await??;
+            if written == 0 {
+                return Err(io::ErrorKind::WriteZero.into());
+            }
+            out.advance(written);
+        }
+        if out.capacity() > 2 * WRITE_BATCH {
+            out = BytesMut::new();
+        }
+    }
+}
--- a/crates/transport/src/program.rs
+++ b/crates/transport/src/daemon.rs
@@ -1,6 +1,6 @@
 //! How each daemon begins: its command line, its settings, its log, its one thread.
 
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use lexopt::prelude::*;
 use slog::Logger;
 use std::fmt::{self, Debug};
@@ -18,36 +18,39 @@
 
 /// Why a daemon can't run; what is wrong is attached.
 #[derive(Clone, Copy, Debug)]
-pub struct Failed(pub &'static str);
+pub struct StartError(pub &'static str);
 
-impl fmt::Display for Failed {
+impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the {} can't run", self.0)
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for StartError {}
 
 /// What the command line says.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum CommandLine {
     Run { settings: PathBuf, check: bool },
     Help,
 }
 
 /// Reads a daemon's command line; `standard` is the settings file where none is named.
-pub fn command_line(parser: &mut lexopt::Parser, standard: Option<PathBuf>) -> Result<Wanted, lexopt::Error> {
+pub fn command_line(
+    parser: &mut lexopt::Parser,
+    standard: Option<PathBuf>,
+) -> Result<CommandLine, lexopt::Error> {
     let (mut file, mut check) = (standard, false);
     while let Some(argument) = parser.next()? {
         match argument {
             Long("settings") => file = Some(PathBuf::from(parser.value()?)),
             Long("check") => check = true,
-            Long("help") | Short('h') => return Ok(Wanted::Help),
+            Long("help") | Short('h') => return Ok(CommandLine::Help),
             other => return Err(other.unexpected()),
         }
     }
     match file {
-        Some(settings) => Ok(Wanted::Run { settings, check }),
+        Some(settings) => Ok(CommandLine::Run { settings, check }),
         None => Err(format!("no settings: give --settings or ${}", Settings::VARIABLE).into()),
     }
 }
@@ -57,7 +60,7 @@
     program: &'static str,
     about: &str,
     mut arguments: lexopt::Parser,
-    main: impl FnOnce(Settings, Life, Logger) -> F,
+    main: impl FnOnce(Settings, Lifecycle, Logger) -> F,
 ) -> ExitCode
 where
     F: Future<Output = Result<(), E>>,
@@ -65,8 +68,8 @@
 {
     let standard = std::env::var_os(Settings::VARIABLE).map(PathBuf::from);
     let (file, check) = match command_line(&mut arguments, standard) {
-        Ok(Wanted::Run { settings, check }) => (settings, check),
-        Ok(Wanted::Help) => {
+        Ok(CommandLine::Run { settings, check }) => (settings, check),
+        Ok(CommandLine::Help) => {
             println!("{program} [--settings FILE] [--check]\n\n{about}\n{REST}");
             return ExitCode::SUCCESS;
         }
@@ -89,7 +92,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = runtime.map(|runtime| {
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let life = Life::of_process(file, settings.clone(), log.clone());
+            let life = Lifecycle::of_process(file, settings.clone(), log.clone());
             let life = life.map_err(|error| error.to_string())?;
             main(settings, life, log).await.map_err(|report| format!("{report:?}"))
         })
--- /dev/null
+++ b/crates/transport/src/environment.rs
@@ -0,0 +1,42 @@
+//! What an emulation provides in place of the operating system's network and disks. It is installed on one thread.
+
+use futures_util::future::LocalBoxFuture;
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use tokio::io::DuplexStream;
+use tokio::sync::mpsc::UnboundedReceiver;
+
+/// Connections as they are opened, with the address of the peer.
+pub type Incoming = UnboundedReceiver<(DuplexStream, SocketAddr)>;
+
+/// The network and the disks of an emulated machine. Calls come from the process that runs at the moment.
+pub trait Environment {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>>;
+    fn listen(&self, at: SocketAddr) -> io::Result<Incoming>;
+    fn disk(&self, folder: &Path) -> Rc<dyn Disk>;
+}
+
+/// A disk with two slots, each of which is written as a unit.
+pub trait Disk {
+    /// The contents of both slots, which may be torn.
+    fn read(&self) -> [Vec<u8>; 2];
+    /// Writes and syncs one slot.
+    fn write_slot(&self, slot: usize, bytes: Vec<u8>) -> LocalBoxFuture<'static, io::Result<()>>;
+}
+
+thread_local! {
+    static ENVIRONMENT: RefCell<Option<Rc<dyn Environment>>> = const { RefCell::new(None) };
+}
+
+/// Installs an environment on this thread, or removes it.
+pub fn install(environment: Option<Rc<dyn Environment>>) {
+    ENVIRONMENT.with(|installed| *installed.borrow_mut() = environment);
+}
+
+/// The environment installed on this thread; none where the operating system serves.
+pub fn current() -> Option<Rc<dyn Environment>> {
+    ENVIRONMENT.with(|installed| installed.borrow().clone())
+}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,12 @@
-//! What the system's own processes say to each other (`messages`), the connections they say it on (`net`, `link`, `chunks`, `frame`), how
-//! they begin (`program`, `life`) and log (`log`). Nothing is decided here.
+//! Communication between the system's own processes: stores, registries and proxies.
+//!
+//! - [`messages`]: the typed messages; [`codec`] and [`compression`] turn them into bytes, [`chunks`] into frames.
+//! - [`connection`]: connections that are kept up and found dead by a time-out, over the streams of [`net`].
+//! - [`daemon`] and [`lifecycle`]: how each process starts, is told of new settings ([`settings_watcher`]) and shuts down;
+//!   [`log`]: its log.
+//! - [`environment`]: what an emulation installs in place of the operating system's network and disks.
+//!
+//! Nothing is decided here: which message is sent when is up to the crates of the daemons.
 
 #![allow(
     clippy::let_underscore_must_use,
@@ -7,14 +14,14 @@
     reason = "not yet revised for readers: see docs/ROADMAP.md"
 )]
 
-pub mod changes;
 pub mod chunks;
-pub mod frame;
-pub mod life;
-pub mod link;
+pub mod codec;
+pub mod compression;
+pub mod connection;
+pub mod daemon;
+pub mod environment;
+pub mod lifecycle;
 pub mod log;
 pub mod messages;
 pub mod net;
-pub mod pack;
-pub mod program;
-pub mod world;
+pub mod settings_watcher;
--- a/crates/transport/src/messages/proxies.rs
+++ b/crates/transport/src/messages/proxies.rs
@@ -1,7 +1,7 @@
 //! Messages between registries and proxies, and between registries.
 
 use super::{Revision, ShardOwners};
-use crate::pack::Packed;
+use crate::compression::Compressed;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeSet;
@@ -51,10 +51,10 @@
 pub enum ProxyReply {
     /// The full state: a compressed [`violetyoke_api::Configuration`].
     #[serde(rename = "Whole")]
-    FullState { revision: Revision, evacuated: BTreeSet<String>, configuration: Packed },
+    FullState { revision: Revision, evacuated: BTreeSet<String>, configuration: Compressed },
     /// From the state at revision `from` to the next: a compressed [`violetyoke_api::change::Change`].
     #[serde(rename = "Change")]
-    StateChange { from: Revision, revision: Revision, evacuated: BTreeSet<String>, change: Packed },
+    StateChange { from: Revision, revision: Revision, evacuated: BTreeSet<String>, change: Compressed },
     /// The answer to a [`ProxyRequest::CheckFreshness`]: the newest revision that the registry knows.
     #[serde(rename = "Newest")]
     Freshness { request_id: u32, newest: Revision },
--- a/crates/transport/src/net.rs
+++ b/crates/transport/src/net.rs
@@ -1,7 +1,7 @@
-//! Connections as the daemons have them: the operating system's, or those of an emulated world that is installed on this
-//! thread. A daemon can't tell them apart, so that whole systems run in virtual time on the code that is shipped.
+//! Streams and listeners: the operating system's, or those of an emulation that is installed on this thread. A daemon can't
+//! tell them apart, so that whole systems run in virtual time on the code that is shipped.
 
-use crate::world::{here, Opened};
+use crate::environment::{current, Incoming};
 use std::io::{self, IoSlice};
 use std::net::{IpAddr, SocketAddr};
 use std::pin::Pin;
@@ -23,8 +23,8 @@
 
 /// Opens a connection; small writes go out at once.
 pub async fn connect(to: SocketAddr) -> io::Result<Stream> {
-    match here() {
-        Some(world) => world.connect(to).await.map(Stream::Emulated),
+    match current() {
+        Some(environment) => environment.connect(to).await.map(Stream::Emulated),
         None => {
             let stream = TcpStream::connect(to).await?;
             stream.set_nodelay(true)?;
@@ -61,13 +61,13 @@
 #[derive(Debug)]
 pub enum Listener {
     Tcp(tokio::net::TcpListener),
-    Emulated(Mutex<Opened>),
+    Emulated(Mutex<Incoming>),
 }
 
 /// Takes connections at an address from now on.
 pub fn listen(at: SocketAddr) -> io::Result<Listener> {
-    if let Some(world) = here() {
-        return world.listen(at).map(|opened| Listener::Emulated(Mutex::new(opened)));
+    if let Some(environment) = current() {
+        return environment.listen(at).map(|incoming| Listener::Emulated(Mutex::new(incoming)));
     }
     let socket = match at.ip() {
         IpAddr::V4(_) => TcpSocket::new_v4()?,
@@ -86,8 +86,8 @@
                 stream.set_nodelay(true)?;
                 Ok((Stream::Tcp(stream), from))
             }
-            Listener::Emulated(opened) => {
-                let (stream, from) = opened.lock().await.recv().await.ok_or(io::ErrorKind::NotConnected)?;
+            Listener::Emulated(incoming) => {
+                let (stream, from) = incoming.lock().await.recv().await.ok_or(io::ErrorKind::NotConnected)?;
                 Ok((Stream::Emulated(stream), from))
             }
         }
--- a/crates/transport/tests/chunks.rs
+++ b/crates/transport/tests/chunks.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 use violetyoke_transport::chunks::{append_keepalive, codec, Assembler, Outgoing, SendQueue, CHUNK};
-use violetyoke_transport::frame::{decode, encode, encode_deflated, LONGEST};
+use violetyoke_transport::codec::{decode, encode, encode_deflated, LONGEST};
 
 fn ordered(payload: Bytes) -> Outgoing {
     Outgoing { payload, urgent: false }
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/connection.rs
@@ -5,7 +5,7 @@
 mod slow;
 
 use bytes::Bytes;
-use slow::SlowWorld;
+use slow::SlowNetwork;
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
-use violetyoke_transport::link::{keep, take, Event, Sender, SILENCE};
-use violetyoke_transport::{net, world};
+use violetyoke_transport::connection::{accept_all, maintain, Event, Sender, IDLE_TIMEOUT};
+use violetyoke_transport::{environment, net};
 
 const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
 
@@ -22,7 +22,7 @@
 type Received = Rc<RefCell<Vec<(Instant, Bytes)>>>;
 
 struct Link {
-    world: SlowWorld,
+    network: SlowNetwork,
     sender: Sender,
     received: Received,
     downs: Rc<RefCell<u32>>,
@@ -35,35 +35,35 @@
         .start_paused(true)
         .build()
         .expect("a runtime");
-    let world = SlowWorld::default();
-    world.bits_a_second(bits);
-    world::install(Some(Rc::new(world.clone())));
+    let network = SlowNetwork::default();
+    network.bits_a_second(bits);
+    environment::install(Some(Rc::new(network.clone())));
     LocalSet::new().block_on(&runtime, async move {
         let (received, downs) = (Received::default(), Rc::<RefCell<u32>>::default());
         let into = received.clone();
         let listener = net::listen(ADDRESS.into()).expect("a listener");
-        spawn_local(take(listener, move |_| {
+        spawn_local(accept_all(listener, move |_| {
             let into = into.clone();
             // A connection lasts for as long as somebody may send on it.
             let back = RefCell::new(None);
             move |event| match event {
-                Event::Up(sender) => *back.borrow_mut() = Some(sender),
-                Event::Frame(message) => into.borrow_mut().push((Instant::now(), message)),
-                Event::Down => {}
+                Event::Connected(sender) => *back.borrow_mut() = Some(sender),
+                Event::Message(message) => into.borrow_mut().push((Instant::now(), message)),
+                Event::Disconnected => {}
             }
         }));
         let senders: Rc<RefCell<Option<Sender>>> = Rc::default();
         let (opened, ended) = (senders.clone(), downs.clone());
-        spawn_local(keep(ADDRESS, move |event| match event {
-            Event::Up(sender) => *opened.borrow_mut() = Some(sender),
-            Event::Down => *ended.borrow_mut() += 1,
-            Event::Frame(_) => {}
+        spawn_local(maintain(ADDRESS, move |event| match event {
+            Event::Connected(sender) => *opened.borrow_mut() = Some(sender),
+            Event::Disconnected => *ended.borrow_mut() += 1,
+            Event::Message(_) => {}
         }));
         sleep(Duration::from_millis(50)).await;
         let sender = senders.borrow().clone().expect("a connection");
-        test(Link { world, sender, received, downs }).await;
+        test(Link { network, sender, received, downs }).await;
     });
-    world::install(None);
+    environment::install(None);
 }
 
 fn state_of(bytes: usize) -> Bytes {
@@ -82,7 +82,7 @@
         }
         let received = link.received.borrow();
         let whole = received.iter().filter(|(_, message)| *message == state).count();
-        assert_eq!((whole, *link.downs.borrow(), link.world.connections()), (1, 0, 1));
+        assert_eq!((whole, *link.downs.borrow(), link.network.connections()), (1, 0, 1));
         let heartbeats = received.iter().filter(|(_, it)| *it == heartbeat).map(|(at, _)| *at);
         let beats: Vec<Instant> = [begun].into_iter().chain(heartbeats).collect();
         assert!(beats.len() >= 80, "{} heartbeats", beats.len());
@@ -128,8 +128,8 @@
     on_a_link(2_000_000, |link| async move {
         link.sender.send(state_of(1 << 20));
         sleep(Duration::from_millis(500)).await;
-        link.world.stop();
-        sleep(SILENCE + Duration::from_millis(200)).await;
+        link.network.stop();
+        sleep(IDLE_TIMEOUT + Duration::from_millis(200)).await;
         assert_eq!(*link.downs.borrow(), 1);
         assert!(link.received.borrow().is_empty(), "no part of a message is passed on");
     });
@@ -139,6 +139,6 @@
 fn an_idle_connection_stays() {
     on_a_link(2_000_000, |link| async move {
         sleep(Duration::from_secs(30)).await;
-        assert_eq!((*link.downs.borrow(), link.world.connections()), (0, 1));
+        assert_eq!((*link.downs.borrow(), link.network.connections()), (0, 1));
     });
 }
--- a/crates/transport/tests/golden/control.rs
+++ b/crates/transport/tests/golden/control.rs
@@ -31,20 +31,20 @@
 });
 
 /// A revision. Its numbers take several bytes.
-pub fn revision(sequence: u64) -> Revision {
+pub(crate) fn revision(sequence: u64) -> Revision {
     Revision { epoch: 0x0102_0304_0506_0708, sequence }
 }
 
-pub fn address(last: u8) -> Ipv4Addr {
+pub(crate) fn address(last: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 10, 3, last)
 }
 
-pub fn zones(names: &[&str]) -> BTreeSet<String> {
+pub(crate) fn zones(names: &[&str]) -> BTreeSet<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
 /// A state with a value in each field.
-pub fn full_state() -> ControlState {
+pub(crate) fn full_state() -> ControlState {
     let text = r#"{"version": 70000, "note": "größe"}"#;
     let mut accepted = AcceptedVersions::default();
     assert!(accepted.insert(69_999, r#"{"version": 69999}"#));
@@ -58,11 +58,11 @@
     }
 }
 
-pub fn owners() -> ShardOwners {
+pub(crate) fn owners() -> ShardOwners {
     ShardOwners { fencing_token: revision(65_536), registries: vec![address(1), address(2), address(250)] }
 }
 
-pub fn store_requests() -> Vec<Sample<StoreRequest>> {
+pub(crate) fn store_requests() -> Vec<Sample<StoreRequest>> {
     let replace = Command::Replace { version: 70_000, text: "{\"version\": 70000}".to_owned() };
     let mut samples = vec![
         sample("store-request-watch", StoreRequest::Watch { registry: address(7), known: revision(9) }),
@@ -90,7 +90,7 @@
     samples
 }
 
-pub fn store_replies() -> Vec<Sample<StoreReply>> {
+pub(crate) fn store_replies() -> Vec<Sample<StoreReply>> {
     let done = |call, outcome| StoreReply::Completed { request_id: call, outcome };
     vec![
         sample(
@@ -121,7 +121,7 @@
 }
 
 /// A state that is large enough to be sent deflated.
-pub fn large_state() -> ControlState {
+pub(crate) fn large_state() -> ControlState {
     let text = (0..500).map(|number| format!("{{\"route\": \"route-{number}\"}}\n")).collect();
     ControlState { text, ..full_state() }
 }
--- a/crates/transport/tests/golden/files.rs
+++ b/crates/transport/tests/golden/files.rs
@@ -3,18 +3,18 @@
 use std::path::PathBuf;
 
 /// Where this is set, golden files that do not exist are written; one that exists is never overwritten.
-pub const WRITE_MISSING: &str = "VIOLETYOKE_WRITE_GOLDEN";
+pub(crate) const WRITE_MISSING: &str = "VIOLETYOKE_WRITE_GOLDEN";
 
 /// A folder of golden files.
-pub struct GoldenFolder(pub PathBuf);
+pub(crate) struct GoldenFolder(pub PathBuf);
 
 impl GoldenFolder {
     /// `tests/golden` of the crate whose manifest folder is given.
-    pub fn of_crate(manifest_dir: &str) -> GoldenFolder {
+    pub(crate) fn of_crate(manifest_dir: &str) -> GoldenFolder {
         GoldenFolder(PathBuf::from(manifest_dir).join("tests/golden"))
     }
 
-    pub fn path(&self, name: &str) -> PathBuf {
+    pub(crate) fn path(&self, name: &str) -> PathBuf {
         self.0.join(format!("{name}.bin"))
     }
 
@@ -22,7 +22,7 @@
     ///
     /// # Panics
     /// Where the file is missing: a message without golden bytes is not covered.
-    pub fn read(&self, name: &str, current: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
+    pub(crate) fn read(&self, name: &str, current: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
         let path = self.path(name);
         if std::env::var_os(WRITE_MISSING).is_some() && !path.exists() {
             std::fs::write(&path, current()).expect("the golden file can be written");
--- a/crates/transport/tests/golden/main.rs
+++ b/crates/transport/tests/golden/main.rs
@@ -5,6 +5,8 @@
 //! variants: a variant that is renamed keeps its encoded name with `#[serde(rename = "...")]`. The golden files are never
 //! edited; `VIOLETYOKE_WRITE_GOLDEN=1 cargo test --test golden` writes those of new samples.
 
+#![cfg(test)]
+
 mod control;
 mod files;
 mod older;
@@ -22,11 +24,11 @@
 use variants::assert_all_variants;
 use violetyoke_api::change::{digest, Change};
 use violetyoke_api::Configuration;
-use violetyoke_transport::frame::{decode, encode, encode_deflated};
+use violetyoke_transport::codec::{decode, encode, encode_deflated};
+use violetyoke_transport::compression::{inflate, Compressed};
 use violetyoke_transport::messages::{
     proxy_id, AcceptedVersions, Command, ControlState, Outcome, PeerMessage, StoreReply, StoreRequest,
 };
-use violetyoke_transport::pack::{inflate, Packed};
 
 const PACKED_CONFIGURATION: &str = "packed-configuration";
 const PACKED_CHANGE: &str = "packed-change";
@@ -44,16 +46,16 @@
     folder().check(samples, |value| encode(value).to_vec(), |bytes| decode(bytes));
 }
 
-fn packed<T: serde::Serialize>(name: &str, content: &T) -> Packed {
-    let current = || encode(&Packed::new(content).expect("packed")).to_vec();
+fn packed<T: serde::Serialize>(name: &str, content: &T) -> Compressed {
+    let current = || encode(&Compressed::encode(content).expect("packed")).to_vec();
     decode(&folder().read(name, current)).expect("a packed payload")
 }
 
-fn packed_configuration() -> Packed {
+fn packed_configuration() -> Compressed {
     packed(PACKED_CONFIGURATION, &payloads::configuration())
 }
 
-fn packed_change() -> Packed {
+fn packed_change() -> Compressed {
     packed(PACKED_CHANGE, &payloads::change())
 }
 
@@ -99,10 +101,10 @@
     let configuration = payloads::configuration();
     let change = payloads::change();
 
-    assert_eq!(packed_configuration().open::<Configuration>().expect("opened"), configuration);
-    assert_eq!(packed_change().open::<Change>().expect("opened"), change);
-    let again = Packed::new(&configuration).expect("packed");
-    assert_eq!(again.open::<Configuration>().expect("opened"), configuration);
+    assert_eq!(packed_configuration().decode::<Configuration>().expect("opened"), configuration);
+    assert_eq!(packed_change().decode::<Change>().expect("opened"), change);
+    let again = Compressed::encode(&configuration).expect("packed");
+    assert_eq!(again.decode::<Configuration>().expect("opened"), configuration);
 }
 
 #[test]
--- a/crates/transport/tests/golden/older.rs
+++ b/crates/transport/tests/golden/older.rs
@@ -6,7 +6,7 @@
 use violetyoke_transport::messages::{ControlState, Revision};
 
 #[derive(Serialize)]
-pub struct OlderControlState {
+pub(crate) struct OlderControlState {
     revision: Revision,
     version: u64,
     text: String,
@@ -15,7 +15,7 @@
 
 impl OlderControlState {
     /// What such a build would have had of a state.
-    pub fn of(state: &ControlState) -> OlderControlState {
+    pub(crate) fn of(state: &ControlState) -> OlderControlState {
         let ControlState { revision, version, text, evacuated, accepted: _ } = state.clone();
         OlderControlState { revision, version, text, evacuated }
     }
--- a/crates/transport/tests/golden/payloads.rs
+++ b/crates/transport/tests/golden/payloads.rs
@@ -94,7 +94,7 @@
 }
 
 /// A configuration with each optional field once filled and once empty.
-pub fn configuration() -> Configuration {
+pub(crate) fn configuration() -> Configuration {
     Configuration {
         version: 70_000,
         routes: vec![full_route(), bare_route()],
@@ -105,7 +105,7 @@
 }
 
 /// A change with rows that are new and names that are gone in each table.
-pub fn change() -> Change {
+pub(crate) fn change() -> Change {
     let gone = |name: &str| vec![name.to_owned()];
     Change {
         version: 70_001,
@@ -119,4 +119,4 @@
 
 /// The digest of [`configuration`]. A change carries such a digest, and another build compares it with its own, which
 /// covers the encoding of each row.
-pub const CONFIGURATION_DIGEST: u64 = 10_780_380_243_959_800_687;
+pub(crate) const CONFIGURATION_DIGEST: u64 = 10_780_380_243_959_800_687;
--- a/crates/transport/tests/golden/proxies.rs
+++ b/crates/transport/tests/golden/proxies.rs
@@ -4,11 +4,11 @@
 use crate::samples::{sample, Sample};
 use crate::variants;
 use std::net::SocketAddrV4;
+use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
     Backend, BackendList, BackendListChange, Gossip, Membership, ProxyReply, ProxyRequest, RegistryRequest,
     Revision, Session, ShardOwners,
 };
-use violetyoke_transport::pack::Packed;
 
 variants!(ProxyRequest {
     ProxyRequest::Hello(_) => "hello",
@@ -58,7 +58,7 @@
     BackendList { digest: u64::MAX, age_ms: 300, backends: vec![backend(1, false), backend(2, true)] }
 }
 
-pub fn proxy_requests() -> Vec<(&'static str, ProxyRequest)> {
+pub(crate) fn proxy_requests() -> Vec<(&'static str, ProxyRequest)> {
     let tenant = || "tenant-1".to_owned();
     let poll = |lead| ProxyRequest::Poll {
         revision: revision(300),
@@ -88,7 +88,7 @@
     ]
 }
 
-pub fn gossip() -> Vec<(&'static str, Gossip)> {
+pub(crate) fn gossip() -> Vec<(&'static str, Gossip)> {
     let from = address(9);
     let empty = Gossip { from, sessions: Vec::new(), partitioned: Vec::new(), backends: None };
     let sessions = vec![session(1, true), session(2, false)];
@@ -101,7 +101,7 @@
     ]
 }
 
-pub fn registry_requests() -> Vec<Sample<RegistryRequest>> {
+pub(crate) fn registry_requests() -> Vec<Sample<RegistryRequest>> {
     let proxies = proxy_requests().into_iter().map(|(name, it)| sample(name, RegistryRequest::Proxy(it)));
     let registries = gossip().into_iter().map(|(name, it)| sample(name, RegistryRequest::Registry(it)));
     proxies.chain(registries).collect()
@@ -119,7 +119,7 @@
 }
 
 /// The packed payloads come as golden bytes themselves: another release of the deflate library may pack them otherwise.
-pub fn proxy_replies(configuration: Packed, change: Packed) -> Vec<Sample<ProxyReply>> {
+pub(crate) fn proxy_replies(configuration: Compressed, change: Compressed) -> Vec<Sample<ProxyReply>> {
     let list_change = BackendListChange {
         from: 1,
         digest: 2,
@@ -132,11 +132,7 @@
     vec![
         sample(
             "proxy-reply-whole",
-            ProxyReply::FullState {
-                revision: revision(300),
-                evacuated: zones(&["zone-a"]),
-                configuration: configuration,
-            },
+            ProxyReply::FullState { revision: revision(300), evacuated: zones(&["zone-a"]), configuration },
         ),
         sample(
             "proxy-reply-change",
@@ -144,7 +140,7 @@
                 from: Revision { epoch: 1, sequence: 2 },
                 revision: revision(300),
                 evacuated: zones(&["zone-a", "zone-b"]),
-                change: change,
+                change,
             },
         ),
         sample("proxy-reply-newest", ProxyReply::Freshness { request_id: 300, newest: revision(300) }),
--- a/crates/transport/tests/golden/samples.rs
+++ b/crates/transport/tests/golden/samples.rs
@@ -5,13 +5,13 @@
 use std::fmt::Debug;
 
 /// A value and the name of the golden file with its bytes.
-pub struct Sample<T> {
+pub(crate) struct Sample<T> {
     pub name: &'static str,
     pub value: T,
 }
 
 /// Shortens tables of samples.
-pub fn sample<T>(name: &'static str, value: T) -> Sample<T> {
+pub(crate) fn sample<T>(name: &'static str, value: T) -> Sample<T> {
     Sample { name, value }
 }
 
@@ -20,7 +20,7 @@
     ///
     /// # Panics
     /// With the names of all samples for which one of both does not hold.
-    pub fn check<T, E>(
+    pub(crate) fn check<T, E>(
         &self,
         samples: &[Sample<T>],
         encode: impl Fn(&T) -> Vec<u8>,
@@ -56,7 +56,7 @@
     }
 
     /// The names of all golden files in the folder.
-    pub fn names(&self) -> BTreeSet<String> {
+    pub(crate) fn names(&self) -> BTreeSet<String> {
         let entries = std::fs::read_dir(&self.0).expect("the folder of golden files");
         let files = entries.map(|entry| entry.expect("an entry").file_name().into_string().expect("UTF-8"));
         files.filter_map(|file| file.strip_suffix(".bin").map(str::to_owned)).collect()
--- a/crates/transport/tests/golden/stores.rs
+++ b/crates/transport/tests/golden/stores.rs
@@ -30,7 +30,7 @@
 }
 
 /// A record with a value in each field.
-pub fn full_config() -> ReplicaConfig {
+pub(crate) fn full_config() -> ReplicaConfig {
     ReplicaConfig {
         epoch: 70_000,
         voters: vec![store(1), store(2), store(3)],
@@ -62,7 +62,7 @@
     ]
 }
 
-pub fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
+pub(crate) fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
     let epoch = 70_000;
     let promised_state =
         InitialState::Promised { from: revision(300), to: Revision { epoch: 70_001, sequence: 0 } };
@@ -90,7 +90,7 @@
     messages
 }
 
-pub fn envelopes() -> Vec<Sample<StoreRequest>> {
+pub(crate) fn envelopes() -> Vec<Sample<StoreRequest>> {
     let envelope = |message| StoreRequest::Envelope(Envelope { from: store(5), message });
     peer_messages().into_iter().map(|(name, message)| sample(name, envelope(message))).collect()
 }
--- a/crates/transport/tests/golden/variants.rs
+++ b/crates/transport/tests/golden/variants.rs
@@ -4,7 +4,7 @@
 
 /// An enum that lists its variants. Implemented by [`crate::variants`] alone, whose `match` has no wildcard: a new
 /// variant does not compile until it is listed, and a listed variant without a sample fails its test.
-pub trait Variants {
+pub(crate) trait Variants {
     const NAMES: &'static [&'static str];
     fn variant(&self) -> &'static str;
 }
@@ -24,7 +24,7 @@
 }
 
 /// Requires that the values show every variant of their type.
-pub fn assert_all_variants<'a, T: Variants + 'a>(values: impl IntoIterator<Item = &'a T>) {
+pub(crate) fn assert_all_variants<'a, T: Variants + 'a>(values: impl IntoIterator<Item = &'a T>) {
     let shown: BTreeSet<&str> = values.into_iter().map(Variants::variant).collect();
     let listed: BTreeSet<&str> = T::NAMES.iter().copied().collect();
     assert_eq!(
--- a/crates/transport/tests/slow/mod.rs
+++ b/crates/transport/tests/slow/mod.rs
@@ -1,4 +1,4 @@
-//! A world with one listener, whose connections carry so many bytes a second in each direction, in virtual time.
+//! A network with one listener, whose connections carry so many bytes a second in each direction, in virtual time.
 
 #![allow(unreachable_pub, reason = "support modules are public to the tests")]
 #![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
@@ -14,7 +14,7 @@
 use tokio::io::{duplex, split, AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::time::sleep;
-use violetyoke_transport::world::{Disk, Opened, World};
+use violetyoke_transport::environment::{Disk, Environment, Incoming};
 
 /// Bytes that a writer gets rid of before the link has carried them.
 const WINDOW: usize = 4 << 10;
@@ -30,9 +30,9 @@
 }
 
 #[derive(Clone, Default)]
-pub struct SlowWorld(Rc<State>);
+pub struct SlowNetwork(Rc<State>);
 
-impl SlowWorld {
+impl SlowNetwork {
     pub fn bits_a_second(&self, bits: u64) {
         self.0.packet_takes.set(Some(Duration::from_micros(PACKET as u64 * 8 * 1_000_000 / bits)));
     }
@@ -63,7 +63,7 @@
     let _ = to.shutdown().await;
 }
 
-impl World for SlowWorld {
+impl Environment for SlowNetwork {
     fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
         let state = self.0.clone();
         async move {
@@ -81,7 +81,7 @@
         .boxed_local()
     }
 
-    fn listen(&self, _: SocketAddr) -> io::Result<Opened> {
+    fn listen(&self, _: SocketAddr) -> io::Result<Incoming> {
         let (opened, queue) = unbounded_channel();
         *self.0.listener.borrow_mut() = Some(opened);
         Ok(queue)
