--- a/crates/api/src/calls.rs
+++ b/crates/api/src/calls.rs
@@ -3,7 +3,7 @@
 
 /// Who takes a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taker {
+pub enum CallTarget {
     Controller,
     Locator,
     Edge,
@@ -26,35 +26,41 @@
 
 /// A call's line of the table.
 #[derive(Clone, Copy, Debug)]
-pub struct Line {
+pub struct CallEntry {
     pub call: Call,
-    pub taker: Taker,
+    pub taker: CallTarget,
     pub method: &'static str,
     pub path: &'static str,
     /// The value of `call` in the query, for calls of operators.
     pub name: Option<&'static str>,
 }
 
-pub const TABLE: &[Line] = &[
-    line(Call::ConfigurationReplace, Taker::Controller, "POST", "/api/rpc", Some("configuration.replace")),
-    line(Call::ConfigurationRead, Taker::Controller, "POST", "/api/rpc", Some("configuration.read")),
-    line(Call::EvacuationBegin, Taker::Controller, "POST", "/api/rpc", Some("evacuation.begin")),
-    line(Call::EvacuationFinish, Taker::Controller, "POST", "/api/rpc", Some("evacuation.finish")),
-    line(Call::Resolve, Taker::Locator, "GET", "/api/resolve", None),
-    line(Call::Readiness, Taker::Edge, "GET", "/api/readiness", None),
-    line(Call::Figures, Taker::Edge, "GET", "/api/figures", None),
-    line(Call::Backends, Taker::Edge, "GET", "/api/backends", None),
-    line(Call::Instances, Taker::Platform, "GET", "/instances", None),
+pub const TABLE: &[CallEntry] = &[
+    line(
+        Call::ConfigurationReplace,
+        CallTarget::Controller,
+        "POST",
+        "/api/rpc",
+        Some("configuration.replace"),
+    ),
+    line(Call::ConfigurationRead, CallTarget::Controller, "POST", "/api/rpc", Some("configuration.read")),
+    line(Call::EvacuationBegin, CallTarget::Controller, "POST", "/api/rpc", Some("evacuation.begin")),
+    line(Call::EvacuationFinish, CallTarget::Controller, "POST", "/api/rpc", Some("evacuation.finish")),
+    line(Call::Resolve, CallTarget::Locator, "GET", "/api/resolve", None),
+    line(Call::Readiness, CallTarget::Edge, "GET", "/api/readiness", None),
+    line(Call::Figures, CallTarget::Edge, "GET", "/api/figures", None),
+    line(Call::Backends, CallTarget::Edge, "GET", "/api/backends", None),
+    line(Call::Instances, CallTarget::Platform, "GET", "/instances", None),
 ];
 
 const fn line(
     call: Call,
-    taker: Taker,
+    taker: CallTarget,
     method: &'static str,
     path: &'static str,
     name: Option<&'static str>,
-) -> Line {
-    Line { call, taker, method, path, name }
+) -> CallEntry {
+    CallEntry { call, taker, method, path, name }
 }
 
 /// Headers of the calls at backends, and of clients' requests.
@@ -79,9 +85,9 @@
 }
 
 /// Which call a request to `taker` is.
-pub fn find(taker: Taker, method: &str, path: &str, text: Option<&str>) -> Option<Call> {
+pub fn find(taker: CallTarget, method: &str, path: &str, text: Option<&str>) -> Option<Call> {
     let name = query(text, "call");
-    let meant = |line: &&Line| {
+    let meant = |line: &&CallEntry| {
         line.taker == taker
             && line.method == method
             && line.path == path
--- a/crates/api/src/change.rs
+++ b/crates/api/src/change.rs
@@ -9,18 +9,18 @@
 
 /// Rows of one table that are new or other, and the names of those that are gone.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Rows<T> {
-    pub set: Vec<T>,
-    pub gone: Vec<String>,
+pub struct TableChange<T> {
+    pub upserted: Vec<T>,
+    pub removed: Vec<String>,
 }
 
 /// From one configuration to another.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Change {
+pub struct ConfigurationChange {
     pub version: u64,
-    pub routes: Rows<Route>,
-    pub services: Rows<Service>,
-    pub tenants: Rows<Tenant>,
+    pub routes: TableChange<Route>,
+    pub services: TableChange<Service>,
+    pub tenants: TableChange<Tenant>,
     pub limits: Limits,
     /// [`digest`] of what it leads to.
     pub digest: u64,
@@ -71,21 +71,21 @@
     names.len() == rows.len()
 }
 
-fn rows<T: Named + Clone + PartialEq>(old: &[T], new: &[T]) -> Rows<T> {
+fn rows<T: Named + Clone + PartialEq>(old: &[T], new: &[T]) -> TableChange<T> {
     let before: HashMap<&str, &T> = old.iter().map(|row| (row.name(), row)).collect();
     let after: HashSet<&str> = new.iter().map(Named::name).collect();
-    let set = new.iter().filter(|row| before.get(row.name()) != Some(row)).cloned().collect();
-    let gone =
+    let upserted = new.iter().filter(|row| before.get(row.name()) != Some(row)).cloned().collect();
+    let removed =
         old.iter().filter(|row| !after.contains(row.name())).map(|row| row.name().to_owned()).collect();
-    Rows { set, gone }
+    TableChange { upserted, removed }
 }
 
-fn apply<T: Named + Clone>(rows: &mut Vec<T>, change: &Rows<T>) {
-    let gone: HashSet<&str> = change.gone.iter().map(String::as_str).collect();
-    rows.retain(|row| !gone.contains(row.name()));
+fn apply<T: Named + Clone>(rows: &mut Vec<T>, change: &TableChange<T>) {
+    let removed: HashSet<&str> = change.removed.iter().map(String::as_str).collect();
+    rows.retain(|row| !removed.contains(row.name()));
     let places: HashMap<String, usize> =
         rows.iter().enumerate().map(|(place, row)| (row.name().to_owned(), place)).collect();
-    for row in &change.set {
+    for row in &change.upserted {
         match places.get(row.name()) {
             Some(place) => rows[*place] = row.clone(),
             None => rows.push(row.clone()),
@@ -93,12 +93,12 @@
     }
 }
 
-impl Change {
+impl ConfigurationChange {
     /// What leads from `old` to `new`; nothing where rows share a name.
-    pub fn between(old: &Configuration, new: &Configuration) -> Option<Change> {
+    pub fn between(old: &Configuration, new: &Configuration) -> Option<ConfigurationChange> {
         let named = distinct(&new.routes) && distinct(&new.services) && distinct(&new.tenants);
         let before = distinct(&old.routes) && distinct(&old.services) && distinct(&old.tenants);
-        (named && before).then(|| Change {
+        (named && before).then(|| ConfigurationChange {
             version: new.version,
             routes: rows(&old.routes, &new.routes),
             services: rows(&old.services, &new.services),
--- a/crates/api/src/configuration.rs
+++ b/crates/api/src/configuration.rs
@@ -13,31 +13,31 @@
 //! assert_eq!(error.to_string(), "routes.rows[0].path-prefix: begins with no slash");
 //! ```
 
-use crate::columns::rows;
-use crate::sound;
+use crate::table::rows;
+use crate::validation;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid {
+pub struct ValidationError {
     pub field: String,
-    pub why: String,
+    pub reason: String,
 }
 
-impl Invalid {
-    pub fn new(field: impl Into<String>, why: impl fmt::Display) -> Invalid {
-        Invalid { field: field.into(), why: why.to_string() }
+impl ValidationError {
+    pub fn new(field: impl Into<String>, why: impl fmt::Display) -> ValidationError {
+        ValidationError { field: field.into(), reason: why.to_string() }
     }
 }
 
-impl fmt::Display for Invalid {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.why)
+        write!(f, "{}: {}", self.field, self.reason)
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for ValidationError {}
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Configuration {
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum RouteKind {
     Idempotent,
     Nonidempotent,
 }
@@ -61,7 +61,7 @@
     pub name: String,
     pub host: String,
     pub path_prefix: String,
-    pub route_kind: Kind,
+    pub route_kind: RouteKind,
     /// The longest that the operator wants a request held (ms).
     pub timeout_ms: f64,
     /// An answer within this time earns its whole worth (ms).
@@ -71,7 +71,7 @@
     #[serde(default)]
     pub priority: i64,
     #[serde(default)]
-    pub split: Option<Vec<Part>>,
+    pub split: Option<Vec<WeightedService>>,
     /// The most backends that one try may be sent to.
     #[serde(default = "one")]
     pub attempts: u32,
@@ -84,7 +84,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Part {
+pub struct WeightedService {
     pub service: String,
     pub weight: f64,
 }
@@ -146,24 +146,23 @@
 }
 
 impl Configuration {
-    pub fn parse(text: &[u8]) -> Result<Configuration, Invalid> {
+    pub fn parse(text: &[u8]) -> Result<Configuration, ValidationError> {
         let document: serde_json::Value =
-            serde_json::from_slice(text).map_err(|error| Invalid::new("document", error))?;
+            serde_json::from_slice(text).map_err(|error| ValidationError::new("document", error))?;
         let version = document.get("version").and_then(serde_json::Value::as_u64);
         let limits = match document.get("limits").filter(|limits| !limits.is_null()) {
             None => Limits::default(),
-            Some(limits) => {
-                serde_json::from_value(limits.clone()).map_err(|error| Invalid::new("limits", error))?
-            }
+            Some(limits) => serde_json::from_value(limits.clone())
+                .map_err(|error| ValidationError::new("limits", error))?,
         };
         let configuration = Configuration {
-            version: version.ok_or_else(|| Invalid::new("version", "is no whole number"))?,
+            version: version.ok_or_else(|| ValidationError::new("version", "is no whole number"))?,
             routes: rows(&document, "routes")?,
             services: rows(&document, "services")?,
             tenants: rows(&document, "tenants")?,
             limits,
         };
-        sound::check(&configuration)?;
+        validation::check(&configuration)?;
         Ok(configuration)
     }
 }
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -5,14 +5,14 @@
 
 pub mod calls;
 pub mod change;
-mod columns;
 pub mod configuration;
+pub mod execution;
 pub mod routing;
 pub mod schema;
 pub mod settings;
-mod sound;
-pub mod verdict;
+mod table;
+mod validation;
 
-pub use configuration::{Configuration, Invalid};
+pub use configuration::{Configuration, ValidationError};
+pub use execution::Execution;
 pub use settings::Settings;
-pub use verdict::Verdict;
--- a/crates/api/src/routing.rs
+++ b/crates/api/src/routing.rs
@@ -1,11 +1,11 @@
 //! The table that requests are looked up in: an immutable snapshot of one configuration, swapped whole.
 
-use crate::configuration::{Configuration, Kind, Limits, Service, Tenant};
+use crate::configuration::{Configuration, Limits, RouteKind, Service, Tenant};
 use std::collections::HashMap;
 
 /// A route, ready for use.
 #[derive(Debug)]
-pub struct Entry {
+pub struct RouteEntry {
     pub name: String,
     pub repeatable: bool,
     pub timeout_ms: f64,
@@ -19,12 +19,12 @@
 }
 
 #[derive(Debug)]
-pub struct Table {
+pub struct RoutingTable {
     pub version: u64,
     pub limits: Limits,
     pub services: Vec<Service>,
     pub tenants: Vec<Tenant>,
-    routes: Vec<Entry>,
+    routes: Vec<RouteEntry>,
     prefixes: HashMap<String, HashMap<String, usize>>,
     keys: HashMap<String, usize>,
 }
@@ -33,13 +33,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Caller {
     /// No key is wanted.
-    Anyone,
+    Anonymous,
     Tenant(usize),
     Unknown,
 }
 
-impl Table {
-    pub fn new(configuration: &Configuration) -> Table {
+impl RoutingTable {
+    pub fn new(configuration: &Configuration) -> RoutingTable {
         let numbers: HashMap<&str, usize> = configuration
             .services
             .iter()
@@ -66,9 +66,9 @@
                     .filter_map(|name| Some((*numbers.get(name.as_str())?, 1.0)))
                     .collect();
             }
-            routes.push(Entry {
+            routes.push(RouteEntry {
                 name: route.name.clone(),
-                repeatable: route.route_kind == Kind::Idempotent,
+                repeatable: route.route_kind == RouteKind::Idempotent,
                 timeout_ms: route.timeout_ms,
                 target_ms: route.target_ms.unwrap_or(route.timeout_ms),
                 priority: route.priority,
@@ -82,7 +82,7 @@
         for (number, tenant) in configuration.tenants.iter().enumerate() {
             keys.extend(tenant.api_keys.iter().map(|key| (key.clone(), number)));
         }
-        Table {
+        RoutingTable {
             version: configuration.version,
             limits: configuration.limits,
             services: configuration.services.clone(),
@@ -94,7 +94,7 @@
     }
 
     /// The route of a request: of those for its host, the one whose prefix is the longest that begins the path.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Entry> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&RouteEntry> {
         let name = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
         let host = name.map_or(host, |(name, _)| name);
         let of_host = self.prefixes.get(host).or_else(|| self.prefixes.get(&host.to_ascii_lowercase()))?;
@@ -109,19 +109,19 @@
     }
 
     /// Whose request this is; `keys` are all values of the header that carries one.
-    pub fn caller(&self, entry: &Entry, key: Option<&str>) -> Caller {
+    pub fn caller(&self, entry: &RouteEntry, key: Option<&str>) -> Caller {
         if self.tenants.is_empty() {
-            return Caller::Anyone;
+            return Caller::Anonymous;
         }
         match key.and_then(|key| self.keys.get(key)) {
             Some(number) => Caller::Tenant(*number),
-            None if entry.public => Caller::Anyone,
+            None if entry.public => Caller::Anonymous,
             None => Caller::Unknown,
         }
     }
 }
 
-impl Entry {
+impl RouteEntry {
     /// The service that gets a request, `draw` being uniform in 0..1.
     pub fn service(&self, draw: f64) -> Option<usize> {
         let total = self.parts.last()?.1;
--- a/crates/api/src/schema.rs
+++ b/crates/api/src/schema.rs
@@ -14,18 +14,18 @@
 }
 
 /// Checks documents of one kind; built once.
-pub struct Checker(Validator);
+pub struct SchemaValidator(Validator);
 
-impl Checker {
+impl SchemaValidator {
     /// # Panics
     /// Where a schema file of this crate is no schema: a test builds each.
-    pub fn new(schema: Schema) -> Checker {
+    pub fn new(schema: Schema) -> SchemaValidator {
         let text = match schema {
             Schema::Settings => SETTINGS,
             Schema::Configuration => CONFIGURATION,
         };
         let schema: Value = serde_json::from_str(text).expect("the schema file is JSON");
-        Checker(jsonschema::validator_for(&schema).expect("the schema file is a schema"))
+        SchemaValidator(jsonschema::validator_for(&schema).expect("the schema file is a schema"))
     }
 
     /// The first thing that breaks the schema, with its path (`network.seeds`).
--- a/crates/api/src/settings.rs
+++ b/crates/api/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file that the platform hands to each process (`$VIOLETYOKE_CONFIG`). Unknown fields are ignored.
 
-use crate::schema::{Checker, Schema};
+use crate::schema::{Schema, SchemaValidator};
 use error_stack::{Report, ResultExt};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -10,20 +10,20 @@
 
 /// Why no settings could be had.
 #[derive(Debug)]
-pub struct Unusable;
+pub struct SettingsError;
 
-impl fmt::Display for Unusable {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the settings can't be used")
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for SettingsError {}
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Settings {
     #[serde(rename = "self")]
-    pub me: Me,
+    pub local: LocalNode,
     pub network: Network,
     #[serde(default)]
     pub platform: Platform,
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub struct Me {
+pub struct LocalNode {
     pub node: String,
     pub ip: Ipv4Addr,
     pub zone: String,
@@ -151,23 +151,23 @@
     pub const VARIABLE: &'static str = "VIOLETYOKE_CONFIG";
 
     /// Reads and checks a settings file; the error names the file and the field.
-    pub fn read(path: &Path) -> Result<Settings, Report<Unusable>> {
+    pub fn read(path: &Path) -> Result<Settings, Report<SettingsError>> {
         let text = std::fs::read_to_string(path)
-            .change_context(Unusable)
+            .change_context(SettingsError)
             .attach_with(|| format!("settings file {}", path.display()))?;
         Settings::parse(&text).attach_with(|| format!("settings file {}", path.display()))
     }
 
-    pub fn parse(text: &str) -> Result<Settings, Report<Unusable>> {
-        let document: serde_json::Value = serde_json::from_str(text).change_context(Unusable)?;
-        Checker::new(Schema::Settings)
+    pub fn parse(text: &str) -> Result<Settings, Report<SettingsError>> {
+        let document: serde_json::Value = serde_json::from_str(text).change_context(SettingsError)?;
+        SchemaValidator::new(Schema::Settings)
             .check(&document)
-            .map_err(|field| Report::new(Unusable).attach(field))?;
-        serde_json::from_value(document).change_context(Unusable)
+            .map_err(|field| Report::new(SettingsError).attach(field))?;
+        serde_json::from_value(document).change_context(SettingsError)
     }
 
     /// The port of the system's own that a kind of process listens at on every machine.
-    pub fn inner(&self, process: Process) -> u16 {
+    pub fn internal_port(&self, process: Process) -> u16 {
         let (first, last) = self.network.internal_ports;
         (first + process as u16).min(last)
     }
--- a/crates/api/src/sound.rs
+++ b/crates/api/src/validation.rs
@@ -1,29 +1,29 @@
 //! What no schema can say of a configuration: names that must be known, keys that must differ, figures that make sense.
 
-use crate::configuration::{Configuration, Invalid, Route};
+use crate::configuration::{Configuration, Route, ValidationError};
 use std::collections::{HashMap, HashSet};
 
 /// The longest that a route may hold a request: ten minutes.
 const LONGEST_MS: f64 = 600_000.0;
 
-pub(crate) fn check(configuration: &Configuration) -> Result<(), Invalid> {
+pub(crate) fn check(configuration: &Configuration) -> Result<(), ValidationError> {
     let services: HashSet<&str> =
         configuration.services.iter().map(|service| service.name.as_str()).collect();
     for (number, route) in configuration.routes.iter().enumerate() {
         check_route(route, &services)
-            .map_err(|(field, why)| Invalid::new(format!("routes.rows[{number}].{field}"), why))?;
+            .map_err(|(field, why)| ValidationError::new(format!("routes.rows[{number}].{field}"), why))?;
     }
     let mut owners: HashMap<&str, &str> = HashMap::new();
     for (number, tenant) in configuration.tenants.iter().enumerate() {
         for key in &tenant.api_keys {
             if let Some(other) = owners.insert(key, &tenant.name) {
                 let field = format!("tenants.rows[{number}].api-keys");
-                return Err(Invalid::new(field, format!("holds a key of {other} too")));
+                return Err(ValidationError::new(field, format!("holds a key of {other} too")));
             }
         }
         if !(tenant.rate_per_s >= 0.0 && tenant.burst >= 0.0) {
             let field = format!("tenants.rows[{number}].rate-per-s");
-            return Err(Invalid::new(field, "is below 0"));
+            return Err(ValidationError::new(field, "is below 0"));
         }
     }
     Ok(())
--- a/crates/api/tests/configuration.rs
+++ b/crates/api/tests/configuration.rs
@@ -7,7 +7,7 @@
 )]
 
 use serde_json::{json, Value};
-use violetyoke_api::routing::{Caller, Table};
+use violetyoke_api::routing::{Caller, RoutingTable};
 use violetyoke_api::Configuration;
 
 fn whole() -> Value {
@@ -95,8 +95,8 @@
     assert_eq!(configuration.tenants[1].priority, None);
 }
 
-fn table() -> Table {
-    Table::new(&Configuration::parse(whole().to_string().as_bytes()).expect("a configuration"))
+fn table() -> RoutingTable {
+    RoutingTable::new(&Configuration::parse(whole().to_string().as_bytes()).expect("a configuration"))
 }
 
 #[test]
@@ -119,7 +119,7 @@
     assert_eq!(table.caller(search, Some("key-3")), Caller::Tenant(1));
     assert_eq!(table.caller(search, Some("key-9")), Caller::Unknown);
     assert_eq!(table.caller(search, None), Caller::Unknown);
-    assert_eq!(table.caller(near, None), Caller::Anyone);
+    assert_eq!(table.caller(near, None), Caller::Anonymous);
     assert_eq!(table.caller(near, Some("key-1")), Caller::Tenant(0));
 }
 
--- a/crates/api/tests/settings.rs
+++ b/crates/api/tests/settings.rs
@@ -3,7 +3,7 @@
 #![cfg(test)]
 
 use serde_json::{json, Value};
-use violetyoke_api::schema::{Checker, Schema};
+use violetyoke_api::schema::{Schema, SchemaValidator};
 use violetyoke_api::settings::Process;
 use violetyoke_api::Settings;
 
@@ -30,7 +30,7 @@
 #[test]
 fn settings_are_read_whole() {
     let settings = Settings::parse(&whole().to_string()).expect("settings");
-    assert_eq!(settings.inner(Process::Registry), 7461);
+    assert_eq!(settings.internal_port(Process::Registry), 7461);
     assert_eq!(settings.region_of("b"), "east");
     assert_eq!(settings.region_of("nowhere"), "");
     assert_eq!(settings.seeds().len(), 2);
@@ -52,7 +52,7 @@
 #[test]
 fn the_schema_files_are_schemas() {
     for schema in [Schema::Settings, Schema::Configuration] {
-        assert!(Checker::new(schema).check(&json!([])).is_err(), "{schema:?} takes a list");
+        assert!(SchemaValidator::new(schema).check(&json!([])).is_err(), "{schema:?} takes a list");
     }
-    Checker::new(Schema::Settings).check(&whole()).expect("the settings above");
+    SchemaValidator::new(Schema::Settings).check(&whole()).expect("the settings above");
 }
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
-use violetyoke_api::verdict::{Ending, Verdict};
+use violetyoke_api::execution::{Execution, FailureReason};
 use violetyoke_balancing::backend::Observation;
 use violetyoke_balancing::retry::{Bounds, COME_BACK, LEAST};
 use violetyoke_balancing::{Choice, Millis, Wanted};
@@ -36,8 +36,8 @@
     Flowing(Answer, Box<Flow>, Open),
     /// Given up on; whether there is a time to come back at (ms).
     Ended {
-        verdict: Verdict,
-        ending: Ending,
+        verdict: Execution,
+        ending: FailureReason,
         retry_ms: Option<Millis>,
     },
 }
@@ -45,21 +45,21 @@
 /// What the way back takes of the time that is left.
 const WAY: Duration = Duration::from_millis(5);
 pub async fn run(proxy: &Rc<Proxy>, job: &Job) -> Outcome {
-    let mut verdict = Verdict::NeverRan;
+    let mut verdict = Execution::NotExecuted;
     let mut tried: Vec<String> = Vec::new();
     proxy.budget(&job.service, |budget| budget.request(proxy.now()));
     let ended = |verdict, ending, retry_ms| Outcome::Ended { verdict, ending, retry_ms };
     loop {
         if left(job) < Duration::from_millis(LEAST) {
-            return ended(verdict, Ending::TimeUp, None);
+            return ended(verdict, FailureReason::DeadlineExceeded, None);
         }
         let Some(id) = choose(proxy, job, &tried).await else {
-            return ended(verdict, Ending::Overload, Some(COME_BACK));
+            return ended(verdict, FailureReason::Overloaded, Some(COME_BACK));
         };
         if !tried.is_empty() {
             if !proxy.budget(&job.service, |budget| budget.further(proxy.now(), proxy.ingresses())) {
                 add(&proxy.figures.no_budget);
-                return ended(verdict, Ending::Overload, None);
+                return ended(verdict, FailureReason::Overloaded, None);
             }
             add(&proxy.figures.further);
         }
@@ -70,15 +70,15 @@
         proxy.fleet.borrow_mut().sent(proxy.now(), &guard.id);
         let end = attempt(proxy, &one, &|| elsewhere(proxy, job, &tried)).await;
         guard.observed = end.observed;
-        verdict = verdict.and(end.verdict);
+        verdict = verdict.combine(end.verdict);
         let again =
-            verdict.may_repeat(job.bounds.repeatable) && job.bounds.another(tried.len()) && !job.body.spent();
+            verdict.may_retry(job.bounds.repeatable) && job.bounds.another(tried.len()) && !job.body.spent();
         if end.flow.is_none() {
             drop(guard);
         } else if let (Some(answer), Some(flow)) = (end.answer, end.flow) {
             return Outcome::Flowing(answer, flow, guard);
         } else {
-            return ended(verdict, Ending::Overload, None);
+            return ended(verdict, FailureReason::Overloaded, None);
         }
         match end.answer {
             // A backend's own failure of a request that may run again is worth another backend.
@@ -89,9 +89,12 @@
                     && elsewhere(proxy, job, &tried) => {}
             Some(answer) => return Outcome::Answer(answer),
             None if !again => {
-                let ending =
-                    if left(job) < Duration::from_millis(LEAST) { Ending::TimeUp } else { Ending::Overload };
-                return ended(verdict, ending, (verdict == Verdict::NeverRan).then_some(COME_BACK));
+                let ending = if left(job) < Duration::from_millis(LEAST) {
+                    FailureReason::DeadlineExceeded
+                } else {
+                    FailureReason::Overloaded
+                };
+                return ended(verdict, ending, (verdict == Execution::NotExecuted).then_some(COME_BACK));
             }
             None => {}
         }
--- a/crates/proxy/src/backend/exchange.rs
+++ b/crates/proxy/src/backend/exchange.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::io::{split, AsyncRead, AsyncWriteExt};
 use tokio::time::{timeout_at, Instant};
-use violetyoke_api::Verdict;
+use violetyoke_api::Execution;
 use violetyoke_balancing::backend::Observation;
 use violetyoke_transport::net::{self, Stream};
 
@@ -45,7 +45,7 @@
 
 /// How it ended.
 pub struct Ended {
-    pub verdict: Verdict,
+    pub verdict: Execution,
     pub answer: Option<Answer>,
     /// The connection on which the rest of the answer is due.
     pub flow: Option<Box<Flow>>,
@@ -53,7 +53,7 @@
 }
 
 impl Ended {
-    fn without(verdict: Verdict, observed: Observation) -> Ended {
+    fn without(verdict: Execution, observed: Observation) -> Ended {
         Ended { verdict, answer: None, flow: None, observed }
     }
 }
@@ -78,7 +78,7 @@
         Some(idle) => (idle.stream, idle.buffer),
         None => match connect(proxy, one).await {
             Ok(stream) => (stream, BytesMut::new()),
-            Err(_) => return Ended::without(Verdict::NeverRan, Observation::Dead),
+            Err(_) => return Ended::without(Execution::NotExecuted, Observation::Dead),
         },
     };
     let begun = Instant::now();
@@ -91,17 +91,17 @@
             buffer.clear();
             stream = match connect(proxy, one).await {
                 Ok(stream) => stream,
-                Err(_) => return Ended::without(Verdict::MayHaveRun, Observation::Dead),
+                Err(_) => return Ended::without(Execution::Unknown, Observation::Dead),
             };
             due = wait(exchange(&mut stream, &mut buffer, one, false), one, elsewhere).await;
         }
     }
     let answer = match due {
-        None => return Ended::without(Verdict::MayHaveRun, Observation::Silent),
+        None => return Ended::without(Execution::Unknown, Observation::Silent),
         Some(Err(broken)) if broken.client || (reused && !one.repeatable) => {
-            return Ended::without(Verdict::MayHaveRun, Observation::Nothing)
+            return Ended::without(Execution::Unknown, Observation::Nothing)
         }
-        Some(Err(_)) => return Ended::without(Verdict::MayHaveRun, Observation::Broke),
+        Some(Err(_)) => return Ended::without(Execution::Unknown, Observation::Broke),
         Some(Ok(answer)) => answer,
     };
     let took = begun.elapsed();
@@ -197,21 +197,21 @@
 /// What an answer says of the request and of the backend.
 fn judge(answer: Answer, took: Duration) -> Ended {
     if answer.status == 421 {
-        return Ended::without(Verdict::NeverRan, Observation::NotThere);
+        return Ended::without(Execution::NotExecuted, Observation::NotThere);
     }
     if answer.not_executed {
-        return Ended::without(Verdict::NeverRan, Observation::TurnedAway);
+        return Ended::without(Execution::NotExecuted, Observation::TurnedAway);
     }
     // These would promise a client that nothing ran, which the backend has not said.
     if matches!(answer.status, 408 | 429 | 503) {
-        return Ended::without(Verdict::MayHaveRun, Observation::Broke);
+        return Ended::without(Execution::Unknown, Observation::Broke);
     }
     let good = (200..300).contains(&answer.status);
     if good && !answer.sealed {
-        return Ended::without(Verdict::MayHaveRun, Observation::Broke);
+        return Ended::without(Execution::Unknown, Observation::Broke);
     }
     let observed = Observation::Answer { took: took.as_millis() as u64, load: answer.load };
-    Ended { verdict: Verdict::MayHaveRun, answer: Some(answer), flow: None, observed }
+    Ended { verdict: Execution::Unknown, answer: Some(answer), flow: None, observed }
 }
 
 async fn connect(proxy: &Rc<Proxy>, one: &Try) -> io::Result<Stream> {
--- a/crates/proxy/src/counting.rs
+++ b/crates/proxy/src/counting.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 use violetyoke_api::configuration::Tenant;
-use violetyoke_api::routing::Table;
+use violetyoke_api::routing::RoutingTable;
 use violetyoke_balancing::Millis;
 use violetyoke_quota::deal::Dealt;
 use violetyoke_quota::own::Passed;
@@ -85,7 +85,7 @@
         self.pending.retain(|_, pending| pending.asked.registry != registry);
     }
 
-    pub fn retain(&mut self, table: &Table) {
+    pub fn retain(&mut self, table: &RoutingTable) {
         self.passed.retain(|name| table.tenants.iter().any(|tenant| tenant.name == name));
         self.told.retain(|name, _| table.tenants.iter().any(|tenant| tenant.name == *name));
     }
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -8,7 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
-use violetyoke_api::change::Change;
+use violetyoke_api::change::ConfigurationChange;
 use violetyoke_api::settings::Process;
 use violetyoke_api::Configuration;
 use violetyoke_balancing::fleet::{Fleet, ListedBackend};
@@ -31,7 +31,7 @@
             }
             registries.insert(ip, Registry { sender: None, members: Membership::default(), lives: 0 });
             let inputs = inputs.clone();
-            let address = SocketAddrV4::new(ip, self.settings.inner(Process::Registry));
+            let address = SocketAddrV4::new(ip, self.settings.internal_port(Process::Registry));
             tokio::task::spawn_local(connection::maintain(address, move |event| {
                 drop(inputs.send(Input::Registry(ip, event)));
             }));
@@ -41,13 +41,13 @@
     fn session(&self) -> ProxyRequest {
         let front = match self.settings.network.listen.front {
             Some(std::net::SocketAddr::V4(front)) => front,
-            _ => SocketAddrV4::new(self.settings.me.ip, 0),
+            _ => SocketAddrV4::new(self.settings.local.ip, 0),
         };
         ProxyRequest::Hello(Session {
-            node: self.settings.me.node.clone(),
+            node: self.settings.local.node.clone(),
             front_address: front,
-            zone: self.settings.me.zone.clone(),
-            region: self.settings.me.region.clone(),
+            zone: self.settings.local.zone.clone(),
+            region: self.settings.local.region.clone(),
             is_ready: self.serving(),
         })
     }
@@ -118,7 +118,7 @@
                 }
                 Ok(ProxyReply::StateChange { from, revision, evacuated, change: packed }) => {
                     let old = self.snapshot().filter(|snapshot| snapshot.revision == from);
-                    let change = packed.decode::<Change>();
+                    let change = packed.decode::<ConfigurationChange>();
                     let next = change.map(|change| old.and_then(|old| change.apply(&old.configuration)));
                     self.state_received(revision, evacuated, next);
                 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -19,8 +19,8 @@
 use tokio::time::Instant;
 use violetyoke_api::calls::header;
 use violetyoke_api::configuration::Tenant;
-use violetyoke_api::routing::{Caller, Entry, Table};
-use violetyoke_api::verdict::{Ending, Verdict};
+use violetyoke_api::execution::{Execution, FailureReason};
+use violetyoke_api::routing::{Caller, RouteEntry, RoutingTable};
 use violetyoke_balancing::retry::Bounds;
 use violetyoke_balancing::Millis;
 
@@ -53,14 +53,14 @@
 }
 
 /// A promise or none, by the verdict; `retry_ms`: when to come back, where that is known.
-fn given_up(verdict: Verdict, ending: Ending, retry_ms: Option<Millis>) -> Reply {
+fn given_up(verdict: Execution, ending: FailureReason, retry_ms: Option<Millis>) -> Reply {
     let why = match ending {
-        Ending::Quota => "past the tenant's limit",
-        Ending::Overload => "no backend could take it",
-        Ending::TimeUp => "no answer in time",
+        FailureReason::OverLimit => "past the tenant's limit",
+        FailureReason::Overloaded => "no backend could take it",
+        FailureReason::DeadlineExceeded => "no answer in time",
     };
     let mut reply = plain(verdict.status(ending), why);
-    if let (Verdict::NeverRan, Some(ms)) = (verdict, retry_ms) {
+    if let (Execution::NotExecuted, Some(ms)) = (verdict, retry_ms) {
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", ms as f64 / 1000.0)) {
             reply.headers_mut().insert("retry-after", value);
         }
@@ -81,11 +81,11 @@
 
 /// What a table knows of a request: its route and whose it is, or the status that denies it.
 enum Known<'a> {
-    Yes(&'a Entry, Option<&'a Tenant>),
+    Yes(&'a RouteEntry, Option<&'a Tenant>),
     No(u16),
 }
 
-fn known<'a>(table: &'a Table, parts: &Parts) -> Known<'a> {
+fn known<'a>(table: &'a RoutingTable, parts: &Parts) -> Known<'a> {
     let authority = parts.uri.authority().map(|authority| authority.as_str());
     let host = text(&parts.headers, "host").or(authority).unwrap_or_default();
     let Some(entry) = table.find(host, parts.uri.path()) else { return Known::No(404) };
@@ -93,7 +93,7 @@
     let key = keys.next().and_then(|key| key.to_str().ok()).filter(|_| keys.next().is_none());
     match table.caller(entry, key) {
         Caller::Unknown => Known::No(401),
-        Caller::Anyone => Known::Yes(entry, None),
+        Caller::Anonymous => Known::Yes(entry, None),
         Caller::Tenant(number) => Known::Yes(entry, table.tenants.get(number)),
     }
 }
@@ -104,14 +104,16 @@
     let (parts, body) = request.into_parts();
     let mut snapshot = match proxy.snapshot().filter(|_| proxy.ready.get()) {
         Some(snapshot) => snapshot,
-        None => return given_up(Verdict::NeverRan, Ending::Overload, Some(200)),
+        None => return given_up(Execution::NotExecuted, FailureReason::Overloaded, Some(200)),
     };
     if matches!(known(&snapshot.table, &parts), Known::No(_)) {
         match proxy.learn().await {
             Learned::Newer => snapshot = proxy.snapshot().unwrap_or(snapshot),
             Learned::Nothing => {}
             // An ingress that is cut off denies nothing: what it lacks may have been acknowledged.
-            Learned::Unknown => return given_up(Verdict::NeverRan, Ending::Overload, Some(UNKNOWN)),
+            Learned::Unknown => {
+                return given_up(Execution::NotExecuted, FailureReason::Overloaded, Some(UNKNOWN))
+            }
         }
     }
     let table = &snapshot.table;
@@ -133,13 +135,13 @@
     if let Some(tenant) = tenant {
         if let Err(retry_ms) = count(proxy, tenant).await {
             add(&proxy.figures.past_limit);
-            return given_up(Verdict::NeverRan, Ending::Quota, Some(retry_ms));
+            return given_up(Execution::NotExecuted, FailureReason::OverLimit, Some(retry_ms));
         }
     }
     let Some(service) =
         entry.service(proxy.fleet.borrow().draw()).and_then(|number| table.services.get(number))
     else {
-        return given_up(Verdict::NeverRan, Ending::Overload, None);
+        return given_up(Execution::NotExecuted, FailureReason::Overloaded, None);
     };
     let name = tenant.map(|tenant| tenant.name.as_str());
     let homes = tenant.map(|tenant| tenant.home_regions.clone()).unwrap_or_default();
@@ -188,14 +190,18 @@
             unusable(job.body.unusable().unwrap_or(Unusable::Broken))
         }
         Outcome::Ended { verdict, ending, retry_ms } => {
-            add(if verdict == Verdict::NeverRan { &proxy.figures.refused } else { &proxy.figures.failed });
+            add(if verdict == Execution::NotExecuted {
+                &proxy.figures.refused
+            } else {
+                &proxy.figures.failed
+            });
             given_up(verdict, ending, retry_ms)
         }
     }
 }
 
 /// The tenant's rank goes before the route's.
-fn priority(entry: &Entry, tenant: Option<i64>) -> i64 {
+fn priority(entry: &RouteEntry, tenant: Option<i64>) -> i64 {
     tenant.unwrap_or(entry.priority)
 }
 
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use violetyoke_api::routing::Table;
+use violetyoke_api::routing::RoutingTable;
 use violetyoke_api::{Configuration, Settings};
 use violetyoke_balancing::budget::{Budget, Terms};
 use violetyoke_balancing::fleet::{self, Fleet, Place};
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Snapshot {
     pub revision: Revision,
-    pub table: Table,
+    pub table: RoutingTable,
     /// What the table was made of, for the next change.
     pub configuration: Configuration,
 }
@@ -68,9 +68,9 @@
 impl Proxy {
     pub fn new(settings: Settings, life: u64, log: Logger) -> Proxy {
         let place = Place {
-            me: proxy_id(&settings.me.node),
-            zone: settings.me.zone.clone(),
-            region: settings.me.region.clone(),
+            me: proxy_id(&settings.local.node),
+            zone: settings.local.zone.clone(),
+            region: settings.local.region.clone(),
             members: Vec::new(),
         };
         Proxy {
@@ -138,7 +138,7 @@
         slog::info!(self.log, "in force"; "version" => configuration.version, "epoch" => revision.epoch,
             "evacuated" => evacuated.len());
         *self.evacuated.borrow_mut() = evacuated;
-        let table = Table::new(&configuration);
+        let table = RoutingTable::new(&configuration);
         self.counting.borrow_mut().retain(&table);
         *self.snapshot.borrow_mut() = Some(Rc::new(Snapshot { revision, table, configuration }));
         self.waiting.borrow_mut().all();
--- a/crates/registry/src/daemon/listing.rs
+++ b/crates/registry/src/daemon/listing.rs
@@ -10,7 +10,7 @@
 impl Registry {
     pub(super) fn ask_platform(&mut self, now: Millis) {
         let Some(api) = &self.settings.platform.cloud_api else { return };
-        if self.lists.due(now, self.settings.me.ip, &self.live()) {
+        if self.lists.due(now, self.settings.local.ip, &self.live()) {
             self.lists.asked();
             let (address, inputs) = (api.address, self.inputs.clone());
             tokio::task::spawn_local(async move {
@@ -32,7 +32,7 @@
 
     /// Tells the others that the list still holds, where this registry is the one that asks.
     pub(super) fn tell_list(&mut self, now: Millis) {
-        let asks = self.live().first() == Some(&self.settings.me.ip);
+        let asks = self.live().first() == Some(&self.settings.local.ip);
         if asks && self.lists.digest() != 0 && now > self.told_list + TELL_LIST {
             self.told_list = now;
             self.gossip(self.lists.newest(now, false));
--- a/crates/registry/src/daemon/mod.rs
+++ b/crates/registry/src/daemon/mod.rs
@@ -84,8 +84,8 @@
     log: Logger,
 ) -> Result<(), Report<StartError>> {
     let (inputs, mut queue) = unbounded_channel();
-    let me = settings.me.ip;
-    let inner = bind((me, settings.inner(Process::Registry)).into(), "network.internal-ports")?;
+    let me = settings.local.ip;
+    let inner = bind((me, settings.internal_port(Process::Registry)).into(), "network.internal-ports")?;
     let control = outside_address(settings.network.listen.control, "network.listen.control")?;
     let directory = outside_address(settings.network.listen.directory, "network.listen.directory")?;
     let (control, directory) =
@@ -101,7 +101,7 @@
         begun: Instant::now(),
         sessions: Sessions::default(),
         lists: Lists::default(),
-        stores: Stores::new(me, settings.inner(Process::Store)),
+        stores: Stores::new(me, settings.internal_port(Process::Store)),
         orders: Clients::new(lifecycle.incarnation),
         proxies: Proxies::default(),
         telling: Telling::default(),
@@ -159,7 +159,7 @@
 
     /// This registry and those whose connections stand.
     fn live(&self) -> Vec<Ipv4Addr> {
-        let live: BTreeSet<Ipv4Addr> = self.heard.values().copied().chain([self.settings.me.ip]).collect();
+        let live: BTreeSet<Ipv4Addr> = self.heard.values().copied().chain([self.settings.local.ip]).collect();
         live.into_iter().collect()
     }
 
@@ -169,10 +169,10 @@
         let known: BTreeSet<Ipv4Addr> = seeds.chain(self.stores.known()).collect();
         self.stores.connect(&known, &self.inputs);
         for ip in known {
-            if ip != self.settings.me.ip && !self.registries.contains_key(&ip) {
+            if ip != self.settings.local.ip && !self.registries.contains_key(&ip) {
                 self.registries.insert(ip, None);
                 let inputs = self.inputs.clone();
-                let address = SocketAddrV4::new(ip, self.settings.inner(Process::Registry));
+                let address = SocketAddrV4::new(ip, self.settings.internal_port(Process::Registry));
                 tokio::task::spawn_local(connection::maintain(address, move |event| {
                     drop(inputs.send(Input::Registry(ip, event)));
                 }));
@@ -230,7 +230,7 @@
     fn gossip(&self, list: Option<violetyoke_transport::messages::BackendList>) {
         let away = self.proxies.absent.away();
         let gossip = Gossip {
-            from: self.settings.me.ip,
+            from: self.settings.local.ip,
             sessions: self.sessions.own(),
             partitioned: away,
             backends: list,
--- a/crates/registry/src/daemon/outside.rs
+++ b/crates/registry/src/daemon/outside.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
-use violetyoke_api::calls::{find, query, Call, Taker};
-use violetyoke_api::{Configuration, Invalid};
+use violetyoke_api::calls::{find, query, Call, CallTarget};
+use violetyoke_api::{Configuration, ValidationError};
 use violetyoke_transport::messages::{Command, Outcome};
 use violetyoke_transport::net::Listener;
 
@@ -73,32 +73,34 @@
     answer
 }
 
-fn refusal(status: u16, error: &Invalid) -> Answer {
+fn refusal(status: u16, error: &ValidationError) -> Answer {
     let body = serde_json::json!({ "error": error.to_string(), "field": error.field });
     plain(status, body.to_string())
 }
 
 async fn answer(request: Request<Incoming>, registry: &Shared, door: Door) -> Answer {
-    let taker = if door == Door::Control { Taker::Controller } else { Taker::Locator };
+    let taker = if door == Door::Control { CallTarget::Controller } else { CallTarget::Locator };
     let uri = request.uri().clone();
     let Some(call) = find(taker, request.method().as_str(), uri.path(), uri.query()) else {
-        return refusal(404, &Invalid::new("call", "is none that this address takes"));
+        return refusal(404, &ValidationError::new("call", "is none that this address takes"));
     };
     match call {
         Call::Resolve => resolve(registry, uri.query()),
         Call::ConfigurationReplace => match Limited::new(request.into_body(), LARGEST).collect().await {
-            Err(error) => refusal(413, &Invalid::new("document", error)),
+            Err(error) => refusal(413, &ValidationError::new("document", error)),
             Ok(body) => replace(registry, &body.to_bytes()).await,
         },
         Call::ConfigurationRead => match order(registry, Command::Read).await {
             Some(Outcome::Read(state)) if !state.text.is_empty() => plain(200, state.text),
-            Some(Outcome::Read(_)) => refusal(404, &Invalid::new("configuration", "none was ever sent")),
+            Some(Outcome::Read(_)) => {
+                refusal(404, &ValidationError::new("configuration", "none was ever sent"))
+            }
             _ => unclear(),
         },
         Call::EvacuationBegin | Call::EvacuationFinish => {
             let zone = query(uri.query(), "of").unwrap_or_default();
             if !registry.borrow().settings.network.zones.contains_key(zone) {
-                return refusal(400, &Invalid::new("of", "is no zone"));
+                return refusal(400, &ValidationError::new("of", "is no zone"));
             }
             // While this waits, a call whose client is gone ends.
             tokio::time::sleep(STALE_WITHIN).await;
@@ -109,14 +111,14 @@
             }
         }
         Call::Readiness | Call::Figures | Call::Backends | Call::Instances => {
-            refusal(404, &Invalid::new("call", "is not taken here"))
+            refusal(404, &ValidationError::new("call", "is not taken here"))
         }
     }
 }
 
 fn unclear() -> Answer {
     let mut answer =
-        refusal(503, &Invalid::new("order", "no store has answered: it may be in force or may not"));
+        refusal(503, &ValidationError::new("order", "no store has answered: it may be in force or may not"));
     answer.headers_mut().insert("retry-after", hyper::header::HeaderValue::from_static("0.2"));
     answer
 }
@@ -127,7 +129,7 @@
         Ok(configuration) => configuration.version,
     };
     let Ok(text) = String::from_utf8(body.to_vec()) else {
-        return refusal(400, &Invalid::new("document", "is not UTF-8"));
+        return refusal(400, &ValidationError::new("document", "is not UTF-8"));
     };
     let answered_by = Instant::now() + ACKNOWLEDGED_WITHIN;
     match order(registry, Command::Replace { version, text }).await {
@@ -145,7 +147,7 @@
 
 /// Another operator's text was accepted under the version. This one is not confirmed, and sent again it would not be.
 fn version_taken(version: u64) -> Answer {
-    refusal(409, &Invalid::new("version", format!("{version} was accepted with another text")))
+    refusal(409, &ValidationError::new("version", format!("{version} was accepted with another text")))
 }
 
 /// Waits until each proxy with a session here has installed the version: whoever is told that a change is acknowledged
@@ -175,7 +177,7 @@
     let named = |name| query(text, name).unwrap_or_default();
     let addresses = registry.sessions.resolve(named("region"), named("zone"));
     if addresses.is_empty() {
-        return refusal(503, &Invalid::new("addresses", "no ingress is ready"));
+        return refusal(503, &ValidationError::new("addresses", "no ingress is ready"));
     }
     let ttl = registry.settings.terms.bounds.ttl_max_s.min(TTL_S);
     let addresses: Vec<String> = addresses.iter().map(ToString::to_string).collect();
--- a/crates/registry/src/daemon/proxies.rs
+++ b/crates/registry/src/daemon/proxies.rs
@@ -177,6 +177,6 @@
         if !self.proxies.contact.stands() {
             return false;
         }
-        self.proxies.dealt.owner(tenant) == Some(self.settings.me.ip.to_string().as_str())
+        self.proxies.dealt.owner(tenant) == Some(self.settings.local.ip.to_string().as_str())
     }
 }
--- a/crates/registry/src/daemon/stores.rs
+++ b/crates/registry/src/daemon/stores.rs
@@ -85,7 +85,8 @@
         let now = self.now();
         match event {
             connection::Event::Connected(sender) => {
-                let watch = StoreRequest::Watch { registry: self.settings.me.ip, known: self.held.revision };
+                let watch =
+                    StoreRequest::Watch { registry: self.settings.local.ip, known: self.held.revision };
                 sender.send(encode(&watch));
                 self.stores.opened(ip, sender);
             }
--- a/crates/registry/src/daemon/telling.rs
+++ b/crates/registry/src/daemon/telling.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::net::Ipv4Addr;
-use violetyoke_api::change::Change;
+use violetyoke_api::change::ConfigurationChange;
 use violetyoke_api::Configuration;
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::compression::Compressed;
@@ -74,7 +74,8 @@
         let newest = self.states.back()?;
         let (revision, evacuated) = (newest.revision, newest.evacuated.clone());
         let old = self.states.iter().find(|state| state.revision == have);
-        let change = old.and_then(|old| Change::between(&old.configuration, &newest.configuration));
+        let change =
+            old.and_then(|old| ConfigurationChange::between(&old.configuration, &newest.configuration));
         let says = match change.map(|change| Compressed::encode(&change)) {
             Some(Ok(packed)) => ProxyReply::StateChange { from: have, revision, evacuated, change: packed },
             _ => ProxyReply::FullState {
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -63,17 +63,17 @@
     mut lifecycle: Lifecycle,
     log: Logger,
 ) -> Result<(), Report<StartError>> {
-    let folder = settings.me.data_dir.clone().unwrap_or_else(|| std::env::temp_dir().join("store"));
+    let folder = settings.local.data_dir.clone().unwrap_or_else(|| std::env::temp_dir().join("store"));
     let (place, kept) = Place::open(&folder)
         .change_context(FAILED)
         .attach_with(|| format!("self.data-dir: {}", folder.display()))?;
-    let port = settings.inner(Process::Store);
-    let listener = net::listen((settings.me.ip, port).into())
+    let port = settings.internal_port(Process::Store);
+    let listener = net::listen((settings.local.ip, port).into())
         .change_context(FAILED)
-        .attach_with(|| format!("network.internal-ports: {}:{port}", settings.me.ip))?;
+        .attach_with(|| format!("network.internal-ports: {}:{port}", settings.local.ip))?;
     let start = Start {
-        ip: settings.me.ip,
-        zone: settings.me.zone.clone(),
+        ip: settings.local.ip,
+        zone: settings.local.zone.clone(),
         seeds: settings.seeds(),
         tolerance: settings.terms.fault_tolerance.machines,
         kept: kept.unwrap_or_default(),
@@ -87,7 +87,7 @@
         let (number, inputs) = (numbers.get(), opened.clone());
         move |event| drop(inputs.send(Input::Connection(number, event)))
     }));
-    let register = Register::new(start, 1, lifecycle.incarnation, settings.me.bootstrap);
+    let register = Register::new(start, 1, lifecycle.incarnation, settings.local.bootstrap);
     let mut daemon = Daemon {
         me: register.node().clone(),
         register,
--- a/crates/transport/src/daemon.rs
+++ b/crates/transport/src/daemon.rs
@@ -88,7 +88,7 @@
     if check {
         return ExitCode::SUCCESS;
     }
-    let log = crate::log::logger(program, &settings.me.node);
+    let log = crate::log::logger(program, &settings.local.node);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = runtime.map(|runtime| {
         tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/crates/transport/src/messages/proxies.rs
+++ b/crates/transport/src/messages/proxies.rs
@@ -52,7 +52,7 @@
     /// The full state: a compressed [`violetyoke_api::Configuration`].
     #[serde(rename = "Whole")]
     FullState { revision: Revision, evacuated: BTreeSet<String>, configuration: Compressed },
-    /// From the state at revision `from` to the next: a compressed [`violetyoke_api::change::Change`].
+    /// From the state at revision `from` to the next: a compressed [`violetyoke_api::change::ConfigurationChange`].
     #[serde(rename = "Change")]
     StateChange { from: Revision, revision: Revision, evacuated: BTreeSet<String>, change: Compressed },
     /// The answer to a [`ProxyRequest::CheckFreshness`]: the newest revision that the registry knows.
--- a/crates/transport/tests/golden/main.rs
+++ b/crates/transport/tests/golden/main.rs
@@ -22,7 +22,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 use variants::assert_all_variants;
-use violetyoke_api::change::{digest, Change};
+use violetyoke_api::change::{digest, ConfigurationChange};
 use violetyoke_api::Configuration;
 use violetyoke_transport::codec::{decode, encode, encode_deflated};
 use violetyoke_transport::compression::{inflate, Compressed};
@@ -66,7 +66,7 @@
     ]
 }
 
-fn changes() -> Vec<Sample<Change>> {
+fn changes() -> Vec<Sample<ConfigurationChange>> {
     vec![sample("change", payloads::change())]
 }
 
@@ -102,7 +102,7 @@
     let change = payloads::change();
 
     assert_eq!(packed_configuration().decode::<Configuration>().expect("opened"), configuration);
-    assert_eq!(packed_change().decode::<Change>().expect("opened"), change);
+    assert_eq!(packed_change().decode::<ConfigurationChange>().expect("opened"), change);
     let again = Compressed::encode(&configuration).expect("packed");
     assert_eq!(again.decode::<Configuration>().expect("opened"), configuration);
 }
--- a/crates/transport/tests/golden/payloads.rs
+++ b/crates/transport/tests/golden/payloads.rs
@@ -1,13 +1,13 @@
 //! What registries send proxies within a message: a configuration, and what makes one configuration another.
 
 use crate::variants;
-use violetyoke_api::change::{Change, Rows};
-use violetyoke_api::configuration::{Kind, Limits, Part, Route, Service, Tenant};
+use violetyoke_api::change::{ConfigurationChange, TableChange};
+use violetyoke_api::configuration::{Limits, Route, RouteKind, Service, Tenant, WeightedService};
 use violetyoke_api::Configuration;
 
-variants!(Kind {
-    Kind::Idempotent => "idempotent",
-    Kind::Nonidempotent => "nonidempotent",
+variants!(RouteKind {
+    RouteKind::Idempotent => "idempotent",
+    RouteKind::Nonidempotent => "nonidempotent",
 });
 
 fn full_route() -> Route {
@@ -15,13 +15,13 @@
         name: "route-1".to_owned(),
         host: "rooms.example".to_owned(),
         path_prefix: "/search/".to_owned(),
-        route_kind: Kind::Idempotent,
+        route_kind: RouteKind::Idempotent,
         timeout_ms: 1000.5,
         target_ms: Some(200.0),
         priority: -3,
         split: Some(vec![
-            Part { service: "search".to_owned(), weight: 0.9 },
-            Part { service: "search-next".to_owned(), weight: 0.1 },
+            WeightedService { service: "search".to_owned(), weight: 0.9 },
+            WeightedService { service: "search-next".to_owned(), weight: 0.1 },
         ]),
         attempts: 3,
         public: true,
@@ -35,7 +35,7 @@
         name: "route-2".to_owned(),
         host: String::new(),
         path_prefix: "/".to_owned(),
-        route_kind: Kind::Nonidempotent,
+        route_kind: RouteKind::Nonidempotent,
         timeout_ms: 0.0,
         target_ms: None,
         priority: 0,
@@ -105,13 +105,13 @@
 }
 
 /// A change with rows that are new and names that are gone in each table.
-pub(crate) fn change() -> Change {
+pub(crate) fn change() -> ConfigurationChange {
     let gone = |name: &str| vec![name.to_owned()];
-    Change {
+    ConfigurationChange {
         version: 70_001,
-        routes: Rows { set: vec![full_route(), bare_route()], gone: gone("route-3") },
-        services: Rows { set: vec![full_service(), bare_service()], gone: gone("service-3") },
-        tenants: Rows { set: vec![full_tenant(), bare_tenant()], gone: gone("tenant-3") },
+        routes: TableChange { upserted: vec![full_route(), bare_route()], removed: gone("route-3") },
+        services: TableChange { upserted: vec![full_service(), bare_service()], removed: gone("service-3") },
+        tenants: TableChange { upserted: vec![full_tenant(), bare_tenant()], removed: gone("tenant-3") },
         limits: limits(),
         digest: u64::MAX,
     }
