--- a/crates/api/src/execution.rs
+++ b/crates/api/src/execution.rs
@@ -2,15 +2,15 @@
 //! status. 408, 421, 429 and 503 promise that a request has not run and never will; 502 and 504 do not.
 //!
 //! ```
-//! use violetyoke_api::execution::{Ending, Verdict};
+//! use violetyoke_api::execution::{Execution, FailureReason};
 //!
-//! let turned_away = Execution::NotExecuted;
+//! let rejected = Execution::NotExecuted;
 //! let reset_after_sending = Execution::Unknown;
-//! assert_eq!(turned_away.and(reset_after_sending), Execution::Unknown);
-//! assert_eq!(turned_away.status(FailureReason::Overloaded), 503);
+//! assert_eq!(rejected.combine(reset_after_sending), Execution::Unknown);
+//! assert_eq!(rejected.status(FailureReason::Overloaded), 503);
 //! assert_eq!(reset_after_sending.status(FailureReason::Overloaded), 502);
 //! assert_eq!(reset_after_sending.status(FailureReason::DeadlineExceeded), 504);
-//! assert!(turned_away.may_retry(false) && !reset_after_sending.may_retry(false));
+//! assert!(rejected.may_retry(false) && !reset_after_sending.may_retry(false));
 //! ```
 
 /// What is known of all attempts at one request.
