--- /dev/null
+++ b/crates/ingress/src/succession/tests.rs
@@ -0,0 +1,85 @@
+//! The sealed form that one process hands down to the next.
+
+use super::*;
+use violetyoke_decision::interface::*;
+use violetyoke_decision::Gateway;
+
+/// All names in the order in which they are written, with every figure as 0 or 0.0.
+fn form(inheritance: &Inheritance) -> String {
+    let text = serde_json::to_string(inheritance).unwrap();
+    let mut form = String::new();
+    for letter in text.chars() {
+        let letter = if letter.is_ascii_digit() { '0' } else { letter };
+        if letter != '0' || !form.ends_with('0') {
+            form.push(letter);
+        }
+    }
+    form
+}
+
+/// Postcard tells no field from the next: a process of another build must not read one for the other.
+#[test]
+fn a_form_that_changes_is_another_version() {
+    let class = Class {
+        aim: 500_000,
+        aim_stretch: 0.0,
+        deadline: 2_000_000,
+        effect: Effect::Safe,
+        group: Group::All,
+        repeat_window: 0,
+        late_value: 0.0,
+        value: 1.0,
+        streamed: false,
+        asks_only: false,
+    };
+    let plan = Plan { rate: 5.0, burst: 10.0, worth: 1.0, ..Plan::default() };
+    let counter = Some(Counter { timeout: 50_000, fee: 0.0 });
+    let settings =
+        Settings { gateways: 1, classes: vec![class], plans: vec![plan], counter, ..Settings::default() };
+    let mut gateway = Gateway::new(settings, 1);
+    let request = Request {
+        id: 1,
+        class: 0,
+        plan: 0,
+        customer: 42,
+        units: 1.0,
+        spread: 1.0,
+        first_gateway: 0.0,
+        budget: 2_000_000,
+        repeat: false,
+        write: false,
+    };
+    let entry = BackendEntry { id: 1, condition: Condition::Ready, share: 1.0, ..BackendEntry::default() };
+    let mut actions = Vec::new();
+    gateway.handle(
+        1,
+        Event::Backends { kind: ListKind::Full, version: 1, entries: vec![entry] },
+        &mut actions,
+    );
+    gateway.handle(2, Event::Request(request), &mut actions);
+    let list = r#"{"id": "a", "host_port": "127.0.0.1:1", "phase": "in_service"}"#;
+    let inheritance = Inheritance {
+        nodes: vec![serde_json::from_str(list).unwrap()],
+        numbers: BTreeMap::from([(1, "n".to_string())]),
+        back: BTreeMap::from([("a".to_string(), (1, 2))]),
+        belief: gateway.hand_down(3),
+        ..Inheritance::default()
+    };
+    let of_version_3 = concat!(
+        r#"{"nodes":[{"id":"a","host_port":"0.0.0.0:0","locality":"","flavor":"","cell":0,"#,
+        r#""phase":"in_service","size":0.0,"up_since_ms":0}],"numbers":{"0":"n"},"classes":[],"#,
+        r#""plans":[],"back":{"a":[0,0]},"belief":{"at":0,"fleet":{"backends":{"0":{"out":0,"slow":0.0,"#,
+        r#""fails":0.0,"late":0.0,"speed":0.0,"down":0,"ejected_until":0,"ejections":0,"started":0,"#,
+        r#""phase":0.0,"recent":{"value":0.0,"at":0}}},"usual":[0.0],"best":[0.0],"room":0.0,"#,
+        r#""pace":0.0,"cut_at":0,"sent":{"value":0.0,"at":0},"able":{"value":0.0,"at":0}},"#,
+        r#""counter":{"spacing":{"value":0.0,"at":0},"spaced_at":0,"bad":0,"best":0.0},"crowded_until":0,"#,
+        r#""idle":{"carried":[[0.0,0.0],[0.0,0.0],[0.0,0.0],[0.0,0.0],[0.0,0.0],[0.0,0.0],[0.0,0.0],"#,
+        r#"[0.0,0.0],[0.0,0.0],[0.0,0.0],[0.0,0.0]],"at":0,"longest":null},"customers":{"0":{"plan":0,"#,
+        r#""spread":0.0,"first":0,"window":0,"total":0.0,"unseen":0.0,"own":0.0,"owed":0.0,"#,
+        r#""before":0.0,"carried":0,"before_known":false,"before_asked":false,"beyond":0.0,"#,
+        r#""asked_at":0,"told":0,"homed":0,"standing":0.0,"watched":0,"share":0.0,"telling":true,"spare":0.0,"#,
+        r#""spare_at":0,"heard":0.0,"untold":0.0,"out":0,"open":0,"seen":0}}}}"#,
+    );
+    assert_eq!(violetyoke_succession::VERSION, 3);
+    assert_eq!(form(&inheritance), of_version_3);
+}
--- /dev/null
+++ b/crates/lab/tests/account.rs
@@ -0,0 +1,15 @@
+//! The token buckets of emulated accounts.
+
+#![cfg(test)]
+
+use violetyoke_lab::account::Bucket;
+
+#[test]
+fn units_beyond_what_there_is_are_told_and_the_rest_refills() {
+    let mut bucket = Bucket::full(2.0, 10.0, 0);
+    assert_eq!(bucket.take(0, 8.0), 0.0);
+    assert_eq!(bucket.take(0, 5.0), 3.0);
+    assert!(!bucket.has(400_000, 1.0));
+    assert!(bucket.has(500_000, 1.0));
+    assert_eq!(bucket.take(60_000_000, 10.0), 0.0);
+}
--- a/crates/rig/src/schedule.rs
+++ b/crates/rig/src/schedule.rs
@@ -93,24 +93,3 @@
     }
     best
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_seed_draws_the_same_list_and_another_seed_another() {
-        assert_eq!(draw(7, 20), draw(7, 20));
-        assert_ne!(draw(7, 20), draw(8, 20));
-        assert_eq!(draw(7, 20).len(), 20);
-    }
-
-    #[test]
-    fn a_failing_list_is_cut_down_to_the_fault_that_makes_it_fail() {
-        let culprit = |fault: &Fault| matches!(fault, Fault::PutBack);
-        let fails = |list: &[Fault]| list.iter().any(culprit);
-        let seed = (0..).find(|seed| fails(&shrink(*seed, 30, 0, fails))).unwrap();
-        let short = shrink(seed, 30, 500, fails);
-        assert_eq!(short, [Fault::PutBack]);
-    }
-}
--- /dev/null
+++ b/crates/rig/tests/history.rs
@@ -0,0 +1,52 @@
+//! What the history of a fenced effect shows to be wrong.
+
+#![cfg(test)]
+
+use serde_json::json;
+use std::collections::BTreeSet;
+use violetyoke_ownership::Name;
+use violetyoke_rig::history::{
+    changed_spans, longest_gap, newest, older_after_newer, refused_unprovoked, spans_out_of_order, tries,
+};
+use violetyoke_standin::sink::{Noted, Verdict};
+
+fn noted(at: u64, epoch: u64, span: u64, verdict: Verdict) -> Noted {
+    let (lease, holder, tries) = (Name::new("report", 0), format!("i{epoch}"), json!({ "acme": span }));
+    Noted { at, lease, epoch, holder, span: Some(span), tries, verdict }
+}
+
+#[test]
+fn an_older_epoch_let_through_after_a_newer_is_found_and_a_refused_one_is_not() {
+    let good =
+        [noted(1, 5, 1, Verdict::Taken), noted(2, 6, 2, Verdict::Taken), noted(3, 5, 2, Verdict::Stale)];
+    assert!(older_after_newer(&good).is_empty());
+    let bad = [noted(1, 6, 1, Verdict::Taken), noted(2, 5, 1, Verdict::Had)];
+    assert_eq!(older_after_newer(&bad).len(), 1);
+    assert_eq!(refused_unprovoked(&good, &BTreeSet::new()).len(), 1);
+    assert!(refused_unprovoked(&good, &BTreeSet::from([5])).is_empty());
+}
+
+#[test]
+fn spans_that_are_left_out_doubled_or_changed_are_found() {
+    let good = [noted(1, 5, 1, Verdict::Taken), noted(2, 5, 1, Verdict::Had), noted(3, 5, 2, Verdict::Taken)];
+    assert!(spans_out_of_order(&good).is_empty() && changed_spans(&good).is_empty());
+    assert_eq!(tries(&good, "acme"), 3);
+    let twice = [noted(1, 5, 1, Verdict::Taken), noted(2, 5, 1, Verdict::Taken)];
+    assert_eq!(spans_out_of_order(&twice).len(), 1);
+    let out = [noted(1, 5, 1, Verdict::Taken), noted(2, 5, 3, Verdict::Taken), noted(2, 5, 9, Verdict::Gap)];
+    assert_eq!(spans_out_of_order(&out).len(), 2);
+    let mut changed = noted(2, 6, 1, Verdict::Had);
+    changed.tries = json!({ "acme": 7 });
+    assert_eq!(changed_spans(&[noted(1, 5, 1, Verdict::Taken), changed]).len(), 1);
+}
+
+#[test]
+fn the_longest_time_without_an_effect_counts_from_the_first_moment_to_the_last() {
+    let history =
+        [noted(10, 5, 1, Verdict::Taken), noted(40, 6, 2, Verdict::Taken), noted(90, 5, 2, Verdict::Stale)];
+    let lease = Name::new("report", 0);
+    assert_eq!(longest_gap(&history, &lease, 0, 100), 60);
+    assert_eq!(longest_gap(&history, &lease, 0, 50), 30);
+    assert_eq!(longest_gap(&history, &Name::new("report", 1), 0, 50), 50);
+    assert_eq!(newest(&history, &lease).map(|noted| noted.epoch), Some(6));
+}
