--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -20,6 +20,7 @@
 mod measure_lab;
 mod measure_owners;
 mod measure_questions;
+mod measure_structure;
 mod measure_tenants;
 mod process;
 mod prove_consult;
@@ -105,6 +106,9 @@
         /// The commit that the platform's form is compared with.
         #[arg(long, default_value = "b4af54e")]
         base: String,
+        /// Of `structure`: the working copy that is read.
+        #[arg(long, default_value = ".")]
+        tree: PathBuf,
     },
 }
 
@@ -140,6 +144,8 @@
     Owners,
     /// Memory of an emulated fleet, by ingresses and emulated time.
     Lab,
+    /// The shape of each crate's sources: circles, long files and functions, documentation, lints; as Markdown.
+    Structure,
 }
 
 fn main() -> ExitCode {
@@ -171,12 +177,15 @@
         What::Prove { name: Proof::Upgrade, long, without_defence, .. } => {
             prove_upgrade::run(long, !without_defence)
         }
+        What::Measure { name: Measure::Structure, tree, .. } => {
+            return ended(measure_structure::run(&tree).map(|()| true))
+        }
         What::Measure { name: Measure::Tenants, .. } => measure_tenants::run(),
         What::Measure { name: Measure::Owners, .. } => measure_owners::run(),
         What::Measure { name: Measure::Lab, .. } => measure_lab::run(),
         What::Measure { name: Measure::Questions, .. } => measure_questions::run(),
         What::Measure { name: Measure::Pools, .. } => measure::pools(),
-        What::Measure { name: Measure::Platform, base } => measure::platform(&base),
+        What::Measure { name: Measure::Platform, base, .. } => measure::platform(&base),
     };
     ended(result.map(Figures::verdict))
 }
