--- a/crates/ingress/src/platform.rs
+++ b/crates/ingress/src/platform.rs
@@ -1,4 +1,4 @@
-//! One pool in the form that the platform expects: what [`config`](crate::config) reads from `EDGE_CONFIG`.
+//! One pool in the form that the platform expects: what [`config`] reads from `EDGE_CONFIG`.
 
 use crate::backend::Budget;
 use crate::clients::Clients;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
 //! The laboratory: a fleet of hundreds of ingresses in virtual time, deterministic by seed, without sockets. Each
 //! emulated ingress runs the shipped decision module and the shipped exchange round it, through one adapter
-//! ([`wires`]); everything that it meets (nodes, counter, discovery, links, clients, faults) is emulated.
+//! (`wires`); everything that it meets (nodes, counter, discovery, links, clients, faults) is emulated.
 //!
 //! Times are microseconds of the emulated clock, which begins at [`START`].
 
