--- /dev/null
+++ b/crates/local/src/backend.rs
@@ -0,0 +1,139 @@
+//! Stand-in backends: each has an id and a number of slots, records what it executes, and fails as it is told.
+
+mod server;
+
+use bytes::Bytes;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::AtomicU32;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::runtime::Handle;
+
+/// How many requests a backend says that it can execute at once.
+const SLOTS: u32 = 8;
+
+/// A request that a backend has begun to execute.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Execution {
+    /// The id of the backend.
+    pub backend: String,
+    /// `X-Attempt-Id` of the request.
+    pub attempt: String,
+    /// `X-Tenant` of the request.
+    pub tenant: Option<String>,
+    /// The path, without the query.
+    pub path: String,
+    /// `X-Deadline-Ms` of the request.
+    pub deadline_ms: Option<u64>,
+    /// The complete body.
+    pub body: Bytes,
+}
+
+/// How a backend fails.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Fault {
+    /// It answers each request.
+    #[default]
+    None,
+    /// It executes requests and closes the connection without an answer.
+    DropsResponses,
+    /// It answers under the attempt id of another request.
+    AnswersOtherAttempt,
+    /// It rejects requests with 503, and says that they were not executed.
+    Rejects,
+    /// It executes requests and answers 503, without saying whether they were executed.
+    FailsAfterExecution,
+    /// It executes requests and never answers.
+    Hangs,
+    /// It closes the connection in the middle of a response body.
+    TruncatesResponses,
+}
+
+/// A backend. Its server is a task of the runtime that it was started on, and ends with that runtime.
+#[derive(Clone, Debug)]
+pub struct Backend {
+    /// Its id in the platform's list, and in `X-Instance-Id` of its answers.
+    pub id: String,
+    /// The service that it belongs to.
+    pub service: String,
+    /// The zone that it stands in.
+    pub zone: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// How long it executes a request.
+    service_time: Duration,
+    state: Arc<State>,
+}
+
+#[derive(Debug, Default)]
+struct State {
+    executions: Mutex<Vec<Execution>>,
+    fault: Mutex<Fault>,
+    in_flight: AtomicU32,
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl Backend {
+    /// Starts a backend on a free loopback port.
+    ///
+    /// # Errors
+    /// When no port can be opened.
+    pub fn start(
+        runtime: &Handle,
+        id: &str,
+        service: &str,
+        zone: &str,
+        service_time: Duration,
+    ) -> io::Result<Backend> {
+        let listener = violetyoke_standin::listen(violetyoke_standin::any())?;
+        listener.set_nonblocking(true)?;
+        let backend = Backend {
+            id: id.into(),
+            service: service.into(),
+            zone: zone.into(),
+            address: listener.local_addr()?,
+            service_time,
+            state: Arc::default(),
+        };
+        let _entered = runtime.enter();
+        let listener = TcpListener::from_std(listener)?;
+        runtime.spawn(server::serve(listener, backend.clone()));
+        Ok(backend)
+    }
+
+    /// All requests that it has begun to execute, oldest first.
+    #[must_use]
+    pub fn executions(&self) -> Vec<Execution> {
+        lock(&self.state.executions).clone()
+    }
+
+    /// How it fails from the next request on.
+    pub fn set_fault(&self, fault: Fault) {
+        *lock(&self.state.fault) = fault;
+    }
+
+    /// Its entry in the platform's list.
+    #[must_use]
+    pub fn list_entry(&self) -> serde_json::Value {
+        serde_json::json!({
+            "service": self.service, "address": self.address.to_string(), "zone": self.zone, "version": "v1",
+            "slots": SLOTS, "state": "ready", "cold-left-ms": 0,
+        })
+    }
+}
+
+/// How often each attempt was executed, over all of these backends.
+#[must_use]
+pub fn executions_by_attempt(backends: &[Backend]) -> BTreeMap<String, usize> {
+    let mut counts = BTreeMap::new();
+    for execution in backends.iter().flat_map(Backend::executions) {
+        *counts.entry(execution.attempt).or_insert(0) += 1;
+    }
+    counts
+}
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,13 +1,17 @@
-//! The whole system on one machine: real processes on loopback addresses, each machine with an address of its own, and
-//! stand-ins for what the platform and the backends do. For trying and for tests.
+//! The whole system on one machine, to try it and to test it.
+//!
+//! [`System`] runs the three programs as real processes: each machine of a [`Topology`] has a loopback address of its
+//! own. [`Platform`] stands in for the platform's list of backends, and [`Backend`] for what serves requests;
+//! [`client`] sends what clients and operators send.
+//!
+//! The crate checks nothing itself: its tests hold what a request or a change must find, and the program
+//! `violetyoke-local` prints what to try.
 
-#![allow(
-    clippy::let_underscore_must_use,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
+pub mod backend;
+pub mod client;
+mod platform;
+mod system;
 
-pub mod backends;
-pub mod calls;
-pub mod machines;
-pub mod platform;
+pub use backend::Backend;
+pub use platform::Platform;
+pub use system::{CoreMachine, EdgeMachine, Placement, System, Topology};
--- a/crates/local/src/platform.rs
+++ b/crates/local/src/platform.rs
@@ -1,7 +1,8 @@
-//! A stand-in for the platform: the list of backends, in pages.
+//! A stand-in for the platform: its list of backends, in pages.
 
 use bytes::Bytes;
 use http_body_util::Full;
+use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
@@ -9,59 +10,68 @@
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
 use violetyoke_api::calls::query;
 
-/// Entries of a page, unless more are wanted.
-const PAGE: usize = 4;
+/// Entries on a page, unless another number is given.
+const PAGE_SIZE: usize = 4;
 
-#[derive(Clone)]
+/// A stand-in for the platform. Its server is a task of the runtime that it was started on, and ends with that runtime.
+#[derive(Clone, Debug)]
 pub struct Platform {
+    /// Where it listens.
     pub address: SocketAddr,
-    lines: Arc<Mutex<Map<String, Value>>>,
-    calls: Arc<AtomicU64>,
-    page: usize,
+    entries: Arc<Mutex<Map<String, Value>>>,
+    page_size: usize,
 }
 
 impl Platform {
+    /// Starts a platform with an empty list, on a free loopback port.
+    ///
+    /// # Errors
+    /// When no port can be opened.
     pub fn start(runtime: &Handle) -> io::Result<Platform> {
-        Platform::with_pages(runtime, PAGE)
+        Platform::with_page_size(runtime, PAGE_SIZE)
     }
 
-    /// The same, with so many entries on a page.
-    pub fn with_pages(runtime: &Handle, page: usize) -> io::Result<Platform> {
+    /// The same, with `page_size` entries on each page of the list.
+    ///
+    /// # Errors
+    /// When no port can be opened.
+    pub fn with_page_size(runtime: &Handle, page_size: usize) -> io::Result<Platform> {
         let listener = violetyoke_standin::listen(violetyoke_standin::any())?;
         listener.set_nonblocking(true)?;
-        let address = listener.local_addr()?;
-        let platform = Platform { address, lines: Arc::default(), calls: Arc::default(), page };
+        let platform = Platform { address: listener.local_addr()?, entries: Arc::default(), page_size };
         let _entered = runtime.enter();
         runtime.spawn(serve(TcpListener::from_std(listener)?, platform.clone()));
         Ok(platform)
     }
 
-    /// Puts a line in the list, or another in its place; none takes it out.
-    pub fn set(&self, id: &str, line: Option<Value>) {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        match line {
-            Some(line) => drop(lines.insert(id.to_owned(), line)),
-            None => drop(lines.remove(id)),
-        }
+    /// Adds the entry of a backend to the list, or replaces it.
+    pub fn set(&self, id: &str, entry: Value) {
+        self.entries().insert(id.to_owned(), entry);
     }
 
-    pub fn calls(&self) -> u64 {
-        self.calls.load(Ordering::Relaxed)
+    /// Removes the entry of a backend from the list.
+    pub fn remove(&self, id: &str) {
+        self.entries().remove(id);
     }
 
+    fn entries(&self) -> MutexGuard<'_, Map<String, Value>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// The page that `token` stands for: the first one without a token.
     fn page(&self, token: Option<&str>) -> String {
-        let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
+        let entries = self.entries();
         let from = token.and_then(|token| token.strip_prefix("p-")?.parse().ok()).unwrap_or(0);
-        let page: Map<String, Value> =
-            lines.iter().skip(from).take(self.page).map(|(id, line)| (id.clone(), line.clone())).collect();
-        let next = (from + self.page < lines.len()).then(|| format!("p-{}", from + self.page));
-        serde_json::json!({ "instances": page, "next-token": next }).to_string()
+        let on_page = entries.iter().skip(from).take(self.page_size);
+        let page: Map<String, Value> = on_page.map(|(id, entry)| (id.clone(), entry.clone())).collect();
+        let next = from + self.page_size;
+        let next_token = (next < entries.len()).then(|| format!("p-{next}"));
+        serde_json::json!({ "instances": page, "next-token": next_token }).to_string()
     }
 }
 
@@ -69,15 +79,17 @@
     while let Ok((stream, _)) = listener.accept().await {
         let platform = platform.clone();
         tokio::spawn(async move {
-            let service = service_fn(|request: Request<hyper::body::Incoming>| {
-                platform.calls.fetch_add(1, Ordering::Relaxed);
+            let service = service_fn(|request: Request<Incoming>| {
                 let page = platform.page(query(request.uri().query(), "page-token"));
                 async move { Ok::<_, Infallible>(Response::new(Full::new(Bytes::from(page)))) }
             });
-            // Whoever calls may break off.
-            let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), service)
-                .await;
+            let connection =
+                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            #[expect(
+                clippy::let_underscore_must_use,
+                reason = "a registry may close a connection at any time"
+            )]
+            let _ = connection.await;
         });
     }
 }
--- a/crates/local/tests/common/mod.rs
+++ b/crates/local/tests/common/mod.rs
@@ -1,17 +1,12 @@
 //! A whole system for one test: three core machines, four edges, stand-in backends, list and operator.
 
-#![allow(clippy::needless_pass_by_value, reason = "not yet revised for readers: see docs/ROADMAP.md")]
-// Each test file uses a part of it.
 #![allow(dead_code, unreachable_pub, reason = "each file of tests uses its own part")]
 
 use serde_json::{json, Value};
-use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use violetyoke_local::backends::Backend;
-use violetyoke_local::calls::{call, order};
-use violetyoke_local::machines::{Plan, System};
-use violetyoke_local::platform::Platform;
+use violetyoke_local::client::{send_command, send_request};
+use violetyoke_local::{Backend, Placement, Platform, System, Topology};
 use violetyoke_rig::driven::Driven;
 use violetyoke_rig::until;
 use violetyoke_standin::http::Http;
@@ -20,15 +15,27 @@
 pub const REPLACE: &str = "/api/rpc?call=configuration.replace";
 pub const READ: &str = "/api/rpc?call=configuration.read";
 
-pub struct Stage {
-    pub system: System,
+const CORES: [Placement<'_>; 3] =
+    [Placement::new("a", "west"), Placement::new("a", "west"), Placement::new("c", "west")];
+const EDGES: [Placement<'_>; 4] = [
+    Placement::new("a", "west"),
+    Placement::new("c", "west"),
+    Placement::new("b", "east"),
+    Placement::new("b", "east"),
+];
+
+/// A system that serves, with its surroundings.
+pub struct TestSystem {
+    pub processes: System,
     pub platform: Platform,
+    /// Backends of the service behind `/search/`.
     pub finders: Vec<Backend>,
+    /// Backends of the service behind `/book/`.
     pub ledgers: Vec<Backend>,
     pub driven: Driven,
-    pub next: u32,
     /// How long clients say that they wait.
-    pub waits_ms: u32,
+    pub client_deadline_ms: u32,
+    requests_sent: u32,
 }
 
 pub fn configuration(version: u64) -> Value {
@@ -46,76 +53,82 @@
     })
 }
 
-pub fn stage() -> Stage {
-    let driven = Driven::start().expect("a runtime");
-    let platform = Platform::start(driven.handle()).expect("a platform");
-    let start = |service: &str, n: usize| {
-        let zone = ["a", "b"][n % 2];
-        let id = format!("{service}-{n}");
-        let backend = Backend::start(driven.handle(), &id, service, zone, Duration::from_millis(10))
-            .expect("a backend");
-        platform.set(&id, Some(backend.line()));
-        backend
-    };
-    let finders: Vec<Backend> = (0..4).map(|n| start("finder", n)).collect();
-    let ledgers: Vec<Backend> = (0..2).map(|n| start("ledger", n * 2)).collect();
-    let plan = Plan {
-        cores: &[("a", "west"), ("a", "west"), ("c", "west")],
-        edges: &[("a", "west"), ("c", "west"), ("b", "east"), ("b", "east")],
-        platform: platform.address,
-        tolerance: 1,
-    };
-    let system =
-        System::start(Path::new(env!("CARGO_BIN_EXE_violetyoke-local")), &plan).expect("the processes");
-    let stage = Stage { system, platform, finders, ledgers, driven, next: 0, waits_ms: 1_500 };
-    stage.put(configuration(1));
-    stage.all_ready();
-    stage
-}
+impl TestSystem {
+    /// Starts all processes, puts version 1 in force, and waits until every edge is ready.
+    pub fn start() -> TestSystem {
+        let driven = Driven::start().expect("a runtime");
+        let platform = Platform::start(driven.handle()).expect("a platform");
+        let start_backend = |service: &str, n: usize| {
+            let zone = ["a", "b"][n % 2];
+            let id = format!("{service}-{n}");
+            let backend = Backend::start(driven.handle(), &id, service, zone, Duration::from_millis(10))
+                .expect("a backend");
+            platform.set(&id, backend.list_entry());
+            backend
+        };
+        let finders = (0..4).map(|n| start_backend("finder", n)).collect();
+        let ledgers = (0..2).map(|n| start_backend("ledger", n * 2)).collect();
+        let topology = Topology {
+            cores: &CORES,
+            edges: &EDGES,
+            platform: platform.address,
+            tolerated_machine_losses: 1,
+        };
+        let program = Path::new(env!("CARGO_BIN_EXE_violetyoke-local"));
+        let processes = System::start(program, &topology).expect("the processes");
+        let system = TestSystem {
+            processes,
+            platform,
+            finders,
+            ledgers,
+            driven,
+            client_deadline_ms: 1_500,
+            requests_sent: 0,
+        };
+        system.replace_configuration(&configuration(1));
+        system.wait_until_ready();
+        system
+    }
 
-impl Stage {
-    pub fn put(&self, configuration: Value) {
+    pub fn replace_configuration(&self, configuration: &Value) {
         let text = configuration.to_string();
-        let answer = order(&self.system.controls(), REPLACE, text.as_bytes()).expect("a clear answer");
+        let answer = send_command(&self.processes.control_addresses(), REPLACE, text.as_bytes());
+        let answer = answer.expect("a clear answer");
         assert_eq!(answer.status(), 200, "{}", String::from_utf8_lossy(&answer.body));
     }
 
-    pub fn all_ready(&self) {
-        let edges = self.system.edges.iter();
-        let ready =
-            |to: SocketAddr| call(to, "GET", "/api/readiness", &[], b"").map(|it| it.status()) == Some(200);
-        for edge in edges {
-            assert!(
-                until(LONG, || ready(edge.ready)),
-                "{} is not ready: {:?}",
-                edge.name,
-                edge.proxy.lines()
-            );
+    pub fn wait_until_ready(&self) {
+        for edge in &self.processes.edges {
+            let status = || send_request(edge.ready, "GET", "/api/readiness", &[], b"").map(|it| it.status());
+            let is_ready = until(LONG, || status() == Some(200));
+            assert!(is_ready, "{} is not ready: {:?}", edge.name, edge.proxy.lines());
         }
     }
 
     /// One request to one edge, under an id of its own.
     pub fn send(&mut self, edge: usize, target: &str, key: &str, body: &[u8]) -> (String, Option<Http>) {
-        self.next += 1;
-        let id = format!("try-{}", self.next);
-        let waits = self.waits_ms.to_string();
-        let fields = [
+        self.requests_sent += 1;
+        let id = format!("try-{}", self.requests_sent);
+        let deadline_ms = self.client_deadline_ms.to_string();
+        let headers = [
             ("host", "rooms.example"),
             ("x-attempt-id", &id),
-            ("x-deadline-ms", waits.as_str()),
+            ("x-deadline-ms", deadline_ms.as_str()),
             ("x-credential", key),
         ];
         let method = if body.is_empty() { "GET" } else { "POST" };
-        (id.clone(), call(self.system.edges[edge].front, method, target, &fields, body))
+        let answer = send_request(self.processes.edges[edge].front, method, target, &headers, body);
+        (id, answer)
     }
 
     pub fn status(&mut self, edge: usize, target: &str, key: &str, body: &[u8]) -> u16 {
         self.send(edge, target, key, body).1.map_or(0, |answer| answer.status())
     }
 
-    pub fn version(&self) -> u64 {
-        let answer = order(&self.system.controls(), READ, b"").expect("a clear answer");
-        let held: Value = serde_json::from_slice(&answer.body).expect("a configuration");
-        held["version"].as_u64().expect("a version")
+    /// The version that all stores agree on.
+    pub fn version_in_force(&self) -> u64 {
+        let answer = send_command(&self.processes.control_addresses(), READ, b"").expect("a clear answer");
+        let configuration: Value = serde_json::from_slice(&answer.body).expect("a configuration");
+        configuration["version"].as_u64().expect("a version")
     }
 }
--- a/crates/local/tests/joining.rs
+++ b/crates/local/tests/joining.rs
@@ -4,9 +4,9 @@
 
 mod common;
 
-use common::{configuration, stage, Stage};
+use common::{configuration, TestSystem};
 use serde_json::{json, Value};
-use violetyoke_local::backends::times_run;
+use violetyoke_local::backend::executions_by_attempt;
 
 fn with_newcomers(version: u64, newcomers: u64) -> Value {
     let mut next = configuration(version);
@@ -30,59 +30,59 @@
 }
 
 /// One booking of a newcomer at each edge; what each was answered.
-fn book_everywhere(stage: &mut Stage, n: u64) -> Vec<u16> {
+fn book_everywhere(system: &mut TestSystem, n: u64) -> Vec<u16> {
     let (path, key) = (format!("/new-{n}/1"), format!("new-key-{n}"));
-    (0..4).map(|edge| stage.status(edge, &path, &key, b"two nights")).collect()
+    (0..4).map(|edge| system.status(edge, &path, &key, b"two nights")).collect()
 }
 
 #[test]
-fn from_the_acknowledgement_on_a_newcomer_is_known_at_every_edge() {
-    let mut stage = stage();
+fn a_new_tenant_is_served_at_every_edge_after_acknowledgement() {
+    let mut system = TestSystem::start();
     for n in 0..12 {
-        stage.put(with_newcomers(10 + n, n + 1));
-        assert_eq!(book_everywhere(&mut stage, n), [200; 4], "newcomer {n}");
+        system.replace_configuration(&with_newcomers(10 + n, n + 1));
+        assert_eq!(book_everywhere(&mut system, n), [200; 4], "newcomer {n}");
     }
-    assert!(times_run(&stage.ledgers).values().all(|times| *times == 1));
+    assert!(executions_by_attempt(&system.ledgers).values().all(|times| *times == 1));
 }
 
 #[test]
-fn an_edge_whose_registry_is_stopped_asks_the_others_before_it_denies() {
-    let mut stage = stage();
+fn an_edge_asks_other_registries_before_denying_when_one_is_stopped() {
+    let mut system = TestSystem::start();
     let mut version = 30;
     for stopped in 0..3 {
-        stage.system.cores[stopped].registry.stop().expect("stopped");
+        system.processes.cores[stopped].registry.stop().expect("stopped");
         // Edges that ask this registry first hear from no other for a while.
         for _ in 0..2 {
             version += 1;
-            stage.put(with_newcomers(version, version));
+            system.replace_configuration(&with_newcomers(version, version));
             assert_eq!(
-                book_everywhere(&mut stage, version - 1),
+                book_everywhere(&mut system, version - 1),
                 [200; 4],
                 "registry {stopped}, version {version}"
             );
         }
-        stage.system.cores[stopped].registry.go_on().expect("goes on");
+        system.processes.cores[stopped].registry.go_on().expect("goes on");
     }
 }
 
 #[test]
-fn invented_keys_are_denied_without_a_question_each() {
-    let mut stage = stage();
+fn unknown_keys_are_denied_without_a_query_each() {
+    let mut system = TestSystem::start();
     let begun = std::time::Instant::now();
     for _ in 0..50 {
-        assert_eq!(stage.status(0, "/search/1", "invented", b""), 401);
+        assert_eq!(system.status(0, "/search/1", "invented", b""), 401);
     }
     assert!(begun.elapsed().as_millis() < 4_000, "{:?} for 50 denials", begun.elapsed());
 }
 
 #[test]
-fn a_tenant_that_leaves_and_comes_back_with_its_key_is_denied_in_between() {
-    let mut stage = stage();
+fn a_removed_tenant_is_denied_until_it_is_added_again() {
+    let mut system = TestSystem::start();
     for round in 0..4 {
-        stage.put(with_newcomers(50 + 2 * round, 1));
-        assert_eq!(book_everywhere(&mut stage, 0), [200; 4], "round {round}");
-        stage.put(with_newcomers(51 + 2 * round, 0));
-        assert_eq!(book_everywhere(&mut stage, 0), [404; 4], "round {round}");
-        assert_eq!(stage.status(0, "/search/1", "new-key-0", b""), 401);
+        system.replace_configuration(&with_newcomers(50 + 2 * round, 1));
+        assert_eq!(book_everywhere(&mut system, 0), [200; 4], "round {round}");
+        system.replace_configuration(&with_newcomers(51 + 2 * round, 0));
+        assert_eq!(book_everywhere(&mut system, 0), [404; 4], "round {round}");
+        assert_eq!(system.status(0, "/search/1", "new-key-0", b""), 401);
     }
 }
--- a/crates/scale/src/stage.rs
+++ b/crates/scale/src/stage.rs
@@ -9,16 +9,15 @@
 use std::path::Path;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use violetyoke_local::calls::order;
-use violetyoke_local::machines::{Plan, System};
-use violetyoke_local::platform::Platform;
+use violetyoke_local::client::send_command;
+use violetyoke_local::{CoreMachine, Placement, Platform, System, Topology};
 use violetyoke_rig::driven::Driven;
 use violetyoke_rig::process::Process;
 
 /// Entries on a page of the platform's list, as at the sites.
 const PAGE: usize = 50;
 const REPLACE: &str = "/api/rpc?call=configuration.replace";
-/// Inner ports: the store's, and the registry's after it (`machines.rs`: from five above the control port on).
+/// Inner ports: the store's, and the registry's after it (`violetyoke_local`: from five above the control port on).
 const STORE_PORT: u16 = 5;
 const REGISTRY_PORT: u16 = 6;
 
@@ -54,17 +53,21 @@
     /// Starts processes and sends the first configuration; the hollow ingresses begin later.
     pub fn start(program: &Path, size: Size) -> io::Result<Stage> {
         let driven = Driven::start()?;
-        let platform = Platform::with_pages(driven.handle(), PAGE)?;
+        let platform = Platform::with_page_size(driven.handle(), PAGE)?;
         for number in 0..size.tables.backends {
-            platform.set(&backend_id(number), Some(backend(size.tables, number, "ready")));
+            platform.set(&backend_id(number), backend(size.tables, number, "ready"));
         }
-        let edges = vec![("a", "west"); size.proxies];
-        let cores = [("a", "west"), ("a", "west"), ("b", "west")];
-        let plan = Plan { cores: &cores, edges: &edges, platform: platform.address, tolerance: 1 };
-        let system = System::start(program, &plan)?;
-        let address = |core: &violetyoke_local::machines::Core| {
-            (core.ip, SocketAddrV4::new(core.ip, core.control.port() + REGISTRY_PORT))
+        let edges = vec![Placement::new("a", "west"); size.proxies];
+        let cores = ["a", "a", "b"].map(|zone| Placement::new(zone, "west"));
+        let topology = Topology {
+            cores: &cores,
+            edges: &edges,
+            platform: platform.address,
+            tolerated_machine_losses: 1,
         };
+        let system = System::start(program, &topology)?;
+        let address =
+            |core: &CoreMachine| (core.ip, SocketAddrV4::new(core.ip, core.control.port() + REGISTRY_PORT));
         let registries: Registries = system.cores.iter().map(address).collect();
         let crowd = Crowd::start(size.threads, &registries)?;
         crowd.report.members.store(size.ingresses + size.proxies, Ordering::Relaxed);
@@ -77,7 +80,7 @@
         self.version += 1;
         let text = configuration(self.size.tables, self.version);
         let since = Instant::now();
-        let answer = order(&self.system.controls(), REPLACE, text.as_bytes());
+        let answer = send_command(&self.system.control_addresses(), REPLACE, text.as_bytes());
         match answer.map(|answer| answer.status()) {
             Some(200) => Ok(since.elapsed()),
             Some(status) => Err(io::Error::other(format!("configuration of {} bytes: {status}", text.len()))),
--- a/crates/scale/src/troubles.rs
+++ b/crates/scale/src/troubles.rs
@@ -53,7 +53,7 @@
     for number in 0..count {
         let known = stage.crowd.report.lists.states();
         let since = Instant::now();
-        stage.platform.set(&backend_id(number), Some(backend(tables, number, "draining")));
+        stage.platform.set(&backend_id(number), backend(tables, number, "draining"));
         match taken(&stage.crowd.report.lists, known, all, since) {
             Ok(spread) => last_ms = last_ms.max(spread.last_ms),
             Err(took) => return figures.failed(format!("backend leaves: {took} of {all} knew in 40 s")),
