--- a/crates/balancing/src/backend.rs
+++ b/crates/balancing/src/backend.rs
@@ -1,165 +1,137 @@
-//! One life of a backend: what is known of it, and what it has shown.
+//! One instance of a backend, from its start to its end: its properties, and what attempts have shown of it.
 
-use crate::cold::Cold;
-use crate::report::Counts;
+use crate::load::{ForeignLoad, LatencyEstimate};
+use crate::observation::{AttemptCounts, Observation};
+use crate::outlier::OutlierDetector;
+use crate::slow_start::{rank_seed, SlowStart};
 use crate::Millis;
-use siphasher::sip::SipHasher13;
-use std::hash::Hasher;
 use std::net::SocketAddrV4;
 
-/// What others had there fades from a told load within this time (ms).
-const FADES: f64 = 600.0;
-/// Weight of the newest answer's time in a backend's pace.
-const NEWEST: f64 = 0.1;
-/// A backend that failed is left alone for so long, doubled with each failure in a row.
-const REST: Millis = 250;
-const LONGEST_REST: Millis = 4_000;
-
-/// How one attempt ended, as far as it tells of the backend.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Observation {
-    /// An answer, after so many ms; `load` is what it told of itself: running, waiting.
-    Answer { took: Millis, load: Option<(u32, u32)> },
-    /// It turned the request away: full, or leaving.
-    TurnedAway,
-    /// Nothing listens, or nobody answers there.
-    Dead,
-    /// It broke off, or sent what is no answer.
-    Broke,
-    /// It was silent for as long as was waited.
-    Silent,
-    /// Another life answers at its address.
-    NotThere,
-    /// Nothing is known: the client went, or the time was up early.
-    Nothing,
-}
-
-fn seed(id: &str) -> u64 {
-    let mut hasher = SipHasher13::new();
-    hasher.write(id.as_bytes());
-    hasher.finish()
-}
-
-#[derive(Clone, Debug)]
-pub struct Backend {
+/// A backend as a list of the platform describes it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ListedBackend {
+    /// Name of this instance; a restarted one has another.
     pub id: String,
-    /// Drawn from its id: ranks of ingresses differ from backend to backend.
-    pub seed: u64,
+    /// Name of the service that it belongs to.
     pub service: String,
+    /// Where it takes requests.
     pub address: SocketAddrV4,
+    /// Name of its zone.
     pub zone: String,
+    /// Name of its region.
     pub region: String,
+    /// Requests that it executes at once; 0 counts as 1.
     pub slots: u32,
-    /// Told to be leaving, or gone from the list, or another life has its address.
-    pub leaving: bool,
-    pub cold: Cold,
-    /// Requests of this ingress that are there now.
-    pub open: u32,
-    /// Mean time of an answer (ms), where one is known.
-    pub pace: Option<f64>,
-    others: f64,
-    told: Millis,
-    failures: u32,
-    /// Nothing listened there when it was last tried: it may have lost its power.
-    pub(crate) away: bool,
-    pub resting_until: Millis,
-    pub answered: Millis,
-    pub counts: Counts,
+    /// It ends soon, and is to get no further requests.
+    pub is_draining: bool,
+    /// How long it still warms up (ms), from when the list was requested; 0: it is warm.
+    pub slow_start_left_ms: Millis,
+}
+
+/// A backend of the directory.
+#[derive(Clone, Debug)]
+pub struct Backend {
+    pub(crate) id: String,
+    pub(crate) service: String,
+    pub(crate) address: SocketAddrV4,
+    pub(crate) zone: String,
+    pub(crate) region: String,
+    pub(crate) slots: u32,
+    /// Listed as draining, gone from the list, or another instance has its address.
+    pub(crate) is_draining: bool,
+    /// Orders the members for its slow start.
+    pub(crate) rank_seed: u64,
+    pub(crate) slow_start: SlowStart,
+    /// Attempts of this proxy that have not ended.
+    pub(crate) in_flight: u32,
+    pub(crate) latency: LatencyEstimate,
+    pub(crate) outlier: OutlierDetector,
+    pub(crate) counts: AttemptCounts,
+    foreign_load: ForeignLoad,
 }
 
 impl Backend {
-    pub fn new(
-        id: String,
-        service: String,
-        address: SocketAddrV4,
-        zone: String,
-        region: String,
-        slots: u32,
-    ) -> Backend {
+    pub(crate) fn new(listed: ListedBackend) -> Backend {
         Backend {
-            seed: seed(&id),
-            id,
-            service,
-            address,
-            zone,
-            region,
-            slots: slots.max(1),
-            leaving: false,
-            cold: Cold::default(),
-            open: 0,
-            pace: None,
-            others: 0.0,
-            told: 0,
-            failures: 0,
-            away: false,
-            resting_until: 0,
-            answered: 0,
-            counts: Counts::default(),
+            rank_seed: rank_seed(&listed.id),
+            id: listed.id,
+            service: listed.service,
+            address: listed.address,
+            zone: listed.zone,
+            region: listed.region,
+            slots: listed.slots.max(1),
+            is_draining: false,
+            slow_start: SlowStart::default(),
+            in_flight: 0,
+            latency: LatencyEstimate::default(),
+            outlier: OutlierDetector::default(),
+            counts: AttemptCounts::default(),
+            foreign_load: ForeignLoad::default(),
         }
     }
 
-    /// Requests that are there by now, of all ingresses, as far as answers told.
-    pub fn load(&self, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.told) as f64;
-        f64::from(self.open) + self.others * (-age / FADES).exp()
+    /// Where it takes requests.
+    #[must_use]
+    pub fn address(&self) -> SocketAddrV4 {
+        self.address
     }
 
-    /// It has failed so that it gets one request at a time until it answers one.
-    pub fn on_trial(&self) -> bool {
-        self.failures >= 2
+    /// Name of the region that it runs in.
+    #[must_use]
+    pub fn region(&self) -> &str {
+        &self.region
     }
 
-    pub fn resting(&self, now: Millis) -> bool {
-        now < self.resting_until
+    /// It gets no further requests, and no connection to it needs to be kept.
+    #[must_use]
+    pub fn is_draining(&self) -> bool {
+        self.is_draining
     }
 
-    pub fn sent(&mut self, now: Millis) {
-        self.open += 1;
-        self.counts.given += 1;
-        self.cold.sent(now);
+    /// Moving average of its response times (ms); `None` before the first response.
+    #[must_use]
+    pub fn latency_estimate_ms(&self) -> Option<f64> {
+        self.latency.mean_ms()
     }
 
-    /// An attempt has ended.
-    pub fn ended(&mut self, now: Millis, observed: Observation) {
-        self.counts.ended(observed);
-        let open = self.open;
-        self.open = self.open.saturating_sub(1);
-        match observed {
-            Observation::Answer { took, load } => {
-                (self.failures, self.away) = (0, false);
-                self.resting_until = 0;
-                self.answered = now;
-                let took = took as f64;
-                self.pace = Some(self.pace.map_or(took, |pace| pace + NEWEST * (took - pace)));
-                if let Some((running, waiting)) = load {
-                    // What it tells holds this ingress's requests too, this one among them perhaps.
-                    self.others = (f64::from(running + waiting) - f64::from(open)).max(0.0);
-                    self.told = now;
+    /// Requests of all proxies that are there now, as far as responses reported them.
+    pub(crate) fn load(&self, now: Millis) -> f64 {
+        f64::from(self.in_flight) + self.foreign_load.estimate(now)
+    }
+
+    /// It responded to nothing since it was ejected, and one attempt is probing it.
+    pub(crate) fn is_being_probed(&self) -> bool {
+        self.outlier.is_on_probation() && self.in_flight > 0
+    }
+
+    pub(crate) fn record_attempt_started(&mut self, now: Millis) {
+        self.in_flight += 1;
+        self.counts.sent += 1;
+        self.slow_start.record_sent(now);
+    }
+
+    pub(crate) fn record_attempt_finished(&mut self, now: Millis, observation: Observation) {
+        self.counts.record(observation);
+        let in_flight = self.in_flight;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        match observation {
+            Observation::Response { latency_ms, load } => {
+                self.outlier.record_success();
+                self.latency.record(latency_ms);
+                if let Some(load) = load {
+                    // The report was made while the finished request was still counted.
+                    self.foreign_load.report(now, load, in_flight);
                 }
             }
-            Observation::TurnedAway => {
-                self.answered = now;
-                self.others = f64::from(self.slots).max(self.others);
-                self.told = now;
-                self.resting_until = self.resting_until.max(now + 100);
-            }
-            Observation::Dead => {
-                self.away = true;
-                self.fail(now, 2);
+            Observation::Rejected => {
+                self.foreign_load.saturate(now, self.slots);
+                self.outlier.record_rejection(now);
             }
-            Observation::Silent => self.fail(now, 2),
-            Observation::Broke => self.fail(now, 0),
-            Observation::NotThere => self.leaving = true,
-            Observation::Nothing => {}
-        }
-    }
-
-    fn fail(&mut self, now: Millis, at_once: u32) {
-        self.failures = (self.failures + 1).max(at_once);
-        // One broken answer among many says little; several in a row, or silence, say that it is ill.
-        if self.failures >= 2 {
-            let rest = REST << (self.failures - 2).min(5);
-            self.resting_until = now + rest.min(LONGEST_REST);
+            Observation::Unreachable => self.outlier.record_unreachable(now),
+            Observation::TimedOut => self.outlier.record_timeout(now),
+            Observation::Broken => self.outlier.record_failure(now),
+            Observation::WrongInstance => self.is_draining = true,
+            Observation::Inconclusive => {}
         }
     }
 }
--- /dev/null
+++ b/crates/balancing/src/directory.rs
@@ -0,0 +1,202 @@
+//! The backends of all services, kept up to date by lists of the platform and by the attempts of this proxy.
+
+use crate::backend::{Backend, ListedBackend};
+use crate::concurrency::ServiceLimits;
+use crate::membership::{Locality, Membership};
+use crate::observation::Observation;
+use crate::rng::SplitMix64;
+use crate::Millis;
+use std::collections::{BTreeSet, HashMap};
+
+/// An instance that has ended is remembered for so long (ms): no list lags by more.
+const TERMINATED_TTL_MS: Millis = 60_000;
+
+/// All known backends, and the rules by which this proxy uses them.
+#[derive(Debug, Default)]
+pub struct BackendDirectory {
+    pub(crate) backends: HashMap<String, Backend>,
+    /// Ids of the backends of each service that are not draining, sorted.
+    pub(crate) by_service: HashMap<String, Vec<String>>,
+    pub(crate) evacuated_zones: BTreeSet<String>,
+    pub(crate) locality: Locality,
+    pub(crate) rng: SplitMix64,
+    membership: Membership,
+    limits: HashMap<String, ServiceLimits>,
+    /// When the newest applied list was requested from the platform.
+    list_requested_at: Option<Millis>,
+    /// By how much a list that arrives now may lag behind (ms).
+    list_lag_ms: Millis,
+    /// Instances that have ended, and since when: an older list must not bring them back.
+    terminated: HashMap<String, Millis>,
+}
+
+impl BackendDirectory {
+    /// An empty directory of the proxy `proxy_id`, which also seeds its random choices.
+    #[must_use]
+    pub fn new(proxy_id: u32, locality: Locality) -> BackendDirectory {
+        BackendDirectory {
+            locality,
+            rng: SplitMix64::new(u64::from(proxy_id) << 32),
+            membership: Membership::new(proxy_id),
+            ..BackendDirectory::default()
+        }
+    }
+
+    /// Replaces all backends by a list that was requested at `requested_at`. Returns whether it was applied: a list that
+    /// is older than an applied one changes nothing.
+    pub fn replace_all(&mut self, now: Millis, requested_at: Millis, listed: Vec<ListedBackend>) -> bool {
+        if self.is_outdated(requested_at) {
+            return false;
+        }
+        self.list_requested_at = Some(requested_at);
+        self.terminated.retain(|_, since| now < *since + TERMINATED_TTL_MS);
+        let listed_ids: BTreeSet<&str> = listed.iter().map(|backend| backend.id.as_str()).collect();
+        let removed: Vec<String> =
+            self.backends.keys().filter(|id| !listed_ids.contains(id.as_str())).cloned().collect();
+        self.terminate(now, removed);
+        self.upsert(listed, requested_at);
+        true
+    }
+
+    /// Applies the difference between the newest applied list and one that was requested at `requested_at`. Returns
+    /// whether it was applied.
+    pub fn apply_change(
+        &mut self,
+        now: Millis,
+        requested_at: Millis,
+        upserted: Vec<ListedBackend>,
+        removed: Vec<String>,
+    ) -> bool {
+        if self.is_outdated(requested_at) {
+            return false;
+        }
+        self.list_requested_at = Some(requested_at);
+        self.terminate(now, removed);
+        self.upsert(upserted, requested_at);
+        true
+    }
+
+    fn is_outdated(&self, requested_at: Millis) -> bool {
+        self.list_requested_at.is_some_and(|newest| requested_at < newest)
+    }
+
+    fn terminate(&mut self, now: Millis, removed: Vec<String>) {
+        for id in removed {
+            match self.backends.get_mut(&id) {
+                // Removed when its last attempt ends.
+                Some(backend) if backend.in_flight > 0 => backend.is_draining = true,
+                _ => {
+                    self.backends.remove(&id);
+                }
+            }
+            self.terminated.insert(id, now);
+        }
+    }
+
+    fn upsert(&mut self, listed: Vec<ListedBackend>, requested_at: Millis) {
+        for listed in listed {
+            if self.terminated.contains_key(&listed.id) {
+                continue;
+            }
+            let (slots, is_draining) = (listed.slots.max(1), listed.is_draining);
+            let slow_start_until = match listed.slow_start_left_ms {
+                0 => 0,
+                left_ms => requested_at + left_ms,
+            };
+            let backend = self.backends.entry(listed.id.clone()).or_insert_with(|| Backend::new(listed));
+            backend.slots = slots;
+            // An instance that drains never becomes ready again.
+            backend.is_draining |= is_draining;
+            backend.slow_start.set_listed_until(slow_start_until);
+        }
+        self.rebuild_service_index();
+    }
+
+    fn rebuild_service_index(&mut self) {
+        self.by_service.clear();
+        for backend in self.backends.values().filter(|backend| !backend.is_draining) {
+            self.by_service.entry(backend.service.clone()).or_default().push(backend.id.clone());
+        }
+        for ids in self.by_service.values_mut() {
+            ids.sort_unstable();
+        }
+    }
+
+    /// Applies a new configuration: limits by the name of the service, zones that get no requests, and by how much lists
+    /// may lag behind (`list_lag_ms`).
+    pub fn configure(
+        &mut self,
+        now: Millis,
+        limits: HashMap<String, ServiceLimits>,
+        evacuated_zones: BTreeSet<String>,
+        list_lag_ms: Millis,
+    ) {
+        (self.limits, self.list_lag_ms) = (limits, list_lag_ms);
+        for zone in self.evacuated_zones.difference(&evacuated_zones) {
+            // Its backends may have restarted during the evacuation, and a list that says so comes later.
+            for backend in self.backends.values_mut().filter(|backend| backend.zone == *zone) {
+                let warm_up_ms = self.limits.get(&backend.service).map_or(0, |limits| limits.slow_start_ms);
+                backend.slow_start.assume_until(now + warm_up_ms + list_lag_ms);
+            }
+        }
+        self.evacuated_zones = evacuated_zones;
+    }
+
+    /// Replaces the proxies that share the backends: ids, sorted, this proxy's among them. Empty while membership is
+    /// unknown: this proxy then has no share of slow-start rates, and its share of connections stays.
+    pub fn update_members(&mut self, members: Vec<u32>) {
+        self.membership.update(members);
+    }
+
+    /// Connections that this proxy may hold to one backend of a service.
+    #[must_use]
+    pub fn max_connections(&self, service: &str) -> u32 {
+        let limits = self.limits.get(service).copied().unwrap_or_default();
+        limits.connections_per_proxy(self.membership.proxy_count())
+    }
+
+    /// Requests a second that this proxy may send to `backend` while that warms up.
+    pub(crate) fn slow_start_share(&self, backend: &Backend) -> u32 {
+        let rate_per_s = self.limits.get(&backend.service).map_or(0.0, |limits| limits.slow_start_rate_per_s);
+        self.membership.rate_share(backend.rank_seed, rate_per_s)
+    }
+
+    /// The backend with that id, also one that is draining.
+    #[must_use]
+    pub fn get(&self, id: &str) -> Option<&Backend> {
+        self.backends.get(id)
+    }
+
+    /// Whether a backend runs in this proxy's region.
+    #[must_use]
+    pub fn is_same_region(&self, backend: &Backend) -> bool {
+        backend.region == self.locality.region
+    }
+
+    /// Records that an attempt is sent to a backend; each is to be followed by one [`Self::record_attempt_finished`].
+    pub fn record_attempt_started(&mut self, now: Millis, id: &str) {
+        if let Some(backend) = self.backends.get_mut(id) {
+            backend.record_attempt_started(now);
+        }
+    }
+
+    /// Records how an attempt ended.
+    pub fn record_attempt_finished(&mut self, now: Millis, id: &str, observation: Observation) {
+        let Some(backend) = self.backends.get_mut(id) else { return };
+        let (was_draining, was_unreachable) = (backend.is_draining, backend.outlier.is_unreachable());
+        backend.record_attempt_finished(now, observation);
+        let is_unreachable = backend.outlier.is_unreachable();
+        if was_unreachable || is_unreachable {
+            // An instance that was without power warms up again, and a list that says so comes later.
+            let warm_up_ms = self.limits.get(&backend.service).map_or(0, |limits| limits.slow_start_ms);
+            let assumed_ms = self.list_lag_ms + if is_unreachable { warm_up_ms } else { 0 };
+            backend.slow_start.assume_until(now + assumed_ms);
+        }
+        if backend.is_draining && backend.in_flight == 0 && self.terminated.contains_key(id) {
+            self.backends.remove(id);
+            self.rebuild_service_index();
+        } else if backend.is_draining != was_draining {
+            self.rebuild_service_index();
+        }
+    }
+}
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -1,19 +1,38 @@
-//! Which backend gets a request, how many at once, and whether a request may be sent again. Nothing here does I/O or
-//! reads a clock; chance is seeded.
+//! Load balancing decisions of one proxy: which backend gets a request, how many requests a backend gets at once, and
+//! whether a request may be attempted again.
+//!
+//! Nothing here does I/O, reads a clock or holds a timer: callers pass the time and carry out what is decided. Random
+//! choices come from a generator seeded with the proxy's id, so a simulation replays them.
+//!
+//! - [`BackendDirectory`] holds the backends of all services as the platform lists them, and what attempts have shown of
+//!   each: latency, load, failures (outlier ejection) and recent requests (slow start).
+//! - [`BackendDirectory::select`] picks a backend for one attempt.
+//! - [`retry_policy::RetryPolicy`] bounds queueing, attempts and time-outs of one request, and
+//!   [`retry_budget::RetryBudget`] the retries of all requests to a service.
+//! - [`queue::PendingQueue`] orders the requests that wait until a backend has capacity.
 
-#![allow(clippy::unused_self, missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
-
-pub mod backend;
-pub mod budget;
-pub mod choose;
-pub mod cold;
-pub mod fleet;
+mod backend;
+mod concurrency;
+mod directory;
+mod load;
+mod membership;
+mod observation;
+mod outlier;
 pub mod queue;
-pub mod report;
-pub mod retry;
+mod report;
+pub mod retry_budget;
+pub mod retry_policy;
+mod rng;
+mod selection;
+pub mod slow_start;
 
-/// Milliseconds of a clock that only advances.
-pub type Millis = u64;
+pub use backend::{Backend, ListedBackend};
+pub use concurrency::ServiceLimits;
+pub use directory::BackendDirectory;
+pub use membership::Locality;
+pub use observation::{AttemptCounts, Observation, ReportedLoad};
+pub use report::{BackendReport, BackendState};
+pub use selection::{Selection, SelectionCriteria};
 
-pub use choose::{Choice, Wanted};
-pub use fleet::Fleet;
+/// Milliseconds of a monotonic clock of this process; its zero is arbitrary.
+pub type Millis = u64;
--- a/crates/balancing/src/report.rs
+++ b/crates/balancing/src/report.rs
@@ -1,103 +1,102 @@
-//! What each backend was given and has shown, for operators.
+//! What each backend was sent and has shown, for operators (`/api/backends`).
 
-use crate::backend::{Backend, Observation};
-use crate::fleet::Fleet;
+use crate::backend::Backend;
+use crate::concurrency::has_capacity;
+use crate::directory::BackendDirectory;
+use crate::observation::AttemptCounts;
 use crate::Millis;
+use std::fmt;
 
-/// Attempts by how they ended.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub given: u64,
-    pub answered: u64,
-    pub turned_away: u64,
-    pub failed: u64,
-}
-
-impl Counts {
-    pub(crate) fn ended(&mut self, observed: Observation) {
-        match observed {
-            Observation::Answer { .. } => self.answered += 1,
-            Observation::TurnedAway | Observation::NotThere => self.turned_away += 1,
-            Observation::Dead | Observation::Broke | Observation::Silent => self.failed += 1,
-            Observation::Nothing => {}
-        }
-    }
-}
-
-/// Why a backend gets less than it could, or nothing.
+/// Why a backend gets fewer requests than it could execute, or none. [`fmt::Display`] writes the operators' word for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Availability {
-    /// It gets what it has room for.
-    Back,
-    Leaving,
+pub enum BackendState {
+    /// It gets what it has capacity for.
+    Available,
+    /// It ends, or has ended with attempts in flight.
+    Draining,
+    /// Its zone is evacuated.
     Evacuated,
-    Resting,
-    Cold,
-    Full,
+    /// It failed, and is left alone for a while.
+    Ejected,
+    /// It warms up.
+    SlowStart,
+    /// All of its capacity is in use.
+    AtCapacity,
 }
 
-impl Availability {
-    pub fn text(self) -> &'static str {
-        match self {
-            Availability::Back => "well",
-            Availability::Leaving => "leaving",
-            Availability::Evacuated => "evacuated",
-            Availability::Resting => "resting",
-            Availability::Cold => "cold",
-            Availability::Full => "full",
-        }
+impl fmt::Display for BackendState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            BackendState::Available => "well",
+            BackendState::Draining => "leaving",
+            BackendState::Evacuated => "evacuated",
+            BackendState::Ejected => "resting",
+            BackendState::SlowStart => "cold",
+            BackendState::AtCapacity => "full",
+        })
     }
 }
 
-/// One backend as this ingress sees it.
+/// One backend as this proxy sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendReport {
+    /// Name of the instance.
     pub id: String,
+    /// Name of its service.
     pub service: String,
+    /// Name of its zone.
     pub zone: String,
+    /// Requests that it executes at once.
     pub slots: u32,
-    /// Requests of this ingress that are there, and those of all as far as answers told.
-    pub open: u32,
+    /// Attempts of this proxy that have not ended.
+    pub in_flight: u32,
+    /// Requests of all proxies, estimated.
     pub load: f64,
-    /// Mean time of an answer (ms).
-    pub pace_ms: Option<f64>,
-    pub counts: Counts,
-    pub held: Availability,
+    /// Moving average of its response times (ms).
+    pub latency_estimate_ms: Option<f64>,
+    /// Attempts of this proxy by how they ended.
+    pub counts: AttemptCounts,
+    /// Why it gets less than it could.
+    pub state: BackendState,
 }
 
-impl Fleet {
-    /// All backends by service and id.
-    pub fn shown(&self, now: Millis) -> Vec<BackendReport> {
-        let mut all: Vec<BackendReport> =
-            self.backends.values().map(|backend| self.show(now, backend)).collect();
-        all.sort_by(|a, b| (&a.service, &a.id).cmp(&(&b.service, &b.id)));
-        all
+impl BackendDirectory {
+    /// All backends, by service and id.
+    #[must_use]
+    pub fn report(&self, now: Millis) -> Vec<BackendReport> {
+        let mut reports: Vec<BackendReport> =
+            self.backends.values().map(|backend| self.report_backend(now, backend)).collect();
+        reports.sort_by(|a, b| (&a.service, &a.id).cmp(&(&b.service, &b.id)));
+        reports
     }
 
-    fn show(&self, now: Millis, backend: &Backend) -> BackendReport {
-        let held = if backend.leaving {
-            Availability::Leaving
-        } else if self.evacuated.contains(&backend.zone) {
-            Availability::Evacuated
-        } else if backend.resting(now) {
-            Availability::Resting
-        } else if backend.cold.is(now) {
-            Availability::Cold
-        } else if self.room(now, backend) {
-            Availability::Back
-        } else {
-            Availability::Full
-        };
+    fn report_backend(&self, now: Millis, backend: &Backend) -> BackendReport {
         BackendReport {
             id: backend.id.clone(),
             service: backend.service.clone(),
             zone: backend.zone.clone(),
             slots: backend.slots,
-            open: backend.open,
+            in_flight: backend.in_flight,
             load: backend.load(now),
-            pace_ms: backend.pace,
+            latency_estimate_ms: backend.latency_estimate_ms(),
             counts: backend.counts,
-            held,
+            state: self.state(now, backend),
+        }
+    }
+
+    fn state(&self, now: Millis, backend: &Backend) -> BackendState {
+        if backend.is_draining {
+            BackendState::Draining
+        } else if self.evacuated_zones.contains(&backend.zone) {
+            BackendState::Evacuated
+        } else if backend.outlier.is_ejected(now) {
+            BackendState::Ejected
+        } else if backend.slow_start.is_active(now) {
+            BackendState::SlowStart
+        } else if has_capacity(backend.slots, backend.load(now)) {
+            BackendState::Available
+        } else {
+            BackendState::AtCapacity
         }
     }
 }
--- /dev/null
+++ b/crates/balancing/tests/selection.rs
@@ -0,0 +1,140 @@
+//! Which backend gets an attempt: locality, capacity, latency, outlier ejection and membership of lists.
+
+#![cfg(test)]
+
+mod common;
+
+use common::{directory, empty_directory, fill, listed, members, selected, ANY};
+use std::collections::{BTreeSet, HashMap};
+use violetyoke_balancing::{ListedBackend, Observation, ReportedLoad, Selection, SelectionCriteria};
+
+#[test]
+fn own_zone_is_preferred_then_region_and_no_backend_exceeds_its_capacity() {
+    let mut directory =
+        directory(vec![listed("near", "a1", 6), listed("next", "a2", 6), listed("far", "b1", 6)]);
+    let counts = fill(&mut directory, 100, 1000);
+    assert_eq!(directory.select(100, ANY), Selection::AtCapacity);
+    for id in ["near", "next", "far"] {
+        assert_eq!(counts[id], 8, "{counts:?}");
+    }
+    // Capacity that becomes free in another region is used when there is none nearer.
+    directory.record_attempt_finished(150, "far", Observation::Inconclusive);
+    assert_eq!(selected(&directory, 150, ANY).as_deref(), Some("far"));
+}
+
+#[test]
+fn connection_limit_is_divided_among_proxies() {
+    for (proxies, limit) in [(1, 90), (9, 10), (74, 1), (200, 1)] {
+        let mut directory = directory(vec![listed("one", "a1", 500)]);
+        directory.update_members(members(proxies));
+        assert_eq!(fill(&mut directory, 100, 1000)["one"], limit, "{proxies} proxies");
+    }
+}
+
+#[test]
+fn proxies_with_the_same_list_spread_their_choices() {
+    let ids: Vec<String> = (0..20).map(|n| format!("i-{n}")).collect();
+    let mut selections: HashMap<String, usize> = HashMap::new();
+    for proxy_id in 0..200 {
+        let mut directory = empty_directory(proxy_id);
+        directory.update_members(members(9));
+        directory.replace_all(10, 10, ids.iter().map(|id| listed(id, "a1", 6)).collect());
+        *selections.entry(selected(&directory, 100, ANY).expect("one of twenty")).or_default() += 1;
+    }
+    assert!(selections.len() == 20 && selections.values().all(|count| *count < 30), "{selections:?}");
+}
+
+#[test]
+fn home_regions_of_route_and_tenant_both_bind() {
+    let directory = directory(vec![listed("west", "a1", 6), listed("east", "b1", 6)]);
+    let (west, east) = ([String::from("a")], [String::from("b")]);
+    let bound_to = |home_regions| SelectionCriteria { home_regions, ..ANY };
+    assert_eq!(selected(&directory, 100, bound_to([&east, &[]])).as_deref(), Some("east"));
+    assert_eq!(selected(&directory, 100, bound_to([&[], &west])).as_deref(), Some("west"));
+    assert_eq!(directory.select(100, bound_to([&east, &west])), Selection::NoBackend);
+}
+
+#[test]
+fn reported_load_of_other_proxies_counts_and_decays() {
+    let mut directory = directory(vec![listed("one", "a1", 2), listed("two", "a1", 2)]);
+    directory.record_attempt_started(100, "one");
+    let load = Some(ReportedLoad { running: 2, waiting: 1 });
+    directory.record_attempt_finished(160, "one", Observation::Response { latency_ms: 60, load });
+    assert_eq!(selected(&directory, 170, ANY).as_deref(), Some("two"));
+    directory.record_attempt_started(170, "two");
+    directory.record_attempt_started(170, "two");
+    assert_eq!(selected(&directory, 3_000, ANY).as_deref(), Some("one"), "an old report has decayed");
+}
+
+#[test]
+fn faster_backend_gets_more_requests() {
+    let mut directory = directory(vec![listed("fast", "a1", 6), listed("slow", "a1", 6)]);
+    let mut counts: HashMap<String, usize> = HashMap::new();
+    let mut in_flight: Vec<(u64, u64, String)> = Vec::new();
+    for now in (100..60_000).step_by(20) {
+        in_flight.retain(|(end, latency_ms, id)| {
+            if *end <= now {
+                let response = Observation::Response { latency_ms: *latency_ms, load: None };
+                directory.record_attempt_finished(now, id, response);
+            }
+            *end > now
+        });
+        if let Some(id) = selected(&directory, now, ANY) {
+            let latency_ms = if id == "fast" { 50 } else { 150 };
+            directory.record_attempt_started(now, &id);
+            *counts.entry(id.clone()).or_default() += 1;
+            in_flight.push((now + latency_ms, latency_ms, id));
+        }
+    }
+    assert!(counts["fast"] > 2 * counts.get("slow").copied().unwrap_or(0), "{counts:?}");
+}
+
+#[test]
+fn unreachable_backend_is_ejected_and_probed_when_all_are_ejected() {
+    let mut directory = directory(vec![listed("dead", "a1", 6), listed("well", "a2", 6)]);
+    directory.record_attempt_started(100, "dead");
+    directory.record_attempt_finished(101, "dead", Observation::Unreachable);
+    assert_eq!(selected(&directory, 110, ANY).as_deref(), Some("well"));
+    directory.record_attempt_started(110, "well");
+    directory.record_attempt_finished(111, "well", Observation::Unreachable);
+    assert_eq!(selected(&directory, 120, ANY).as_deref(), Some("dead"), "its ejection ends first");
+    assert_eq!(selected(&directory, 5_000, ANY).as_deref(), Some("dead"), "back, and nearer");
+}
+
+#[test]
+fn draining_terminated_and_evacuated_backends_get_no_requests() {
+    let mut directory =
+        directory(vec![listed("one", "a1", 6), listed("two", "a2", 6), listed("three", "b1", 6)]);
+    let draining = ListedBackend { is_draining: true, ..listed("one", "a1", 6) };
+    assert!(directory.replace_all(
+        1_000,
+        990,
+        vec![draining, listed("two", "a2", 6), listed("three", "b1", 6)]
+    ));
+    assert_eq!(selected(&directory, 1_001, ANY).as_deref(), Some("two"));
+    // An older list that arrives late brings nothing back.
+    assert!(!directory.replace_all(1_010, 500, vec![listed("one", "a1", 6)]));
+    directory.configure(1_020, HashMap::new(), BTreeSet::from(["a2".to_owned()]), 0);
+    assert_eq!(selected(&directory, 1_030, ANY).as_deref(), Some("three"));
+    assert!(directory.replace_all(1_100, 1_090, vec![listed("two", "a2", 6)]));
+    assert_eq!(directory.select(1_110, ANY), Selection::NoBackend);
+    // An instance that has ended never comes back, whatever a list says.
+    assert!(directory.replace_all(1_200, 1_190, vec![listed("two", "a2", 6), listed("three", "b1", 6)]));
+    assert_eq!(directory.select(1_210, ANY), Selection::NoBackend);
+}
+
+#[test]
+fn another_instance_at_its_address_ends_a_backend() {
+    let mut directory = directory(vec![listed("one", "a1", 6)]);
+    directory.record_attempt_started(100, "one");
+    directory.record_attempt_finished(110, "one", Observation::WrongInstance);
+    assert_eq!(directory.select(120, ANY), Selection::NoBackend);
+}
+
+#[test]
+fn tie_breaks_follow_a_sequence_that_the_proxy_id_fixes() {
+    // A simulation replays a proxy's choices, so the sequence stays: SplitMix64 from `proxy_id << 32`.
+    let directory = empty_directory(7);
+    let samples = [(); 3].map(|()| directory.sample_uniform());
+    assert_eq!(samples, [0.737_705_618_204_509_3, 0.372_527_779_262_982_97, 0.017_255_399_359_289_214]);
+}
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -9,15 +9,14 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 use violetyoke_api::execution::{Execution, FailureReason};
-use violetyoke_balancing::backend::Observation;
-use violetyoke_balancing::retry::{Bounds, COME_BACK, LEAST};
-use violetyoke_balancing::{Choice, Millis, Wanted};
+use violetyoke_balancing::retry_policy::{RetryPolicy, MIN_ATTEMPT_MS, RETRY_AFTER_MS};
+use violetyoke_balancing::{Millis, Observation, Selection, SelectionCriteria};
 
 /// A request with all that its attempts need.
 pub struct Job {
     pub service: String,
     pub homes: [Vec<String>; 2],
-    pub bounds: Bounds,
+    pub bounds: RetryPolicy,
     pub priority: i64,
     pub head_only: bool,
     pub attempt: String,
@@ -47,17 +46,17 @@
 pub async fn run(proxy: &Rc<Proxy>, job: &Job) -> Outcome {
     let mut verdict = Execution::NotExecuted;
     let mut tried: Vec<String> = Vec::new();
-    proxy.budget(&job.service, |budget| budget.request(proxy.now()));
+    proxy.budget(&job.service, |budget| budget.record_request(proxy.now()));
     let ended = |verdict, ending, retry_ms| Outcome::Ended { verdict, ending, retry_ms };
     loop {
-        if left(job) < Duration::from_millis(LEAST) {
+        if left(job) < Duration::from_millis(MIN_ATTEMPT_MS) {
             return ended(verdict, FailureReason::DeadlineExceeded, None);
         }
         let Some(id) = choose(proxy, job, &tried).await else {
-            return ended(verdict, FailureReason::Overloaded, Some(COME_BACK));
+            return ended(verdict, FailureReason::Overloaded, Some(RETRY_AFTER_MS));
         };
         if !tried.is_empty() {
-            if !proxy.budget(&job.service, |budget| budget.further(proxy.now(), proxy.ingresses())) {
+            if !proxy.budget(&job.service, |budget| budget.try_acquire(proxy.now(), proxy.ingresses())) {
                 add(&proxy.figures.no_budget);
                 return ended(verdict, FailureReason::Overloaded, None);
             }
@@ -65,14 +64,19 @@
         }
         let Some(one) = prepare(proxy, job, &id) else { continue };
         tried.push(id.clone());
-        let mut guard =
-            Open { proxy: proxy.clone(), id, service: job.service.clone(), observed: Observation::Nothing };
-        proxy.fleet.borrow_mut().sent(proxy.now(), &guard.id);
+        let mut guard = Open {
+            proxy: proxy.clone(),
+            id,
+            service: job.service.clone(),
+            observed: Observation::Inconclusive,
+        };
+        proxy.fleet.borrow_mut().record_attempt_started(proxy.now(), &guard.id);
         let end = attempt(proxy, &one, &|| elsewhere(proxy, job, &tried)).await;
         guard.observed = end.observed;
         verdict = verdict.combine(end.verdict);
-        let again =
-            verdict.may_retry(job.bounds.repeatable) && job.bounds.another(tried.len()) && !job.body.spent();
+        let again = verdict.may_retry(job.bounds.is_idempotent)
+            && job.bounds.allows_another_attempt(tried.len())
+            && !job.body.spent();
         if end.flow.is_none() {
             drop(guard);
         } else if let (Some(answer), Some(flow)) = (end.answer, end.flow) {
@@ -85,16 +89,16 @@
             Some(answer)
                 if answer.status >= 500
                     && again
-                    && left(job) > Duration::from_millis(LEAST * 2)
+                    && left(job) > Duration::from_millis(MIN_ATTEMPT_MS * 2)
                     && elsewhere(proxy, job, &tried) => {}
             Some(answer) => return Outcome::Answer(answer),
             None if !again => {
-                let ending = if left(job) < Duration::from_millis(LEAST) {
+                let ending = if left(job) < Duration::from_millis(MIN_ATTEMPT_MS) {
                     FailureReason::DeadlineExceeded
                 } else {
                     FailureReason::Overloaded
                 };
-                return ended(verdict, ending, (verdict == Execution::NotExecuted).then_some(COME_BACK));
+                return ended(verdict, ending, (verdict == Execution::NotExecuted).then_some(RETRY_AFTER_MS));
             }
             None => {}
         }
@@ -108,24 +112,28 @@
 
 /// A backend with room; waits for one as long as that is worth it.
 async fn choose(proxy: &Rc<Proxy>, job: &Job, tried: &[String]) -> Option<String> {
-    let wanted = Wanted { service: &job.service, tried, homes: [&job.homes[0], &job.homes[1]] };
-    let look = || proxy.fleet.borrow().choose(proxy.now(), wanted);
+    let wanted = SelectionCriteria {
+        service: &job.service,
+        attempted: tried,
+        home_regions: [&job.homes[0], &job.homes[1]],
+    };
+    let look = || proxy.fleet.borrow().select(proxy.now(), wanted);
     // Those who wait already go first.
-    let first = if proxy.waiting.borrow().anybody(&job.service) { Choice::Full } else { look() };
+    let first = if proxy.waiting.borrow().anybody(&job.service) { Selection::AtCapacity } else { look() };
     match first {
-        Choice::Backend(id) => return Some(id),
-        Choice::Nobody => return None,
-        Choice::Full => {}
+        Selection::Backend(id) => return Some(id),
+        Selection::NoBackend => return None,
+        Selection::AtCapacity => {}
     }
-    let until = (job.arrived + Duration::from_millis(job.bounds.queues())).min(job.until);
+    let until = (job.arrived + Duration::from_millis(job.bounds.max_queue_wait_ms())).min(job.until);
     let waits = until.saturating_duration_since(Instant::now()).as_millis() as Millis;
     let mut place = proxy.waiting.borrow_mut().wait(&job.service, job.priority, proxy.now() + waits)?;
     let mut found = None;
     loop {
         match look() {
-            Choice::Backend(id) => found = Some(id),
-            Choice::Nobody => {}
-            Choice::Full => {
+            Selection::Backend(id) => found = Some(id),
+            Selection::NoBackend => {}
+            Selection::AtCapacity => {
                 // Told loads fade, and cold backends' parts come back, without a word: look now and then.
                 let again = until.min(Instant::now() + Duration::from_millis(20));
                 let woken = timeout_at(again, &mut place.woken).await;
@@ -147,7 +155,8 @@
     let fleet = proxy.fleet.borrow();
     let backend = fleet.get(id)?;
     let now = Instant::now();
-    let patience = job.bounds.patience(left(job).as_millis() as Millis, backend.pace);
+    let patience =
+        job.bounds.attempt_timeout_ms(left(job).as_millis() as Millis, backend.latency_estimate_ms());
     let deadline_ms = left(job).saturating_sub(WAY).as_millis();
     let held = if job.body.flows() { crate::body::HELD } else { job.body.length().unwrap_or(0) as usize };
     let mut bytes = BytesMut::with_capacity(job.head.len() + held + 96);
@@ -158,13 +167,13 @@
     Some(Try {
         id: id.to_owned(),
         service: job.service.clone(),
-        address: backend.address,
-        same_region: backend.region == fleet.place.region,
+        address: backend.address(),
+        same_region: fleet.is_same_region(backend),
         attempt: job.attempt.clone(),
         bytes: bytes.freeze(),
         body: job.body.clone(),
         head_only: job.head_only,
-        repeatable: job.bounds.repeatable && !job.body.flows(),
+        repeatable: job.bounds.is_idempotent && !job.body.flows(),
         patience: patience.map(|ms| now + Duration::from_millis(ms)),
         until: job.until,
     })
@@ -173,12 +182,16 @@
 /// Another attempt may and can be made: none is broken off for one that could not be. Not by an ingress that leaves: what
 /// backends are at work at then is waited for.
 fn elsewhere(proxy: &Rc<Proxy>, job: &Job, tried: &[String]) -> bool {
-    let wanted = Wanted { service: &job.service, tried, homes: [&job.homes[0], &job.homes[1]] };
+    let wanted = SelectionCriteria {
+        service: &job.service,
+        attempted: tried,
+        home_regions: [&job.homes[0], &job.homes[1]],
+    };
     !proxy.leaving.get()
         && !job.body.spent()
-        && job.bounds.another(tried.len())
-        && proxy.budget(&job.service, |budget| budget.room(proxy.now(), proxy.ingresses()))
-        && matches!(proxy.fleet.borrow().choose(proxy.now(), wanted), Choice::Backend(_))
+        && job.bounds.allows_another_attempt(tried.len())
+        && proxy.budget(&job.service, |budget| budget.has_capacity(proxy.now(), proxy.ingresses()))
+        && matches!(proxy.fleet.borrow().select(proxy.now(), wanted), Selection::Backend(_))
 }
 
 /// An attempt that is out: its end is noted however it comes.
@@ -192,7 +205,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         let now = self.proxy.now();
-        self.proxy.fleet.borrow_mut().ended(now, &self.id, self.observed);
+        self.proxy.fleet.borrow_mut().record_attempt_finished(now, &self.id, self.observed);
         self.proxy.waiting.borrow_mut().room(&self.service, now);
     }
 }
--- a/crates/proxy/src/backend/answer.rs
+++ b/crates/proxy/src/backend/answer.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use violetyoke_api::calls::header;
+use violetyoke_balancing::ReportedLoad;
 
 const MOST_HEADERS: usize = 96;
 pub(super) const LARGEST_HEAD: usize = 64 << 10;
@@ -26,8 +27,7 @@
     pub attempt: Option<String>,
     pub sealed: bool,
     pub not_executed: bool,
-    /// Running, waiting.
-    pub load: Option<(u32, u32)>,
+    pub load: Option<ReportedLoad>,
     pub keep: bool,
     pub keep_for: Option<Duration>,
 }
@@ -156,7 +156,7 @@
 }
 
 /// Requests running and waiting, of `running, waiting, slots`.
-fn load(text: &str) -> Option<(u32, u32)> {
+fn load(text: &str) -> Option<ReportedLoad> {
     let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>().ok());
-    Some((figures.next()??, figures.next()??))
+    Some(ReportedLoad { running: figures.next()??, waiting: figures.next()?? })
 }
--- a/crates/proxy/src/backend/exchange.rs
+++ b/crates/proxy/src/backend/exchange.rs
@@ -13,7 +13,7 @@
 use tokio::io::{split, AsyncRead, AsyncWriteExt};
 use tokio::time::{timeout_at, Instant};
 use violetyoke_api::Execution;
-use violetyoke_balancing::backend::Observation;
+use violetyoke_balancing::Observation;
 use violetyoke_transport::net::{self, Stream};
 
 /// A connection comes up within this, or the backend is taken for dead: in the same region, and from another.
@@ -78,7 +78,7 @@
         Some(idle) => (idle.stream, idle.buffer),
         None => match connect(proxy, one).await {
             Ok(stream) => (stream, BytesMut::new()),
-            Err(_) => return Ended::without(Execution::NotExecuted, Observation::Dead),
+            Err(_) => return Ended::without(Execution::NotExecuted, Observation::Unreachable),
         },
     };
     let begun = Instant::now();
@@ -86,22 +86,23 @@
     if reused && matches!(due, Some(Err(Broken { answered: false, .. }))) {
         proxy.pools.borrow_mut().forgotten();
         // The backend had forgotten the connection: where the request may run again, it goes out on a new one.
-        let again = || proxy.budget(&one.service, |budget| budget.further(proxy.now(), proxy.ingresses()));
+        let again =
+            || proxy.budget(&one.service, |budget| budget.try_acquire(proxy.now(), proxy.ingresses()));
         if one.repeatable && again() {
             buffer.clear();
             stream = match connect(proxy, one).await {
                 Ok(stream) => stream,
-                Err(_) => return Ended::without(Execution::Unknown, Observation::Dead),
+                Err(_) => return Ended::without(Execution::Unknown, Observation::Unreachable),
             };
             due = wait(exchange(&mut stream, &mut buffer, one, false), one, elsewhere).await;
         }
     }
     let answer = match due {
-        None => return Ended::without(Execution::Unknown, Observation::Silent),
+        None => return Ended::without(Execution::Unknown, Observation::TimedOut),
         Some(Err(broken)) if broken.client || (reused && !one.repeatable) => {
-            return Ended::without(Execution::Unknown, Observation::Nothing)
+            return Ended::without(Execution::Unknown, Observation::Inconclusive)
         }
-        Some(Err(_)) => return Ended::without(Execution::Unknown, Observation::Broke),
+        Some(Err(_)) => return Ended::without(Execution::Unknown, Observation::Broken),
         Some(Ok(answer)) => answer,
     };
     let took = begun.elapsed();
@@ -116,7 +117,7 @@
     // Bytes past a complete answer are nobody's: the connection goes with them.
     // So it does after a refusal: those may bear no id, and a second one would be taken for the next request's.
     if answer.keep && buffer.is_empty() && !refuses(&answer) {
-        let most = proxy.fleet.borrow().connections(&one.service);
+        let most = proxy.fleet.borrow().max_connections(&one.service);
         proxy.pools.borrow_mut().give(&one.id, stream, buffer, answer.keep_for, most);
     }
     judge(answer, took)
@@ -197,20 +198,20 @@
 /// What an answer says of the request and of the backend.
 fn judge(answer: Answer, took: Duration) -> Ended {
     if answer.status == 421 {
-        return Ended::without(Execution::NotExecuted, Observation::NotThere);
+        return Ended::without(Execution::NotExecuted, Observation::WrongInstance);
     }
     if answer.not_executed {
-        return Ended::without(Execution::NotExecuted, Observation::TurnedAway);
+        return Ended::without(Execution::NotExecuted, Observation::Rejected);
     }
     // These would promise a client that nothing ran, which the backend has not said.
     if matches!(answer.status, 408 | 429 | 503) {
-        return Ended::without(Execution::Unknown, Observation::Broke);
+        return Ended::without(Execution::Unknown, Observation::Broken);
     }
     let good = (200..300).contains(&answer.status);
     if good && !answer.sealed {
-        return Ended::without(Execution::Unknown, Observation::Broke);
+        return Ended::without(Execution::Unknown, Observation::Broken);
     }
-    let observed = Observation::Answer { took: took.as_millis() as u64, load: answer.load };
+    let observed = Observation::Response { latency_ms: took.as_millis() as u64, load: answer.load };
     Ended { verdict: Execution::Unknown, answer: Some(answer), flow: None, observed }
 }
 
--- a/crates/proxy/src/backend/mod.rs
+++ b/crates/proxy/src/backend/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
-use violetyoke_balancing::Fleet;
+use violetyoke_balancing::BackendDirectory;
 use violetyoke_transport::net::Stream;
 
 /// Idle connections kept to one backend.
@@ -90,11 +90,11 @@
     }
 
     /// Closes connections to backends that are no more.
-    pub fn retain(&mut self, fleet: &Fleet) {
+    pub fn retain(&mut self, fleet: &BackendDirectory) {
         let now = Instant::now();
         self.idle.retain(|id, idle| {
             idle.retain(|one| now < one.until);
-            !idle.is_empty() && fleet.get(id).is_some_and(|backend| !backend.leaving)
+            !idle.is_empty() && fleet.get(id).is_some_and(|backend| !backend.is_draining())
         });
     }
 }
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -11,8 +11,7 @@
 use violetyoke_api::change::ConfigurationChange;
 use violetyoke_api::settings::Process;
 use violetyoke_api::Configuration;
-use violetyoke_balancing::fleet::{Fleet, ListedBackend};
-use violetyoke_balancing::Millis;
+use violetyoke_balancing::{BackendDirectory, ListedBackend, Millis};
 use violetyoke_transport::codec::{decode, encode};
 use violetyoke_transport::connection;
 use violetyoke_transport::messages::{
@@ -125,13 +124,13 @@
                 Ok(ProxyReply::BackendList(list)) => {
                     let (digest, age) = (list.digest, list.age_ms);
                     let lines = list.backends.into_iter().map(|it| self.listed_backend(it)).collect();
-                    self.list_received(digest, age, |fleet, now, at| fleet.replace_list(now, at, lines));
+                    self.list_received(digest, age, |fleet, now, at| fleet.replace_all(now, at, lines));
                 }
                 Ok(ProxyReply::BackendListChange(list)) if list.from == self.list.get() => {
                     let lines = list.upserted.into_iter().map(|it| self.listed_backend(it)).collect();
                     let gone = list.removed;
                     self.list_received(list.digest, list.age_ms, |fleet, now, at| {
-                        fleet.apply_list_change(now, at, lines, &gone)
+                        fleet.apply_change(now, at, lines, gone)
                     });
                 }
                 // Made for another list than the one that is known here by now.
@@ -181,13 +180,18 @@
             address: backend.address,
             zone: backend.zone,
             slots: backend.slots,
-            draining: backend.draining,
+            is_draining: backend.draining,
             slow_start_left_ms: backend.slow_start_left_ms,
         }
     }
 
     /// A list was told that was asked for so long ago.
-    fn list_received(&self, digest: u64, age_ms: u64, take: impl FnOnce(&mut Fleet, Millis, Millis) -> bool) {
+    fn list_received(
+        &self,
+        digest: u64,
+        age_ms: u64,
+        take: impl FnOnce(&mut BackendDirectory, Millis, Millis) -> bool,
+    ) {
         let now = self.now();
         if !take(&mut self.fleet.borrow_mut(), now, now.saturating_sub(age_ms)) {
             return;
@@ -215,9 +219,8 @@
         let proxies = widest.map(|members| members.proxies.clone()).unwrap_or_default();
         if !proxies.is_empty() {
             counting.ingresses = proxies.len();
-            fleet.ingresses = proxies.len();
         }
-        fleet.place.members = proxies;
+        fleet.update_members(proxies);
         if let Some(newest) = views.max_by_key(|members| members.shard_owners.fencing_token) {
             counting.deal(newest.shard_owners.clone());
         }
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -9,7 +9,7 @@
 use std::convert::Infallible;
 use std::rc::Rc;
 use violetyoke_api::calls::{find, Call, CallTarget};
-use violetyoke_balancing::report::BackendReport;
+use violetyoke_balancing::BackendReport;
 use violetyoke_transport::net::Listener;
 
 pub async fn serve(listener: Listener, proxy: Rc<Proxy>) {
@@ -44,12 +44,12 @@
 
 /// What each backend was given and has shown, as JSON.
 fn backends(proxy: &Proxy) -> String {
-    let shown = proxy.fleet.borrow().shown(proxy.now());
+    let shown = proxy.fleet.borrow().report(proxy.now());
     let line = |one: &BackendReport| {
         serde_json::json!({
-            "id": one.id, "service": one.service, "zone": one.zone, "slots": one.slots, "open": one.open,
-            "load": one.load, "pace-ms": one.pace_ms, "given": one.counts.given, "answered": one.counts.answered,
-            "turned-away": one.counts.turned_away, "failed": one.counts.failed, "state": one.held.text(),
+            "id": one.id, "service": one.service, "zone": one.zone, "slots": one.slots, "open": one.in_flight,
+            "load": one.load, "pace-ms": one.latency_estimate_ms, "given": one.counts.sent, "answered": one.counts.answered,
+            "turned-away": one.counts.rejected, "failed": one.counts.failed, "state": one.state.to_string(),
         })
     };
     serde_json::Value::from_iter(shown.iter().map(line)).to_string()
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -21,7 +21,7 @@
 use violetyoke_api::configuration::Tenant;
 use violetyoke_api::execution::{Execution, FailureReason};
 use violetyoke_api::routing::{Caller, RouteEntry, RoutingTable};
-use violetyoke_balancing::retry::Bounds;
+use violetyoke_balancing::retry_policy::RetryPolicy;
 use violetyoke_balancing::Millis;
 
 pub type Reply = Response<Either<Full<Bytes>, Channel<Bytes, std::io::Error>>>;
@@ -139,7 +139,7 @@
         }
     }
     let Some(service) =
-        entry.service(proxy.fleet.borrow().draw()).and_then(|number| table.services.get(number))
+        entry.service(proxy.fleet.borrow().sample_uniform()).and_then(|number| table.services.get(number))
     else {
         return given_up(Execution::NotExecuted, FailureReason::Overloaded, None);
     };
@@ -150,11 +150,11 @@
     let job = Job {
         service: service.name.clone(),
         homes: [entry.homes.clone(), homes],
-        bounds: Bounds {
-            repeatable: entry.repeatable,
-            attempts: entry.attempts,
-            target: entry.target_ms.clamp(0.0, 600_000.0) as Millis,
-            deadline: held as Millis,
+        bounds: RetryPolicy {
+            is_idempotent: entry.repeatable,
+            max_attempts: entry.attempts,
+            latency_target_ms: entry.target_ms.clamp(0.0, 600_000.0) as Millis,
+            deadline_ms: held as Millis,
         },
         priority: priority(entry, tenant.and_then(|tenant| tenant.priority)),
         head_only: parts.method == Method::HEAD,
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -14,9 +14,8 @@
 use tokio::time::Instant;
 use violetyoke_api::routing::RoutingTable;
 use violetyoke_api::{Configuration, Settings};
-use violetyoke_balancing::budget::{Budget, Terms};
-use violetyoke_balancing::fleet::{self, Fleet, Place};
-use violetyoke_balancing::Millis;
+use violetyoke_balancing::retry_budget::{RetryBudget, RetryBudgetLimits};
+use violetyoke_balancing::{BackendDirectory, Locality, Millis, ServiceLimits};
 use violetyoke_transport::connection::Sender;
 use violetyoke_transport::messages::{proxy_id, Membership, Revision};
 
@@ -47,9 +46,9 @@
     pub figures: Figures,
     pub snapshot: RefCell<Option<Rc<Snapshot>>>,
     pub evacuated: RefCell<BTreeSet<String>>,
-    pub fleet: RefCell<Fleet>,
+    pub fleet: RefCell<BackendDirectory>,
     pub list: Cell<u64>,
-    pub budgets: RefCell<HashMap<String, Budget>>,
+    pub budgets: RefCell<HashMap<String, RetryBudget>>,
     pub counting: RefCell<Counting>,
     pub waiting: RefCell<Waiting>,
     pub pools: RefCell<Pools>,
@@ -67,12 +66,8 @@
 
 impl Proxy {
     pub fn new(settings: Settings, life: u64, log: Logger) -> Proxy {
-        let place = Place {
-            me: proxy_id(&settings.local.node),
-            zone: settings.local.zone.clone(),
-            region: settings.local.region.clone(),
-            members: Vec::new(),
-        };
+        let locality = Locality { zone: settings.local.zone.clone(), region: settings.local.region.clone() };
+        let fleet = BackendDirectory::new(proxy_id(&settings.local.node), locality);
         Proxy {
             seeds: RefCell::new(settings.seeds()),
             life,
@@ -81,7 +76,7 @@
             figures: Figures::default(),
             snapshot: RefCell::default(),
             evacuated: RefCell::default(),
-            fleet: RefCell::new(Fleet::new(place)),
+            fleet: RefCell::new(fleet),
             list: Cell::new(0),
             budgets: RefCell::default(),
             counting: RefCell::default(),
@@ -126,10 +121,10 @@
             return;
         }
         let terms = configuration.services.iter().map(|service| {
-            let terms = fleet::Terms {
-                cold_ms: (service.cold_s * 1000.0) as Millis,
-                cold_rate: service.cold_rate_s,
-                connections: service.max_conns.unwrap_or(0.0) as u32,
+            let terms = ServiceLimits {
+                slow_start_ms: (service.cold_s * 1000.0) as Millis,
+                slow_start_rate_per_s: service.cold_rate_s,
+                max_connections: service.max_conns.unwrap_or(0.0) as u32,
             };
             (service.name.clone(), terms)
         });
@@ -146,18 +141,20 @@
     }
 
     /// The budget of further attempts at a service.
-    pub fn budget<R>(&self, service: &str, with: impl FnOnce(&mut Budget) -> R) -> R {
+    pub fn budget<R>(&self, service: &str, with: impl FnOnce(&mut RetryBudget) -> R) -> R {
         let bounds = &self.settings.terms.bounds;
         let mut budgets = self.budgets.borrow_mut();
         if !budgets.contains_key(service) {
-            let terms = Terms {
+            let limits = RetryBudgetLimits {
                 ratio: bounds.retry_ratio,
                 window_ms: (bounds.retry_window_s * 1000.0) as Millis,
-                slack: bounds.retry_slack,
+                allowance: bounds.retry_slack,
             };
-            budgets.insert(service.to_owned(), Budget::new(terms));
+            budgets.insert(service.to_owned(), RetryBudget::new(limits));
         }
         let budget = budgets.entry(service.to_owned());
-        with(budget.or_insert_with(|| Budget::new(Terms { ratio: 0.0, window_ms: 1000, slack: 0.0 })))
+        with(budget.or_insert_with(|| {
+            RetryBudget::new(RetryBudgetLimits { ratio: 0.0, window_ms: 1000, allowance: 0.0 })
+        }))
     }
 }
--- a/crates/proxy/src/waiting.rs
+++ b/crates/proxy/src/waiting.rs
@@ -2,12 +2,12 @@
 
 use std::collections::HashMap;
 use tokio::sync::oneshot;
-use violetyoke_balancing::queue::{Queue, Ticket};
+use violetyoke_balancing::queue::{PendingQueue, Ticket};
 use violetyoke_balancing::Millis;
 
 #[derive(Debug, Default)]
 pub struct Waiting {
-    queue: Queue,
+    queue: PendingQueue,
     wakers: HashMap<Ticket, oneshot::Sender<()>>,
 }
 
@@ -20,7 +20,7 @@
 
 impl Waiting {
     pub fn wait(&mut self, service: &str, priority: i64, until: Millis) -> Option<Place> {
-        let ticket = self.queue.wait(service, priority, until)?;
+        let ticket = self.queue.enqueue(service, priority, until)?;
         let (waker, woken) = oneshot::channel();
         self.wakers.insert(ticket, waker);
         Some(Place { ticket, woken })
@@ -34,7 +34,7 @@
     }
 
     pub fn leave(&mut self, service: &str, priority: i64, place: &Place) {
-        self.queue.leave(service, priority, place.ticket);
+        self.queue.remove(service, priority, place.ticket);
         self.wakers.remove(&place.ticket);
     }
 
@@ -44,7 +44,9 @@
 
     /// A backend of the service may have room.
     pub fn room(&mut self, service: &str, now: Millis) {
-        if let Some(waker) = self.queue.first(service, now).and_then(|ticket| self.wakers.remove(&ticket)) {
+        if let Some(waker) =
+            self.queue.first_unexpired(service, now).and_then(|ticket| self.wakers.remove(&ticket))
+        {
             // Whoever waited may have gone.
             let _ = waker.send(());
         }
