--- a/crates/proxy/src/counting.rs
+++ b/crates/proxy/src/counting.rs
@@ -12,9 +12,7 @@
 use violetyoke_api::configuration::Tenant;
 use violetyoke_api::routing::RoutingTable;
 use violetyoke_balancing::Millis;
-use violetyoke_quota::deal::Dealt;
-use violetyoke_quota::own::Passed;
-use violetyoke_quota::Limit;
+use violetyoke_quota::{Admission, Limit, LocalUsage, ShardAssignment, WindowCounts};
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, ShardOwners};
 
@@ -46,8 +44,8 @@
 
 #[derive(Default)]
 pub struct Counting {
-    passed: Passed,
-    dealt: Dealt,
+    passed: LocalUsage,
+    dealt: ShardAssignment,
     pub owners: ShardOwners,
     /// On which connection a tenant's use here was last told.
     told: HashMap<String, Connection>,
@@ -64,8 +62,7 @@
         if owners.fencing_token <= self.owners.fencing_token {
             return;
         }
-        let names: Vec<String> = owners.registries.iter().map(ToString::to_string).collect();
-        self.dealt = Dealt::new(&names.iter().map(String::as_str).collect::<Vec<_>>());
+        self.dealt = ShardAssignment::new(&owners.registries);
         self.owners = owners;
     }
 
@@ -96,14 +93,18 @@
     let Some(limit) = Limit::new(tenant.rate_per_s, tenant.burst) else { return Ok(()) };
     match ask(proxy, tenant, limit).await {
         Some(HolderReply::Counted(None)) => {
-            proxy.counting.borrow_mut().passed.passed(proxy.now(), &tenant.name, limit);
+            proxy.counting.borrow_mut().passed.record(proxy.now(), &tenant.name, limit);
             Ok(())
         }
         Some(HolderReply::Counted(Some(retry_ms))) => Err(Millis::from(retry_ms)),
         Some(HolderReply::NotMine) | None => {
             add(&proxy.figures.unasked);
             let ingresses = proxy.ingresses();
-            proxy.counting.borrow_mut().passed.unasked(proxy.now(), &tenant.name, limit, ingresses)
+            let passed = &mut proxy.counting.borrow_mut().passed;
+            match passed.try_admit_locally(proxy.now(), &tenant.name, limit, ingresses) {
+                Admission::Admitted => Ok(()),
+                Admission::Denied { retry_after_ms } => Err(retry_after_ms),
+            }
         }
     }
 }
@@ -137,14 +138,14 @@
     now: Millis,
 ) -> Option<(Ipv4Addr, u32, oneshot::Receiver<HolderReply>, f64)> {
     let counting = &mut *proxy.counting.borrow_mut();
-    let owner: Ipv4Addr = counting.dealt.owner(&tenant.name)?.parse().ok()?;
+    let owner: Ipv4Addr = counting.dealt.owner(&tenant.name)?;
     let registries = proxy.registries.borrow();
     let registry = registries.get(&owner)?;
     let sender = registry.sender.as_ref()?;
     let connection = Connection { registry: owner, life: registry.lives };
     let fence = counting.owners.fencing_token;
     if counting.told.get(&tenant.name) != Some(&connection) {
-        let (current, previous) = counting.passed.told(now, &tenant.name, limit);
+        let WindowCounts { current, previous } = counting.passed.usage(now, &tenant.name, limit);
         if current + previous > 0.0 {
             let (current, previous) = (current as u32, previous as u32);
             let tell = ProxyRequest::TransferCount {
--- a/crates/quota/src/window.rs
+++ b/crates/quota/src/window.rs
@@ -1,99 +1,100 @@
-//! One count: fixed windows, of which the one before counts less and less.
+//! A sliding window counter: two fixed windows, the previous one weighted by how much of it a sliding window still covers.
 
-use crate::Millis;
+use crate::{Admission, Limit, Millis};
 
-/// What a tenant may send.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limit {
-    /// Length of a window (ms), and the most requests in one.
-    pub length: Millis,
-    pub most: f64,
+/// Requests admitted in the current and in the previous fixed window.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct WindowCounts {
+    /// Requests in the window that contains the present.
+    pub current: f64,
+    /// Requests in the window before that.
+    pub previous: f64,
 }
 
-/// Bounds of a window's length (ms): shorter ones are blurred by the way of an add, longer ones forget too late.
-const SHORTEST: f64 = 200.0;
-const LONGEST: f64 = 10_000.0;
-
-impl Limit {
-    /// None where there is no limit (`rate` 0). A window is `burst / rate` long, with the burst as the most in it.
-    pub fn new(rate_per_s: f64, burst: f64) -> Option<Limit> {
-        if rate_per_s <= 0.0 || !rate_per_s.is_finite() {
-            return None;
-        }
-        let natural = if burst > 0.0 { burst / rate_per_s * 1000.0 } else { 1000.0 };
-        let length = natural.clamp(SHORTEST, LONGEST).round();
-        Some(Limit { length: length as Millis, most: (rate_per_s * length / 1000.0).max(1.0) })
-    }
+impl WindowCounts {
+    /// One request, in the current window.
+    pub(crate) const ONE_REQUEST: WindowCounts = WindowCounts { current: 1.0, previous: 0.0 };
 
-    /// A part of it, for one of several that can't ask: windows long enough for whole requests.
-    pub fn part(self, part: f64, length: Millis) -> Limit {
-        let rate = self.most / self.length as f64;
-        let length = length.max(self.length);
-        Limit { length, most: (rate * length as f64 * part).max(1.0) }
+    /// Whether neither window has a request.
+    pub fn is_empty(self) -> bool {
+        self.current + self.previous <= 0.0
     }
 }
 
-/// A tenant's count in the window at hand and in the one before.
+/// A tenant's counter. All calls on one counter take the same limit: the limit's window length decides which window a time
+/// belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Window {
-    number: u64,
-    current: f64,
-    previous: f64,
+pub struct SlidingWindow {
+    /// Number of the current window since the clock's origin.
+    index: u64,
+    counts: WindowCounts,
 }
 
-impl Window {
-    fn roll(&mut self, now: Millis, limit: Limit) {
-        let number = now / limit.length;
-        if number != self.number {
-            self.previous = if number == self.number + 1 { self.current } else { 0.0 };
-            self.current = 0.0;
-            self.number = number;
+impl SlidingWindow {
+    /// Makes the window that contains `now` the current one.
+    fn advance(&mut self, now: Millis, limit: Limit) {
+        let index = now / limit.window_ms;
+        if index != self.index {
+            let previous = if index == self.index + 1 { self.counts.current } else { 0.0 };
+            self.counts = WindowCounts { current: 0.0, previous };
+            self.index = index;
         }
     }
 
-    /// Use as the two windows estimate it.
+    /// Requests in the window length that ends now, assuming that those of the previous window were evenly spread.
     pub fn estimate(&mut self, now: Millis, limit: Limit) -> f64 {
-        self.roll(now, limit);
-        let elapsed = (now % limit.length) as f64 / limit.length as f64;
-        self.previous * (1.0 - elapsed) + self.current
+        self.advance(now, limit);
+        let elapsed_part = (now % limit.window_ms) as f64 / limit.window_ms as f64;
+        self.counts.previous * (1.0 - elapsed_part) + self.counts.current
     }
 
-    /// Adds one request; past the limit it is given back, and the error says when there may be room (ms).
-    pub fn add(&mut self, now: Millis, limit: Limit) -> Result<(), Millis> {
-        if self.estimate(now, limit) + 1.0 <= limit.most {
-            self.current += 1.0;
-            return Ok(());
+    /// Counts one request if the limit allows it.
+    pub fn try_increment(&mut self, now: Millis, limit: Limit) -> Admission {
+        if self.estimate(now, limit) + 1.0 <= limit.max_requests {
+            self.counts.current += 1.0;
+            return Admission::Admitted;
         }
-        let length = limit.length as f64;
-        let elapsed = (now % limit.length) as f64;
-        let room = limit.most - 1.0 - self.current;
-        let at = if room >= 0.0 && self.previous > 0.0 {
-            length * (1.0 - room / self.previous)
+        Admission::Denied { retry_after_ms: self.retry_after_ms(now, limit) }
+    }
+
+    /// Time until one more request fits, if no other is admitted in between (ms, at least 1).
+    fn retry_after_ms(&self, now: Millis, limit: Limit) -> Millis {
+        let window_ms = limit.window_ms as f64;
+        let elapsed_ms = (now % limit.window_ms) as f64;
+        let WindowCounts { current, previous } = self.counts;
+        let left_for_previous = limit.max_requests - 1.0 - current;
+        let capacity_at_ms = if left_for_previous >= 0.0 && previous > 0.0 {
+            // In this window, once the weight of the previous one has fallen far enough.
+            window_ms * (1.0 - left_for_previous / previous)
         } else {
-            // Only the next window has room, once enough of this one has gone by.
-            length + length * (1.0 - (limit.most - 1.0) / self.current.max(1.0)).max(0.0)
+            // In the next window, once the weight of this one has fallen far enough.
+            window_ms + window_ms * (1.0 - (limit.max_requests - 1.0) / current.max(1.0)).max(0.0)
         };
-        Err((at - elapsed).max(1.0).ceil() as Millis)
+        (capacity_at_ms - elapsed_ms).max(1.0).ceil() as Millis
     }
 
-    /// The larger of two counts of the same, window by window.
-    pub fn larger(mut self, mut other: Window, now: Millis, limit: Limit) -> Window {
-        self.roll(now, limit);
-        other.roll(now, limit);
-        let (current, previous) = (self.current.max(other.current), self.previous.max(other.previous));
-        Window { number: self.number, current, previous }
+    /// The larger count of two counters of the same requests, window by window.
+    #[must_use]
+    pub fn max(mut self, mut other: SlidingWindow, now: Millis, limit: Limit) -> SlidingWindow {
+        self.advance(now, limit);
+        other.advance(now, limit);
+        let counts = WindowCounts {
+            current: self.counts.current.max(other.counts.current),
+            previous: self.counts.previous.max(other.counts.previous),
+        };
+        SlidingWindow { index: self.index, counts }
     }
 
-    /// Counts what was let pass without asking here.
-    pub fn note(&mut self, now: Millis, limit: Limit, current: f64, previous: f64) {
-        self.roll(now, limit);
-        self.current += current;
-        self.previous += previous;
+    /// Adds requests that were admitted elsewhere, whatever the limit.
+    pub fn record(&mut self, now: Millis, limit: Limit, admitted: WindowCounts) {
+        self.advance(now, limit);
+        self.counts.current += admitted.current;
+        self.counts.previous += admitted.previous;
     }
 
-    /// What the two windows hold.
-    pub fn held(&mut self, now: Millis, limit: Limit) -> (f64, f64) {
-        self.roll(now, limit);
-        (self.current, self.previous)
+    /// The counts of the two windows.
+    pub fn counts(&mut self, now: Millis, limit: Limit) -> WindowCounts {
+        self.advance(now, limit);
+        self.counts
     }
 }
--- a/crates/registry/src/daemon/mod.rs
+++ b/crates/registry/src/daemon/mod.rs
@@ -215,7 +215,7 @@
                 Ok(RegistryRequest::Registry(gossip)) => {
                     self.heard.insert(number, gossip.from);
                     self.sessions.told(gossip.from, gossip.sessions);
-                    self.proxies.absent.told(now, &gossip.partitioned);
+                    self.proxies.absent.merge(now, &gossip.partitioned);
                     if let Some(list) = gossip.backends {
                         self.lists.told(now, list);
                     }
@@ -228,7 +228,7 @@
 
     /// Tells all other registries the sessions that stand here.
     fn gossip(&self, list: Option<violetyoke_transport::messages::BackendList>) {
-        let away = self.proxies.absent.away();
+        let away = self.proxies.absent.partitioned();
         let gossip = Gossip {
             from: self.settings.local.ip,
             sessions: self.sessions.own(),
--- a/crates/registry/src/daemon/proxies.rs
+++ b/crates/registry/src/daemon/proxies.rs
@@ -6,10 +6,7 @@
 use slog::info;
 use std::collections::{BTreeMap, HashMap};
 use violetyoke_api::Configuration;
-use violetyoke_quota::absent::Absent;
-use violetyoke_quota::deal::Dealt;
-use violetyoke_quota::holder::Holder;
-use violetyoke_quota::Limit;
+use violetyoke_quota::{Admission, Limit, OwnerCounters, PartitionedProxies, ShardAssignment, WindowCounts};
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::connection::Sender;
 use violetyoke_transport::messages::{ControlState, ProxyReply, ProxyRequest, Revision, ShardOwners};
@@ -37,13 +34,13 @@
 #[derive(Default)]
 pub(super) struct Proxies {
     pub by_connection: BTreeMap<u64, Proxy>,
-    pub counts: Holder<Revision>,
+    pub counts: OwnerCounters<Revision>,
     /// Proxies that may pass requests without asking.
-    pub absent: Absent,
+    pub absent: PartitionedProxies,
     /// Whether this registry may count at all.
     pub contact: Contact,
     limits: HashMap<String, Option<Limit>>,
-    dealt: Dealt,
+    dealt: ShardAssignment,
 }
 
 impl Proxies {
@@ -67,8 +64,7 @@
 
     /// Another deal of counts.
     pub fn deal(&mut self, owners: &ShardOwners) {
-        let names: Vec<String> = owners.registries.iter().map(ToString::to_string).collect();
-        self.dealt = Dealt::new(&names.iter().map(String::as_str).collect::<Vec<_>>());
+        self.dealt = ShardAssignment::new(&owners.registries);
     }
 
     pub fn closed(&mut self, number: u64) {
@@ -141,16 +137,20 @@
             ProxyRequest::Increment { request_id: call, tenant, fencing_token: fence } => {
                 let mine = self.counts(&tenant);
                 let slack = self.settings.terms.bounds.quota_overshoot * BORNE;
-                let left = 1.0 - self.proxies.absent.reserve(now, slack);
+                let left = 1.0 - self.proxies.absent.reserved_part(now, slack);
                 let says = match self.proxies.limits.get(&tenant).copied() {
                     // A tenant of a configuration that has not come here yet: whoever asks knows its limit.
                     None => ProxyReply::NotOwner { request_id: call },
                     Some(None) => ProxyReply::Counted { request_id: call, retry_ms: None },
                     Some(Some(limit)) if mine => {
-                        match self.proxies.counts.add(now, &tenant, fence, limit.part(left, limit.length)) {
+                        let limit = limit.scaled(left, limit.window_ms);
+                        match self.proxies.counts.increment(now, &tenant, fence, limit) {
                             Err(_) => ProxyReply::NotOwner { request_id: call },
-                            Ok(counted) => {
-                                let retry_ms = counted.err().map(|ms| ms.min(60_000) as u32);
+                            Ok(Admission::Admitted) => {
+                                ProxyReply::Counted { request_id: call, retry_ms: None }
+                            }
+                            Ok(Admission::Denied { retry_after_ms }) => {
+                                let retry_ms = Some(retry_after_ms.min(60_000) as u32);
                                 ProxyReply::Counted { request_id: call, retry_ms }
                             }
                         }
@@ -163,9 +163,9 @@
             }
             ProxyRequest::TransferCount { tenant, fencing_token: fence, current, previous } => {
                 if let Some(Some(limit)) = self.proxies.limits.get(&tenant).copied() {
-                    let told = (f64::from(current), f64::from(previous));
+                    let usage = WindowCounts { current: f64::from(current), previous: f64::from(previous) };
                     // A word under an older deal is of no use to anybody.
-                    let _ = self.proxies.counts.tell(now, &tenant, fence, limit, told);
+                    let _ = self.proxies.counts.import(now, &tenant, fence, limit, usage);
                 }
             }
         }
@@ -177,6 +177,6 @@
         if !self.proxies.contact.stands() {
             return false;
         }
-        self.proxies.dealt.owner(tenant) == Some(self.settings.local.ip.to_string().as_str())
+        self.proxies.dealt.owner(tenant) == Some(self.settings.local.ip)
     }
 }
--- a/crates/registry/src/daemon/stores.rs
+++ b/crates/registry/src/daemon/stores.rs
@@ -100,7 +100,7 @@
                     let store = self.stores.by_ip.entry(ip).or_default();
                     (store.epoch, store.active) = (epoch, active);
                     if owners.fencing_token > self.stores.owners.fencing_token {
-                        self.proxies.counts.raise(owners.fencing_token);
+                        self.proxies.counts.advance_fence(owners.fencing_token);
                         self.stores.owners = owners;
                         self.publish();
                     }
--- a/crates/registry/src/daemon/telling.rs
+++ b/crates/registry/src/daemon/telling.rs
@@ -193,7 +193,7 @@
             shard_owners: owners,
             newest: Revision::default(),
         };
-        self.proxies.absent.see(now, &members.proxies, self.sessions.not_ready());
+        self.proxies.absent.update_members(now, &members.proxies, self.sessions.not_ready());
         let mut hasher = DefaultHasher::new();
         (&members.proxies, &members.registries, members.in_contact, members.shard_owners.fencing_token)
             .hash(&mut hasher);
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -10,7 +10,7 @@
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
-use violetyoke_quota::deal::Dealt;
+use violetyoke_quota::ShardAssignment;
 use violetyoke_transport::codec::{decode, encode};
 use violetyoke_transport::connection::{Event, Sender};
 use violetyoke_transport::messages::{ProxyReply, ProxyRequest, RegistryRequest, ShardOwners};
@@ -23,7 +23,7 @@
     hollow: RefCell<Hollow>,
     senders: RefCell<BTreeMap<Ipv4Addr, Sender>>,
     owners: RefCell<ShardOwners>,
-    dealt: RefCell<Dealt>,
+    dealt: RefCell<ShardAssignment>,
     settled: Cell<bool>,
     complete: Cell<bool>,
     report: Arc<Report>,
@@ -71,10 +71,7 @@
         self.report.traffic.count(kind_of_reply(&reply), frame.len());
         if let ProxyReply::Membership(members) = &reply {
             if members.shard_owners.fencing_token > self.owners.borrow().fencing_token {
-                let names: Vec<String> =
-                    members.shard_owners.registries.iter().map(ToString::to_string).collect();
-                let names: Vec<&str> = names.iter().map(String::as_str).collect();
-                *self.dealt.borrow_mut() = Dealt::new(&names);
+                *self.dealt.borrow_mut() = ShardAssignment::new(&members.shard_owners.registries);
                 *self.owners.borrow_mut() = members.shard_owners.clone();
             }
         }
@@ -95,7 +92,7 @@
     /// One add at the registry that counts for one of a few tenants.
     pub fn add(&self, call: u32) {
         let tenant = tenant(call as usize % TENANTS);
-        let owner = self.dealt.borrow().owner(&tenant).and_then(|owner| owner.parse().ok());
+        let owner = self.dealt.borrow().owner(&tenant);
         let fence = self.owners.borrow().fencing_token;
         if let Some(owner) = owner {
             self.send(vec![(
