--- a/crates/control/src/api/app.rs
+++ b/crates/control/src/api/app.rs
@@ -1,9 +1,9 @@
 //! What all calls share.
 
 use super::snapshots::IngressState;
-use crate::duties::Desk;
 use crate::keys::{Pepper, Role};
 use crate::limit::{Limiter, Rates};
+use crate::roles::{EpochFile, LeaseService};
 use crate::store::{Author, Revision, Store, Writes};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -11,8 +11,6 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-pub use crate::duties::Mark;
-
 /// How the control plane runs.
 #[derive(Clone)]
 pub struct Options {
@@ -20,8 +18,8 @@
     pub drain_ms: u64,
     pub rates: Rates,
     pub pepper: Pepper,
-    /// Where epochs are marked beside the store.
-    pub epochs: Mark,
+    /// Where epochs are reserved beside the store.
+    pub epoch_file: EpochFile,
     /// Added to the wall clock: tests of a clock that is wrong move it.
     pub clock_offset_ms: Arc<AtomicI64>,
 }
@@ -30,7 +28,7 @@
 pub struct App {
     pub store: Arc<dyn Store>,
     pub options: Options,
-    pub desk: Desk,
+    pub leases: LeaseService,
     pub(super) limiter: Limiter,
     pub(super) revision: watch::Sender<Revision>,
     ingresses: Mutex<BTreeMap<String, IngressState>>,
@@ -44,11 +42,11 @@
 
 impl App {
     /// Must be called on a runtime.
-    pub fn new(store: Arc<dyn Store>, options: Options) -> Result<Arc<App>, String> {
+    pub fn new(store: Arc<dyn Store>, options: Options) -> crate::store::Result<Arc<App>> {
         let now = wall_ms(&options);
-        let desk = Desk::open(&*store, options.epochs.clone(), now).map_err(|error| error.to_string())?;
+        let leases = LeaseService::open(&*store, options.epoch_file.clone(), now)?;
         Ok(Arc::new(App {
-            desk,
+            leases,
             store,
             limiter: Limiter::start(options.rates),
             options,
@@ -64,7 +62,7 @@
     }
 
     /// The store is at this revision: whoever waits looks again.
-    pub(crate) fn tell(&self, revision: Revision) {
+    pub(crate) fn announce_revision(&self, revision: Revision) {
         self.revision.send_if_modified(|known| {
             let newer = revision > *known;
             *known = revision.max(*known);
--- a/crates/control/src/api/endpoints.rs
+++ b/crates/control/src/api/endpoints.rs
@@ -1,87 +1,32 @@
-//! The table of all that can be called, and who may.
+//! The table of all endpoints. Router, access checks and the OpenAPI page are made from it.
 
+use super::endpoint::{Access, Endpoint};
+use super::openapi::document;
 use super::resources::{create, list, patch, read, remove, replace};
-use super::{findings, keys, leases, openapi, snapshots, tenants, Answer, Call, Outcome};
-use crate::keys::Role;
+use super::{findings, keys, leases, roles, snapshots, tenants, usage, Answer, Call, Outcome};
+use serde_json::Value;
 use violetyoke_tenants::model::{Account, Plan, Route};
 
-/// Who may call an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Access {
-    /// Whoever.
-    Public,
-    Operator,
-    /// Operators and ingresses.
-    Ingress,
-    /// Operators, and a tenant's own keys for what is that tenant's.
-    TenantReader,
-    /// Operators, and the tenant's own administrators.
-    TenantAdmin,
-}
-
-/// Whether a role may; for a tenant's key, what is another tenant's is not there.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Permission {
-    Granted,
-    Forbidden,
-    NotThere,
-}
-
-impl Access {
-    /// `tenant`: the one that the path names.
-    pub fn allows(self, role: &Role, tenant: Option<&str>) -> Permission {
-        let own = || match (role.tenant(), tenant) {
-            (Some(own), Some(tenant)) if own == tenant => Permission::Granted,
-            (Some(_), Some(_)) => Permission::NotThere,
-            _ => Permission::Forbidden,
-        };
-        match (self, role) {
-            (Access::Public, _) | (_, Role::Operator) => Permission::Granted,
-            (Access::Ingress, Role::Ingress) => Permission::Granted,
-            (Access::TenantReader, Role::TenantAdmin { .. } | Role::TenantReader { .. }) => own(),
-            (Access::TenantAdmin, Role::TenantAdmin { .. }) => own(),
-            // Whose it is goes before what is done with it.
-            (Access::TenantAdmin, Role::TenantReader { .. }) if own() == Permission::NotThere => {
-                Permission::NotThere
-            }
-            _ => Permission::Forbidden,
-        }
-    }
-}
-
-/// One thing that can be called.
-pub struct Endpoint {
-    pub method: &'static str,
-    /// With `{tenant}`, `{name}` and `{key}` for what varies.
-    pub path: &'static str,
-    pub access: Access,
-    /// One line for the OpenAPI page.
-    pub about: &'static str,
-    /// Schemas of what is sent and of what is answered; none: no body.
-    pub takes: Option<&'static str>,
-    pub gives: Option<&'static str>,
-    pub run: fn(&Call<'_>) -> Outcome,
-}
-
 macro_rules! endpoint {
-    ($method:literal $path:literal $access:ident $about:literal, $takes:expr, $gives:expr, $run:expr) => {
+    ($method:literal $path:literal $access:ident $summary:literal, $request:expr, $response:expr, $handler:expr) => {
         Endpoint {
             method: $method,
             path: $path,
             access: Access::$access,
-            about: $about,
-            takes: $takes,
-            gives: $gives,
-            run: $run,
+            summary: $summary,
+            request_schema: $request,
+            response_schema: $response,
+            handler: $handler,
         }
     };
 }
 
 const NONE: Option<&str> = None;
 
+/// All endpoints.
 #[rustfmt::skip]
 pub const ENDPOINTS: &[Endpoint] = &[
-    endpoint!("GET" "/v1/openapi.json" Public "This page", NONE, NONE, |_| Ok(Answer::ok(openapi()))),
+    endpoint!("GET" "/v1/openapi.json" Public "This page", NONE, NONE, openapi_page),
     endpoint!("GET" "/v1/health" Public "Whether the store can be read", NONE, NONE, health),
     endpoint!("GET" "/v1/tenants" Operator "Lists tenants", NONE, Some("Page"), tenants::list),
     endpoint!("POST" "/v1/tenants" Operator "Makes a tenant", Some("Tenant"), Some("StoredTenant"), tenants::create),
@@ -121,18 +66,18 @@
     endpoint!("DELETE" "/v1/keys/{key}" Operator "Withdraws a key", NONE, NONE, keys::remove),
     endpoint!("GET" "/v1/audit" Operator "Who changed what", NONE, Some("AuditPage"), snapshots::audit),
     endpoint!("GET" "/v1/snapshot" Ingress "All tenants, or what has changed since `held`; with Prefer: wait=SECONDS, once something has", NONE, Some("Snapshot"), snapshots::snapshot),
-    endpoint!("POST" "/v1/leases" Ingress "Renews, releases and gets leases of duties", Some("Ask"), Some("Leases"), leases::ask),
-    endpoint!("GET" "/v1/leases" Ingress "With Prefer: wait=SECONDS, once there is a lease for `holder` to ask for", NONE, NONE, leases::watch),
-    endpoint!("POST" "/v1/leases/mark" Ingress "Notes how far a shard's work has come, under its newest epoch", Some("Mark"), NONE, leases::mark),
-    endpoint!("POST" "/v1/use" Ingress "Tells what tenants have used, in numbered batches", Some("Use"), NONE, leases::take_use),
-    endpoint!("GET" "/v1/use/{duty}/{shard}" Ingress "The use in `span`, or the span to be closed after `after`", NONE, NONE, leases::read_use),
-    endpoint!("GET" "/v1/duties" Operator "Lists duties, with how many of their shards are owned", NONE, NONE, leases::duties),
-    endpoint!("GET" "/v1/duties/{duty}" Ingress "Reads a duty as it is declared", NONE, NONE, leases::duty),
+    endpoint!("POST" "/v1/leases" Ingress "Renews, releases and gets leases of duties", Some("Ask"), Some("Leases"), leases::renew),
+    endpoint!("GET" "/v1/leases" Ingress "With Prefer: wait=SECONDS, once there is a lease for `holder` to ask for", NONE, NONE, leases::wait_for_lease),
+    endpoint!("POST" "/v1/leases/mark" Ingress "Notes how far a shard's work has come, under its newest epoch", Some("Mark"), NONE, leases::record_watermark),
+    endpoint!("POST" "/v1/use" Ingress "Tells what tenants have used, in numbered batches", Some("Use"), NONE, usage::record),
+    endpoint!("GET" "/v1/use/{duty}/{shard}" Ingress "The use in `span`, or the span to be closed after `after`", NONE, NONE, usage::read),
+    endpoint!("GET" "/v1/duties" Operator "Lists duties, with how many of their shards are owned", NONE, NONE, roles::list),
+    endpoint!("GET" "/v1/duties/{duty}" Ingress "Reads a duty as it is declared", NONE, NONE, roles::read),
     endpoint!("PUT" "/v1/findings/{duty}/{shard}" Ingress "What a shard's probes have found, under its newest epoch", Some("Findings"), NONE, findings::put),
     endpoint!("GET" "/v1/findings/{duty}" Ingress "What a duty's probes have found", NONE, NONE, findings::read),
-    endpoint!("GET" "/v1/duties/{duty}/shards" Operator "Lists a duty's shards and their owners", NONE, Some("Page"), leases::shards),
-    endpoint!("GET" "/v1/duties/{duty}/shards/{shard}" Operator "Reads a shard and its owner", NONE, Some("Shard"), leases::read),
-    endpoint!("PUT" "/v1/duties/{duty}/shards/{shard}" Operator "Says who is to have a shard, or that nobody is; nothing lets it go", Some("Word"), Some("Word"), leases::say),
+    endpoint!("GET" "/v1/duties/{duty}/shards" Operator "Lists a duty's shards and their owners", NONE, Some("Page"), roles::list_shards),
+    endpoint!("GET" "/v1/duties/{duty}/shards/{shard}" Operator "Reads a shard and its owner", NONE, Some("Shard"), roles::read_shard),
+    endpoint!("PUT" "/v1/duties/{duty}/shards/{shard}" Operator "Says who is to have a shard, or that nobody is; nothing lets it go", Some("Word"), Some("Word"), roles::override_shard),
     endpoint!("GET" "/v1/ingresses" Operator "What each ingress holds", NONE, Some("Ingresses"), snapshots::ingresses),
 ];
 
@@ -140,3 +85,12 @@
     let revision = call.read(|read| Ok(read.revision()?))?;
     Ok(Answer::ok(serde_json::json!({ "revision": revision })))
 }
+
+/// The OpenAPI page of all endpoints.
+pub fn openapi() -> Value {
+    document(ENDPOINTS)
+}
+
+fn openapi_page(_: &Call<'_>) -> Outcome {
+    Ok(Answer::ok(openapi()))
+}
--- a/crates/control/src/api/findings.rs
+++ b/crates/control/src/api/findings.rs
@@ -1,14 +1,14 @@
 //! What probes of nodes on behalf of all have found. One owner a shard writes it, under its epoch.
 
 use super::{Answer, Call, Outcome, Problem};
-use crate::duties::kept::fenced;
+use crate::roles::lease_store::{check_claim, ClaimCheck};
 use crate::store::Writes;
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use utoipa::ToSchema;
-use violetyoke_ownership::{Claim, Name};
+use violetyoke_ownership::{Claim, Epoch, ShardId};
 
 /// Findings of one shard.
 #[derive(Debug, Deserialize, ToSchema)]
@@ -21,23 +21,26 @@
     nodes: BTreeMap<SocketAddr, bool>,
 }
 
-fn path(duty: &str, shard: u32) -> String {
-    format!("-finding/{duty}/{shard:05}")
+fn path(shard: &ShardId) -> String {
+    format!("-finding/{}/{:05}", shard.role, shard.index)
 }
 
 pub fn put(call: &Call<'_>) -> Outcome {
     let Findings { holder, epoch, nodes } = call.json()?;
     let shard = call.param("shard").parse().map_err(|_| Problem::field("shard", "must be a whole number"))?;
-    let claim = Claim { name: Name::new(call.param("duty"), shard), epoch };
-    let mut refused = None;
+    let claim = Claim { shard: ShardId::new(call.param("duty"), shard), epoch: Epoch(epoch) };
+    let mut fenced = None;
     // Bookkeeping: nobody who waits for a change is woken by it.
     call.store().transact(&call.author(), &mut |read| {
-        refused = fenced(read, &holder, &claim)?.err();
+        if let ClaimCheck::Fenced { newest } = check_claim(read, &holder, &claim)? {
+            fenced = Some(newest);
+            return Ok(None);
+        }
+        fenced = None;
         let body = json!({ "epoch": epoch, "at": call.now, "nodes": nodes });
-        let writes = Writes::default().put(path(&claim.name.duty, shard), body);
-        Ok(refused.is_none().then_some(writes))
+        Ok(Some(Writes::default().put(path(&claim.shard), body)))
     })?;
-    refused.map_or(Ok(Answer::none()), |newest| Err(Problem::fenced(newest)))
+    fenced.map_or(Ok(Answer::none()), |newest| Err(Problem::fenced(newest)))
 }
 
 pub fn read(call: &Call<'_>) -> Outcome {
--- a/crates/control/src/api/http.rs
+++ b/crates/control/src/api/http.rs
@@ -1,7 +1,8 @@
 //! The API on the wire: axum round the table of endpoints.
 
 use super::app::App;
-use super::endpoints::{Access, Endpoint, Permission, ENDPOINTS};
+use super::endpoint::{Access, Endpoint, Permission};
+use super::endpoints::ENDPOINTS;
 use super::wire::{queried, response, versions, waited};
 use super::{keys, sweep, Call, Caller, Outcome, Problem, Wait};
 use crate::keys::Role;
@@ -78,7 +79,7 @@
                 Permission::Forbidden => {
                     return Err(Problem::new(403, "forbidden", "the key may not do that"))
                 }
-                Permission::NotThere => return Err(Problem::not_found()),
+                Permission::NotFound => return Err(Problem::not_found()),
             }
         }
     };
@@ -88,11 +89,11 @@
     let wait = waited(&head.headers)?;
     let end = Instant::now() + wait;
     let mut changes = app.revision.subscribe();
-    let mut stirs = app.desk.stirs();
+    let mut leases = app.leases.subscribe();
     let mut ending = app.ending.subscribe();
     loop {
         changes.mark_unchanged();
-        stirs.mark_unchanged();
+        leases.mark_unchanged();
         let outcome = run(app, endpoint, &caller, &params, &query, &head, &body).await;
         let Ok(answer) = &outcome else { return outcome };
         if answer.wait == Wait::No || Instant::now() >= end || *ending.borrow() {
@@ -100,7 +101,7 @@
         }
         tokio::select! {
             _ = changes.changed(), if answer.wait == Wait::Change => {}
-            _ = stirs.changed(), if answer.wait == Wait::Stir => {}
+            _ = leases.changed(), if answer.wait == Wait::Lease => {}
             _ = ending.changed() => {}
             () = tokio::time::sleep_until(end.into()) => {}
         }
@@ -159,7 +160,7 @@
             body: &body,
             now: app.now(),
         };
-        (endpoint.run)(&call)
+        (endpoint.handler)(&call)
     })
     .await
 }
--- a/crates/control/src/api/mod.rs
+++ b/crates/control/src/api/mod.rs
@@ -4,6 +4,7 @@
 
 mod app;
 mod creation;
+mod endpoint;
 mod endpoints;
 mod findings;
 mod http;
@@ -12,15 +13,17 @@
 mod openapi;
 mod problem;
 mod resources;
+mod roles;
 mod snapshots;
 mod sweep;
 mod tenants;
+mod usage;
 mod wire;
 
-pub use app::{App, Mark, Options};
-pub use endpoints::{Access, Endpoint, ENDPOINTS};
+pub use app::{App, Options};
+pub use endpoint::{Access, Endpoint};
+pub use endpoints::{openapi, ENDPOINTS};
 pub use http::serve;
-pub use openapi::document as openapi;
 pub use problem::Problem;
 pub(crate) use tenants::purge;
 
@@ -72,8 +75,8 @@
     No,
     /// For a change of the store.
     Change,
-    /// For a lease that may be had.
-    Stir,
+    /// For a lease that may have become available.
+    Lease,
 }
 
 impl Answer {
@@ -124,7 +127,7 @@
         let revision = self.store().transact(&self.author(), &mut |read| match decide(read) {
             Ok((writes, answer)) => {
                 outcome = Ok(answer);
-                Ok(Some(writes).filter(|writes| *writes != Writes::default()))
+                Ok(Some(writes).and_then(Writes::non_empty))
             }
             Err(problem) => {
                 outcome = Err(problem);
@@ -133,7 +136,7 @@
         })?;
         let answer = outcome?;
         if let Some(revision) = revision {
-            self.app.tell(revision);
+            self.app.announce_revision(revision);
             let versioned = answer.version.is_some();
             return Ok(if versioned { answer.at(revision) } else { answer });
         }
@@ -167,6 +170,12 @@
         checked(resource)
     }
 
+    /// A whole number of the query; none if it is not there.
+    fn number_in_query(&self, field: &str) -> Result<Option<u64>, Problem> {
+        let number = self.query.get(field).map(|text| text.parse::<u64>()).transpose();
+        number.map_err(|_| Problem::field(field, "must be a whole number"))
+    }
+
     /// Page of a list: where it begins and how long it is.
     fn page(&self) -> Result<(String, usize), Problem> {
         let limit = match self.query.get("limit").map(|text| text.parse::<usize>()) {
--- a/crates/control/src/api/openapi.rs
+++ b/crates/control/src/api/openapi.rs
@@ -1,10 +1,11 @@
 //! The OpenAPI page, from the table of endpoints and the types' own schemas.
 
-use super::endpoints::{Access, Endpoint, ENDPOINTS};
+use super::endpoint::{Access, Endpoint};
 use super::findings::Findings;
 use super::keys::{NewKey, Rotation};
-use super::leases::{Mark, Use};
+use super::leases::Watermark;
 use super::snapshots::IngressState;
+use super::usage::UsageBody;
 use super::Problem;
 use crate::keys::{Role, ShownKey};
 use crate::store::AuditEntry;
@@ -127,7 +128,7 @@
         Ingresses,
         Leases,
         Limits,
-        Mark,
+        Watermark,
         NewKey,
         Page,
         Part,
@@ -143,17 +144,17 @@
         StoredTenant,
         Tenant,
         TenantView,
-        Use,
+        UsageBody,
         Word
     ))
 )]
 struct Schemas;
 
-/// The page as JSON.
-pub fn document() -> Value {
+/// The OpenAPI page of these endpoints.
+pub(super) fn document(endpoints: &[Endpoint]) -> Value {
     let mut page = serde_json::to_value(Schemas::openapi()).unwrap_or_default();
     let mut paths: Map<String, Value> = Map::new();
-    for endpoint in ENDPOINTS {
+    for endpoint in endpoints {
         let path = paths.entry(endpoint.path).or_insert_with(|| json!({}));
         path[endpoint.method.to_lowercase()] = operation(endpoint);
     }
@@ -191,17 +192,17 @@
         ("DELETE", _) => "204",
         _ => "200",
     };
-    let mut answer = json!({ "description": endpoint.about });
-    if let Some(name) = endpoint.gives {
+    let mut answer = json!({ "description": endpoint.summary });
+    if let Some(name) = endpoint.response_schema {
         answer["content"] = content("application/json", name);
     }
     let problem = json!({ "description": "What went wrong", "content": content("application/problem+json", "Problem") });
     let mut operation = json!({
-        "summary": endpoint.about,
+        "summary": endpoint.summary,
         "parameters": parameters,
         "responses": { success: answer, "default": problem },
     });
-    if let Some(name) = endpoint.takes {
+    if let Some(name) = endpoint.request_schema {
         let kind =
             if endpoint.method == "PATCH" { "application/merge-patch+json" } else { "application/json" };
         operation["requestBody"] = json!({ "required": true, "content": content(kind, name) });
--- a/crates/control/src/api/problem.rs
+++ b/crates/control/src/api/problem.rs
@@ -4,6 +4,7 @@
 use serde::Serialize;
 use std::num::NonZeroU64;
 use utoipa::ToSchema;
+use violetyoke_ownership::Epoch;
 use violetyoke_tenants::model::Fault;
 
 /// What went wrong, `application/problem+json`.
@@ -73,11 +74,11 @@
     }
 
     /// A write under a lease that is not the newest.
-    pub fn fenced(newest: u64) -> Problem {
+    pub fn fenced(newest: Epoch) -> Problem {
         let errors = vec![Fault::new("epoch", format!("a newer one has been given out: {newest}"))];
         Problem {
             errors,
-            newest: NonZeroU64::new(newest.max(1)),
+            newest: NonZeroU64::new(newest.0.max(1)),
             ..Problem::new(409, "fenced", "the lease is another's")
         }
     }
--- a/crates/control/src/api/snapshots.rs
+++ b/crates/control/src/api/snapshots.rs
@@ -71,13 +71,8 @@
 
 /// `held`: the revision that the ingress runs, 0 for none. It is answered when there is something newer.
 pub fn snapshot(call: &Call<'_>) -> Outcome {
-    let number = |name: &str| match call.query.get(name).map(|text| text.parse::<u64>()) {
-        None => Ok(None),
-        Some(Ok(number)) => Ok(Some(number)),
-        Some(Err(_)) => Err(Problem::field(name, "must be a whole number")),
-    };
-    let held = number("held")?.unwrap_or(0);
-    let rejected = number("rejected")?;
+    let held = call.number_in_query("held")?.unwrap_or(0);
+    let rejected = call.number_in_query("rejected")?;
     if let Some(name) = call.query.get("ingress") {
         let reason = call.query.get("reason").map(|reason| reason.chars().take(500).collect());
         call.app.seen(name, IngressState { held, seen_at: call.now, rejected, reason });
--- a/crates/control/src/api/sweep.rs
+++ b/crates/control/src/api/sweep.rs
@@ -11,7 +11,7 @@
 pub async fn run(app: Arc<App>) {
     loop {
         let there = app.clone();
-        match tokio::task::spawn_blocking(move || pass(&there)).await {
+        match tokio::task::spawn_blocking(move || refresh(&there)).await {
             Ok(Err(error)) => tracing::error!(%error, "a look at the store"),
             Err(error) => tracing::error!(%error, "a look at the store"),
             Ok(Ok(())) => {}
@@ -20,12 +20,12 @@
     }
 }
 
-fn pass(app: &App) -> crate::store::Result<()> {
+fn refresh(app: &App) -> crate::store::Result<()> {
     let mut audited = 0;
     app.store.view(&mut |read| {
         audited = read.audited()?;
         Ok(())
     })?;
-    app.tell(audited);
-    app.desk.pass(&*app.store, app.now())
+    app.announce_revision(audited);
+    app.leases.refresh(&*app.store, app.now())
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -12,7 +12,8 @@
 )]
 
 pub mod api;
-pub mod duties;
 pub mod keys;
 pub mod limit;
+pub mod roles;
 pub mod store;
+pub mod upkeep;
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -17,7 +17,8 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use std::fmt;
+use std::io;
+use std::path::PathBuf;
 
 /// Counts transactions; of no use but for order.
 pub type Revision = u64;
@@ -53,6 +54,11 @@
         self.clears.push(prefix.into());
         self
     }
+
+    /// These writes; none if there is nothing to write.
+    pub fn non_empty(self) -> Option<Writes> {
+        (!self.documents.is_empty() || !self.clears.is_empty()).then_some(self)
+    }
 }
 
 /// Who changes something, and when.
@@ -64,6 +70,13 @@
     pub at: u64,
 }
 
+impl Author {
+    /// The control plane itself, at this Unix time in milliseconds.
+    pub fn control(at: u64) -> Author {
+        Author { who: "control".into(), at }
+    }
+}
+
 /// What was changed, once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, utoipa::ToSchema)]
 pub struct AuditEntry {
@@ -81,29 +94,47 @@
     pub after: Option<Value>,
 }
 
-#[derive(Debug)]
+/// Why the store cannot do what was asked. Nothing was written.
+#[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file is of a later program than this one.
+    /// The file was written by a later version of this program.
+    #[error("the store is of schema {found}, and this program knows {known} at most")]
     TooNew {
+        /// The file's schema version.
         found: u32,
+        /// The newest schema version that this program knows.
         known: u32,
     },
-    Failed(String),
-}
-
-impl fmt::Display for Error {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Error::TooNew { found, known } => {
-                write!(f, "the store is of schema {found}, and this program knows {known} at most")
-            }
-            Error::Failed(reason) => f.write_str(reason),
-        }
-    }
+    /// The database failed.
+    #[error("store: {0}")]
+    Sqlite(#[from] rusqlite::Error),
+    /// A document cannot be read or written as JSON of its type.
+    #[error("store: {path}: {source}")]
+    Document {
+        /// The document's path.
+        path: String,
+        /// The cause.
+        source: serde_json::Error,
+    },
+    /// A document contradicts another one.
+    #[error("{path}: {reason}")]
+    InvalidState {
+        /// The document's path.
+        path: String,
+        /// What is wrong.
+        reason: String,
+    },
+    /// A file beside the store cannot be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
 }
 
-impl std::error::Error for Error {}
-
+/// A result of the store.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Reads of one state.
--- a/crates/control/src/store/sqlite.rs
+++ b/crates/control/src/store/sqlite.rs
@@ -14,12 +14,6 @@
     connection: Mutex<Connection>,
 }
 
-impl From<rusqlite::Error> for Error {
-    fn from(error: rusqlite::Error) -> Error {
-        Error::Failed(format!("store: {error}"))
-    }
-}
-
 impl Sqlite {
     pub fn open(path: &Path) -> Result<Sqlite> {
         let mut connection = Connection::open(path)?;
@@ -43,8 +37,8 @@
     }
 }
 
-fn parsed(text: String) -> Result<Value> {
-    serde_json::from_str(&text).map_err(|error| Error::Failed(format!("store: a body is no JSON: {error}")))
+fn parse(path: &str, text: &str) -> Result<Value> {
+    serde_json::from_str(text).map_err(|source| Error::Document { path: path.to_string(), source })
 }
 
 /// The end of all paths that begin with a prefix: behind it in the order of bytes.
@@ -62,7 +56,8 @@
     let mut list = Vec::new();
     for row in rows {
         let (path, version, body) = row?;
-        list.push(Document { path, version: version as Revision, body: parsed(body)? });
+        let body = parse(&path, &body)?;
+        list.push(Document { path, version: version as Revision, body });
     }
     Ok(list)
 }
@@ -89,9 +84,9 @@
             revision: revision as Revision,
             at: at as u64,
             who,
+            before: before.map(|text| parse(&path, &text)).transpose()?,
+            after: after.map(|text| parse(&path, &text)).transpose()?,
             path,
-            before: before.map(parsed).transpose()?,
-            after: after.map(parsed).transpose()?,
         });
     }
     Ok(list)
@@ -135,7 +130,7 @@
         let mut statement = self.prepare_cached("SELECT version, body FROM document WHERE path = ?1")?;
         let row = |row: &Row<'_>| Ok((row.get::<_, i64>(0)?, row.get::<_, String>(1)?));
         let Some((version, body)) = statement.query_row([path], row).optional()? else { return Ok(None) };
-        Ok(Some(Document { path: path.to_string(), version: version as Revision, body: parsed(body)? }))
+        Ok(Some(Document { path: path.to_string(), version: version as Revision, body: parse(path, &body)? }))
     }
 
     fn list(&self, prefix: &str, after: &str, most: usize) -> Result<Vec<Document>> {
--- a/crates/control/tests/store.rs
+++ b/crates/control/tests/store.rs
@@ -107,7 +107,9 @@
     put(&store, "tenants/ab", json!(3));
     // It decides not to, and it fails in the middle: nothing is written, and no revision is used.
     assert_eq!(store.transact(&by("me"), &mut |_| Ok(None)).unwrap(), None);
-    let failed = store.transact(&by("me"), &mut |_| Err(Error::Failed("no".into())));
+    let failed = store.transact(&by("me"), &mut |_| {
+        Err(Error::InvalidState { path: "tenants/a".into(), reason: "no".into() })
+    });
     assert!(failed.is_err());
     let writes = || Writes::default().clear("tenants/a/").put("tenants/a/plans/r", json!(4)).delete("absent");
     assert_eq!(store.transact(&by("you"), &mut |_| Ok(Some(writes()))).unwrap(), Some(4));
--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -1,80 +1,84 @@
-//! A lease in a worker's hands.
+//! A worker's handle of its lease.
 
-use crate::{clock::boottime, gate};
+use crate::clock::boottime;
+use crate::pause_point;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{watch, Notify};
-use violetyoke_ownership::holder::{Change, Holder};
-use violetyoke_ownership::{Claim, Epoch};
+use violetyoke_ownership::{Claim, Epoch, LeaseEvent, LeaseHolder};
 
-/// The holder of a process, shared by its office and its workers.
+/// The lease holder of a process, shared by its supervisor and its workers.
 #[derive(Clone)]
-pub(crate) struct Shared {
-    holder: Arc<Mutex<Holder>>,
-    /// There is something to tell the grantor now.
-    pub urgent: Arc<Notify>,
+pub(crate) struct SharedHolder {
+    holder: Arc<Mutex<LeaseHolder>>,
+    /// A request to the lease manager is due now.
+    pub(crate) request_due: Arc<Notify>,
 }
 
-impl Shared {
-    pub fn new(holder: Holder) -> Shared {
-        Shared { holder: Arc::new(Mutex::new(holder)), urgent: Arc::default() }
+impl SharedHolder {
+    pub(crate) fn new(holder: LeaseHolder) -> SharedHolder {
+        SharedHolder { holder: Arc::new(Mutex::new(holder)), request_due: Arc::default() }
     }
 
-    pub fn lock(&self) -> MutexGuard<'_, Holder> {
+    pub(crate) fn lock(&self) -> MutexGuard<'_, LeaseHolder> {
         self.holder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What a worker has of its lease. It goes with the worker, which is ended when the lease is lost.
-pub struct Lease {
+/// The lease of one worker. When the lease is lost, the supervisor ends the worker.
+pub struct LeaseHandle {
+    /// The lease.
     pub claim: Claim,
-    /// How far the work had come when it was given.
-    pub mark: u64,
-    pub(crate) shared: Shared,
+    /// How far the shard's work had come when the lease was granted.
+    pub watermark: u64,
+    pub(crate) holder: SharedHolder,
     pub(crate) ending: watch::Receiver<bool>,
 }
 
-/// The lease is not good any more: nothing is to be done.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Over;
+/// The lease is not valid any more: no operation may start.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the lease is not valid any more")]
+pub struct LeaseInvalid;
 
-impl Lease {
-    pub fn holder(&self) -> String {
-        self.shared.lock().name().to_string()
+impl LeaseHandle {
+    /// The name of the process that holds the lease.
+    pub fn holder_name(&self) -> String {
+        self.holder.lock().name().to_string()
     }
 
-    /// Asked directly before each effect; `act` names it.
-    pub async fn check(&self, act: &str) -> Result<(), Over> {
-        self.good()?;
-        gate::pass(act, &self.claim).await;
+    /// Checks the lease directly before an operation, of which `operation` is the name.
+    ///
+    /// # Errors
+    /// [`LeaseInvalid`] if the operation must not start.
+    pub async fn check(&self, operation: &str) -> Result<(), LeaseInvalid> {
+        if !self.holder.lock().is_valid(&self.claim, boottime()) {
+            return Err(LeaseInvalid);
+        }
+        pause_point::reach(operation, &self.claim).await;
         Ok(())
     }
 
-    fn good(&self) -> Result<(), Over> {
-        let good = self.shared.lock().may(&self.claim, boottime());
-        good.then_some(()).ok_or(Over)
-    }
-
-    /// The work has gone on; without this the lease is not renewed.
-    pub fn moved(&self, acts: u64) {
-        self.shared.lock().moved(&self.claim, acts);
+    /// Records progress: operations were completed, or there was nothing to do (0). Without progress the lease is not
+    /// renewed.
+    pub fn record_progress(&self, operations: u64) {
+        self.holder.lock().record_progress(&self.claim, operations);
     }
 
-    /// A receiver has refused an effect, for one of a newer epoch.
-    pub fn fenced(&self, newest: Epoch) {
-        let changes = self.shared.lock().fenced(&self.claim, newest);
-        if let Some(Change::Lost { why, .. }) = changes.first() {
-            tracing::warn!(lease = %self.claim.name, epoch = self.claim.epoch, ?why, "refused by a fence");
+    /// Gives up the lease after a receiver has rejected an operation, because it has seen a newer epoch.
+    pub fn on_fenced(&self, newest: Epoch) {
+        let event = self.holder.lock().on_fenced(&self.claim, newest);
+        if let Some(LeaseEvent::Lost { cause, .. }) = event {
+            tracing::warn!(lease = %self.claim.shard, epoch = %self.claim.epoch, ?cause, "rejected by fencing");
         }
     }
 
-    /// Whether it is to be handed over: no new act is to be begun.
+    /// Whether the lease is to be handed over: no new work is to start.
     pub fn is_ending(&self) -> bool {
         *self.ending.borrow()
     }
 
     /// Returns once the lease is to be handed over.
-    pub async fn ends(&mut self) {
-        // Without its office there is nobody to hand it to.
-        let _ = self.ending.wait_for(|ending| *ending).await;
+    pub async fn wait_until_ending(&mut self) {
+        // An error means that the supervisor is gone, and with it whoever would take the lease back.
+        drop(self.ending.wait_for(|is_ending| *is_ending).await);
     }
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,24 +1,21 @@
-//! A holder at work: [`office`] keeps its leases and runs its workers, [`desk`] is how it reaches the grantor,
-//! [`fleet`] the kinds of work that an ingress may own, and [`call`] one HTTP call. What a lease means is said in
-//! `violetyoke-ownership`.
+//! Runs the singleton roles of one process: keeps its leases and the workers that do their work.
+//!
+//! [`supervisor`] requests leases, starts a worker for each and stops it when the lease is lost. It reaches the lease
+//! manager through a [`lease_client::LeaseClient`], over HTTP by [`control_client::ControlClient`]. A worker checks
+//! its [`lease::LeaseHandle`] before each operation. [`ingress_worker`] has the roles that an ingress can run, and
+//! [`usage`] counts what its tenants use.
+//!
+//! The rules of leases are in `violetyoke-ownership`; the lease manager's side is in `violetyoke-control`.
 
-#![allow(
-    clippy::let_underscore_must_use,
-    clippy::semicolon_if_nothing_returned,
-    clippy::too_many_lines,
-    clippy::unused_self,
-    missing_docs,
-    unreachable_pub,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
-pub mod call;
 pub mod clock;
-pub mod desk;
-pub mod fleet;
-mod gate;
+pub mod control_client;
+mod health_probe;
+pub mod holder;
+pub mod http_client;
+pub mod ingress_worker;
 pub mod lease;
-pub mod office;
-mod probe;
-mod report;
-pub mod uses;
+pub mod lease_client;
+mod pause_point;
+pub mod supervisor;
+pub mod usage;
+mod usage_report;
--- a/crates/ingress/src/duties.rs
+++ b/crates/ingress/src/duties.rs
@@ -1,36 +1,41 @@
 //! The fleet's work in a process that serves: on a thread and a runtime of its own, so that what it waits for is
 //! nothing that requests wait for.
 
-use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
 use tokio::signal::unix::{signal, SignalKind};
 use violetyoke_config as file;
-use violetyoke_duties::desk::Control;
-use violetyoke_duties::fleet::Fleet;
-use violetyoke_duties::office::{self, Work};
-use violetyoke_duties::uses::{self, Uses};
+use violetyoke_duties::control_client::ControlClient;
+use violetyoke_duties::holder::{holder_name, new_holder};
+use violetyoke_duties::ingress_worker::IngressWorker;
+use violetyoke_duties::supervisor::{self, RoleWorker, RoleWorkers};
+use violetyoke_duties::usage::{self, UsageCounters};
 
 /// Starts it. SIGTERM has it hand over what it owns, and end.
-pub fn start(duties: file::Duties, control: file::Control, uses: Uses) -> io::Result<JoinHandle<()>> {
-    let life = office::life(&control.name).map_err(io::Error::other)?;
+pub fn start(
+    duties: file::Duties,
+    control: file::Control,
+    uses: UsageCounters,
+) -> io::Result<JoinHandle<()>> {
+    let name = holder_name(&control.name).map_err(io::Error::other)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let desk = Control { address: control.address, key_file: control.key_file };
-    let work: Arc<dyn Work> = Arc::new(Fleet { control: desk.clone(), sink: duties.sink });
-    let works: BTreeMap<_, _> = duties.take.iter().map(|name| (name.clone(), work.clone())).collect();
+    let client = ControlClient { address: control.address, key_file: control.key_file };
+    let worker: Arc<dyn RoleWorker> =
+        Arc::new(IngressWorker { control: client.clone(), report_sink: duties.sink });
+    let workers: RoleWorkers = duties.take.iter().map(|role| (role.clone(), worker.clone())).collect();
     let work = async move {
         let mut terminate = match signal(SignalKind::terminate()) {
             Ok(terminate) => terminate,
             Err(error) => return tracing::error!(%error, "no duties are taken"),
         };
-        let telling = tokio::spawn(uses::tell(uses, desk.clone(), life.clone()));
-        let holder = office::holder(life, duties.take.clone());
+        let publishing = tokio::spawn(usage::publish(uses, client.clone(), name.clone()));
+        let holder = new_holder(name, duties.take.clone());
         let end = async move {
             terminate.recv().await;
         };
-        office::run(Arc::new(desk), holder, works, end).await;
-        telling.abort();
+        supervisor::run(Arc::new(client), holder, workers, end).await;
+        publishing.abort();
     };
     Builder::new().name("duties".into()).spawn(move || runtime.block_on(work))
 }
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use violetyoke_config as file;
 use violetyoke_decision::interface::Plan;
-use violetyoke_duties::uses::Uses;
+use violetyoke_duties::usage::UsageCounters;
 use violetyoke_shares::{Member, Stock};
 use violetyoke_tenants::snapshot::Held;
 
@@ -54,7 +54,7 @@
 }
 
 impl Pools {
-    pub fn new(config: &file::Service, sets: Rc<Sets>, door: Rc<Set>, uses: Uses) -> Pools {
+    pub fn new(config: &file::Service, sets: Rc<Sets>, door: Rc<Set>, uses: UsageCounters) -> Pools {
         let stock = |total| Rc::new(RefCell::new(Stock::new(total)));
         let (descriptors, bytes) = (stock(config.descriptors), stock(config.buffered_bytes));
         let open = config.control.as_ref().map_or(0, |control| control.open_requests);
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -20,7 +20,7 @@
 use tokio::task::{spawn_blocking, unconstrained};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 use violetyoke_config as file;
-use violetyoke_duties::uses::Uses;
+use violetyoke_duties::usage::UsageCounters;
 use violetyoke_tenants::snapshot::Held;
 
 /// How often the file is looked at, where that is switched on.
@@ -48,7 +48,7 @@
     let (sets, over) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
     let door = sets.add(DOOR, DOOR_WEIGHT);
     let running = Running::new(sets.clone(), over.clone());
-    let uses = Uses::default();
+    let uses = UsageCounters::default();
     let mut pools = Pools::new(&config, sets.clone(), door.clone(), uses.clone());
     let config = Arc::new(config);
     // Without the control plane it begins with what was in force when it ended.
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use violetyoke_config as file;
-use violetyoke_duties::uses::Uses;
+use violetyoke_duties::usage::UsageCounters;
 use violetyoke_shares::{Member, Stock};
 use violetyoke_tenants::account_number;
 use violetyoke_tenants::model::{self, Part};
@@ -96,7 +96,7 @@
     descriptors: Shared,
     bytes: Shared,
     sets: Option<Rc<Sets>>,
-    uses: Uses,
+    uses: UsageCounters,
 }
 
 /// What pools know of a tenant's plans: from a pool's number and a plan's name among that pool's to its number.
@@ -108,7 +108,7 @@
         descriptors: Shared,
         bytes: Shared,
         sets: Option<Rc<Sets>>,
-        uses: Uses,
+        uses: UsageCounters,
     ) -> Tenancy {
         let requests = Rc::new(RefCell::new(Stock::new(open_requests)));
         Tenancy { running: BTreeMap::new(), held: Arc::default(), requests, descriptors, bytes, sets, uses }
@@ -146,7 +146,7 @@
                     requests: self.requests.clone(),
                     sets: self.sets.clone(),
                     set: RefCell::default(),
-                    used: self.uses.of(name),
+                    used: self.uses.of_tenant(name),
                 })
             });
             let changed = fresh || !Arc::ptr_eq(&tenant.view.borrow(), view);
--- a/crates/ownership/src/candidates.rs
+++ b/crates/ownership/src/candidates.rs
@@ -1,74 +1,91 @@
-//! Who calls, and so may have shards.
+//! The processes that call, and so may be granted shards.
 
-use crate::deal::Deal;
-use crate::duty::Duty;
-use crate::{Micros, Name};
+use crate::assignment::Assignment;
+use crate::claim::ShardId;
+use crate::clock::Micros;
+use crate::role::SingletonRole;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// For how long a process without declared roles is remembered.
+const DEFAULT_TTL_MS: u64 = 10_000;
+
+/// What is known of a process that calls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Session {
-    duties: BTreeSet<String>,
-    last: Micros,
-    /// Its calls come, and answers reach it in good time.
-    hears: bool,
+pub(crate) struct Session {
+    /// Names of the declared roles that it can run.
+    pub(crate) roles: BTreeSet<String>,
+    pub(crate) last_call: Micros,
+    /// Whether responses reach it in time. A process that receives none is no candidate.
+    pub(crate) receives_responses: bool,
 }
 
-/// Candidates by their names, and what is dealt to them. Where something has changed it is to be dealt anew.
+/// Sessions by holder, and the assignment of each role's shards to them. Where a method returns that candidates have
+/// changed, [`Candidates::reassign`] is due.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Candidates {
     sessions: BTreeMap<String, Session>,
-    deals: BTreeMap<String, Deal>,
+    assignments: BTreeMap<String, Assignment>,
 }
 
 impl Candidates {
-    pub fn deal(&mut self, duties: &BTreeMap<String, Duty>) {
-        let deal = |duty: &Duty| Deal::new(duty, &self.of(&duty.name));
-        self.deals = duties.values().map(|duty| (duty.name.clone(), deal(duty))).collect();
+    /// Assigns all shards of these roles to the candidates.
+    pub(crate) fn reassign(&mut self, roles: &BTreeMap<String, SingletonRole>) {
+        let assign = |role: &SingletonRole| {
+            let candidates = self.of_role(&role.name);
+            Assignment::new(&role.name, role.shard_count, role.max_shards_per_process, &candidates)
+        };
+        self.assignments = roles.values().map(|role| (role.name.clone(), assign(role))).collect();
     }
 
-    /// Whether that changes who is a candidate for what.
-    pub fn calls(&mut self, holder: &str, duties: BTreeSet<String>, hears: bool, now: Micros) -> bool {
-        let session = Session { duties: duties.clone(), last: now, hears };
-        let before = self.sessions.insert(holder.to_string(), session);
-        before.map_or(hears, |before| before.duties != duties || before.hears != hears)
+    /// Records a call; whether that changes the candidates of any role.
+    pub(crate) fn record_call(&mut self, holder: &str, session: Session) -> bool {
+        let has_changed = self.sessions.get(holder).map_or(session.receives_responses, |previous| {
+            previous.roles != session.roles || previous.receives_responses != session.receives_responses
+        });
+        self.sessions.insert(holder.to_string(), session);
+        has_changed
     }
 
-    pub fn hears(&self, holder: &str) -> bool {
-        self.sessions.get(holder).is_some_and(|session| session.hears)
+    /// Whether responses reach this holder.
+    pub(crate) fn receives_responses(&self, holder: &str) -> bool {
+        self.sessions.get(holder).is_some_and(|session| session.receives_responses)
     }
 
-    pub fn leaves(&mut self, holder: &str) -> bool {
+    /// Removes a process that shuts down; whether it was known.
+    pub(crate) fn remove(&mut self, holder: &str) -> bool {
         self.sessions.remove(holder).is_some()
     }
 
-    /// Whether there was one that has not called for a length.
-    pub fn forget(&mut self, duties: &BTreeMap<String, Duty>, now: Micros) -> bool {
-        let before = self.sessions.len();
+    /// Removes processes that have not called for the longest lease duration of their roles; whether there were any.
+    pub(crate) fn remove_silent(&mut self, roles: &BTreeMap<String, SingletonRole>, now: Micros) -> bool {
+        let count = self.sessions.len();
         self.sessions.retain(|_, session| {
-            let lengths = session.duties.iter().filter_map(|duty| duties.get(duty));
-            let length = lengths.map(|duty| duty.length_ms).max().unwrap_or(10_000) * 1_000;
-            now.saturating_sub(session.last) < length
+            let declared = session.roles.iter().filter_map(|role| roles.get(role));
+            let ttl_ms = declared.map(|role| role.ttl_ms).max().unwrap_or(DEFAULT_TTL_MS);
+            now.saturating_sub(session.last_call) < ttl_ms * 1_000
         });
-        self.sessions.len() != before
+        self.sessions.len() != count
     }
 
-    pub fn of(&self, duty: &str) -> Vec<&str> {
-        let of = |(_, session): &(&String, &Session)| session.hears && session.duties.contains(duty);
-        self.sessions.iter().filter(of).map(|(name, _)| name.as_str()).collect()
+    /// The candidates for a role, in order of their names.
+    pub(crate) fn of_role(&self, role: &str) -> Vec<&str> {
+        let is_candidate =
+            |(_, session): &(&String, &Session)| session.receives_responses && session.roles.contains(role);
+        self.sessions.iter().filter(is_candidate).map(|(holder, _)| holder.as_str()).collect()
     }
 
-    /// The life of a process, by the process' name as operators use it, if it lives and has not fallen.
-    pub fn named(&self, process: &str, duty: &str, fallen: &[String]) -> Option<&str> {
-        let fit = |candidate: &&str| {
-            let rest = candidate.strip_prefix(process);
-            let its = rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('#'));
-            its && !fallen.iter().any(|fallen| fallen == candidate)
+    /// The candidate that is the running incarnation of a process, by the process name that operators use, unless it
+    /// has failed.
+    pub(crate) fn of_process(&self, process: &str, role: &str, failed: &[String]) -> Option<&str> {
+        let is_incarnation = |candidate: &&str| {
+            candidate.strip_prefix(process).is_some_and(|rest| rest.is_empty() || rest.starts_with('#'))
         };
-        self.of(duty).into_iter().find(fit)
+        let has_failed = |candidate: &str| failed.iter().any(|failed| failed == candidate);
+        self.of_role(role).into_iter().find(|candidate| is_incarnation(candidate) && !has_failed(candidate))
     }
 
-    /// Whom a shard is dealt to.
-    pub fn owner(&self, name: &Name, fallen: &[String]) -> Option<&str> {
-        self.deals.get(&name.duty)?.owner(name.shard, fallen)
+    /// The candidate that a shard is assigned to.
+    pub(crate) fn assigned_to(&self, shard: &ShardId, failed: &[String]) -> Option<&str> {
+        self.assignments.get(&shard.role)?.owner(shard.index, failed)
     }
 }
--- /dev/null
+++ b/crates/ownership/src/fencing.rs
@@ -0,0 +1,54 @@
+//! The receiver's side: an operation carries the shard and epoch of its lease, and a receiver that has seen a newer
+//! epoch of that shard rejects it.
+
+use crate::claim::ShardId;
+use crate::epoch::Epoch;
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// The newest epoch of each shard that a receiver has seen. It must outlive the receiver's restarts for as long as
+/// the effects of the operations do.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub struct FencingGuard {
+    newest: BTreeMap<ShardId, Epoch>,
+}
+
+/// An operation is rejected, because a newer owner has been here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StaleEpoch {
+    /// The newest epoch that was seen.
+    pub newest: Epoch,
+}
+
+impl fmt::Display for StaleEpoch {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "epoch: an owner with epoch {} has been here", self.newest)
+    }
+}
+
+impl std::error::Error for StaleEpoch {}
+
+impl FencingGuard {
+    /// Admits an operation, after which no older epoch of the shard is admitted.
+    ///
+    /// # Errors
+    /// [`StaleEpoch`] if a newer epoch of the shard was admitted before.
+    pub fn admit(&mut self, shard: &ShardId, epoch: Epoch) -> Result<(), StaleEpoch> {
+        match self.newest.get_mut(shard) {
+            Some(newest) if epoch < *newest => Err(StaleEpoch { newest: *newest }),
+            Some(newest) => {
+                *newest = epoch;
+                Ok(())
+            }
+            None => {
+                self.newest.insert(shard.clone(), epoch);
+                Ok(())
+            }
+        }
+    }
+
+    /// The newest epoch of a shard that was admitted.
+    pub fn newest(&self, shard: &ShardId) -> Option<Epoch> {
+        self.newest.get(shard).copied()
+    }
+}
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,44 +1,39 @@
-//! One owner at a time for work that is done on behalf of the fleet.
+//! Leases that give each piece of the fleet's background work to one process at a time.
 //!
-//! A *duty* is such work, cut into *shards*. A shard's *lease* is given out by the control plane, the [`grantor`], to
-//! one process, its [`holder`], each time with an *epoch* that never comes again. Time alone keeps two holders apart
-//! as long as clocks run about equally fast; [`fence`]s keep them apart where a process was stopped between its last
-//! look at the lease and its effect. [`deal`] says whose shard is whose, [`epochs`] where epochs come from, and
-//! [`duty`] what an operators' file may declare.
+//! A [`SingletonRole`] is such work (reporting, health probes, upkeep of the store), cut into shards. The control
+//! plane runs a [`LeaseManager`], which grants the lease on a shard to one process; that process tracks its leases in
+//! a [`LeaseHolder`]. Every grant has an [`Epoch`] that is never used again: receivers of the work check it in a
+//! [`FencingGuard`], which rejects a holder that was paused between its last check of the lease and its operation.
+//! [`Assignment`] decides which candidate a shard belongs to, and [`EpochAllocator`] allocates epochs.
 //!
-//! Nothing here does I/O or reads a clock: times are microseconds of the caller's own monotonic clock, and grantor
-//! and holder never compare theirs.
-
-#![allow(
-    clippy::needless_pass_by_value,
-    clippy::unused_self,
-    missing_docs,
-    unreachable_pub,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
+//! This crate does no I/O and reads no clock. Times are [`Micros`] of the caller's own monotonic clock; the clocks of
+//! manager and holder are never compared with each other.
 
+mod assignment;
 mod candidates;
-mod change;
-pub mod deal;
-pub mod duty;
-pub mod epochs;
-pub mod fence;
-pub mod grantor;
-pub mod holder;
-pub mod record;
-mod seen;
-mod weakness;
-mod words;
-
-pub use record::Record;
-pub use words::{Answer, Ask, Claim, Given, Lost, Name, Renewal};
-
-/// Microseconds of a monotonic clock that goes on while a process is stopped.
-pub type Micros = u64;
-
-/// The number of one grant. Higher is newer, over all shards of all duties.
-pub type Epoch = u64;
+mod claim;
+mod clock;
+mod epoch;
+mod event;
+mod fencing;
+mod injected_faults;
+mod lease_holder;
+mod lease_manager;
+mod messages;
+mod observed;
+mod record;
+mod role;
 
-/// The part of a length by which a holder stops early, so that clocks may differ in speed by that much (1/50) and
-/// nobody has two.
-pub const DRIFT: u64 = 50;
+pub use assignment::{shard_of, Assignment};
+pub use claim::{Claim, Renewal, ShardId};
+pub use clock::Micros;
+pub use epoch::{Epoch, EpochAllocator, MAX_EPOCH_LEAD, RESERVATION_BLOCK};
+pub use event::{LeaseEvent, LossCause};
+pub use fencing::{FencingGuard, StaleEpoch};
+pub use injected_faults::InjectedFaults;
+pub use lease_holder::{CallId, LeaseHolder, CLOCK_DRIFT_DIVISOR, MAX_PENDING_CALLS};
+pub use lease_manager::LeaseManager;
+pub use messages::{Grant, LossReason, RenewRequest, RenewResponse};
+pub use observed::ShardOverride;
+pub use record::{LeaseRecord, FORGIVE_AFTER_RENEWALS, MAX_CONSECUTIVE_FAILURES};
+pub use role::{InvalidField, ProcessKind, RoleKind, SingletonRole, MAX_SHARDS, TTL_RANGE_MS};
--- /dev/null
+++ b/crates/ownership/src/messages.rs
@@ -0,0 +1,125 @@
+//! Messages between lease holders and the lease manager, JSON on the wire. The serialized names are those of the
+//! administration API.
+
+use crate::claim::{Claim, Renewal};
+use crate::epoch::Epoch;
+use serde::{Deserialize, Serialize};
+
+/// One call of a holder, which is a candidate for shards of the roles it names for as long as it calls.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(rename = "Ask", deny_unknown_fields)]
+pub struct RenewRequest {
+    /// The calling process; a restarted process is another holder.
+    pub holder: String,
+    /// Names of the roles that the process can run.
+    #[serde(default, rename = "duties")]
+    pub roles: Vec<String>,
+    /// Leases whose work has made progress.
+    #[serde(default)]
+    pub renew: Vec<Renewal>,
+    /// Leases whose work has finished.
+    #[serde(default)]
+    pub release: Vec<Claim>,
+    /// Leases that expired by the holder's own clock.
+    #[serde(default, rename = "gave_up")]
+    pub expired: Vec<Claim>,
+    /// The newest epoch that the holder has observed anywhere.
+    #[serde(default, rename = "seen")]
+    pub observed_epoch: Epoch,
+    /// The token of the newest response that was received, 0 for none: a holder that receives no responses is granted
+    /// nothing.
+    #[serde(default)]
+    pub echo: u64,
+    /// The process is shutting down: it is granted nothing.
+    #[serde(default, rename = "leaving")]
+    pub is_leaving: bool,
+}
+
+/// A lease that is the holder's until `ttl_ms` after it sent the request that this answers.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(from = "wire::Grant", into = "wire::Grant")]
+pub struct Grant {
+    /// The granted or renewed lease.
+    pub claim: Claim,
+    /// For how long it is granted, in milliseconds.
+    pub ttl_ms: u64,
+    /// How far the shard's work has come, as its owners have recorded.
+    pub watermark: u64,
+    /// The holder is to finish its work and release the lease, because another holder is to have it.
+    pub must_hand_over: bool,
+}
+
+/// Why a claimed lease is not the holder's.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum LossReason {
+    /// Granted since to another holder, or to the same one anew.
+    #[serde(rename = "newer")]
+    Superseded,
+    /// The lease manager has no such grant on record.
+    Unknown,
+    /// It had expired before the renewal arrived.
+    #[serde(rename = "ran_out")]
+    Expired,
+    /// The role, or this shard of it, no longer exists.
+    #[serde(rename = "gone")]
+    Removed,
+}
+
+/// The lease manager's response.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct RenewResponse {
+    /// Leases that were renewed or granted.
+    #[serde(rename = "given")]
+    pub grants: Vec<Grant>,
+    /// Claims that were not accepted.
+    pub lost: Vec<(Claim, LossReason)>,
+    /// The longest pause until the next call, in milliseconds.
+    #[serde(rename = "again_ms")]
+    pub next_call_ms: u64,
+    /// The newest epoch.
+    #[serde(rename = "newest")]
+    pub newest_epoch: Epoch,
+    /// To be echoed in the next request: the time of this response by the manager's clock.
+    #[serde(default)]
+    pub token: u64,
+    /// Parts of the request that were ignored, as field and reason; the rest was processed.
+    #[serde(default)]
+    pub faults: Vec<(String, String)>,
+}
+
+/// The serialized form of a grant, as one flat object.
+mod wire {
+    use crate::claim::{Claim, ShardId};
+    use crate::epoch::Epoch;
+    use serde::{Deserialize, Serialize};
+
+    #[derive(Serialize, Deserialize)]
+    #[serde(rename = "Given")]
+    pub(super) struct Grant {
+        duty: String,
+        shard: u32,
+        epoch: Epoch,
+        #[serde(rename = "length_ms")]
+        ttl_ms: u64,
+        #[serde(default, rename = "mark")]
+        watermark: u64,
+        #[serde(default, rename = "hand_over")]
+        must_hand_over: bool,
+    }
+
+    impl From<Grant> for super::Grant {
+        fn from(grant: Grant) -> Self {
+            let Grant { duty, shard, epoch, ttl_ms, watermark, must_hand_over } = grant;
+            let claim = Claim { shard: ShardId::new(duty, shard), epoch };
+            super::Grant { claim, ttl_ms, watermark, must_hand_over }
+        }
+    }
+
+    impl From<super::Grant> for Grant {
+        fn from(grant: super::Grant) -> Self {
+            let super::Grant { claim: Claim { shard, epoch }, ttl_ms, watermark, must_hand_over } = grant;
+            Grant { duty: shard.role, shard: shard.index, epoch, ttl_ms, watermark, must_hand_over }
+        }
+    }
+}
--- a/crates/ownership/src/record.rs
+++ b/crates/ownership/src/record.rs
@@ -1,77 +1,99 @@
 //! What the store keeps of one shard.
 
-use crate::{Epoch, Name};
+use crate::claim::{Claim, ShardId};
+use crate::epoch::Epoch;
+use crate::messages::Grant;
 use serde::{Deserialize, Serialize};
 
-/// Owners in a row that may fall over a shard's work, without an act done, before it is set aside.
-pub const FALLS: u32 = 5;
-/// Renewals after which those who fell before are candidates like others again: some ten lengths.
-pub const FORGIVEN: u64 = 30;
-/// Fallen holders that are remembered.
-const REMEMBERED: usize = 8;
+/// Owners in a row whose lease may expire before they completed an operation, until the shard is suspended.
+pub const MAX_CONSECUTIVE_FAILURES: u32 = 5;
+/// Renewals after which holders that failed before are candidates like others again: some ten lease durations.
+pub const FORGIVE_AFTER_RENEWALS: u64 = 30;
+/// Failed holders that a record remembers.
+const MAX_FAILED_HOLDERS: usize = 8;
 
-/// One shard's lease. It is never deleted while its duty is there: what it has come to goes from owner to owner.
+/// One shard's lease. It is not deleted while its role exists: the watermark passes from owner to owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct LeaseRecord {
+    /// The leased shard.
     #[serde(flatten)]
-    pub name: Name,
-    /// None: nobody's.
+    pub shard: ShardId,
+    /// Who holds the lease; none: nobody.
     pub holder: Option<String>,
-    /// Of the newest grant; 0: none yet.
+    /// Epoch of the newest grant; 0: none yet.
     pub epoch: Epoch,
-    /// Goes up with each renewal: two grantors on one store see by it that a holder lives.
-    pub beat: u64,
-    pub length_ms: u64,
-    /// How far the work has come, as owners have noted it: it never goes back.
-    pub mark: u64,
-    /// Acts under this epoch.
-    pub acts: u64,
-    /// Holders whose lease ran out in their hands, the newest last: none of them gets it while others are there,
-    /// until one has held it for a good while.
-    pub fallen: Vec<String>,
-    /// How many in a row fell before they had done anything.
-    pub falls: u32,
-    /// Why nobody is to have it: its owners fall. An operator's word stands elsewhere.
-    pub held_back: Option<String>,
-    /// Unix times in milliseconds, to be shown: of the grant, and of the last sign of work.
-    pub since: u64,
-    pub worked: u64,
+    /// Renewals of this grant. Another lease manager on the same store sees by its increase that the holder is alive.
+    #[serde(rename = "beat")]
+    pub renewals: u64,
+    /// Duration of the grant in milliseconds.
+    #[serde(rename = "length_ms")]
+    pub ttl_ms: u64,
+    /// How far the work has come, as owners have recorded; it never decreases.
+    #[serde(rename = "mark")]
+    pub watermark: u64,
+    /// Operations completed under this epoch.
+    #[serde(rename = "acts")]
+    pub operations: u64,
+    /// Holders whose lease expired, the most recent last. They get the shard only where no other candidate exists,
+    /// until one owner has kept it for [`FORGIVE_AFTER_RENEWALS`].
+    #[serde(rename = "fallen")]
+    pub failed_holders: Vec<String>,
+    /// Holders in a row whose lease expired before they completed an operation.
+    #[serde(rename = "falls")]
+    pub consecutive_failures: u32,
+    /// Why the shard is granted to nobody, where its owners keep failing. An operator's decision is stored elsewhere.
+    #[serde(rename = "held_back")]
+    pub suspension_reason: Option<String>,
+    /// Time of the grant, Unix time in milliseconds; for display only.
+    #[serde(rename = "since")]
+    pub granted_at_ms: u64,
+    /// Time of the last progress, Unix time in milliseconds; for display only.
+    #[serde(rename = "worked")]
+    pub last_progress_ms: u64,
 }
 
-impl Record {
-    pub fn new(name: Name) -> Record {
-        Record {
-            name,
+impl LeaseRecord {
+    /// The record of a shard that was never granted.
+    pub fn new(shard: ShardId) -> LeaseRecord {
+        LeaseRecord {
+            shard,
             holder: None,
-            epoch: 0,
-            beat: 0,
-            length_ms: 0,
-            mark: 0,
-            acts: 0,
-            fallen: Vec::new(),
-            falls: 0,
-            held_back: None,
-            since: 0,
-            worked: 0,
+            epoch: Epoch::default(),
+            renewals: 0,
+            ttl_ms: 0,
+            watermark: 0,
+            operations: 0,
+            failed_holders: Vec::new(),
+            consecutive_failures: 0,
+            suspension_reason: None,
+            granted_at_ms: 0,
+            last_progress_ms: 0,
         }
     }
 
-    /// Whether a claim is the newest grant, and still out.
-    pub fn is(&self, holder: &str, epoch: Epoch) -> bool {
+    /// Whether the newest grant is this holder's, of this epoch, and still in force.
+    pub fn is_granted_to(&self, holder: &str, epoch: Epoch) -> bool {
         self.epoch == epoch && self.holder.as_deref() == Some(holder)
     }
 
-    /// Its owner's lease ends in its hands.
-    pub(crate) fn fall(&mut self) {
+    /// The grant that this record stands for, as its holder gets it.
+    pub(crate) fn grant(&self, must_hand_over: bool) -> Grant {
+        let claim = Claim { shard: self.shard.clone(), epoch: self.epoch };
+        Grant { claim, ttl_ms: self.ttl_ms, watermark: self.watermark, must_hand_over }
+    }
+
+    /// Takes the lease from a holder that let it expire.
+    pub(crate) fn fail_holder(&mut self) {
         if let Some(holder) = self.holder.take() {
-            self.fallen.retain(|fallen| *fallen != holder);
-            self.fallen.push(holder);
-            let beyond = self.fallen.len().saturating_sub(REMEMBERED);
-            self.fallen.drain(..beyond);
+            self.failed_holders.retain(|failed| *failed != holder);
+            self.failed_holders.push(holder);
+            let excess = self.failed_holders.len().saturating_sub(MAX_FAILED_HOLDERS);
+            self.failed_holders.drain(..excess);
         }
-        self.falls = if self.acts > 0 { 0 } else { self.falls + 1 };
-        if self.falls >= FALLS && self.held_back.is_none() {
-            self.held_back = Some(format!("{FALLS} owners in a row fell before anything was done"));
+        self.consecutive_failures = if self.operations > 0 { 0 } else { self.consecutive_failures + 1 };
+        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && self.suspension_reason.is_none() {
+            self.suspension_reason =
+                Some(format!("{MAX_CONSECUTIVE_FAILURES} owners in a row fell before anything was done"));
         }
     }
 }
--- a/crates/rig/src/cause.rs
+++ b/crates/rig/src/cause.rs
@@ -12,7 +12,7 @@
 use std::io;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use violetyoke_ownership::Name;
+use violetyoke_ownership::ShardId;
 use violetyoke_standin::sink::{Noted, Verdict};
 
 /// The figures of the duties under test.
@@ -47,12 +47,12 @@
 }
 
 /// An effect of a newer epoch was let through.
-fn newer(history: &[Noted], lease: &Name, epoch: u64) -> usize {
+fn newer(history: &[Noted], lease: &ShardId, epoch: u64) -> usize {
     let of = |noted: &&Noted| noted.lease == *lease && noted.epoch > epoch && noted.verdict != Verdict::Stale;
     history.iter().filter(of).count()
 }
 
-fn stale(history: &[Noted], lease: &Name, epoch: u64) -> bool {
+fn stale(history: &[Noted], lease: &ShardId, epoch: u64) -> bool {
     history
         .iter()
         .any(|noted| noted.lease == *lease && noted.epoch == epoch && noted.verdict == Verdict::Stale)
@@ -69,30 +69,30 @@
         self.figures.length * 3 + self.figures.span * 3 + Duration::from_secs(3)
     }
 
-    fn report(&self, shard: u32) -> Name {
-        Name::new("report", shard % self.figures.report_shards)
+    fn report(&self, shard: u32) -> ShardId {
+        ShardId::new("report", shard % self.figures.report_shards)
     }
 
-    fn probe(&self, shard: u32) -> Name {
-        Name::new("probe", shard % self.figures.probe_shards)
+    fn probe(&self, shard: u32) -> ShardId {
+        ShardId::new("probe", shard % self.figures.probe_shards)
     }
 
     /// The epochs of all that an ingress owns: a stop, or a link that holds one act of its, holds all of them.
     fn epochs_of(&self, owner: usize) -> BTreeSet<u64> {
-        let reports = (0..self.figures.report_shards).map(|shard| Name::new("report", shard));
-        let probes = (0..self.figures.probe_shards).map(|shard| Name::new("probe", shard));
+        let reports = (0..self.figures.report_shards).map(|shard| ShardId::new("report", shard));
+        let probes = (0..self.figures.probe_shards).map(|shard| ShardId::new("probe", shard));
         let its =
             reports.chain(probes).filter_map(|lease| self.fleet.owner(&lease)).filter(|(of, _)| *of == owner);
         its.map(|(_, epoch)| epoch).collect()
     }
 
-    fn goes_on(&mut self, lease: &Name, epoch: u64, since: Instant) -> Option<Duration> {
+    fn goes_on(&mut self, lease: &ShardId, epoch: u64, since: Instant) -> Option<Duration> {
         let patience = self.patience();
         self.fleet.noted(patience, |history| newer(history, lease, epoch) > 0).then(|| since.elapsed())
     }
 
     /// An owner that is about to act: its number and its epoch.
-    fn in_act(&mut self, act: &str, lease: &Name) -> Option<(usize, u64)> {
+    fn in_act(&mut self, act: &str, lease: &ShardId) -> Option<(usize, u64)> {
         let end = Instant::now() + self.patience();
         while Instant::now() < end {
             let Some((owner, _)) = self.fleet.owner(lease) else {
--- a/crates/rig/src/cause/acts.rs
+++ b/crates/rig/src/cause/acts.rs
@@ -20,7 +20,7 @@
         self.fleet.ingresses[owner].process.go_on()?;
         let refused = self.fleet.noted(self.figures.length, |history| stale(history, &lease, epoch));
         // Or the old owner has seen that its time was over before it acted.
-        let line = format!("lost lease={lease} epoch={epoch} why=OverTime");
+        let line = format!("lost lease={lease} epoch={epoch} cause=Expired");
         let left = self.fleet.ingresses[owner].process.count(&line) > 0;
         let refused = (refused || !left).then_some(refused);
         Ok(Outcome { landed: true, refused, went_on_after, provoked, missed: None })
--- a/crates/rig/src/cause/processes.rs
+++ b/crates/rig/src/cause/processes.rs
@@ -44,7 +44,7 @@
         let others = self.fleet.ingresses.len() - 1;
         let to = (owner + 1 + to as usize % others.max(1)) % (others + 1);
         let name = self.fleet.ingresses[to].name.clone();
-        let path = format!("/v1/duties/{}/shards/{}", lease.duty, lease.shard);
+        let path = format!("/v1/duties/{}/shards/{}", lease.role, lease.index);
         let since = Instant::now();
         if self.fleet.api("PUT", &path, json!({ "next": name })).is_err() {
             return Ok(Outcome::missed("it does not call"));
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use violetyoke_ownership::Name;
+use violetyoke_ownership::ShardId;
 use violetyoke_standin::node::Node;
 use violetyoke_standin::sink::{self, Noted};
 
@@ -80,8 +80,8 @@
     }
 
     /// Whose a shard is by the control plane's word: the ingress' number and the epoch.
-    pub fn owner(&self, lease: &Name) -> Option<(usize, u64)> {
-        let path = format!("/v1/duties/{}/shards/{}", lease.duty, lease.shard);
+    pub fn owner(&self, lease: &ShardId) -> Option<(usize, u64)> {
+        let path = format!("/v1/duties/{}/shards/{}", lease.role, lease.index);
         let (_, shard) = self.try_api("GET", &path, &Value::Null)?;
         let name = shard["holder"].as_str()?.split('#').next()?;
         let place = self.ingresses.iter().position(|ingress| ingress.name == name)?;
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -1,12 +1,12 @@
 //! Judgements over what receivers have noted. Pure functions: the same history, the same verdict.
 
 use std::collections::{BTreeMap, BTreeSet};
-use violetyoke_ownership::Name;
+use violetyoke_ownership::ShardId;
 use violetyoke_standin::sink::{Noted, Verdict};
 
 /// An effect of an older epoch that a receiver let through after one of a newer epoch.
 pub fn older_after_newer(history: &[Noted]) -> Vec<&Noted> {
-    let mut newest: BTreeMap<&Name, u64> = BTreeMap::new();
+    let mut newest: BTreeMap<&ShardId, u64> = BTreeMap::new();
     let mut found = Vec::new();
     for noted in history {
         let newest = newest.entry(&noted.lease).or_default();
@@ -28,7 +28,7 @@
 
 /// Two effects by two holders under one epoch.
 pub fn shared_epochs(history: &[Noted]) -> Vec<u64> {
-    let mut holders: BTreeMap<(&Name, u64), BTreeSet<&str>> = BTreeMap::new();
+    let mut holders: BTreeMap<(&ShardId, u64), BTreeSet<&str>> = BTreeMap::new();
     for noted in history {
         holders.entry((&noted.lease, noted.epoch)).or_default().insert(&noted.holder);
     }
@@ -37,7 +37,7 @@
 
 /// What is wrong with the order of a report's spans: each is to be taken once, and none left out.
 pub fn spans_out_of_order(history: &[Noted]) -> Vec<String> {
-    let mut last: BTreeMap<&Name, u64> = BTreeMap::new();
+    let mut last: BTreeMap<&ShardId, u64> = BTreeMap::new();
     let mut wrong = Vec::new();
     for noted in history.iter().filter(|noted| noted.verdict == Verdict::Taken) {
         let Some(span) = noted.span else { continue };
@@ -54,7 +54,7 @@
 
 /// A span that was sent again with other figures than the first time.
 pub fn changed_spans(history: &[Noted]) -> Vec<String> {
-    let mut first: BTreeMap<(&Name, u64), &Noted> = BTreeMap::new();
+    let mut first: BTreeMap<(&ShardId, u64), &Noted> = BTreeMap::new();
     let mut changed = Vec::new();
     for noted in history.iter().filter(|noted| matches!(noted.verdict, Verdict::Taken | Verdict::Had)) {
         let Some(span) = noted.span else { continue };
@@ -74,7 +74,7 @@
 
 /// The longest time between two effects of a lease that were let through, in microseconds, from one moment to
 /// another; that of a lease without any is the whole time.
-pub fn longest_gap(history: &[Noted], lease: &Name, from: u64, to: u64) -> u64 {
+pub fn longest_gap(history: &[Noted], lease: &ShardId, from: u64, to: u64) -> u64 {
     let times = history
         .iter()
         .filter(|noted| noted.lease == *lease && noted.verdict != Verdict::Stale)
@@ -85,7 +85,7 @@
 }
 
 /// The newest epoch of a lease that has been let through, and whose it is.
-pub fn newest<'a>(history: &'a [Noted], lease: &Name) -> Option<&'a Noted> {
+pub fn newest<'a>(history: &'a [Noted], lease: &ShardId) -> Option<&'a Noted> {
     let of = history.iter().filter(|noted| noted.lease == *lease && noted.verdict != Verdict::Stale);
     of.max_by_key(|noted| (noted.epoch, noted.at))
 }
--- a/crates/rig/tests/history.rs
+++ b/crates/rig/tests/history.rs
@@ -4,14 +4,14 @@
 
 use serde_json::json;
 use std::collections::BTreeSet;
-use violetyoke_ownership::Name;
+use violetyoke_ownership::ShardId;
 use violetyoke_rig::history::{
     changed_spans, longest_gap, newest, older_after_newer, refused_unprovoked, spans_out_of_order, tries,
 };
 use violetyoke_standin::sink::{Noted, Verdict};
 
 fn noted(at: u64, epoch: u64, span: u64, verdict: Verdict) -> Noted {
-    let (lease, holder, tries) = (Name::new("report", 0), format!("i{epoch}"), json!({ "acme": span }));
+    let (lease, holder, tries) = (ShardId::new("report", 0), format!("i{epoch}"), json!({ "acme": span }));
     Noted { at, lease, epoch, holder, span: Some(span), tries, verdict }
 }
 
@@ -44,9 +44,9 @@
 fn the_longest_time_without_an_effect_counts_from_the_first_moment_to_the_last() {
     let history =
         [noted(10, 5, 1, Verdict::Taken), noted(40, 6, 2, Verdict::Taken), noted(90, 5, 2, Verdict::Stale)];
-    let lease = Name::new("report", 0);
+    let lease = ShardId::new("report", 0);
     assert_eq!(longest_gap(&history, &lease, 0, 100), 60);
     assert_eq!(longest_gap(&history, &lease, 0, 50), 30);
-    assert_eq!(longest_gap(&history, &Name::new("report", 1), 0, 50), 50);
+    assert_eq!(longest_gap(&history, &ShardId::new("report", 1), 0, 50), 50);
     assert_eq!(newest(&history, &lease).map(|noted| noted.epoch), Some(6));
 }
--- a/crates/standin/src/sink.rs
+++ b/crates/standin/src/sink.rs
@@ -10,15 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Instant;
-use violetyoke_ownership::fence::Fence;
-use violetyoke_ownership::Name;
+use violetyoke_ownership::{Epoch, FencingGuard, ShardId};
 
 /// What came, and what was made of it. `GET /history?from=NUMBER` gives it from that place on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Noted {
     /// Since the sink began, in microseconds.
     pub at: u64,
-    pub lease: Name,
+    pub lease: ShardId,
     pub epoch: u64,
     pub holder: String,
     /// None: a probe.
@@ -59,8 +58,8 @@
 
 #[derive(Default)]
 struct Inner {
-    fence: Fence,
-    last: BTreeMap<Name, u64>,
+    guard: FencingGuard,
+    last: BTreeMap<ShardId, u64>,
     noted: Vec<Noted>,
 }
 
@@ -123,14 +122,14 @@
     else {
         return wrong("vy-epoch");
     };
-    let lease = Name::new(duty, shard);
+    let lease = ShardId::new(duty, shard);
     let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
     let probe = request.first.starts_with("GET ");
     let span = body["span"].as_u64();
     if !probe && span.is_none() {
         return wrong("span");
     }
-    let stale = inner.fence.pass(&lease, epoch).err().filter(|_| fenced);
+    let stale = inner.guard.admit(&lease, Epoch(epoch)).err().filter(|_| fenced);
     let last = inner.last.get(&lease).copied();
     let verdict = match (&stale, span, last) {
         (Some(_), _, _) => Verdict::Stale,
@@ -155,7 +154,7 @@
     let one = |noted: &Noted| {
         let Noted { at, lease, epoch, holder, span, tries, verdict } = noted;
         json!({
-            "at": at, "duty": lease.duty, "shard": lease.shard, "epoch": epoch, "holder": holder, "span": span,
+            "at": at, "duty": lease.role, "shard": lease.index, "epoch": epoch, "holder": holder, "span": span,
             "tries": tries, "verdict": verdict.name(),
         })
     };
@@ -167,7 +166,7 @@
     let one = |one: &Value| {
         Some(Noted {
             at: one["at"].as_u64()?,
-            lease: Name::new(one["duty"].as_str()?, one["shard"].as_u64()? as u32),
+            lease: ShardId::new(one["duty"].as_str()?, one["shard"].as_u64()? as u32),
             epoch: one["epoch"].as_u64()?,
             holder: one["holder"].as_str()?.to_string(),
             span: one["span"].as_u64(),
--- a/crates/violetyoke/src/client.rs
+++ b/crates/violetyoke/src/client.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use violetyoke_duties::call::{call, Answered};
+use violetyoke_duties::http_client::{call, Response};
 
 /// For how long an answer is waited for.
 const WAIT: Duration = Duration::from_secs(30);
@@ -86,7 +86,8 @@
         }
         let body = body.map_or(Bytes::new(), |body| Bytes::from(body.to_string()));
         let request = request.body(body).map_err(|error| error.to_string())?;
-        let Answered { status, headers, body } = call(self.server, request, WAIT).await?;
+        let response = call(self.server, request, WAIT).await;
+        let Response { status, headers, body } = response.map_err(|error| error.to_string())?;
         let version = headers.get(ETAG).and_then(|value| value.to_str().ok()).map(String::from);
         let body: Value = match body.is_empty() {
             true => Value::Null,
--- a/crates/violetyoke/src/control.rs
+++ b/crates/violetyoke/src/control.rs
@@ -1,7 +1,6 @@
 //! `violetyoke control`: the control plane as a process.
 
 use clap::Args;
-use std::collections::BTreeMap;
 use std::fs;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -13,15 +12,15 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
-use violetyoke_control::api::{self, App, Mark, Options};
-use violetyoke_control::duties::backup::Backups;
-use violetyoke_control::duties::declared;
-use violetyoke_control::duties::upkeep::{Here, Upkeep};
+use violetyoke_control::api::{self, App, Options};
 use violetyoke_control::keys::Pepper;
 use violetyoke_control::limit::Rates;
+use violetyoke_control::roles::{self, EpochFile, ParsedDeclarations};
 use violetyoke_control::store::{Sqlite, Store};
-use violetyoke_duties::office::{self, Work};
-use violetyoke_ownership::duty::Kind;
+use violetyoke_control::upkeep::{BackupPolicy, LocalLeaseClient, UpkeepWorker};
+use violetyoke_duties::holder::{holder_name, new_holder};
+use violetyoke_duties::supervisor::{self, RoleWorker, RoleWorkers};
+use violetyoke_ownership::RoleKind;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -80,7 +79,7 @@
         drain_ms,
         rates: Rates { rate, burst },
         pepper,
-        epochs: Mark::beside(&file),
+        epoch_file: EpochFile::beside(&file),
         clock_offset_ms: offset,
     };
     let app = App::new(store.clone(), options).map_err(io::Error::other)?;
@@ -90,17 +89,19 @@
     }
     eprintln!("violetyoke: control plane on {}", listener.local_addr()?);
     let Arguments { backups, backup_seconds, backups_kept, duties, .. } = arguments;
-    let backups = backups.map(|folder| {
-        (Backups { folder, every_ms: backup_seconds * 1_000, keep: backups_kept }, store.clone())
+    let backups = backups.map(|directory| {
+        let policy = BackupPolicy { directory, interval_ms: backup_seconds * 1_000, kept: backups_kept };
+        (policy, store.clone())
     });
-    let work: Arc<dyn Work> = Arc::new(Upkeep { app: app.clone(), backups });
-    let names = app.desk.duties().into_iter().filter(|duty| duty.kind == Kind::Upkeep).map(|duty| duty.name);
-    let works: BTreeMap<String, Arc<dyn Work>> = names.map(|name| (name, work.clone())).collect();
-    let holder =
-        office::holder(office::life("control").map_err(io::Error::other)?, works.keys().cloned().collect());
+    let worker: Arc<dyn RoleWorker> = Arc::new(UpkeepWorker { app: app.clone(), backups });
+    let upkeep_roles = app.leases.roles().into_iter().filter(|role| role.kind == RoleKind::Upkeep);
+    let workers: RoleWorkers = upkeep_roles.map(|role| (role.name, worker.clone())).collect();
+    let name = holder_name("control").map_err(io::Error::other)?;
+    let holder = new_holder(name, workers.keys().cloned().collect());
     let (ending, ended) = watch::channel(false);
     let mut leaving = ended.clone();
-    let office = tokio::spawn(office::run(Arc::new(Here(app.clone())), holder, works, async move {
+    let client = Arc::new(LocalLeaseClient(app.clone()));
+    let supervisor = tokio::spawn(supervisor::run(client, holder, workers, async move {
         let _ = leaving.wait_for(|ending| *ending).await;
     }));
     if let Some(path) = duties {
@@ -123,7 +124,7 @@
     })
     .await?;
     // What it owns goes back before it ends.
-    office.await.map_err(io::Error::other)
+    supervisor.await.map_err(io::Error::other)
 }
 
 /// Puts the file's duties in force; what is wrong with one is told, and the rest stands.
@@ -132,16 +133,16 @@
     if let Some(path) = path {
         let name = path.display();
         let text = fs::read_to_string(path).map_err(|error| io::Error::other(format!("{name}: {error}")))?;
-        let (duties, faults) =
-            declared::parse(&text).map_err(|error| io::Error::other(format!("{name}: {error}")))?;
-        for fault in faults {
-            eprintln!("violetyoke: {name}: {}: {}", fault.field, fault.reason);
+        let ParsedDeclarations { roles, errors } =
+            roles::parse(&text).map_err(|error| io::Error::other(format!("{name}: {error}")))?;
+        for error in errors {
+            eprintln!("violetyoke: {name}: {error}");
         }
-        declared = Some(duties);
+        declared = Some(roles);
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    for fault in declared::declare(store, declared, now).map_err(io::Error::other)? {
-        eprintln!("violetyoke: {}: {}", fault.field, fault.reason);
+    for error in roles::declare(store, declared, now).map_err(io::Error::other)? {
+        eprintln!("violetyoke: {error}");
     }
     Ok(())
 }
--- a/crates/violetyoke/src/demo_tenants.rs
+++ b/crates/violetyoke/src/demo_tenants.rs
@@ -14,9 +14,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use violetyoke_config::Service;
-use violetyoke_control::api::{self, App, Mark, Options};
+use violetyoke_control::api::{self, App, Options};
 use violetyoke_control::keys::Pepper;
 use violetyoke_control::limit::Rates;
+use violetyoke_control::roles::EpochFile;
 use violetyoke_control::store::Sqlite;
 use violetyoke_ingress::service;
 use violetyoke_standin::http::read_http;
@@ -83,10 +84,10 @@
                     drain_ms: 5_000,
                     rates,
                     pepper: Pepper::random()?,
-                    epochs: Mark(None),
+                    epoch_file: EpochFile::none(),
                     clock_offset_ms: Arc::default(),
                 };
-                let app = App::new(Arc::new(store), options)?;
+                let app = App::new(Arc::new(store), options).map_err(|error| error.to_string())?;
                 let key = app.first_key()?.ok_or("the demonstration's store is not new")?;
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
                 let listener = listener.map_err(|error| error.to_string())?;
--- a/crates/violetyoke/tests/control_access.rs
+++ b/crates/violetyoke/tests/control_access.rs
@@ -96,7 +96,7 @@
         // Of a thing that is not there: whoever may call it is told so, or that the body is none, and nothing changes.
         let path =
             endpoint.path.replace("{tenant}", "acme").replace("{name}", "none").replace("{key}", "none");
-        let body = if endpoint.takes.is_some() { "[]" } else { "" };
+        let body = if endpoint.request_schema.is_some() { "[]" } else { "" };
         for (caller, may) in callers.iter().zip(expected[&name]) {
             let told = caller.call(endpoint.method, &path, body, "If-Match: \"1\"\r\n");
             match may {
--- a/crates/violetyoke/tests/control_commands.rs
+++ b/crates/violetyoke/tests/control_commands.rs
@@ -14,7 +14,7 @@
     let page = violetyoke_control::api::openapi();
     for endpoint in ENDPOINTS {
         let operation = &page["paths"][endpoint.path][endpoint.method.to_lowercase()];
-        assert_eq!(operation["summary"], endpoint.about, "{} {}", endpoint.method, endpoint.path);
+        assert_eq!(operation["summary"], endpoint.summary, "{} {}", endpoint.method, endpoint.path);
     }
     let text = page.to_string();
     for part in text.split("#/components/schemas/").skip(1) {
--- a/xtask/src/measure_owners.rs
+++ b/xtask/src/measure_owners.rs
@@ -4,23 +4,23 @@
 use crate::figures::Figures;
 use crate::process::Result;
 use std::collections::BTreeMap;
-use violetyoke_ownership::duty::{Duty, Kind};
-use violetyoke_ownership::grantor::Grantor;
-use violetyoke_ownership::holder::{Change, Holder};
-use violetyoke_ownership::{Answer, Ask, Epoch, Micros, Name, Record};
+use violetyoke_ownership::{
+    Epoch, LeaseEvent, LeaseHolder, LeaseManager, LeaseRecord, Micros, RenewRequest, RenewResponse, RoleKind,
+    ShardId, SingletonRole,
+};
 
 const SHARDS: u32 = 1_000;
-const LENGTH: Micros = 10_000_000;
+const TTL: Micros = 10_000_000;
 const STEP: Micros = 20_000;
-/// A grantor's look at all leases.
-const PASS: Micros = 100_000;
+/// How often the lease manager looks for expired leases.
+const EXPIRY_INTERVAL: Micros = 100_000;
 
 struct World {
     now: Micros,
-    grantor: Grantor,
-    store: BTreeMap<Name, Record>,
+    manager: LeaseManager,
+    store: BTreeMap<ShardId, LeaseRecord>,
     epoch: Epoch,
-    holders: Vec<Holder>,
+    holders: Vec<LeaseHolder>,
     /// When each calls next.
     next: Vec<Micros>,
     drawn: u64,
@@ -31,25 +31,20 @@
 
 impl World {
     fn new(holders: usize) -> World {
-        let duty = Duty {
-            name: "work".into(),
-            kind: Kind::Report,
-            shards: SHARDS,
-            length_ms: LENGTH / 1_000,
-            most: 0,
-            span_ms: 60_000,
-            nodes: Vec::new(),
-            every_ms: 1_000,
+        let role = SingletonRole {
+            shard_count: SHARDS,
+            ttl_ms: TTL / 1_000,
+            ..SingletonRole::new("work", RoleKind::Report)
         };
-        let mut grantor = Grantor::new(vec![duty], true, 0);
-        (0..SHARDS).for_each(|shard| grantor.observe(&Record::new(Name::new("work", shard)), 0));
+        let mut manager = LeaseManager::new(vec![role], true, 0);
+        (0..SHARDS).for_each(|shard| manager.observe(&LeaseRecord::new(ShardId::new("work", shard)), 0));
         World {
             now: 0,
-            grantor,
+            manager,
             store: BTreeMap::new(),
-            epoch: 0,
+            epoch: Epoch(0),
             holders: (0..holders)
-                .map(|number| Holder::new(format!("i{number}#1"), vec!["work".into()]))
+                .map(|number| LeaseHolder::new(format!("i{number}#1"), vec!["work".into()]))
                 .collect(),
             next: (0..holders as u64).map(|number| number * 7_919 % 3_000_000).collect(),
             drawn: 1,
@@ -59,42 +54,46 @@
         }
     }
 
-    fn put(&mut self, record: Record) {
+    fn put(&mut self, record: LeaseRecord) {
         self.writes += 1;
-        self.grantor.observe(&record, self.now);
-        self.store.insert(record.name.clone(), record);
+        self.manager.observe(&record, self.now);
+        self.store.insert(record.shard.clone(), record);
     }
 
-    fn ask(&mut self, ask: &Ask) -> Answer {
-        let mut answer = Answer::default();
-        self.grantor.heard(ask, self.now);
-        self.grantor.reply(&mut answer, ask, self.now);
-        for renewal in &ask.renew {
-            let old = self.store.get(&renewal.claim.name);
-            match self.grantor.renew(old, &ask.holder, &renewal.claim, renewal.acts, 0) {
-                Ok((record, given)) => {
-                    answer.given.push(given);
+    fn handle(&mut self, request: &RenewRequest) -> RenewResponse {
+        let mut response = RenewResponse::default();
+        self.manager.record_call(request, self.now);
+        self.manager.complete_response(&mut response, request, self.now);
+        for renewal in &request.renew {
+            let old = self.store.get(&renewal.claim.shard);
+            match self.manager.renew(old, &request.holder, renewal, 0) {
+                Ok((record, grant)) => {
+                    response.grants.push(grant);
                     self.put(record);
                 }
-                Err(lost) => answer.lost.push((renewal.claim.clone(), lost)),
+                Err(reason) => response.lost.push((renewal.claim.clone(), reason)),
             }
         }
-        for claim in &ask.release {
-            if let Ok(record) = self.grantor.release(self.store.get(&claim.name), &ask.holder, claim) {
+        for claim in &request.release {
+            if let Ok(record) = self.manager.release(self.store.get(&claim.shard), &request.holder, claim) {
                 self.put(record);
             }
         }
-        let wanted = if ask.leaving { Vec::new() } else { self.grantor.wanted(&ask.holder, self.now) };
-        for name in wanted {
-            let old = self.store.get(&name).cloned().unwrap_or_else(|| Record::new(name));
-            self.epoch += 1;
-            if let Some((record, given)) = self.grantor.grant(&old, &ask.holder, self.epoch, 0) {
+        let grantable = if request.is_leaving {
+            Vec::new()
+        } else {
+            self.manager.grantable_to(&request.holder, self.now)
+        };
+        for shard in grantable {
+            let old = self.store.get(&shard).cloned().unwrap_or_else(|| LeaseRecord::new(shard));
+            self.epoch = self.epoch.advanced_by(1);
+            if let Some((record, grant)) = self.manager.grant(&old, &request.holder, self.epoch, 0) {
                 self.grants += 1;
-                answer.given.push(given);
+                response.grants.push(grant);
                 self.put(record);
             }
         }
-        answer
+        response
     }
 
     /// A pause that differs from call to call, a half-splitmix of a counter.
@@ -106,16 +105,16 @@
 
     fn call(&mut self, number: usize) {
         self.calls += 1;
-        let (call, ask) = self.holders[number].ask(self.now);
-        let answer = self.ask(&ask);
-        let pace = answer.again_ms * 1_000;
-        for change in self.holders[number].answer(call, answer, self.now) {
-            if let Change::HandOver(claim) = change {
-                self.holders[number].ended(&claim);
+        let (call, request) = self.holders[number].next_request(self.now);
+        let response = self.handle(&request);
+        let pace = response.next_call_ms * 1_000;
+        for event in self.holders[number].on_response(call, response, self.now) {
+            if let LeaseEvent::HandOverRequested(claim) = event {
+                self.holders[number].finish(&claim);
             }
         }
-        let owned: Vec<_> = self.holders[number].owned().collect();
-        owned.iter().for_each(|claim| self.holders[number].moved(claim, 1));
+        let claims: Vec<_> = self.holders[number].claims().collect();
+        claims.iter().for_each(|claim| self.holders[number].record_progress(claim, 1));
         self.next[number] = self.now + pace * 3 / 4 + self.draw() % (pace / 4);
     }
 
@@ -124,25 +123,26 @@
         let began = self.now;
         while self.now < began + time {
             self.now += STEP;
-            if self.now.is_multiple_of(PASS) {
-                self.grantor.forget(self.now);
-                for name in self.grantor.run_out(self.now) {
-                    let expired = self.store.get(&name).and_then(|old| self.grantor.expire(old, self.now));
+            if self.now.is_multiple_of(EXPIRY_INTERVAL) {
+                self.manager.remove_silent_candidates(self.now);
+                for shard in self.manager.expired_shards(self.now) {
+                    let expired = self.store.get(&shard).and_then(|old| self.manager.expire(old, self.now));
                     if let Some(record) = expired {
                         self.put(record);
                     }
                 }
             }
-            let free = self.grantor.has_free();
+            let free = self.manager.has_assignable_shard();
             for number in 0..self.holders.len() {
-                self.holders[number].lapse(self.now);
-                let stirred = free && !self.grantor.wanted(self.holders[number].name(), self.now).is_empty();
-                if self.next[number] <= self.now || stirred || self.holders[number].urgent() {
+                drop(self.holders[number].expire_leases(self.now)); // Nothing runs that would be stopped.
+                let stirred =
+                    free && !self.manager.grantable_to(self.holders[number].name(), self.now).is_empty();
+                if self.next[number] <= self.now || stirred || self.holders[number].has_urgent_request() {
                     self.call(number);
                 }
             }
             if until_owned
-                && self.holders.iter().map(|holder| holder.owned().count()).sum::<usize>() == SHARDS as usize
+                && self.holders.iter().map(|holder| holder.claims().count()).sum::<usize>() == SHARDS as usize
             {
                 break;
             }
@@ -155,10 +155,10 @@
     let mut figures = Figures::default();
     for holders in [10, 100, 300] {
         let mut world = World::new(holders);
-        let first = world.run(10 * LENGTH, true);
-        world.run(2 * LENGTH, false);
+        let first = world.run(10 * TTL, true);
+        world.run(2 * TTL, false);
         (world.calls, world.writes) = (0, 0);
-        let time = world.run(3 * LENGTH, false) as f64 / 1e6;
+        let time = world.run(3 * TTL, false) as f64 / 1e6;
         figures.tell(&format!("holders_{holders}_all_owned_after_s"), format!("{:.2}", first as f64 / 1e6));
         figures
             .tell(&format!("holders_{holders}_calls_a_second"), format!("{:.1}", world.calls as f64 / time));
@@ -166,14 +166,14 @@
             &format!("holders_{holders}_records_written_a_second"),
             format!("{:.1}", world.writes as f64 / time),
         );
-        let most = world.holders.iter().map(|holder| holder.owned().count()).max().unwrap_or(0);
+        let most = world.holders.iter().map(|holder| holder.claims().count()).max().unwrap_or(0);
         figures.tell(&format!("holders_{holders}_most_shards_of_one"), most);
         // One is killed: nobody hears from it again.
         world.grants = 0;
         let gone = world.holders.swap_remove(0);
         world.next.swap_remove(0);
-        let its = gone.owned().count();
-        let again = world.run(5 * LENGTH, true) as f64 / 1e6;
+        let its = gone.claims().count();
+        let again = world.run(5 * TTL, true) as f64 / 1e6;
         figures.tell(&format!("holders_{holders}_shards_of_the_killed"), its);
         figures.tell(&format!("holders_{holders}_all_owned_again_after_s"), format!("{again:.2}"));
         figures.at_most(
@@ -181,7 +181,7 @@
             world.grants as f64 / its.max(1) as f64,
             1.0,
         );
-        figures.at_most(&format!("holders_{holders}_again_of_length"), again / (LENGTH as f64 / 1e6), 1.1);
+        figures.at_most(&format!("holders_{holders}_again_of_length"), again / (TTL as f64 / 1e6), 1.1);
     }
     Ok(figures)
 }
--- a/xtask/src/process.rs
+++ b/xtask/src/process.rs
@@ -26,18 +26,18 @@
     build_in(&root(), "violetyoke", "proof")
 }
 
-/// Builds the program with ways to be wrong, in a folder of its own.
-pub fn build_weakened() -> Result<PathBuf> {
-    let folder = root().join("target/weakened");
+/// Builds the program with the faults that tests inject, in a folder of its own.
+pub fn build_with_test_faults() -> Result<PathBuf> {
+    let folder = root().join("target/test-faults");
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     let status = Command::new(cargo)
         .args(["build", "--quiet", "--profile", "proof", "--locked", "--package", "violetyoke", "--bins"])
-        .args(["--features", "weakened"])
+        .args(["--features", "test-faults"])
         .current_dir(root())
         .env("CARGO_TARGET_DIR", &folder)
         .status()?;
     if !status.success() {
-        return Err("the weakened build failed".into());
+        return Err("the build with test faults failed".into());
     }
     Ok(folder.join("proof/violetyoke"))
 }
--- a/xtask/src/prove_owners.rs
+++ b/xtask/src/prove_owners.rs
@@ -5,12 +5,12 @@
 mod plan;
 
 use crate::figures::{quantile, Figures};
-use crate::process::{build_for_proof, build_standin, build_weakened, Result};
+use crate::process::{build_for_proof, build_standin, build_with_test_faults, Result};
 use calm::{calm, load, serve_all, times};
 use plan::plan;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
-use violetyoke_ownership::Name;
+use violetyoke_ownership::ShardId;
 use violetyoke_rig::cause::{self, Causes};
 use violetyoke_rig::fleet::Fleet;
 use violetyoke_rig::history;
@@ -69,14 +69,14 @@
     text.split(' ').next().unwrap_or_default().to_lowercase()
 }
 
-fn leases() -> Vec<Name> {
-    let of = |duty: &'static str, shards| (0..shards).map(move |shard| Name::new(duty, shard));
+fn leases() -> Vec<ShardId> {
+    let of = |duty: &'static str, shards| (0..shards).map(move |shard| ShardId::new(duty, shard));
     of("report", REPORT_SHARDS).chain(of("probe", PROBE_SHARDS)).collect()
 }
 
 pub fn run(long: bool, seed: Option<u64>, without: Option<Without>) -> Result<Figures> {
     let program = match without {
-        Some(Without::Sending | Without::Progress) => build_weakened()?,
+        Some(Without::Sending | Without::Progress) => build_with_test_faults()?,
         _ => build_for_proof()?,
     };
     let standin = build_standin()?;
@@ -136,7 +136,7 @@
         if reached {
             let history = fleet.history();
             let after = history.last().map_or(before, |noted| noted.at);
-            let probes = leases().into_iter().filter(|lease| lease.duty == "probe");
+            let probes = leases().into_iter().filter(|lease| lease.role == "probe");
             let rests = probes.map(|lease| history::longest_gap(history, &lease, before, after) as f64 / 1e6);
             let most = rests.fold(0.0, f64::max);
             println!("probes_rested_s={most:.3}");
--- a/xtask/src/prove_owners/plan.rs
+++ b/xtask/src/prove_owners/plan.rs
@@ -24,9 +24,9 @@
         span = SPAN.as_millis(),
         nodes = vec!["\"SINK\""; PROBE_SHARDS as usize].join(", "),
     );
-    let weakness = match without {
-        Some(Without::Sending) => Some("from-answer"),
-        Some(Without::Progress) => Some("by-timer"),
+    let fault = match without {
+        Some(Without::Sending) => Some("count-from-response"),
+        Some(Without::Progress) => Some("renew-without-progress"),
         Some(Without::Fence) | None => None,
     };
     Plan {
@@ -37,8 +37,8 @@
         duties,
         take: take.iter().map(|name| name.to_string()).collect(),
         fenced: without != Some(Without::Fence),
-        environment: weakness
-            .map(|ways| ("VIOLETYOKE_WEAKNESS".to_string(), ways.to_string()))
+        environment: fault
+            .map(|fault| ("VIOLETYOKE_TEST_FAULT".to_string(), fault.to_string()))
             .into_iter()
             .collect(),
     }
