--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -13,7 +13,7 @@
 use violetyoke_transport::connection;
 use violetyoke_transport::daemon::StartError;
 use violetyoke_transport::lifecycle::Lifecycle;
-use violetyoke_transport::messages::Membership;
+use violetyoke_transport::messages::{ListDigest, Membership};
 use violetyoke_transport::net::{self, Listener};
 
 const TICK: Duration = Duration::from_millis(50);
@@ -107,7 +107,7 @@
 }
 
 fn knows(proxy: &Proxy) -> bool {
-    proxy.snapshot.borrow().is_some() && proxy.list.get() != 0
+    proxy.snapshot.borrow().is_some() && proxy.list.get() != ListDigest::NONE
 }
 
 /// A registry that is not cut off from the core has told its state, and nothing newer than what is known here.
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -15,7 +15,7 @@
 use violetyoke_transport::codec::{decode, encode};
 use violetyoke_transport::connection;
 use violetyoke_transport::messages::{
-    Backend, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
+    Backend, ListDigest, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
 };
 
 impl Proxy {
@@ -188,7 +188,7 @@
     /// A list was told that was asked for so long ago.
     fn list_received(
         &self,
-        digest: u64,
+        digest: ListDigest,
         age_ms: u64,
         take: impl FnOnce(&mut BackendDirectory, Millis, Millis) -> bool,
     ) {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -17,7 +17,7 @@
 use violetyoke_balancing::retry_budget::{RetryBudget, RetryBudgetLimits};
 use violetyoke_balancing::{BackendDirectory, Locality, Millis, ServiceLimits};
 use violetyoke_transport::connection::Sender;
-use violetyoke_transport::messages::{proxy_id, Membership, Revision};
+use violetyoke_transport::messages::{proxy_id, ListDigest, Membership, Revision};
 
 /// What is in force: swapped whole.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     pub snapshot: RefCell<Option<Rc<Snapshot>>>,
     pub evacuated: RefCell<BTreeSet<String>>,
     pub fleet: RefCell<BackendDirectory>,
-    pub list: Cell<u64>,
+    pub list: Cell<ListDigest>,
     pub budgets: RefCell<HashMap<String, RetryBudget>>,
     pub counting: RefCell<Counting>,
     pub waiting: RefCell<Waiting>,
@@ -77,7 +77,7 @@
             snapshot: RefCell::default(),
             evacuated: RefCell::default(),
             fleet: RefCell::new(fleet),
-            list: Cell::new(0),
+            list: Cell::new(ListDigest::NONE),
             budgets: RefCell::default(),
             counting: RefCell::default(),
             waiting: RefCell::default(),
--- a/crates/proxy/tests/common/registries.rs
+++ b/crates/proxy/tests/common/registries.rs
@@ -88,7 +88,7 @@
         let script = &mut *self.script.borrow_mut();
         script.state = Some((Revision { epoch: 1, sequence }, configuration));
         let backends = backends.iter().map(|backend| backend.line()).collect();
-        script.list = BackendList { digest: 77, age_ms: 10, backends };
+        script.list = BackendList { digest: messages::ListDigest(77), age_ms: 10, backends };
     }
 
     /// It sees that many proxies, and knows of those registries, to which counts are dealt under a fence of that number.
--- a/crates/registry/src/backends.rs
+++ b/crates/registry/src/backends.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::hash::{Hash, Hasher};
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{Backend, BackendList, BackendListChange};
+use violetyoke_transport::messages::{Backend, BackendList, BackendListChange, ListDigest};
 
 /// The pause between two calls for the list.
 const EVERY: Millis = 500;
@@ -26,7 +26,7 @@
 }
 
 /// What makes two lists differ: all but the running down of cold times.
-pub fn digest(backends: &[Backend], asked_at: Millis) -> u64 {
+pub fn digest(backends: &[Backend], asked_at: Millis) -> ListDigest {
     let mut hasher = DefaultHasher::new();
     for backend in backends {
         (&backend.id, &backend.service, backend.address, &backend.zone).hash(&mut hasher);
@@ -35,7 +35,7 @@
             if backend.slow_start_left_ms > 0 { (asked_at + backend.slow_start_left_ms) / GRAIN } else { 0 };
         (warm_at > 0).hash(&mut hasher);
     }
-    hasher.finish()
+    ListDigest(hasher.finish())
 }
 
 /// What makes one list another.
@@ -127,7 +127,7 @@
         Some(BackendList { digest: list.digest, age_ms: now.saturating_sub(*at), backends })
     }
 
-    pub fn digest(&self) -> u64 {
-        self.newest.as_ref().map_or(0, |(_, list)| list.digest)
+    pub fn digest(&self) -> ListDigest {
+        self.newest.as_ref().map_or(ListDigest::NONE, |(_, list)| list.digest)
     }
 }
--- a/crates/registry/src/daemon/listing.rs
+++ b/crates/registry/src/daemon/listing.rs
@@ -2,7 +2,7 @@
 
 use super::{Input, Registry};
 use crate::{platform, Millis};
-use violetyoke_transport::messages::Backend;
+use violetyoke_transport::messages::{Backend, ListDigest};
 
 /// So often other registries are told that the list still holds.
 const TELL_LIST: Millis = 700;
@@ -33,7 +33,7 @@
     /// Tells the others that the list still holds, where this registry is the one that asks.
     pub(super) fn tell_list(&mut self, now: Millis) {
         let asks = self.live().first() == Some(&self.settings.local.ip);
-        if asks && self.lists.digest() != 0 && now > self.told_list + TELL_LIST {
+        if asks && self.lists.digest() != ListDigest::NONE && now > self.told_list + TELL_LIST {
             self.told_list = now;
             self.gossip(self.lists.newest(now, false));
         }
--- a/crates/registry/src/daemon/proxies.rs
+++ b/crates/registry/src/daemon/proxies.rs
@@ -9,7 +9,9 @@
 use violetyoke_quota::{Admission, Limit, OwnerCounters, PartitionedProxies, ShardAssignment, WindowCounts};
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::connection::Sender;
-use violetyoke_transport::messages::{ControlState, ProxyReply, ProxyRequest, Revision, ShardOwners};
+use violetyoke_transport::messages::{
+    ControlState, ListDigest, ProxyReply, ProxyRequest, Revision, ShardOwners,
+};
 
 /// Of the part by which a limit may be passed, so much bears what proxies pass that can't ask; ways and turns of windows
 /// take the rest.
@@ -23,8 +25,8 @@
     pub have: Revision,
     pub holds: Revision,
     /// The list that it was sent, and the one that it says it holds.
-    pub list: u64,
-    pub holds_list: u64,
+    pub list: ListDigest,
+    pub holds_list: ListDigest,
     pub members: u64,
     /// The deal of counts, and the contact, that it was told of.
     pub deal: (bool, Revision),
@@ -45,7 +47,7 @@
 
 impl Proxies {
     pub fn opened(&mut self, number: u64, sender: Sender) {
-        let (have, list, members) = (Revision::default(), 0, 0);
+        let (have, list, members) = (Revision::default(), ListDigest::NONE, 0);
         let waits = Waits::default();
         let proxy = Proxy {
             sender,
--- a/crates/registry/src/daemon/telling.rs
+++ b/crates/registry/src/daemon/telling.rs
@@ -14,7 +14,9 @@
 use violetyoke_api::Configuration;
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::compression::Compressed;
-use violetyoke_transport::messages::{BackendList, ControlState, Membership, ProxyReply, Revision};
+use violetyoke_transport::messages::{
+    BackendList, ControlState, ListDigest, Membership, ProxyReply, Revision,
+};
 
 /// Earlier states and lists that are known here.
 const KNOWN: usize = 8;
@@ -34,7 +36,7 @@
     states: VecDeque<State>,
     made: HashMap<Revision, Bytes>,
     lists: VecDeque<BackendList>,
-    list_made: HashMap<u64, Bytes>,
+    list_made: HashMap<ListDigest, Bytes>,
     pub members: Membership,
     members_at: Millis,
 }
@@ -90,8 +92,8 @@
     }
 
     /// The digest of the newest list, or 0.
-    fn list_digest(&self) -> u64 {
-        self.lists.back().map_or(0, |list| list.digest)
+    fn list_digest(&self) -> ListDigest {
+        self.lists.back().map_or(ListDigest::NONE, |list| list.digest)
     }
 
     /// The newest list is another.
@@ -107,7 +109,7 @@
         }
     }
 
-    fn list_since(&mut self, have: u64, newest: BackendList) -> Bytes {
+    fn list_since(&mut self, have: ListDigest, newest: BackendList) -> Bytes {
         if let Some(made) = self.list_made.get(&have) {
             return made.clone();
         }
@@ -139,7 +141,7 @@
         let mut members_frame: Option<Bytes> = None;
         for proxy in self.proxies.by_connection.values_mut().filter(|proxy| proxy.hello) {
             let news = newest.filter(|revision| *revision > proxy.have);
-            let other_list = digest != 0 && proxy.list != digest;
+            let other_list = digest != ListDigest::NONE && proxy.list != digest;
             let other_members = proxy.members != self.telling.members.digest;
             if news.is_none() && !other_list && !other_members {
                 proxy.waits = Waits::default();
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -10,7 +10,7 @@
 use violetyoke_registry::backends::Lists;
 use violetyoke_registry::platform::page;
 use violetyoke_registry::sessions::Sessions;
-use violetyoke_transport::messages::{proxy_id, Backend, BackendList, Session};
+use violetyoke_transport::messages::{proxy_id, Backend, BackendList, ListDigest, Session};
 
 fn session(node: &str, zone: &str, port: u16, ready: bool) -> Session {
     Session {
@@ -116,7 +116,7 @@
 fn a_list_that_was_asked_for_earlier_never_goes_before_a_later_one() {
     let mut lists = Lists::default();
     assert!(lists.answered(500, 480, vec![backend("i-1", true, 0)]));
-    let old = BackendList { digest: 7, age_ms: 300, backends: vec![backend("i-1", false, 0)] };
+    let old = BackendList { digest: ListDigest(7), age_ms: 300, backends: vec![backend("i-1", false, 0)] };
     assert!(!lists.told(600, old));
     assert!(lists.newest(600, true).is_some_and(|list| list.backends[0].draining));
 }
--- a/crates/scale/src/crowd.rs
+++ b/crates/scale/src/crowd.rs
@@ -16,14 +16,14 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::{AbortHandle, LocalSet};
 use violetyoke_transport::connection;
-use violetyoke_transport::messages::{Revision, Session};
+use violetyoke_transport::messages::{ListDigest, Revision, Session};
 
 /// What all hollow ingresses report.
 #[derive(Debug, Default)]
 pub struct Report {
     pub traffic: Traffic,
     pub states: Seen<Revision>,
-    pub lists: Seen<u64>,
+    pub lists: Seen<ListDigest>,
     /// Ingresses that are settled, and those that know all members.
     pub settled: AtomicUsize,
     pub complete: AtomicUsize,
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{ProxyReply, ProxyRequest, Revision, Session};
+use violetyoke_transport::messages::{ListDigest, ProxyReply, ProxyRequest, Revision, Session};
 
 /// Requests to be sent, each to a registry.
 pub type Requests = Vec<(Ipv4Addr, ProxyRequest)>;
@@ -24,28 +24,30 @@
     /// A number of its own: ingresses differ in which registry they ask first.
     life: u32,
     have: Revision,
-    list: u64,
+    list: ListDigest,
     registries: BTreeMap<Ipv4Addr, View>,
 }
 
 impl Hollow {
     pub fn new(session: Session, life: u32, registries: &[Ipv4Addr]) -> Hollow {
         let registries = registries.iter().map(|ip| (*ip, View::default())).collect();
-        Hollow { session, life, have: Revision::default(), list: 0, registries }
+        Hollow { session, life, have: Revision::default(), list: ListDigest::NONE, registries }
     }
 
     pub fn have(&self) -> Revision {
         self.have
     }
 
-    pub fn list(&self) -> u64 {
+    pub fn list(&self) -> ListDigest {
         self.list
     }
 
     /// A session with each registry, each has told of its members, and none has a newer state than this one.
     pub fn is_settled(&self) -> bool {
         let told = |view: &View| view.connected && view.members != 0 && view.newest <= self.have;
-        self.list != 0 && self.have != Revision::default() && self.registries.values().all(told)
+        self.list != ListDigest::NONE
+            && self.have != Revision::default()
+            && self.registries.values().all(told)
     }
 
     /// Every registry has told of at least that many members.
@@ -101,7 +103,7 @@
         self.poll()
     }
 
-    fn take_list(&mut self, digest: u64) -> Requests {
+    fn take_list(&mut self, digest: ListDigest) -> Requests {
         self.list = digest;
         self.poll()
     }
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -6,7 +6,7 @@
 use violetyoke_scale::hollow::{Hollow, Requests};
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
-    BackendList, BackendListChange, Membership, ProxyReply, ProxyRequest, Revision, Session,
+    BackendList, BackendListChange, ListDigest, Membership, ProxyReply, ProxyRequest, Revision, Session,
 };
 
 const FIRST: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
@@ -56,7 +56,7 @@
 }
 
 fn list(digest: u64) -> ProxyReply {
-    ProxyReply::BackendList(BackendList { digest, age_ms: 0, backends: Vec::new() })
+    ProxyReply::BackendList(BackendList { digest: ListDigest(digest), age_ms: 0, backends: Vec::new() })
 }
 
 /// Polls among some requests: to whom, with which state, and who is to answer first.
@@ -120,9 +120,10 @@
     assert_eq!(hollow.have(), revision(3));
     assert_eq!(polls(&asked), vec![(FIRST, revision(3), true)]);
     hollow.replied(FIRST, list(9));
-    let other = BackendListChange { from: 8, digest: 10, ..BackendListChange::default() };
+    let other =
+        BackendListChange { from: ListDigest(8), digest: ListDigest(10), ..BackendListChange::default() };
     hollow.replied(FIRST, ProxyReply::BackendListChange(other));
-    assert_eq!(hollow.list(), 9);
+    assert_eq!(hollow.list(), ListDigest(9));
 }
 
 #[test]
--- a/crates/transport/src/messages/proxies.rs
+++ b/crates/transport/src/messages/proxies.rs
@@ -28,7 +28,7 @@
     Hello(Session),
     /// Says which state, backend list and membership (by their digests) the proxy has, and asks for what is newer.
     /// `is_primary`: this registry is to answer at once; the others follow later, and only if it has not.
-    Poll { revision: Revision, backend_list: u64, membership: u64, is_primary: bool },
+    Poll { revision: Revision, backend_list: ListDigest, membership: u64, is_primary: bool },
     /// Counts one request of a tenant.
     #[serde(rename = "Add")]
     Increment { request_id: u32, tenant: String, fencing_token: Revision },
@@ -96,10 +96,20 @@
     }
 }
 
+/// Identifies the content of a backend list. Encoded as the number alone.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct ListDigest(pub u64);
+
+impl ListDigest {
+    /// Stands for having no list.
+    pub const NONE: ListDigest = ListDigest(0);
+}
+
 /// The platform's list of backends, as it was some time ago.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BackendList {
-    pub digest: u64,
+    pub digest: ListDigest,
     /// How long ago it was asked for (ms).
     pub age_ms: u64,
     pub backends: Vec<Backend>,
@@ -120,8 +130,8 @@
 /// What makes one list another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BackendListChange {
-    pub from: u64,
-    pub digest: u64,
+    pub from: ListDigest,
+    pub digest: ListDigest,
     pub age_ms: u64,
     /// Backends that are new or changed.
     pub upserted: Vec<Backend>,
--- a/crates/transport/tests/golden/proxies.rs
+++ b/crates/transport/tests/golden/proxies.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddrV4;
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
-    Backend, BackendList, BackendListChange, Gossip, Membership, ProxyReply, ProxyRequest, RegistryRequest,
-    Revision, Session, ShardOwners,
+    Backend, BackendList, BackendListChange, Gossip, ListDigest, Membership, ProxyReply, ProxyRequest,
+    RegistryRequest, Revision, Session, ShardOwners,
 };
 
 variants!(ProxyRequest {
@@ -55,14 +55,18 @@
 }
 
 fn list() -> BackendList {
-    BackendList { digest: u64::MAX, age_ms: 300, backends: vec![backend(1, false), backend(2, true)] }
+    BackendList {
+        digest: ListDigest(u64::MAX),
+        age_ms: 300,
+        backends: vec![backend(1, false), backend(2, true)],
+    }
 }
 
 pub(crate) fn proxy_requests() -> Vec<(&'static str, ProxyRequest)> {
     let tenant = || "tenant-1".to_owned();
     let poll = |lead| ProxyRequest::Poll {
         revision: revision(300),
-        backend_list: u64::MAX,
+        backend_list: ListDigest(u64::MAX),
         membership: 70_000,
         is_primary: lead,
     };
@@ -121,8 +125,8 @@
 /// The packed payloads come as golden bytes themselves: another release of the deflate library may pack them otherwise.
 pub(crate) fn proxy_replies(configuration: Compressed, change: Compressed) -> Vec<Sample<ProxyReply>> {
     let list_change = BackendListChange {
-        from: 1,
-        digest: 2,
+        from: ListDigest(1),
+        digest: ListDigest(2),
         age_ms: 70_000,
         upserted: vec![backend(3, false)],
         removed: vec!["backend-4".to_owned()],
