--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -14,6 +14,7 @@
 use violetyoke_balancing::{BackendDirectory, ListedBackend, Millis};
 use violetyoke_transport::codec::{decode, encode};
 use violetyoke_transport::connection;
+use violetyoke_transport::error::DecodeError;
 use violetyoke_transport::messages::{
     Backend, ListDigest, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
 };
@@ -160,7 +161,7 @@
         &self,
         revision: Revision,
         evacuated: BTreeSet<String>,
-        next: std::io::Result<Option<Configuration>>,
+        next: Result<Option<Configuration>, DecodeError>,
     ) {
         match next {
             Ok(Some(configuration)) => self.install(revision, evacuated, configuration),
--- a/crates/transport/src/chunks.rs
+++ b/crates/transport/src/chunks.rs
@@ -2,12 +2,14 @@
 //! link. A frame holds a whole message, or one chunk of a large one; chunks of one message come in order, and other
 //! messages may come between them.
 
-use crate::codec::LONGEST;
+use crate::error::FrameError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::VecDeque;
-use std::io;
 use tokio_util::codec::LengthDelimitedCodec;
 
+/// The most bytes of a message: a configuration of 5,000 routes is about 1 MiB, and the registry refuses documents of
+/// more than 8 MiB.
+pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// The most bytes of a message in one frame: 131 ms on a link of 2 Mbit/s.
 pub const CHUNK: usize = 32 << 10;
 
@@ -44,7 +46,7 @@
     pub fn push(&mut self, message: Outgoing) {
         let Outgoing { payload, urgent } = message;
         let large = payload.len() > CHUNK;
-        if payload.is_empty() || payload.len() > LONGEST {
+        if payload.is_empty() || payload.len() > MAX_MESSAGE_BYTES {
             return;
         }
         if urgent && !large {
@@ -101,7 +103,7 @@
 
 impl Assembler {
     /// Takes a frame; a message, if one is complete with it.
-    pub fn take(&mut self, mut frame: BytesMut) -> io::Result<Option<Bytes>> {
+    pub fn take(&mut self, mut frame: BytesMut) -> Result<Option<Bytes>, FrameError> {
         if frame.is_empty() {
             return Ok(None);
         }
@@ -109,11 +111,11 @@
         if kind == WHOLE {
             return Ok(Some(frame.freeze()));
         }
-        if kind > LAST || self.parts.len() + frame.len() > LONGEST {
-            return Err(io::Error::new(
-                io::ErrorKind::InvalidData,
-                "a frame of no known kind, or too long a message",
-            ));
+        if kind > LAST {
+            return Err(FrameError::UnknownKind(kind));
+        }
+        if self.parts.len() + frame.len() > MAX_MESSAGE_BYTES {
+            return Err(FrameError::MessageTooLong);
         }
         self.parts.extend_from_slice(&frame);
         Ok((kind == LAST).then(|| std::mem::take(&mut self.parts).freeze()))
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -2,6 +2,7 @@
 //! any byte received. Each byte counts as a sign of life, so that a large message on a slow link does not end one.
 
 use crate::chunks::{append_keepalive, codec, Assembler, Outgoing, SendQueue, CHUNK};
+use crate::error::FrameError;
 use crate::net::{connect, Listener, Stream};
 use bytes::{Buf, Bytes, BytesMut};
 use std::io;
@@ -41,8 +42,8 @@
     }
 
     fn enqueue(&self, message: Outgoing) {
-        // Lost where the connection has ended, which `Event::Disconnected` reports.
-        let _ = self.0.send(message);
+        // The message is lost if the connection has ended, which `Event::Disconnected` reports.
+        drop(self.0.send(message));
     }
 }
 
@@ -100,7 +101,18 @@
     on_event(Event::Disconnected);
 }
 
-async fn read(mut reader: ReadHalf<Stream>, on_event: &Rc<dyn Fn(Event)>) -> io::Result<()> {
+/// Why a connection has ended. Its owner learns only that it has.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionError {
+    #[error("nothing was received or sent for {} ms", IDLE_TIMEOUT.as_millis())]
+    Idle(#[from] tokio::time::error::Elapsed),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+}
+
+async fn read(mut reader: ReadHalf<Stream>, on_event: &Rc<dyn Fn(Event)>) -> Result<(), ConnectionError> {
     let mut codec = codec();
     let mut assembler = Assembler::default();
     let mut received = BytesMut::new();
@@ -116,7 +128,10 @@
     }
 }
 
-async fn write(mut writer: WriteHalf<Stream>, mut queue: UnboundedReceiver<Outgoing>) -> io::Result<()> {
+async fn write(
+    mut writer: WriteHalf<Stream>,
+    mut queue: UnboundedReceiver<Outgoing>,
+) -> Result<(), ConnectionError> {
     let mut waiting = SendQueue::default();
     let mut out = BytesMut::new();
     loop {
@@ -134,7 +149,7 @@
         while !out.is_empty() {
             let written = timeout(IDLE_TIMEOUT, writer.write(&out)).await??;
             if written == 0 {
-                return Err(io::ErrorKind::WriteZero.into());
+                return Err(io::Error::from(io::ErrorKind::WriteZero).into());
             }
             out.advance(written);
         }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod connection;
 pub mod daemon;
 pub mod environment;
+pub mod error;
 pub mod lifecycle;
 pub mod log;
 pub mod messages;
--- a/crates/transport/tests/chunks.rs
+++ b/crates/transport/tests/chunks.rs
@@ -1,15 +1,16 @@
-//! Messages in frames and back: chunks, deflated messages, and what no peer of ours sends.
+//! Messages in frames and back: chunks, and what no peer of ours sends.
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
-use violetyoke_transport::chunks::{append_keepalive, codec, Assembler, Outgoing, SendQueue, CHUNK};
-use violetyoke_transport::codec::{decode, encode, encode_deflated, LONGEST};
+use violetyoke_transport::chunks::{
+    append_keepalive, codec, Assembler, Outgoing, SendQueue, CHUNK, MAX_MESSAGE_BYTES,
+};
 
 fn ordered(payload: Bytes) -> Outgoing {
     Outgoing { payload, urgent: false }
 }
 
-fn received(mut bytes: BytesMut) -> std::io::Result<Vec<Bytes>> {
+fn received(mut bytes: BytesMut) -> Result<Vec<Bytes>, Box<dyn std::error::Error>> {
     let (mut codec, mut assembler, mut messages) = (codec(), Assembler::default(), Vec::new());
     while let Some(frame) = codec.decode(&mut bytes)? {
         messages.extend(assembler.take(frame)?);
@@ -48,7 +49,7 @@
 #[test]
 fn a_message_that_no_receiver_takes_is_not_sent_and_the_others_are() {
     let (mut queue, mut out) = (SendQueue::default(), BytesMut::new());
-    queue.push(ordered(Bytes::from(vec![0; LONGEST + 1])));
+    queue.push(ordered(Bytes::from(vec![0; MAX_MESSAGE_BYTES + 1])));
     queue.push(ordered(Bytes::from_static(b"next")));
     while queue.append_next(&mut out) {}
     assert!(received(out).expect("frames") == [Bytes::from_static(b"next")]);
@@ -65,24 +66,10 @@
     assert!(received(frame(3, 10)).is_err());
     assert!(received(frame(0, CHUNK + 1)).is_err());
     let mut assembler = Assembler::default();
-    let taken = (0..=LONGEST / CHUNK).try_for_each(|_| {
+    let taken = (0..=MAX_MESSAGE_BYTES / CHUNK).try_for_each(|_| {
         let mut part = BytesMut::from([1].as_slice());
         part.resize(CHUNK + 1, 0);
         assembler.take(part).map(drop)
     });
     assert!(taken.is_err(), "parts beyond the longest message");
 }
-
-#[test]
-fn large_messages_are_deflated_and_read_back() {
-    let routes: Vec<String> = (0..5_000).map(|n| format!("/prefix{n}/ to a service, for a host")).collect();
-    let bytes = encode_deflated(&routes);
-    assert!(bytes.len() * 4 < routes.concat().len(), "{} bytes", bytes.len());
-    assert_eq!(decode::<Vec<String>>(&bytes).expect("read back"), routes);
-    for end in [0, 1, 2, bytes.len() / 2, bytes.len() - 1] {
-        assert!(decode::<Vec<String>>(&bytes[..end]).is_err(), "cut at {end}");
-    }
-    assert_eq!(decode::<Vec<String>>(&encode(&routes)).expect("plain"), routes);
-    let small = vec!["one".to_owned()];
-    assert_eq!(decode::<Vec<String>>(&encode_deflated(&small)).expect("read back"), small);
-}
--- /dev/null
+++ b/crates/transport/tests/codec.rs
@@ -0,0 +1,71 @@
+//! Messages as bytes and back, and values that have no encoding.
+
+#![cfg(test)]
+
+use serde::{Deserialize, Serialize, Serializer};
+use violetyoke_transport::codec::{decode, encode, encode_deflated, try_encode, Message};
+use violetyoke_transport::compression::Compressed;
+use violetyoke_transport::error::{DecodeError, EncodeError};
+use violetyoke_transport::messages::{ProxyReply, Revision};
+
+/// A message of any size.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+struct Routes(Vec<String>);
+
+impl Message for Routes {}
+
+/// A value that has no encoding, as no type of message has one.
+struct Unencodable;
+
+impl Serialize for Unencodable {
+    fn serialize<S: Serializer>(&self, _: S) -> Result<S::Ok, S::Error> {
+        Err(serde::ser::Error::custom("has no encoding"))
+    }
+}
+
+impl Message for Unencodable {}
+
+#[test]
+fn large_messages_are_deflated_and_read_back() {
+    let routes: Vec<String> = (0..5_000).map(|n| format!("/prefix{n}/ to a service, for a host")).collect();
+    let plain_size = routes.concat().len();
+    let routes = Routes(routes);
+    let bytes = encode_deflated(&routes);
+    assert!(bytes.len() * 4 < plain_size, "{} bytes", bytes.len());
+    assert_eq!(decode::<Routes>(&bytes).expect("read back"), routes);
+    for end in [0, 1, 2, bytes.len() / 2, bytes.len() - 1] {
+        assert!(decode::<Routes>(&bytes[..end]).is_err(), "cut at {end}");
+    }
+    assert_eq!(decode::<Routes>(&encode(&routes)).expect("plain"), routes);
+    let small = Routes(vec!["one".to_owned()]);
+    assert_eq!(decode::<Routes>(&encode_deflated(&small)).expect("read back"), small);
+}
+
+#[test]
+fn value_without_an_encoding_is_an_error() {
+    assert!(matches!(try_encode(&Unencodable), Err(EncodeError::Format(_))));
+    assert!(matches!(Compressed::encode(&Unencodable), Err(EncodeError::Format(_))));
+}
+
+#[test]
+#[should_panic(expected = "a type of message has values without an encoding")]
+fn message_without_an_encoding_is_never_sent_as_an_empty_one() {
+    drop(encode(&Unencodable));
+}
+
+#[test]
+#[should_panic(expected = "a type of message has values without an encoding")]
+fn large_message_without_an_encoding_is_never_sent_as_an_empty_one() {
+    drop(encode_deflated(&Unencodable));
+}
+
+#[test]
+fn bytes_that_are_no_message_say_why() {
+    let reply = ProxyReply::Freshness { request_id: 7, newest: Revision { epoch: 3, sequence: 9 } };
+    let bytes = encode(&reply);
+    assert!(matches!(decode::<ProxyReply>(&bytes[..bytes.len() - 1]), Err(DecodeError::Format(_))));
+    assert!(matches!(decode::<Routes>(&bytes), Err(DecodeError::Format(_))), "another type");
+    assert!(matches!(decode::<ProxyReply>(&[]), Err(DecodeError::Format(_))));
+    // The mark of a compressed message, and then a block of a kind that deflate does not have.
+    assert!(matches!(decode::<ProxyReply>(&[0xc1, 0xff, 0xff]), Err(DecodeError::Inflate(_))));
+}
--- a/crates/transport/tests/golden/main.rs
+++ b/crates/transport/tests/golden/main.rs
@@ -24,7 +24,7 @@
 use variants::assert_all_variants;
 use violetyoke_api::change::{digest, ConfigurationChange};
 use violetyoke_api::Configuration;
-use violetyoke_transport::codec::{decode, encode, encode_deflated};
+use violetyoke_transport::codec::{decode, encode, encode_deflated, try_encode};
 use violetyoke_transport::compression::{inflate, Compressed};
 use violetyoke_transport::messages::{
     proxy_id, AcceptedVersions, Command, ControlState, Outcome, PeerMessage, StoreReply, StoreRequest,
@@ -43,11 +43,11 @@
 where
     T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + Debug,
 {
-    folder().check(samples, |value| encode(value).to_vec(), |bytes| decode(bytes));
+    folder().check(samples, |value| try_encode(value).expect("encoded"), |bytes| decode(bytes));
 }
 
 fn packed<T: serde::Serialize>(name: &str, content: &T) -> Compressed {
-    let current = || encode(&Compressed::encode(content).expect("packed")).to_vec();
+    let current = || try_encode(&Compressed::encode(content).expect("packed")).expect("encoded");
     decode(&folder().read(name, current)).expect("a packed payload")
 }
 
@@ -141,9 +141,9 @@
 fn states_of_builds_without_accepted_versions_are_decoded() {
     let older = OlderStoreReply::News(OlderControlState::of(&control::full_state()));
 
-    let golden = folder().read(OLDER_NEWS, || encode(&older).to_vec());
+    let golden = folder().read(OLDER_NEWS, || try_encode(&older).expect("encoded"));
 
-    assert_eq!(encode(&older), golden);
+    assert_eq!(try_encode(&older).expect("encoded"), golden);
     let expected = ControlState { accepted: AcceptedVersions::default(), ..control::full_state() };
     assert_eq!(decode::<StoreReply>(&golden).expect("decoded"), StoreReply::State(expected));
 }
