--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -6,11 +6,12 @@
 use crate::net::{connect, Listener, Stream};
 use bytes::{Buf, Bytes, BytesMut};
 use std::io;
-use std::net::SocketAddrV4;
+use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{split, AsyncReadExt, AsyncWriteExt, ReadHalf, WriteHalf};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Decoder;
 
@@ -47,6 +48,10 @@
     }
 }
 
+/// Identifies an accepted connection among those of its listener, in the order of acceptance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionId(pub u64);
+
 /// What happens on a connection.
 #[derive(Debug)]
 pub enum Event {
@@ -75,18 +80,24 @@
     }
 }
 
-/// Accepts connections until the task is aborted. `open` returns the event handler of a connection from an address.
-pub async fn accept_all<F: Fn(Event) + 'static>(listener: Listener, open: impl Fn(SocketAddrV4) -> F) {
+/// Accepts connections until it is dropped or its task is aborted; all accepted connections end with it. `open` returns the
+/// event handler of a connection.
+pub async fn accept_all<F: Fn(Event) + 'static>(listener: Listener, open: impl Fn(ConnectionId) -> F) {
+    let mut connections = JoinSet::new();
+    let mut accepted = 0;
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(MIN_BACKOFF).await;
             continue;
         };
-        let std::net::SocketAddr::V4(from) = from else { continue };
-        if stream.ends_after(IDLE_TIMEOUT).is_ok() {
-            let on_event: Rc<dyn Fn(Event)> = Rc::new(open(from));
-            tokio::task::spawn_local(async move { run(stream, &on_event).await });
+        let is_v4 = matches!(from, SocketAddr::V4(_));
+        if is_v4 && stream.ends_after(IDLE_TIMEOUT).is_ok() {
+            accepted += 1;
+            let on_event: Rc<dyn Fn(Event)> = Rc::new(open(ConnectionId(accepted)));
+            connections.spawn_local(async move { run(stream, &on_event).await });
         }
+        // Those that have ended are removed from the set.
+        while connections.try_join_next().is_some() {}
     }
 }
 
--- a/crates/transport/src/daemon.rs
+++ b/crates/transport/src/daemon.rs
@@ -1,10 +1,13 @@
 //! How each daemon begins: its command line, its settings, its log, its one thread.
 
 use crate::lifecycle::Lifecycle;
+use crate::net::{listen, Listener};
+use error_stack::{Report, ResultExt};
 use lexopt::prelude::*;
 use slog::Logger;
 use std::fmt::{self, Debug};
 use std::future::Future;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use violetyoke_api::Settings;
@@ -28,6 +31,21 @@
 
 impl std::error::Error for StartError {}
 
+/// Listens at the address that the settings name in `field`.
+///
+/// # Errors
+///
+/// If the address is missing or can't be listened at: the report names the field.
+pub fn bind(
+    program: &'static str,
+    address: Option<SocketAddr>,
+    field: &str,
+) -> Result<Listener, Report<StartError>> {
+    let failed = StartError(program);
+    let address = address.ok_or_else(|| Report::new(failed).attach(format!("{field} is missing")))?;
+    listen(address).change_context(failed).attach_with(|| format!("{field}: {address}"))
+}
+
 /// What the command line says.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CommandLine {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,8 @@
 //! Communication between the system's own processes: stores, registries and proxies.
 //!
 //! - [`messages`]: the typed messages; [`codec`] and [`compression`] turn them into bytes, [`chunks`] into frames.
-//! - [`connection`]: connections that are kept up and found dead by a time-out, over the streams of [`net`].
+//! - [`connection`]: connections that are kept up and found dead by a time-out, over the streams of [`net`]; [`peers`]:
+//!   such connections to a set of peers that grows.
 //! - [`daemon`] and [`lifecycle`]: how each process starts, is told of new settings ([`settings_watcher`]) and shuts down;
 //!   [`log`]: its log.
 //! - [`environment`]: what an emulation installs in place of the operating system's network and disks.
@@ -25,4 +26,5 @@
 pub mod log;
 pub mod messages;
 pub mod net;
+pub mod peers;
 pub mod settings_watcher;
