--- a/crates/ingress/src/succession/tests.rs
+++ b/crates/ingress/src/succession/tests.rs
@@ -1,8 +1,15 @@
-//! The sealed form that one process hands down to the next.
+//! What a process of an ingress hands down to the next, sealed, as the builds before wrote it: Postcard goes by the
+//! position of fields. The golden file is never edited; another form is another version (see `violetyoke_succession`).
+
+#[path = "../../../transport/tests/golden/files.rs"]
+mod files;
 
 use super::*;
+use crate::discovery::Phase;
+use files::GoldenFolder;
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
+use violetyoke_succession::{open, seal, Header};
 
 /// All names in the order in which they are written, with every figure as 0 or 0.0.
 fn form(inheritance: &Inheritance) -> String {
@@ -17,9 +24,8 @@
     form
 }
 
-/// Postcard tells no field from the next: a process of another build must not read one for the other.
-#[test]
-fn a_form_that_changes_is_another_version() {
+/// With one node, one customer, and a value in each field.
+fn sample() -> Inheritance {
     let class = Class {
         aim: 500_000,
         aim_stretch: 0.0,
@@ -58,13 +64,18 @@
     );
     gateway.handle(2, Event::Request(request), &mut actions);
     let list = r#"{"id": "a", "host_port": "127.0.0.1:1", "phase": "in_service"}"#;
-    let inheritance = Inheritance {
+    Inheritance {
         nodes: vec![serde_json::from_str(list).unwrap()],
         numbers: BTreeMap::from([(1, "n".to_string())]),
         back: BTreeMap::from([("a".to_string(), (1, 2))]),
         belief: gateway.hand_down(3),
         ..Inheritance::default()
-    };
+    }
+}
+
+/// Postcard tells no field from the next: a process of another build must not read one for the other.
+#[test]
+fn a_form_that_changes_is_another_version() {
     let of_version_3 = concat!(
         r#"{"nodes":[{"id":"a","host_port":"0.0.0.0:0","locality":"","flavor":"","cell":0,"#,
         r#""phase":"in_service","size":0.0,"up_since_ms":0}],"numbers":{"0":"n"},"classes":[],"#,
@@ -81,5 +92,43 @@
         r#""spare_at":0,"heard":0.0,"untold":0.0,"out":0,"open":0,"seen":0}}}}"#,
     );
     assert_eq!(violetyoke_succession::VERSION, 3);
-    assert_eq!(form(&inheritance), of_version_3);
+    assert_eq!(form(&sample()), of_version_3);
+}
+
+fn header() -> Header {
+    Header { ingress: "ingress-3".into(), settings: 42, to: "process-7".into() }
+}
+
+#[test]
+fn the_inheritance_of_an_earlier_build_is_read_and_written_alike() {
+    let folder = GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin");
+    let golden = folder.read("inheritance", || seal(&header(), &sample()).expect("sealed"));
+
+    let mut inheritance: Inheritance = open(&golden, &header()).expect("opened");
+
+    assert_eq!(seal(&header(), &inheritance).expect("sealed"), golden);
+    assert_eq!(inheritance.belief.known(), (1, 1), "one node and one customer");
+    assert_eq!(inheritance.back["a"], (1, 2));
+    let list = inheritance.list().expect("a list");
+    assert_eq!((list.members.len(), list.members[0].id.as_str()), (1, "a"));
+}
+
+/// Postcard encodes an enum's variant by its place.
+#[test]
+fn the_phases_of_nodes_of_an_earlier_build_are_read_and_written_alike() {
+    let phases = ["in_service", "terminating", "terminated"];
+    let node = |phase| format!(r#"{{"id": "{phase}", "host_port": "127.0.0.1:1", "phase": "{phase}"}}"#);
+    let nodes = phases.map(|phase| serde_json::from_str(&node(phase)).expect("a node"));
+    let current = Inheritance { nodes: nodes.to_vec(), ..Inheritance::default() };
+    let folder = GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin");
+    let golden = folder.read("inheritance-phases", || seal(&header(), &current).expect("sealed"));
+
+    let mut inheritance: Inheritance = open(&golden, &header()).expect("opened");
+
+    assert_eq!(seal(&header(), &inheritance).expect("sealed"), golden);
+    assert_eq!(seal(&header(), &current).expect("sealed"), golden);
+    let members = inheritance.list().expect("a list").members;
+    let read = members.iter().map(|node| (node.id.as_str(), node.phase));
+    let expected = phases.into_iter().zip([Phase::InService, Phase::Terminating, Phase::Terminated]);
+    assert!(read.eq(expected));
 }
--- a/crates/store/tests/golden/main.rs
+++ b/crates/store/tests/golden/main.rs
@@ -21,7 +21,7 @@
 use violetyoke_transport::messages::{AcceptedVersions, ControlState, ReplicaConfig, Revision, StoreNode};
 
 fn golden(name: &str, current: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
-    GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR")).read(name, current)
+    GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin").read(name, current)
 }
 
 /// An empty folder that is removed with this value.
--- /dev/null
+++ b/crates/tenants/tests/golden/main.rs
@@ -0,0 +1,118 @@
+//! Snapshots that the control plane sends to ingresses, as the builds before wrote them: half of the ingresses may be of
+//! another build than the control plane. The golden files are never edited.
+
+#![cfg(test)]
+
+#[path = "../../../transport/tests/golden/files.rs"]
+mod files;
+#[path = "../../../transport/tests/golden/samples.rs"]
+mod samples;
+
+use files::GoldenFolder;
+use samples::{sample, Sample};
+use std::collections::BTreeSet;
+use violetyoke_tenants::model::{Account, Limits, Part, Plan, Route, State, StoredTenant, Tenant};
+use violetyoke_tenants::snapshot::{Held, Snapshot, TenantView};
+
+fn folder() -> GoldenFolder {
+    GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "json")
+}
+
+fn tenant(name: &str) -> Tenant {
+    Tenant {
+        name: name.into(),
+        weight: 3,
+        limits: Limits {
+            open_requests: Part { guaranteed: 1, most: 2 },
+            descriptors: Part { guaranteed: 3, most: 4 },
+            buffered_bytes: Part { guaranteed: 5, most: 70_000 },
+        },
+        hosts: vec![format!("{name}.example"), format!("*.{name}.example")],
+        pools: vec!["main".into(), "batch".into()],
+    }
+}
+
+fn plan() -> Plan {
+    Plan {
+        name: "basic".into(),
+        rate: 5.5,
+        burst: 10.0,
+        open: 7,
+        worth: 0.5,
+        ceiling_rate: 11.0,
+        ceiling_burst: 22.0,
+    }
+}
+
+fn routes() -> Vec<Route> {
+    let full = Route {
+        name: "search".into(),
+        host: "acme.example".into(),
+        path: "/search/*".into(),
+        method: Some("GET".into()),
+        pool: "main".into(),
+        default_class: Some("interactive".into()),
+    };
+    let bare = Route {
+        name: "rest".into(),
+        path: "/*".into(),
+        method: None,
+        default_class: None,
+        pool: "batch".into(),
+        ..full.clone()
+    };
+    vec![full, bare]
+}
+
+fn views() -> Vec<TenantView> {
+    let active = StoredTenant { tenant: tenant("acme"), epoch: 300, state: State::Active };
+    let draining = StoredTenant {
+        tenant: tenant("globex"),
+        epoch: 301,
+        state: State::Draining { gone_at: 1_700_000_000_000 },
+    };
+    let account = Account { name: "customer-1".into(), plan: "basic".into() };
+    vec![
+        TenantView::new(active, vec![plan()], vec![account], routes()),
+        TenantView::new(draining, Vec::new(), Vec::new(), Vec::new()),
+    ]
+}
+
+fn snapshots() -> Vec<Sample<Snapshot>> {
+    vec![
+        sample("snapshot-full", Snapshot::new(None, 70_000, views(), Vec::new())),
+        sample(
+            "snapshot-part",
+            Snapshot::new(Some(70_000), 70_001, views()[..1].to_vec(), vec!["globex".into()]),
+        ),
+    ]
+}
+
+#[test]
+fn snapshots_keep_their_form() {
+    let encode = |snapshot: &Snapshot| serde_json::to_vec(snapshot).expect("encoded");
+    folder().check(&snapshots(), encode, Snapshot::read);
+}
+
+/// The sum of a snapshot covers the order of its fields, so that is a part of the form.
+#[test]
+fn snapshots_of_earlier_builds_are_taken() {
+    let [full, part] = ["snapshot-full", "snapshot-part"].map(|name| {
+        let golden = folder().read(name, || panic!("written by the test above"));
+        Snapshot::read(&golden).expect("read")
+    });
+
+    let held = Held::default().take(full).expect("taken");
+    let next = held.take(part).expect("taken");
+
+    let names: Vec<&str> = held.tenants.keys().map(String::as_str).collect();
+    assert_eq!((held.revision, names), (70_000, vec!["acme", "globex"]));
+    let names: Vec<&str> = next.tenants.keys().map(String::as_str).collect();
+    assert_eq!((next.revision, names), (70_001, vec!["acme"]));
+}
+
+#[test]
+fn every_golden_file_has_a_sample() {
+    let names: BTreeSet<String> = snapshots().iter().map(|it| it.name.to_owned()).collect();
+    assert_eq!(folder().names(), names);
+}
--- a/crates/transport/tests/golden/files.rs
+++ b/crates/transport/tests/golden/files.rs
@@ -5,17 +5,20 @@
 /// Where this is set, golden files that do not exist are written; one that exists is never overwritten.
 pub(crate) const WRITE_MISSING: &str = "VIOLETYOKE_WRITE_GOLDEN";
 
-/// A folder of golden files.
-pub(crate) struct GoldenFolder(pub PathBuf);
+/// The golden files of one kind in a folder.
+pub(crate) struct GoldenFolder {
+    pub folder: PathBuf,
+    pub extension: &'static str,
+}
 
 impl GoldenFolder {
-    /// `tests/golden` of the crate whose manifest folder is given.
-    pub(crate) fn of_crate(manifest_dir: &str) -> GoldenFolder {
-        GoldenFolder(PathBuf::from(manifest_dir).join("tests/golden"))
+    /// The files in `tests/golden` of the crate whose manifest folder is given.
+    pub(crate) fn of_crate(manifest_dir: &str, extension: &'static str) -> GoldenFolder {
+        GoldenFolder { folder: PathBuf::from(manifest_dir).join("tests/golden"), extension }
     }
 
     pub(crate) fn path(&self, name: &str) -> PathBuf {
-        self.0.join(format!("{name}.bin"))
+        self.folder.join(format!("{name}.{}", self.extension))
     }
 
     /// The bytes of a golden file.
--- a/crates/transport/tests/golden/main.rs
+++ b/crates/transport/tests/golden/main.rs
@@ -37,7 +37,7 @@
 const OLDER_NEWS: &str = "older-store-reply-news";
 
 fn folder() -> GoldenFolder {
-    GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"))
+    GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin")
 }
 
 fn check<T>(samples: &[Sample<T>])
--- a/crates/transport/tests/golden/samples.rs
+++ b/crates/transport/tests/golden/samples.rs
@@ -57,8 +57,9 @@
 
     /// The names of all golden files in the folder.
     pub(crate) fn names(&self) -> BTreeSet<String> {
-        let entries = std::fs::read_dir(&self.0).expect("the folder of golden files");
+        let entries = std::fs::read_dir(&self.folder).expect("the folder of golden files");
         let files = entries.map(|entry| entry.expect("an entry").file_name().into_string().expect("UTF-8"));
-        files.filter_map(|file| file.strip_suffix(".bin").map(str::to_owned)).collect()
+        let suffix = format!(".{}", self.extension);
+        files.filter_map(|file| file.strip_suffix(&suffix).map(str::to_owned)).collect()
     }
 }
