--- a/crates/ctl/src/capacity.rs
+++ b/crates/ctl/src/capacity.rs
@@ -1,94 +1,140 @@
-//! What each backend was given and has shown, gathered from edges.
+//! What edges report about each backend, summed up over all edges.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One backend as one edge sees it.
+/// One backend, as one edge reports it at `GET /api/backends`.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub struct Seen {
+pub struct EdgeReport {
+    /// The backend's id.
     pub id: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// The zone that it stands in.
     pub zone: String,
+    /// How many requests it can execute at once.
     pub slots: u32,
-    pub open: u32,
-    pub pace_ms: Option<f64>,
-    pub given: u64,
+    /// Requests of this edge in flight there.
+    #[serde(rename = "open")]
+    pub in_flight: u32,
+    /// Mean latency of its answers (ms), where the edge has had one.
+    #[serde(rename = "pace-ms")]
+    pub latency_ms: Option<f64>,
+    /// Attempts that this edge has sent there.
+    #[serde(rename = "given")]
+    pub sent: u64,
+    /// Attempts that it answered.
     pub answered: u64,
-    pub turned_away: u64,
+    /// Attempts that it rejected without executing them.
+    #[serde(rename = "turned-away")]
+    pub rejected: u64,
+    /// Attempts that failed otherwise.
     pub failed: u64,
+    /// How the edge rates it now, in the edge's words.
     pub state: String,
 }
 
-/// One backend as all edges together see it.
+/// One backend, over all edges.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Row {
+pub struct BackendSummary {
+    /// The service that it belongs to.
     pub service: String,
+    /// The backend's id.
     pub id: String,
+    /// The zone that it stands in.
     pub zone: String,
+    /// How many requests it can execute at once.
     pub slots: u32,
-    pub open: u32,
-    pub given: u64,
+    /// Requests of all edges in flight there.
+    #[serde(rename = "open")]
+    pub in_flight: u32,
+    /// Attempts that all edges have sent there.
+    #[serde(rename = "given")]
+    pub sent: u64,
+    /// Attempts that it answered.
     pub answered: u64,
-    pub turned_away: u64,
+    /// Attempts that it rejected without executing them.
+    #[serde(rename = "turned-away")]
+    pub rejected: u64,
+    /// Attempts that failed otherwise.
     pub failed: u64,
-    /// Mean over the edges, each by its answers.
-    pub pace_ms: Option<f64>,
-    /// What edges hold of it now.
+    /// Mean latency (ms) over the edges, weighted by the answers that each has had.
+    #[serde(rename = "pace-ms")]
+    pub latency_ms: Option<f64>,
+    /// All ratings that edges have of it now.
     pub states: BTreeSet<String>,
 }
 
-/// Rows by service and id, of what each edge told.
-pub fn gather(edges: &[Vec<Seen>]) -> Vec<Row> {
-    let mut rows: BTreeMap<(String, String), (Row, f64)> = BTreeMap::new();
-    for seen in edges.iter().flatten() {
-        let (row, time) = rows.entry((seen.service.clone(), seen.id.clone())).or_default();
-        (row.service, row.id, row.zone) = (seen.service.clone(), seen.id.clone(), seen.zone.clone());
-        row.slots = seen.slots;
-        row.open += seen.open;
-        row.given += seen.given;
-        row.answered += seen.answered;
-        row.turned_away += seen.turned_away;
-        row.failed += seen.failed;
-        row.states.insert(seen.state.clone());
-        *time += seen.pace_ms.unwrap_or(0.0) * seen.answered as f64;
-        row.pace_ms = (row.answered > 0).then(|| *time / row.answered as f64);
+/// A backend's summary while edges are added.
+#[derive(Default)]
+struct Sum {
+    summary: BackendSummary,
+    /// Latencies of all answers, added up (ms).
+    total_latency_ms: f64,
+}
+
+impl Sum {
+    fn add(&mut self, report: &EdgeReport) {
+        let summary = &mut self.summary;
+        summary.service.clone_from(&report.service);
+        summary.id.clone_from(&report.id);
+        summary.zone.clone_from(&report.zone);
+        summary.slots = report.slots;
+        summary.in_flight += report.in_flight;
+        summary.sent += report.sent;
+        summary.answered += report.answered;
+        summary.rejected += report.rejected;
+        summary.failed += report.failed;
+        summary.states.insert(report.state.clone());
+        self.total_latency_ms += report.latency_ms.unwrap_or(0.0) * report.answered as f64;
+        summary.latency_ms = (summary.answered > 0).then(|| self.total_latency_ms / summary.answered as f64);
     }
-    rows.into_values().map(|(row, _)| row).collect()
 }
 
-/// As a table, a line each.
-pub fn table(rows: &[Row]) -> Vec<String> {
-    let head = [
-        "service", "backend", "zone", "slots", "open", "given", "answered", "turned", "failed", "pace ms",
-        "state",
-    ];
-    let mut cells: Vec<Vec<String>> = vec![head.iter().map(|cell| (*cell).to_owned()).collect()];
-    for row in rows {
-        let states: Vec<&str> = row.states.iter().map(String::as_str).collect();
-        let pace = row.pace_ms.map_or("-".into(), |pace| format!("{pace:.0}"));
-        let (open, given, answered) = (row.open.to_string(), row.given.to_string(), row.answered.to_string());
-        let (turned, failed) = (row.turned_away.to_string(), row.failed.to_string());
-        cells.push(vec![
-            row.service.clone(),
-            row.id.clone(),
-            row.zone.clone(),
-            row.slots.to_string(),
-            open,
-            given,
-            answered,
-            turned,
-            failed,
-            pace,
-            states.join(", "),
-        ]);
+/// One summary for each backend, by service and id, of what each edge reported.
+#[must_use]
+pub fn summarize(edges: &[Vec<EdgeReport>]) -> Vec<BackendSummary> {
+    let mut sums: BTreeMap<(&str, &str), Sum> = BTreeMap::new();
+    for report in edges.iter().flatten() {
+        sums.entry((&report.service, &report.id)).or_default().add(report);
     }
-    let width = |column: usize| cells.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
-    let widths: Vec<usize> = (0..head.len()).map(width).collect();
-    let line = |row: &Vec<String>| {
+    sums.into_values().map(|sum| sum.summary).collect()
+}
+
+const COLUMNS: [&str; 11] = [
+    "service", "backend", "zone", "slots", "open", "given", "answered", "turned", "failed", "pace ms",
+    "state",
+];
+
+/// The summaries as lines of a table, its heading first.
+#[must_use]
+pub fn to_table(summaries: &[BackendSummary]) -> Vec<String> {
+    let heading = COLUMNS.map(str::to_owned);
+    let rows: Vec<[String; 11]> = std::iter::once(heading).chain(summaries.iter().map(cells)).collect();
+    let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
+    let widths: Vec<usize> = (0..COLUMNS.len()).map(width).collect();
+    let line = |row: &[String; 11]| {
         let padded = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}"));
         padded.collect::<Vec<_>>().join("  ").trim_end().to_owned()
     };
-    cells.iter().map(line).collect()
+    rows.iter().map(line).collect()
+}
+
+fn cells(summary: &BackendSummary) -> [String; 11] {
+    let states: Vec<&str> = summary.states.iter().map(String::as_str).collect();
+    [
+        summary.service.clone(),
+        summary.id.clone(),
+        summary.zone.clone(),
+        summary.slots.to_string(),
+        summary.in_flight.to_string(),
+        summary.sent.to_string(),
+        summary.answered.to_string(),
+        summary.rejected.to_string(),
+        summary.failed.to_string(),
+        summary.latency_ms.map_or("-".into(), |latency| format!("{latency:.0}")),
+        states.join(", "),
+    ]
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,14 +1,17 @@
-//! The operators' side: what a change would move (`plan`), and their calls (`calls`), as the command line has them
-//! (`verbs`), and a store's disk by hand (`store`). Plans are made by the code that the system itself runs on.
+//! The operators' command line, `violetyoke-ctl`.
+//!
+//! - [`plan`]: what a change would do, from the configuration in force to another one. Plans are made by the code that the
+//!   system itself validates and routes with.
+//! - [`client`]: operators' calls to the registries, repeated until one of them answers conclusively.
+//! - [`capacity`]: what edges report about each backend, summed up.
+//! - [`store`]: a store's folder, inspected offline.
+//! - [`command_line`] and [`commands`]: verbs and options, and what each verb prints.
+//!
+//! Nothing is kept between two calls, and nothing here decides what a system accepts.
 
-#![allow(
-    clippy::needless_pass_by_value,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
-pub mod calls;
 pub mod capacity;
+pub mod client;
+pub mod command_line;
+pub mod commands;
 pub mod plan;
 pub mod store;
-pub mod verbs;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,17 +1,18 @@
-//! `violetyoke-ctl`: what a change would move, and the operators' calls.
+//! `violetyoke-ctl`: what a change would do, and the operators' calls.
 
 use std::process::ExitCode;
-use violetyoke_ctl::verbs::{read, run, Ended, HELP};
+use violetyoke_ctl::command_line::{CommandLine, HELP};
+use violetyoke_ctl::commands::run;
 
 fn main() -> ExitCode {
-    let wanted = match read(lexopt::Parser::from_env()) {
-        Ok(wanted) => wanted,
+    let line = match CommandLine::parse(lexopt::Parser::from_env()) {
+        Ok(line) => line,
         Err(error) => {
             eprintln!("violetyoke-ctl: {error}; see --help");
             return ExitCode::from(2);
         }
     };
-    if wanted.help {
+    if line.help {
         println!("{HELP}");
         return ExitCode::SUCCESS;
     }
@@ -22,10 +23,11 @@
             return ExitCode::from(3);
         }
     };
-    let ended = runtime.block_on(run(&wanted, &mut std::io::stdout().lock()));
-    match &ended {
-        Ended::Done => {}
-        Ended::Refused(why) | Ended::Wrong(why) | Ended::Unclear(why) => eprintln!("violetyoke-ctl: {why}"),
+    match runtime.block_on(run(&line, &mut std::io::stdout().lock())) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("violetyoke-ctl: {error}");
+            ExitCode::from(error.exit_status())
+        }
     }
-    ExitCode::from(ended.status())
 }
--- a/crates/ctl/src/plan.rs
+++ b/crates/ctl/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a change would move, from the configuration in force to another.
+//! What a change would do, from the configuration in force to another.
 //!
 //! ```
 //! use violetyoke_ctl::plan::Plan;
@@ -15,154 +15,129 @@
 //! assert!(plan.takes_effect());
 //! ```
 
-use serde::Serialize;
-use std::collections::{BTreeMap, BTreeSet};
-use violetyoke_api::configuration::{Configuration, Route, Tenant};
+mod rows;
 
-/// One thing that would be another.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Move {
-    /// `route`, `service`, `tenant` or `limits`.
-    pub what: &'static str,
-    pub name: String,
-    /// `added`, `removed` or `changed`.
-    pub how: &'static str,
-    /// Each field with what it is and would be.
-    pub fields: Vec<String>,
-}
+use rows::{entity_changes, routes, services, tenants};
+use serde::Serialize;
+use std::collections::BTreeSet;
+use std::fmt;
+use violetyoke_api::configuration::Configuration;
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Plan {
-    pub from: u64,
-    pub to: u64,
-    pub moves: Vec<Move>,
-    /// What an operator should know before it is sent.
-    pub notes: Vec<String>,
+/// What a row of a configuration describes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Entity {
+    /// A route.
+    Route,
+    /// A service.
+    Service,
+    /// A tenant.
+    Tenant,
+    /// The limits of the whole configuration.
+    Limits,
 }
 
-type Fields = BTreeMap<&'static str, String>;
-type Rows = BTreeMap<String, Fields>;
-
-/// Parts of a route's requests by service, in hundredths.
-fn shares(route: &Route) -> String {
-    let parts = route.split.as_deref().unwrap_or_default();
-    let total: f64 = parts.iter().map(|part| part.weight).sum();
-    if total <= 0.0 {
-        return route.service.clone().unwrap_or_default();
+impl fmt::Display for Entity {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Entity::Route => "route",
+            Entity::Service => "service",
+            Entity::Tenant => "tenant",
+            Entity::Limits => "limits",
+        })
     }
-    let share = |weight: f64| (weight / total * 100.0).round();
-    parts
-        .iter()
-        .map(|part| format!("{} {}%", part.service, share(part.weight)))
-        .collect::<Vec<_>>()
-        .join(" + ")
 }
 
-fn list(names: &[String]) -> String {
-    if names.is_empty() {
-        "anywhere".into()
-    } else {
-        names.join(" + ")
-    }
+/// What becomes of an entity.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Action {
+    /// It is new.
+    Added,
+    /// It is there no more.
+    Removed,
+    /// Some of its fields have other values.
+    Changed,
 }
 
-fn route(route: &Route) -> Fields {
-    BTreeMap::from([
-        ("goes to", shares(route)),
-        ("at", format!("{}{}", route.host, route.path_prefix)),
-        ("route-kind", format!("{:?}", route.route_kind).to_lowercase()),
-        ("timeout-ms", route.timeout_ms.to_string()),
-        ("target-ms", route.target_ms.map_or("none".into(), |ms| ms.to_string())),
-        ("priority", route.priority.to_string()),
-        ("attempts", route.attempts.to_string()),
-        ("public", route.public.to_string()),
-        ("home-regions", list(&route.home_regions)),
-    ])
+impl fmt::Display for Action {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Action::Added => "added",
+            Action::Removed => "removed",
+            Action::Changed => "changed",
+        })
+    }
 }
 
-fn tenant(tenant: &Tenant) -> Fields {
-    BTreeMap::from([
-        ("api-keys", format!("{} keys", tenant.api_keys.len())),
-        ("rate-per-s", tenant.rate_per_s.to_string()),
-        ("burst", tenant.burst.to_string()),
-        ("priority", tenant.priority.map_or("the route's".into(), |priority| priority.to_string())),
-        ("home-regions", list(&tenant.home_regions)),
-    ])
+/// One entity that would be different.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct EntityChange {
+    /// What it is.
+    #[serde(rename = "what")]
+    pub entity: Entity,
+    /// Its name; empty for limits.
+    pub name: String,
+    /// What becomes of it.
+    #[serde(rename = "how")]
+    pub action: Action,
+    /// Each field that is new or different, with its values.
+    pub fields: Vec<String>,
 }
 
-/// What differs between two tables of rows by name.
-fn moves(what: &'static str, old: Rows, new: Rows) -> Vec<Move> {
-    let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-    let mut out = Vec::new();
-    for name in names {
-        let (how, fields) = match (old.get(name), new.get(name)) {
-            (None, Some(after)) => {
-                ("added", after.iter().map(|(field, value)| format!("{field} {value}")).collect())
-            }
-            (Some(_), None) => ("removed", Vec::new()),
-            (Some(before), Some(after)) => {
-                let other = after.iter().filter(|(field, value)| before.get(*field) != Some(value));
-                let told = |(field, value): (&&'static str, &String)| {
-                    format!("{field} {} -> {value}", before.get(*field).map_or("none", String::as_str))
-                };
-                ("changed", other.map(told).collect::<Vec<_>>())
-            }
-            (None, None) => continue,
-        };
-        if how != "changed" || !fields.is_empty() {
-            out.push(Move { what, name: name.to_owned(), how, fields });
+impl fmt::Display for EntityChange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}", self.entity)?;
+        if !self.name.is_empty() {
+            write!(f, " {}", self.name)?;
         }
+        write!(f, ": {}", self.action)?;
+        self.fields.iter().try_for_each(|field| write!(f, ", {field}"))
     }
-    out
+}
+
+/// What a change would do.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct Plan {
+    /// The version in force.
+    #[serde(rename = "from")]
+    pub old_version: u64,
+    /// The version that would be sent.
+    #[serde(rename = "to")]
+    pub new_version: u64,
+    /// Routes, services, tenants and limits that would be different, in this order and by name.
+    #[serde(rename = "moves")]
+    pub changes: Vec<EntityChange>,
+    /// What an operator should know before it is sent.
+    pub notes: Vec<String>,
 }
 
 impl Plan {
+    /// What would be different if `new` were in force in place of `old`.
+    #[must_use]
     pub fn between(old: &Configuration, new: &Configuration) -> Plan {
-        let routes = |of: &Configuration| -> Rows {
-            of.routes.iter().map(|it| (it.name.clone(), route(it))).collect()
-        };
-        let tenants = |of: &Configuration| -> Rows {
-            of.tenants.iter().map(|it| (it.name.clone(), tenant(it))).collect()
-        };
-        let services = |of: &Configuration| -> Rows {
-            let fields = |cold_s: f64, rate: f64, most: Option<f64>| {
-                BTreeMap::from([
-                    ("cold-s", cold_s.to_string()),
-                    ("cold-rate-s", rate.to_string()),
-                    ("max-conns", most.map_or("no bound".into(), |most| most.to_string())),
-                ])
-            };
-            of.services
-                .iter()
-                .map(|it| (it.name.clone(), fields(it.cold_s, it.cold_rate_s, it.max_conns)))
-                .collect()
-        };
-        let mut all = moves("route", routes(old), routes(new));
-        all.extend(moves("service", services(old), services(new)));
-        all.extend(moves("tenant", tenants(old), tenants(new)));
+        let mut changes = entity_changes(Entity::Route, &routes(old), &routes(new));
+        changes.extend(entity_changes(Entity::Service, &services(old), &services(new)));
+        changes.extend(entity_changes(Entity::Tenant, &tenants(old), &tenants(new)));
         if old.limits != new.limits {
             let fields = vec![format!("{:?} -> {:?}", old.limits, new.limits)];
-            all.push(Move { what: "limits", name: String::new(), how: "changed", fields });
+            let name = String::new();
+            changes.push(EntityChange { entity: Entity::Limits, name, action: Action::Changed, fields });
         }
-        let notes = notes(old, new);
-        Plan { from: old.version, to: new.version, moves: all, notes }
+        Plan { old_version: old.version, new_version: new.version, changes, notes: notes(old, new) }
     }
 
     /// Whether it would be in force once acknowledged.
+    #[must_use]
     pub fn takes_effect(&self) -> bool {
-        self.to > self.from
+        self.new_version > self.old_version
     }
 
-    /// In words, a line each.
+    /// The plan as text, a line each.
+    #[must_use]
     pub fn lines(&self) -> Vec<String> {
-        let mut lines = vec![format!("version {} -> {}", self.from, self.to)];
-        for one in &self.moves {
-            let name =
-                if one.name.is_empty() { one.what.to_owned() } else { format!("{} {}", one.what, one.name) };
-            let rest =
-                if one.fields.is_empty() { String::new() } else { format!(", {}", one.fields.join(", ")) };
-            lines.push(format!("{name}: {}{rest}", one.how));
-        }
+        let mut lines = vec![format!("version {} -> {}", self.old_version, self.new_version)];
+        lines.extend(self.changes.iter().map(ToString::to_string));
         lines.extend(self.notes.iter().map(|note| format!("note: {note}")));
         lines
     }
@@ -176,17 +151,25 @@
             "the version is not above the one in force: it would be acknowledged and have no effect".into(),
         );
     }
-    let keys = |of: &Configuration| -> BTreeSet<String> {
-        of.tenants.iter().flat_map(|tenant| tenant.api_keys.iter().cloned()).collect()
-    };
-    let gone = keys(old).difference(&keys(new)).count();
-    if gone > 0 {
-        notes.push(format!("{gone} keys would be refused with 401 from then on"));
+    let removed_keys = keys(old).difference(&keys(new)).count();
+    if removed_keys > 0 {
+        notes.push(format!("{removed_keys} keys would be refused with 401 from then on"));
     }
-    for tenant in &new.tenants {
-        for route in new.routes.iter().filter(|route| !route.home_regions.is_empty()) {
-            let shared = route.home_regions.iter().any(|home| tenant.home_regions.contains(home));
-            if !tenant.home_regions.is_empty() && !shared {
+    notes.extend(unservable_routes(new));
+    notes
+}
+
+fn keys(configuration: &Configuration) -> BTreeSet<&str> {
+    let tenants = configuration.tenants.iter();
+    tenants.flat_map(|tenant| tenant.api_keys.iter().map(String::as_str)).collect()
+}
+
+/// A note for each tenant and route that have home regions, and none in common.
+fn unservable_routes(configuration: &Configuration) -> Vec<String> {
+    let mut notes = Vec::new();
+    for tenant in configuration.tenants.iter().filter(|tenant| !tenant.home_regions.is_empty()) {
+        for route in configuration.routes.iter().filter(|route| !route.home_regions.is_empty()) {
+            if !route.home_regions.iter().any(|region| tenant.home_regions.contains(region)) {
                 notes.push(format!(
                     "no region may serve tenant {} on route {}: their homes differ",
                     tenant.name, route.name
--- a/crates/ctl/tests/plan.rs
+++ b/crates/ctl/tests/plan.rs
@@ -3,9 +3,9 @@
 #![cfg(test)]
 
 use violetyoke_api::Configuration;
-use violetyoke_ctl::capacity::{gather, table, Seen};
+use violetyoke_ctl::capacity::{summarize, to_table, EdgeReport};
+use violetyoke_ctl::command_line::{CommandLine, HELP};
 use violetyoke_ctl::plan::Plan;
-use violetyoke_ctl::verbs::{read, HELP};
 
 const OLD: &str = r#"{"version": 7,
   "routes": {"columns": ["name", "host", "path-prefix", "route-kind", "timeout-ms", "split", "home-regions", "service"],
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_row_that_is_another_is_named_with_what_it_was_and_would_be() {
+fn a_plan_names_each_changed_row_with_old_and_new_values() {
     let plan = Plan::between(&parse(OLD), &parse(NEW));
     insta::assert_snapshot!(plan.lines().join("\n"), @r"
     version 7 -> 9
@@ -46,15 +46,15 @@
 }
 
 #[test]
-fn an_older_version_would_have_no_effect_and_the_same_moves_nothing() {
+fn an_older_version_has_no_effect_and_an_equal_one_no_changes() {
     let back = Plan::between(&parse(NEW), &parse(OLD));
     assert!(!back.takes_effect());
     assert!(back.lines().iter().any(|line| line.contains("have no effect")));
-    assert!(Plan::between(&parse(OLD), &parse(OLD)).moves.is_empty());
+    assert!(Plan::between(&parse(OLD), &parse(OLD)).changes.is_empty());
 }
 
 #[test]
-fn five_thousand_routes_are_planned_in_time() {
+fn five_thousand_routes_are_planned_within_two_seconds() {
     let text = |version: u32, ms: u32| {
         let rows: Vec<String> = (0..5000)
             .map(|n| {
@@ -72,45 +72,45 @@
     };
     let begun = std::time::Instant::now();
     let plan = Plan::between(&parse(&text(1, 100)), &parse(&text(2, 200)));
-    assert_eq!(plan.moves.len(), 500);
+    assert_eq!(plan.changes.len(), 500);
     assert!(begun.elapsed().as_secs_f64() < 2.0, "{:?}", begun.elapsed());
 }
 
 #[test]
-fn the_command_line_is_read_and_its_help_stands() {
-    let wanted = read(lexopt::Parser::from_args(["--json", "plan", "--control", "127.0.0.1:1", "new.json"]))
-        .expect("read");
+fn the_command_line_is_parsed_and_help_lists_every_verb() {
+    let arguments = ["--json", "plan", "--control", "127.0.0.1:1", "new.json"];
+    let line = CommandLine::parse(lexopt::Parser::from_args(arguments)).expect("read");
     assert_eq!(
-        (wanted.verb.as_deref(), wanted.operand.as_deref(), wanted.json),
+        (line.verb.as_deref(), line.operand.as_deref(), line.json),
         (Some("plan"), Some("new.json"), true)
     );
-    assert!(read(lexopt::Parser::from_args(["--control", "nowhere"])).is_err());
-    assert!(read(lexopt::Parser::from_args(["plan", "a", "b"])).is_err());
+    assert!(CommandLine::parse(lexopt::Parser::from_args(["--control", "nowhere"])).is_err());
+    assert!(CommandLine::parse(lexopt::Parser::from_args(["plan", "a", "b"])).is_err());
     for verb in ["plan", "check", "get", "put", "evacuate", "restore", "store", "capacity"] {
         assert!(HELP.lines().any(|line| line.trim_start().starts_with(verb)), "{verb}");
     }
 }
 
 #[test]
-fn what_edges_saw_of_a_backend_is_one_row() {
-    let seen = |id: &str, given: u64, pace: f64, state: &str| Seen {
+fn reports_of_all_edges_are_summed_up_by_backend() {
+    let report = |id: &str, sent: u64, latency_ms: f64, state: &str| EdgeReport {
         id: id.into(),
         service: "finder".into(),
         zone: "a".into(),
         slots: 6,
-        open: 1,
-        pace_ms: Some(pace),
-        given,
-        answered: given,
-        turned_away: 0,
+        in_flight: 1,
+        latency_ms: Some(latency_ms),
+        sent,
+        answered: sent,
+        rejected: 0,
         failed: 0,
         state: state.into(),
     };
-    let rows = gather(&[
-        vec![seen("i-1", 30, 50.0, "well")],
-        vec![seen("i-1", 10, 90.0, "resting"), seen("i-2", 0, 0.0, "cold")],
+    let summaries = summarize(&[
+        vec![report("i-1", 30, 50.0, "well")],
+        vec![report("i-1", 10, 90.0, "resting"), report("i-2", 0, 0.0, "cold")],
     ]);
-    insta::assert_snapshot!(table(&rows).join("\n"), @r"
+    insta::assert_snapshot!(to_table(&summaries).join("\n"), @r"
     service  backend  zone  slots  open  given  answered  turned  failed  pace ms  state
     finder   i-1      a     6      2     40     40        0       0       60       resting, well
     finder   i-2      a     6      1     0      0         0       0       -        cold
--- a/crates/ctl/tests/store.rs
+++ b/crates/ctl/tests/store.rs
@@ -1,11 +1,11 @@
-//! A store's disk by hand: whole, torn, changed, empty.
+//! Inspection of a store's folder: complete, truncated, changed and empty slots.
 
 #![cfg(test)]
-#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
 
 use std::path::PathBuf;
-use violetyoke_ctl::store::Inspected;
-use violetyoke_ctl::verbs::{read, run, Ended};
+use violetyoke_ctl::command_line::CommandLine;
+use violetyoke_ctl::commands::{run, CommandError};
+use violetyoke_ctl::store::StoreInspection;
 use violetyoke_store::consensus::DurableState;
 use violetyoke_store::disk::SlotStorage;
 use violetyoke_transport::messages::{AcceptedVersions, ControlState, ReplicaConfig, Revision, StoreNode};
@@ -14,7 +14,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // What is left of a test is of no use to anybody.
+        #[expect(clippy::let_underscore_must_use, reason = "a folder that stays behind harms no later test")]
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -48,18 +48,18 @@
     folder
 }
 
-fn ask(arguments: &[&str]) -> (Ended, String) {
-    let wanted = read(lexopt::Parser::from_args(arguments)).expect("read");
+fn run_ctl(arguments: &[&str]) -> (Result<(), CommandError>, String) {
+    let line = CommandLine::parse(lexopt::Parser::from_args(arguments)).expect("read");
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let mut out = Vec::new();
-    let ended = runtime.block_on(run(&wanted, &mut out));
+    let ended = runtime.block_on(run(&line, &mut out));
     (ended, String::from_utf8(out).expect("text"))
 }
 
 #[test]
-fn a_store_s_disk_is_told_in_words_and_for_programs() {
+fn a_store_folder_is_printed_as_text_and_as_json() {
     let folder = folder("whole");
-    insta::assert_snapshot!(Inspected::of(&folder.0).expect("read").text(), @r"
+    insta::assert_snapshot!(StoreInspection::read(&folder.0).expect("read").to_text(), @r"
     place 0: write 1, epoch 3, version 7, digest fine
     place 1: write 2, epoch 3, version 9, digest fine
     this store: 10.0.0.2 (a), disk 2
@@ -70,27 +70,32 @@
     evacuated: b
     ");
     let path = folder.0.to_string_lossy().into_owned();
-    assert_eq!(ask(&["store", &path, "--configuration"]), (Ended::Done, "{\"version\":9}\n".to_owned()));
-    let (ended, text) = ask(&["store", &path, "--json"]);
-    let told: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    assert_eq!((ended, &told[1]["version"], &told[1]["holders"][0]), (Ended::Done, &9.into(), &2.into()));
+    let (ended, text) = run_ctl(&["store", &path, "--configuration"]);
+    assert!(ended.is_ok(), "{ended:?}");
+    assert_eq!(text, "{\"version\":9}\n");
+    let (ended, text) = run_ctl(&["store", &path, "--json"]);
+    let slots: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    assert!(ended.is_ok(), "{ended:?}");
+    assert_eq!((&slots[1]["version"], &slots[1]["holders"][0]), (&9.into(), &2.into()));
 }
 
 #[test]
-fn a_flipped_byte_or_a_cut_leaves_the_other_place_and_both_leave_nothing() {
+fn a_corrupt_slot_leaves_the_other_one_and_two_leave_no_state() {
     let folder = folder("spoiled");
     let (first, second) = (folder.0.join("state-0"), folder.0.join("state-1"));
     let mut bytes = std::fs::read(&second).expect("bytes");
     let last = bytes.len() - 3;
     bytes[last] ^= 1;
     std::fs::write(&second, &bytes).expect("flipped");
-    let found = Inspected::of(&folder.0).expect("read");
-    assert!(found.text().contains("place 1: spoiled"), "{}", found.text());
+    let found = StoreInspection::read(&folder.0).expect("read");
+    assert!(found.to_text().contains("place 1: spoiled"), "{}", found.to_text());
     assert_eq!(found.configuration(), Some("{\"version\":7}"));
     std::fs::write(&first, &bytes[..40]).expect("cut");
-    let (ended, text) = ask(&["store", &folder.0.to_string_lossy()]);
-    assert!(matches!(ended, Ended::Refused(why) if why.contains("no state that can be trusted")));
+    let (ended, text) = run_ctl(&["store", &folder.0.to_string_lossy()]);
+    let error = ended.expect_err("nothing is left");
+    assert_eq!(error.exit_status(), 1);
+    assert!(error.to_string().contains("no state that can be trusted"), "{error}");
     assert!(text.contains("knows nothing"), "{text}");
-    let (ended, _) = ask(&["store", "/nowhere/at/all", "--configuration"]);
-    assert!(matches!(ended, Ended::Refused(_)));
+    let (ended, _) = run_ctl(&["store", "/nowhere/at/all", "--configuration"]);
+    assert_eq!(ended.expect_err("there is no such folder").exit_status(), 1);
 }
--- a/crates/local/tests/control.rs
+++ b/crates/local/tests/control.rs
@@ -7,7 +7,8 @@
 use common::{configuration, TestSystem, LONG, REPLACE};
 use serde_json::json;
 use std::time::Duration;
-use violetyoke_ctl::verbs::{self, Ended};
+use violetyoke_ctl::command_line::CommandLine;
+use violetyoke_ctl::commands::{run, CommandError};
 use violetyoke_local::client::{resolve_edges, send_command, send_request};
 use violetyoke_rig::link::Link;
 use violetyoke_rig::until;
@@ -148,15 +149,15 @@
 }
 
 /// What a verb of the operators' client prints, and how it ends.
-fn verb(system: &TestSystem, words: &[&str]) -> (String, Ended) {
+fn run_verb(system: &TestSystem, words: &[&str]) -> (String, Result<(), CommandError>) {
     let mut line: Vec<String> = words.iter().map(|word| (*word).to_owned()).collect();
     for control in system.processes.control_addresses() {
         line.extend(["--control".to_owned(), control.to_string()]);
     }
-    let wanted = verbs::read(lexopt::Parser::from_args(line)).expect("a command line");
+    let line = CommandLine::parse(lexopt::Parser::from_args(line)).expect("a command line");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let mut out = Vec::new();
-    let ended = runtime.block_on(verbs::run(&wanted, &mut out));
+    let ended = runtime.block_on(run(&line, &mut out));
     (String::from_utf8_lossy(&out).into_owned(), ended)
 }
 
@@ -169,24 +170,29 @@
     let file = system.processes.folder.join("next.json");
     std::fs::write(&file, next.to_string()).expect("a file");
     let name = file.to_str().expect("a name");
-    let told = "version 1 -> 5\ntenant svaneti: changed, rate-per-s 20 -> 40\n";
-    assert_eq!(verb(&system, &["plan", name]), (told.to_owned(), Ended::Done));
-    let (text, ended) = verb(&system, &["put", name]);
-    assert_eq!((text, ended), (format!("{told}version 5 is acknowledged\n"), Ended::Done));
-    assert_eq!(verb(&system, &["get"]).0.trim_end(), next.to_string());
-    assert_eq!(verb(&system, &["plan", name]).1.status(), 1, "it would have no effect any more");
+    let planned = "version 1 -> 5\ntenant svaneti: changed, rate-per-s 20 -> 40\n";
+    let (text, ended) = run_verb(&system, &["plan", name]);
+    assert!(ended.is_ok(), "{ended:?}");
+    assert_eq!(text, planned);
+    let (text, ended) = run_verb(&system, &["put", name]);
+    assert!(ended.is_ok(), "{ended:?}");
+    assert_eq!(text, format!("{planned}version 5 is acknowledged\n"));
+    assert_eq!(run_verb(&system, &["get"]).0.trim_end(), next.to_string());
+    let again = run_verb(&system, &["plan", name]).1.expect_err("it would have no effect any more");
+    assert_eq!(again.exit_status(), 1, "{again}");
     for n in 0..8 {
         assert_eq!(system.status(n % 4, "/search/1", "key-1", b""), 200);
     }
     let ready: Vec<String> = system.processes.edges.iter().map(|edge| edge.ready.to_string()).collect();
     let mut words = vec!["capacity", "--json"];
     words.extend(ready.iter().flat_map(|address| ["--edge", address]));
-    let rows: serde_json::Value = serde_json::from_str(&verb(&system, &words).0).expect("rows");
+    let rows: serde_json::Value = serde_json::from_str(&run_verb(&system, &words).0).expect("rows");
     let rows = rows.as_array().expect("a list");
     assert_eq!(rows.len(), 6, "each backend once");
     let given = |row: &serde_json::Value| row["given"].as_u64().unwrap_or(0);
     assert_eq!(rows.iter().map(given).sum::<u64>(), 8, "what all edges gave: {rows:?}");
-    assert_eq!(verb(&system, &["evacuate", "a"]).1, Ended::Done);
-    assert_eq!(verb(&system, &["evacuate", "nowhere"]).1.status(), 1);
-    assert_eq!(verb(&system, &["restore", "a"]).1, Ended::Done);
+    run_verb(&system, &["evacuate", "a"]).1.expect("evacuated");
+    let unknown = run_verb(&system, &["evacuate", "nowhere"]).1.expect_err("there is no such zone");
+    assert_eq!(unknown.exit_status(), 1, "{unknown}");
+    run_verb(&system, &["restore", "a"]).1.expect("restored");
 }
