--- /dev/null
+++ b/crates/registry/src/backend_list/mod.rs
@@ -0,0 +1,127 @@
+//! The newest list of backends that any registry has received from the platform.
+//!
+//! [`BackendListCache`] decides which registry polls the platform, how often, and which of several lists is the newest;
+//! `daemon` makes the calls and sends lists to peers. [`change_between`] says what a proxy needs to go from one list to
+//! the next.
+
+mod change;
+
+pub use change::{change_between, digest_of};
+
+use crate::Millis;
+use std::net::Ipv4Addr;
+use violetyoke_transport::messages::{Backend, BackendList, ListDigest};
+
+/// The time between two polls of the platform (ms).
+const POLL_INTERVAL: Millis = 500;
+/// A list of another registry that is older than this (ms) is polled for here as well.
+const STALE_AFTER: Millis = 1_700;
+/// The backoff after a failed poll (ms): doubled with each failure in a row, up to the maximum.
+const INITIAL_BACKOFF: Millis = 400;
+const MAX_BACKOFF: Millis = 3_000;
+/// The most times that the backoff is doubled.
+const MAX_DOUBLINGS: u32 = 8;
+
+/// A list, and when it was asked for by this registry's clock.
+#[derive(Clone, Debug)]
+struct PolledList {
+    polled_at: Millis,
+    list: BackendList,
+}
+
+/// The newest list, and when the platform is to be polled for the next.
+#[derive(Clone, Debug, Default)]
+pub struct BackendListCache {
+    newest: Option<PolledList>,
+    next_poll_at: Millis,
+    consecutive_failures: u32,
+    is_polling: bool,
+}
+
+impl BackendListCache {
+    /// Whether `local`, one of the connected `registries`, is to poll now. The one with the lowest address polls for all;
+    /// another one does so while it receives no fresh list. There is one poll at a time.
+    pub fn is_poll_due(&self, now: Millis, local: Ipv4Addr, registries: &[Ipv4Addr]) -> bool {
+        let is_poller = registries.iter().min().is_none_or(|lowest| *lowest == local);
+        let is_fresh = self.newest.as_ref().is_some_and(|newest| now < newest.polled_at + STALE_AFTER);
+        !self.is_polling && now >= self.next_poll_at && (is_poller || !is_fresh)
+    }
+
+    /// A poll has been sent.
+    pub fn poll_started(&mut self) {
+        self.is_polling = true;
+    }
+
+    /// The platform has answered a poll that was sent at `started_at`. Returns whether the list differs from the one before.
+    pub fn poll_succeeded(&mut self, now: Millis, started_at: Millis, mut backends: Vec<Backend>) -> bool {
+        self.is_polling = false;
+        self.consecutive_failures = 0;
+        self.next_poll_at = now.max(started_at + POLL_INTERVAL);
+        // The time left of a slow start runs from when its page was written, which is after the poll was sent: long
+        // after, for the last of many pages from a distant platform. Counted from the answer it ends late, never early.
+        let elapsed = now.saturating_sub(started_at);
+        for backend in backends.iter_mut().filter(|backend| backend.slow_start_left_ms > 0) {
+            backend.slow_start_left_ms += elapsed;
+        }
+        backends.sort_by(|a, b| a.id.cmp(&b.id));
+        let digest = digest_of(&backends, started_at);
+        self.replace_if_newer(started_at, BackendList { digest, age_ms: 0, backends })
+    }
+
+    /// The poll was refused or not answered. Returns whether it is the first one to fail after one that succeeded.
+    pub fn poll_failed(&mut self, now: Millis) -> bool {
+        self.is_polling = false;
+        self.consecutive_failures += 1;
+        let backoff = INITIAL_BACKOFF << self.consecutive_failures.min(MAX_DOUBLINGS);
+        self.next_poll_at = now + backoff.min(MAX_BACKOFF);
+        self.consecutive_failures == 1
+    }
+
+    /// Takes in the list of a peer. One without backends only reports that the peer's last list is still current. Returns
+    /// whether the list differs from the one before.
+    pub fn merge_peer_list(&mut self, now: Millis, list: BackendList) -> bool {
+        let polled_at = now.saturating_sub(list.age_ms);
+        match &mut self.newest {
+            Some(newest) if list.backends.is_empty() => {
+                if newest.list.digest == list.digest {
+                    newest.polled_at = polled_at.max(newest.polled_at);
+                }
+                false
+            }
+            _ => self.replace_if_newer(polled_at, list),
+        }
+    }
+
+    /// The newest list with its age.
+    pub fn newest(&self, now: Millis) -> Option<BackendList> {
+        let newest = self.newest.as_ref()?;
+        Some(BackendList { age_ms: now.saturating_sub(newest.polled_at), ..newest.list.clone() })
+    }
+
+    /// The newest list's digest and age, without its backends: for peers that have the list already.
+    pub fn newest_without_backends(&self, now: Millis) -> Option<BackendList> {
+        let newest = self.newest.as_ref()?;
+        let age_ms = now.saturating_sub(newest.polled_at);
+        Some(BackendList { digest: newest.list.digest, age_ms, backends: Vec::new() })
+    }
+
+    /// The digest of the newest list, or that of no list.
+    pub fn digest(&self) -> ListDigest {
+        self.newest.as_ref().map_or(ListDigest::NONE, |newest| newest.list.digest)
+    }
+
+    fn replace_if_newer(&mut self, polled_at: Millis, list: BackendList) -> bool {
+        match &mut self.newest {
+            Some(newest) if polled_at < newest.polled_at => false,
+            // The same backends in the same states: only the time is new.
+            Some(newest) if newest.list.digest == list.digest => {
+                newest.polled_at = polled_at;
+                false
+            }
+            newest => {
+                *newest = Some(PolledList { polled_at, list });
+                true
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/registry/src/daemon/backend_polling.rs
@@ -0,0 +1,64 @@
+//! The platform's list of backends: polled when it is this registry's turn, and reported to the others.
+
+use super::input::Input;
+use super::registry::Registry;
+use crate::platform::{fetch_backends, PlatformError};
+use crate::Millis;
+use violetyoke_transport::messages::Backend;
+
+/// How often peers are told that the list is still current (ms).
+const REPORT_INTERVAL: Millis = 700;
+
+impl Registry {
+    /// Sends a poll to the platform if one is due.
+    pub(super) fn poll_platform(&mut self, now: Millis) {
+        let Some(api) = &self.settings.platform.cloud_api else { return };
+        let local = self.settings.local.ip;
+        if self.backend_lists.is_poll_due(now, local, &self.peers.heard(local)) {
+            self.backend_lists.poll_started();
+            let (address, inputs) = (api.address, self.inputs.clone());
+            // It ends by itself: `fetch_backends` has a timeout.
+            tokio::task::spawn_local(async move {
+                let result = fetch_backends(address).await;
+                inputs.send(Input::BackendsPolled { started_at: now, result });
+            });
+        }
+    }
+
+    /// The platform has answered a poll, or has not.
+    pub(super) fn on_backends_polled(
+        &mut self,
+        started_at: Millis,
+        result: Result<Vec<Backend>, PlatformError>,
+    ) {
+        let now = self.now();
+        let backends = match result {
+            Ok(backends) => backends,
+            Err(error) => return self.on_poll_failed(now, &error),
+        };
+        if self.backend_lists.poll_succeeded(now, started_at, backends) {
+            self.peers.list_reported_at = now;
+            self.report_to_peers(self.backend_lists.newest(now));
+            self.publish();
+        }
+    }
+
+    fn on_poll_failed(&mut self, now: Millis, error: &PlatformError) {
+        if self.backend_lists.poll_failed(now) {
+            slog::warn!(self.log, "the platform's list can't be read"; "why" => %error);
+        }
+    }
+
+    /// Tells peers that the list is still current, if this is the registry that polls for it.
+    pub(super) fn announce_backend_list(&mut self, now: Millis) {
+        let local = self.settings.local.ip;
+        let is_poller = self.peers.heard(local).first() == Some(&local);
+        if !is_poller || now <= self.peers.list_reported_at + REPORT_INTERVAL {
+            return;
+        }
+        if let Some(list) = self.backend_lists.newest_without_backends(now) {
+            self.peers.list_reported_at = now;
+            self.report_to_peers(Some(list));
+        }
+    }
+}
--- /dev/null
+++ b/crates/registry/src/daemon/gossip.rs
@@ -0,0 +1,48 @@
+//! What registries report to each other: their sessions, partitioned proxies, and backend lists.
+
+use super::registry::Registry;
+use crate::Millis;
+use std::net::Ipv4Addr;
+use violetyoke_transport::codec::encode;
+use violetyoke_transport::connection::{ConnectionId, Event};
+use violetyoke_transport::messages::{BackendList, Gossip, RegistryRequest};
+
+impl Registry {
+    pub(super) fn on_peer_event(&mut self, peer: Ipv4Addr, event: Event) {
+        match event {
+            Event::Connected(sender) => {
+                self.peers.connected(peer, sender);
+                self.report_to_peers(self.backend_lists.newest(self.now()));
+            }
+            Event::Disconnected => self.peers.disconnected(peer),
+            // Peers send on the connections that they open themselves.
+            Event::Message(_) => {}
+        }
+    }
+
+    /// Takes in what a peer reports of itself.
+    pub(super) fn on_gossip(&mut self, now: Millis, connection: ConnectionId, gossip: Gossip) {
+        let Gossip { from, sessions, partitioned, backends } = gossip;
+        self.peers.identified(connection, from);
+        self.sessions.merge_peer(from, sessions);
+        self.quota.merge_partitioned(now, &partitioned);
+        if let Some(list) = backends {
+            self.backend_lists.merge_peer_list(now, list);
+        }
+        self.publish();
+    }
+
+    /// Reports this registry's sessions to all others, with a backend list if there is something new about it.
+    pub(super) fn report_to_peers(&self, backends: Option<BackendList>) {
+        let gossip = Gossip {
+            from: self.settings.local.ip,
+            sessions: self.sessions.local(),
+            partitioned: self.quota.partitioned(),
+            backends,
+        };
+        let message = encode(&RegistryRequest::Registry(gossip));
+        for sender in self.peers.senders() {
+            sender.send(message.clone());
+        }
+    }
+}
--- /dev/null
+++ b/crates/registry/src/daemon/http/directory.rs
@@ -0,0 +1,26 @@
+//! The directory: clients ask for the addresses of proxies.
+
+use super::{json, ApiError, ApiResponse};
+use crate::daemon::registry::Registry;
+use std::cell::RefCell;
+use violetyoke_api::calls::query_parameter;
+
+/// The longest that clients may keep an answer (s). Each time that they ask they wait for a round trip to the core, and a
+/// proxy that has gone is passed over by whoever tries it.
+const MAX_TTL_S: f64 = 5.0;
+
+/// The addresses for a client of the region and the zone that the query names.
+pub(super) fn resolve(
+    registry: &RefCell<Registry>,
+    parameters: Option<&str>,
+) -> Result<ApiResponse, ApiError> {
+    let registry = registry.borrow();
+    let parameter = |name| query_parameter(parameters, name).unwrap_or_default();
+    let addresses = registry.sessions.resolve(parameter("region"), parameter("zone"));
+    if addresses.is_empty() {
+        return Err(ApiError::NoReadyProxy);
+    }
+    let ttl_s = registry.settings.terms.bounds.ttl_max_s.min(MAX_TTL_S);
+    let addresses: Vec<String> = addresses.iter().map(ToString::to_string).collect();
+    Ok(json(serde_json::json!({ "addresses": addresses, "ttl-s": ttl_s }).to_string()))
+}
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,22 +1,30 @@
-//! The registry: which proxies and backends there are, and the outside calls of operators and of clients that ask
-//! where to go. `sessions`, `backends`, `orders`, `contact` and `waits` decide, apart from sockets and clocks; `daemon` is the
-//! process round them.
+//! The registry: the process on each core machine that proxies, operators and clients talk to.
+//!
+//! It has a session with each proxy, sends proxies the control state, the list of backends and the membership, and counts
+//! the requests of the tenants whose quota shards it owns. It polls the platform for the list of backends, and takes the
+//! HTTP calls of operators, whose commands it passes on to the leading store, and of clients that look for a proxy.
+//!
+//! It has nothing on disk and decides nothing about the control state: that is the store's. A registry that restarts learns
+//! all again from stores, proxies and its peers.
+//!
+//! The modules here decide, apart from sockets and clocks; [`daemon`] is the process around them:
+//!
+//! - [`sessions::Sessions`]: which proxies there are;
+//! - [`backend_list::BackendListCache`]: which list of backends is the newest, and when to poll for the next;
+//! - [`updates`]: which updates are due for a proxy, and their encoded messages;
+//! - [`commands::CommandDispatcher`]: operators' commands on their way to the leading store;
+//! - [`quota_shards::QuotaShards`]: counters of tenants;
+//! - [`core_contact::CoreContact`]: whether the registry is in contact with the majority of the core.
 
-#![allow(
-    clippy::let_underscore_must_use,
-    clippy::too_many_lines,
-    missing_docs,
-    unreachable_pub,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
-pub mod backends;
-pub mod contact;
+pub mod backend_list;
+pub mod commands;
+pub mod core_contact;
 pub mod daemon;
-pub mod orders;
+pub mod operator_policy;
 pub mod platform;
+pub mod quota_shards;
 pub mod sessions;
-pub mod waits;
+pub mod updates;
 
 /// Milliseconds of a clock that only advances.
 pub type Millis = u64;
--- a/crates/registry/src/sessions.rs
+++ b/crates/registry/src/sessions.rs
@@ -1,23 +1,24 @@
-//! A proxy is a member while its session with a registry stands; registries tell each other their sessions.
+//! Which proxies there are: a proxy is a member while it has a session with a registry, here or at a peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
+use violetyoke_transport::connection::ConnectionId;
 use violetyoke_transport::messages::{proxy_id, Session};
 
-/// The most addresses in one answer.
-const MOST: usize = 64;
+/// The most addresses in one answer of the directory.
+const MAX_ADDRESSES: usize = 64;
 
-/// Sessions here and at other registries.
+/// The sessions of all proxies: those with this registry, and those that its peers report.
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
-    own: BTreeMap<u64, Session>,
-    others: BTreeMap<Ipv4Addr, Vec<Session>>,
-    /// Computed anew when a session begins, changes or ends, not each time that it is read: the registry reads it at
-    /// each message of a proxy, and a table of all sessions for each message makes the work grow with their square.
-    members: ProxyIds,
+    local: BTreeMap<ConnectionId, Session>,
+    by_peer: BTreeMap<Ipv4Addr, Vec<Session>>,
+    /// Computed when a session begins, changes or ends, and not when it is read: it is read at each message of a proxy,
+    /// and building it from all sessions each time would make the cost grow with their square.
+    proxies: ProxyIds,
 }
 
-/// Numbers of all proxies, in order, and of those that are not ready.
+/// The ids of all proxies in ascending order, and of those that are not ready.
 #[derive(Clone, Debug, Default)]
 struct ProxyIds {
     all: Vec<u32>,
@@ -25,81 +26,79 @@
 }
 
 impl Sessions {
-    /// A proxy says who it is, on a connection of that number.
-    pub fn begin(&mut self, connection: u64, session: Session) {
-        let changed = self.own.get(&connection) != Some(&session);
-        self.own.insert(connection, session);
-        if changed {
-            self.update_members();
+    /// Begins or updates the session of the proxy on `connection`.
+    pub fn register(&mut self, connection: ConnectionId, session: Session) {
+        let has_changed = self.local.get(&connection) != Some(&session);
+        self.local.insert(connection, session);
+        if has_changed {
+            self.update_proxy_ids();
         }
     }
 
-    /// The connection has ended; whether a session did.
-    pub fn end(&mut self, connection: u64) -> bool {
-        let ended = self.own.remove(&connection).is_some();
-        if ended {
-            self.update_members();
+    /// Ends the session on `connection`. Returns whether there was one.
+    pub fn remove(&mut self, connection: ConnectionId) -> bool {
+        let had_session = self.local.remove(&connection).is_some();
+        if had_session {
+            self.update_proxy_ids();
         }
-        ended
+        had_session
     }
 
-    pub fn told(&mut self, registry: Ipv4Addr, sessions: Vec<Session>) {
-        if self.others.get(&registry) != Some(&sessions) {
-            self.others.insert(registry, sessions);
-            self.update_members();
+    /// Replaces the sessions that the registry at `peer` reports.
+    pub fn merge_peer(&mut self, peer: Ipv4Addr, sessions: Vec<Session>) {
+        if self.by_peer.get(&peer) != Some(&sessions) {
+            self.by_peer.insert(peer, sessions);
+            self.update_proxy_ids();
         }
     }
 
-    pub fn lost(&mut self, registry: Ipv4Addr) {
-        if self.others.remove(&registry).is_some() {
-            self.update_members();
+    /// Drops the sessions that a peer has reported, because it is no longer connected.
+    pub fn remove_peer(&mut self, peer: Ipv4Addr) {
+        if self.by_peer.remove(&peer).is_some() {
+            self.update_proxy_ids();
         }
     }
 
-    /// What is told to other registries.
-    pub fn own(&self) -> Vec<Session> {
-        self.own.values().cloned().collect()
+    /// The sessions with this registry, as they are reported to its peers.
+    pub fn local(&self) -> Vec<Session> {
+        self.local.values().cloned().collect()
     }
 
-    /// Each proxy's session here, or else as others tell of it.
-    fn all(&self) -> BTreeMap<&str, &Session> {
-        let mut all: BTreeMap<&str, &Session> = BTreeMap::new();
-        for session in self.others.values().flatten().chain(self.own.values()) {
-            all.insert(&session.node, session);
-        }
-        all
+    /// The ids of all proxies, in ascending order.
+    pub fn proxy_ids(&self) -> &[u32] {
+        &self.proxies.all
     }
 
-    /// Numbers of all proxies, in order.
-    pub fn members(&self) -> &[u32] {
-        &self.members.all
+    /// The ids of the proxies that are not ready to serve: most of them have just started.
+    pub fn not_ready(&self) -> &[u32] {
+        &self.proxies.not_ready
     }
 
-    /// Those of them that are not ready: most have just begun.
-    pub fn not_ready(&self) -> &[u32] {
-        &self.members.not_ready
+    /// The addresses to which a client in `zone` of `region` is directed: the ready proxies of its zone; if there are
+    /// none, those of its region; if there are none either, all ready ones.
+    pub fn resolve(&self, region: &str, zone: &str) -> Vec<SocketAddrV4> {
+        let by_node = self.by_node();
+        let ready: Vec<&Session> = by_node.into_values().filter(|session| session.is_ready).collect();
+        let in_zone: Vec<&Session> = ready.iter().filter(|session| session.zone == zone).copied().collect();
+        let in_region: Vec<&Session> =
+            ready.iter().filter(|session| session.region == region).copied().collect();
+        let candidates = [in_zone, in_region, ready].into_iter().find(|sessions| !sessions.is_empty());
+        let addresses: BTreeSet<SocketAddrV4> =
+            candidates.into_iter().flatten().map(|session| session.front_address).collect();
+        addresses.into_iter().take(MAX_ADDRESSES).collect()
     }
 
-    fn update_members(&mut self) {
-        let all = self.all();
-        let members: BTreeSet<u32> = all.keys().map(|name| proxy_id(name)).collect();
-        let not_ready =
-            all.values().filter(|session| !session.is_ready).map(|session| proxy_id(&session.node));
-        self.members = ProxyIds { all: members.into_iter().collect(), not_ready: not_ready.collect() };
+    /// One session for each proxy: the one with this registry wins over those that peers report.
+    fn by_node(&self) -> BTreeMap<&str, &Session> {
+        let sessions = self.by_peer.values().flatten().chain(self.local.values());
+        sessions.map(|session| (session.node.as_str(), session)).collect()
     }
 
-    /// Where a client of that zone is to go: ready proxies of its zone, or else of its region, or else any.
-    pub fn resolve(&self, region: &str, zone: &str) -> Vec<SocketAddrV4> {
-        let all = self.all();
-        let ready: Vec<&Session> = all.into_values().filter(|session| session.is_ready).collect();
-        let near = [
-            ready.iter().filter(|it| it.zone == zone).copied().collect::<Vec<_>>(),
-            ready.iter().filter(|it| it.region == region).copied().collect(),
-            ready,
-        ];
-        let chosen = near.into_iter().find(|some| !some.is_empty()).unwrap_or_default();
-        let fronts: BTreeSet<SocketAddrV4> =
-            chosen.into_iter().map(|session| session.front_address).collect();
-        fronts.into_iter().take(MOST).collect()
+    fn update_proxy_ids(&mut self) {
+        let by_node = self.by_node();
+        let all: BTreeSet<u32> = by_node.keys().map(|node| proxy_id(node)).collect();
+        let not_ready = by_node.values().filter(|session| !session.is_ready);
+        let not_ready = not_ready.map(|session| proxy_id(&session.node)).collect();
+        self.proxies = ProxyIds { all: all.into_iter().collect(), not_ready };
     }
 }
--- /dev/null
+++ b/crates/registry/src/updates/membership.rs
@@ -0,0 +1,65 @@
+//! Encoded updates of the membership: which proxies and registries there are, and who owns the quota shards.
+
+use crate::Millis;
+use bytes::Bytes;
+use std::collections::hash_map::DefaultHasher;
+use std::hash::{Hash, Hasher};
+use violetyoke_transport::codec::encode;
+use violetyoke_transport::messages::{Membership, ProxyReply, Revision};
+
+/// A membership is replaced no more often than this (ms), because many proxies join and leave at once. Changes of who owns
+/// the quota shards, or of contact with the core, are not delayed.
+pub const MEMBERSHIP_INTERVAL: Millis = 250;
+
+/// The membership that proxies are sent.
+#[derive(Default)]
+pub struct MembershipUpdates {
+    current: Membership,
+    installed_at: Millis,
+}
+
+/// What became of a membership that was offered for installation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Installation {
+    /// It is the same as the current one, or is delayed.
+    Skipped,
+    /// It is the current one from now on.
+    Installed {
+        /// The quota shards have other owners than before.
+        has_new_owners: bool,
+    },
+}
+
+impl MembershipUpdates {
+    /// Makes `next` the current membership where it differs and its time has come; its digest is computed here.
+    pub fn install(&mut self, now: Millis, mut next: Membership) -> Installation {
+        next.digest = digest_of(&next);
+        let has_new_owners = next.shard_owners != self.current.shard_owners;
+        let is_urgent = has_new_owners || next.in_contact != self.current.in_contact;
+        let is_due = is_urgent || now >= self.installed_at + MEMBERSHIP_INTERVAL;
+        if next.digest == self.current.digest || !is_due {
+            return Installation::Skipped;
+        }
+        self.installed_at = now;
+        self.current = next;
+        Installation::Installed { has_new_owners }
+    }
+
+    /// The current membership.
+    pub fn current(&self) -> &Membership {
+        &self.current
+    }
+
+    /// The encoded message, with the newest state that this registry has.
+    pub fn encode(&self, newest: Revision) -> Bytes {
+        encode(&ProxyReply::Membership(Membership { newest, ..self.current.clone() }))
+    }
+}
+
+/// The digest of all that a membership says but the newest state. It is never 0, which is that of no membership.
+fn digest_of(membership: &Membership) -> u64 {
+    let Membership { digest: _, proxies, registries, in_contact, shard_owners, newest: _ } = membership;
+    let mut hasher = DefaultHasher::new();
+    (proxies, registries, *in_contact, shard_owners.fencing_token).hash(&mut hasher);
+    hasher.finish() | 1
+}
--- /dev/null
+++ b/crates/registry/src/updates/progress.rs
@@ -0,0 +1,121 @@
+//! How far one proxy is behind, and which updates are due for it.
+
+use super::staleness::{StalenessTimers, UpdateKinds};
+use crate::Millis;
+use violetyoke_transport::messages::{ListDigest, Revision};
+
+/// The newest versions that this registry has.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LatestVersions {
+    /// The control state, if there is one.
+    pub state: Option<Revision>,
+    /// The backend list, or that of no list.
+    pub backend_list: ListDigest,
+    /// The digest of the membership.
+    pub membership: u64,
+    /// Whether the registry is in contact with the core, and the fencing token of the owners of quota shards: changes of
+    /// these are never delayed ([`violetyoke_transport::messages::Membership::ownership`]).
+    pub ownership: (bool, Revision),
+}
+
+/// The versions that a proxy reports in a poll.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ProxyVersions {
+    /// Its control state.
+    pub state: Revision,
+    /// Its backend list.
+    pub backend_list: ListDigest,
+    /// The digest of the membership that it received from this registry, or 0.
+    pub membership: u64,
+}
+
+/// What one proxy was sent, what it has reported, and since when it has been behind.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ProxyProgress {
+    /// Whether this is the registry that the proxy wants its updates from first.
+    is_primary: bool,
+    /// What it has, or will have once it has received what was sent.
+    sent: ProxyVersions,
+    /// What it has by its own last report.
+    reported: ProxyVersions,
+    /// The ownership in the last membership that it was sent.
+    sent_ownership: (bool, Revision),
+    timers: StalenessTimers,
+}
+
+impl ProxyProgress {
+    /// The proxy reports what it has. `is_primary`: it wants its updates from this registry first.
+    pub fn on_poll(&mut self, versions: ProxyVersions, is_primary: bool) {
+        let has_newer_state = versions.state > self.reported.state;
+        let has_other_list = versions.backend_list != self.reported.backend_list;
+        self.timers.on_poll(has_newer_state, has_other_list);
+        self.is_primary = is_primary;
+        self.sent = versions;
+        self.reported = versions;
+    }
+
+    /// The proxy waits for a newer state than `known`: what was sent since is sent again, and at once.
+    pub fn request_state_since(&mut self, known: Revision) {
+        self.sent.state = known;
+        self.is_primary = true;
+    }
+
+    /// The revision of the state that it has by its own last report.
+    pub fn reported_state(&self) -> Revision {
+        self.reported.state
+    }
+
+    /// The versions from which the next updates are to lead on.
+    pub fn sent(&self) -> ProxyVersions {
+        self.sent
+    }
+
+    /// Decides which updates are due at `now`: those that the proxy lacks, at once if this is its primary registry, and
+    /// after [`super::FALLBACK_DELAY`] otherwise.
+    #[must_use]
+    pub fn due_updates(&mut self, now: Millis, latest: &LatestVersions) -> UpdateKinds {
+        let missing = self.missing(latest);
+        self.timers.update(now, missing);
+        let overdue = self.timers.overdue(now);
+        // A proxy without a membership from here has just started: it waits to hear from all registries before it serves.
+        let is_membership_urgent = self.sent.membership == 0 || self.sent_ownership != latest.ownership;
+        UpdateKinds {
+            state: missing.state && (self.is_primary || overdue.state),
+            backend_list: missing.backend_list && (self.is_primary || overdue.backend_list),
+            membership: missing.membership && (self.is_primary || is_membership_urgent || overdue.membership),
+        }
+    }
+
+    fn missing(&self, latest: &LatestVersions) -> UpdateKinds {
+        let has_list = latest.backend_list != ListDigest::NONE;
+        UpdateKinds {
+            state: latest.state.is_some_and(|state| state > self.sent.state),
+            backend_list: has_list && latest.backend_list != self.sent.backend_list,
+            membership: latest.membership != self.sent.membership,
+        }
+    }
+
+    /// The state of that revision has been sent.
+    pub fn state_sent(&mut self, revision: Revision) {
+        self.sent.state = revision;
+        self.timers.reset_state();
+    }
+
+    /// The backend list of that digest has been sent.
+    pub fn backend_list_sent(&mut self, digest: ListDigest) {
+        self.sent.backend_list = digest;
+        self.timers.reset_backend_list();
+    }
+
+    /// The membership of that digest, with that ownership, has been sent.
+    pub fn membership_sent(&mut self, digest: u64, ownership: (bool, Revision)) {
+        self.sent.membership = digest;
+        self.sent_ownership = ownership;
+        self.timers.reset_membership();
+    }
+}
+
+/// Whether all proxies, by the states that they `reported`, have installed the state of revision `target` or a later one.
+pub fn is_installed_by_all(target: Revision, reported: impl IntoIterator<Item = Revision>) -> bool {
+    reported.into_iter().all(|revision| revision >= target)
+}
--- /dev/null
+++ b/crates/registry/tests/backend_list.rs
@@ -0,0 +1,91 @@
+//! The backends' list: which is the newest, who polls for the next, and when.
+
+#![cfg(test)]
+
+mod support;
+
+use std::net::Ipv4Addr;
+use support::backend;
+use violetyoke_registry::backend_list::{change_between, BackendListCache};
+use violetyoke_transport::messages::{BackendList, ListDigest};
+
+const FIRST: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
+const SECOND: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
+
+#[test]
+fn slow_start_ends_late_however_long_the_pages_took() {
+    let mut lists = BackendListCache::default();
+    lists.poll_started();
+    // Polled at 1,000, answered 600 ms later: the last page was written just then, with a second to go.
+    let backends = vec![backend("i-1", false, 1_000), backend("i-2", false, 0)];
+    assert!(lists.poll_succeeded(1_600, 1_000, backends));
+    let list = lists.newest(1_700).expect("a list");
+    let ends_at = |n: usize| 1_700 - list.age_ms + list.backends[n].slow_start_left_ms;
+    assert_eq!((ends_at(0), list.backends[1].slow_start_left_ms), (2_600, 0));
+}
+
+#[test]
+fn one_registry_polls_for_all_until_it_falls_silent() {
+    let (mut first, mut second) = (BackendListCache::default(), BackendListCache::default());
+    assert!(first.is_poll_due(1, FIRST, &[FIRST, SECOND]));
+    first.poll_started();
+    assert!(!first.is_poll_due(2, FIRST, &[FIRST, SECOND]), "one poll at a time");
+    assert!(first.poll_succeeded(20, 1, vec![backend("i-1", false, 0)]));
+    let list = first.newest(30).expect("a list");
+    assert_eq!(list.age_ms, 29);
+    assert!(second.merge_peer_list(1_000, list));
+    assert!(!second.is_poll_due(1_500, SECOND, &[FIRST, SECOND]));
+    // Only a report that it is still current: fresh again.
+    let report = first.newest_without_backends(400).expect("a list");
+    assert!(!second.merge_peer_list(2_000, BackendList { age_ms: 0, ..report }));
+    assert!(!second.is_poll_due(3_500, SECOND, &[FIRST, SECOND]));
+    assert!(second.is_poll_due(3_900, SECOND, &[FIRST, SECOND]), "no report for too long");
+    assert!(second.is_poll_due(3_900, SECOND, &[SECOND]));
+}
+
+#[test]
+fn list_that_was_polled_earlier_never_replaces_a_later_one() {
+    let mut lists = BackendListCache::default();
+    assert!(lists.poll_succeeded(500, 480, vec![backend("i-1", true, 0)]));
+    let old = BackendList { digest: ListDigest(7), age_ms: 300, backends: vec![backend("i-1", false, 0)] };
+    assert!(!lists.merge_peer_list(600, old));
+    assert!(lists.newest(600).is_some_and(|list| list.backends[0].draining));
+}
+
+#[test]
+fn failed_polls_are_repeated_ever_more_rarely() {
+    let mut lists = BackendListCache::default();
+    let mut polls = 0;
+    for now in 1..20_000 {
+        if lists.is_poll_due(now, FIRST, &[FIRST]) {
+            lists.poll_started();
+            assert_eq!(lists.poll_failed(now), polls == 0, "the first failure in a row is told apart");
+            polls += 1;
+        }
+    }
+    assert!((5..12).contains(&polls), "{polls} polls in 20 s");
+}
+
+#[test]
+fn slow_start_that_runs_down_is_no_change_and_one_that_begins_is() {
+    let mut lists = BackendListCache::default();
+    assert!(lists.poll_succeeded(10, 0, vec![backend("i-1", false, 3_000)]));
+    assert!(!lists.poll_succeeded(600, 500, vec![backend("i-1", false, 2_500)]));
+    assert!(lists.poll_succeeded(4_000, 3_600, vec![backend("i-1", false, 0)]));
+    assert!(lists.poll_succeeded(4_600, 4_500, vec![backend("i-1", false, 3_000)]));
+}
+
+#[test]
+fn change_between_lists_names_what_differs_and_what_is_gone() {
+    let list = |digest, age_ms, backends| BackendList { digest: ListDigest(digest), age_ms, backends };
+    let old =
+        list(1, 900, vec![backend("i-1", false, 0), backend("i-2", false, 800), backend("i-3", false, 0)]);
+    let new =
+        list(2, 100, vec![backend("i-1", true, 0), backend("i-2", false, 100), backend("i-4", false, 0)]);
+
+    let change = change_between(&old, &new);
+
+    assert_eq!((change.from, change.digest, change.age_ms), (ListDigest(1), ListDigest(2), 100));
+    assert_eq!(change.upserted, [backend("i-1", true, 0), backend("i-4", false, 0)]);
+    assert_eq!(change.removed, ["i-3"]);
+}
--- /dev/null
+++ b/crates/registry/tests/core_contact.rs
@@ -0,0 +1,44 @@
+//! Which registry is the one that is partitioned from the core.
+
+#![cfg(test)]
+
+use violetyoke_registry::core_contact::{CoreContact, CoreView};
+
+fn view(seeds: usize, shard_owners: usize, heard: usize) -> CoreView {
+    CoreView { seeds, shard_owners, heard }
+}
+
+#[test]
+fn registry_that_hears_no_majority_has_no_contact_whatever_its_own_store_assigns() {
+    let mut contact = CoreContact::default();
+    assert!(!contact.update(view(3, 0, 1)), "it has just started, alone");
+    assert!(contact.update(view(3, 3, 3)));
+    assert!(contact.update(view(3, 2, 2)), "one of three was lost");
+    assert!(contact.update(view(3, 3, 3)), "and replaced");
+    // Partitioned: its own store still leads an old epoch, and assigns all shards to the one registry that it hears.
+    assert!(!contact.update(view(3, 3, 1)));
+    assert!(!contact.update(view(3, 1, 1)));
+    assert!(contact.update(view(3, 3, 3)), "joined again");
+}
+
+#[test]
+fn two_of_five_are_the_minority_and_three_go_on() {
+    let mut minority = CoreContact::default();
+    assert!(minority.update(view(3, 5, 5)));
+    assert!(!minority.update(view(3, 2, 2)));
+    let mut majority = CoreContact::default();
+    assert!(majority.update(view(3, 5, 5)));
+    assert!(majority.update(view(3, 3, 3)));
+    assert!(majority.update(view(3, 3, 2)), "one more is lost, once the two are given up");
+}
+
+#[test]
+fn core_whose_machines_were_all_replaced_is_in_contact_again() {
+    let mut contact = CoreContact::default();
+    assert!(contact.update(view(3, 3, 3)));
+    assert!(!contact.update(view(3, 3, 1)));
+    assert!(contact.update(view(3, 3, 3)));
+    assert!(contact.is_established());
+    let mut single = CoreContact::default();
+    assert!(single.update(view(1, 1, 1)), "a core of one machine");
+}
--- a/crates/registry/tests/platform.rs
+++ b/crates/registry/tests/platform.rs
@@ -1,25 +1,24 @@
-//! Calls to the platform: what ends with them, and what an answer that comes late does.
+//! The platform's list: how a page is read, what ends with a call, and what a late response does.
 
 #![cfg(test)]
-#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
-use violetyoke_registry::platform::whole;
+use violetyoke_registry::platform::{fetch_backends, Page, PlatformError};
 
 const FIRST_PAGE: &str = r#"{"instances":{"i-1":{"service":"finder","address":"10.0.0.9:80","zone":"a",
     "state":"ready"}},"next-token":"p-2"}"#;
 const LAST_PAGE: &str = r#"{"instances":{"i-2":{"service":"finder","address":"10.0.0.8:80","zone":"a",
     "state":"ready"}},"next-token":null}"#;
 
-fn answer(status: u16, body: &str) -> Vec<u8> {
+fn response(status: u16, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} x\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 /// Reads one request; its target.
-async fn request(stream: &mut TcpStream) -> String {
+async fn request_target(stream: &mut TcpStream) -> String {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).await.is_ok_and(|read| read > 0) {
         head.extend_from_slice(&byte);
@@ -28,8 +27,16 @@
     head.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
-/// Calls a platform that answers by `pages`, one after the other, and then waits for its connection to end.
-fn called(pages: Vec<Vec<u8>>) -> (Option<usize>, Vec<String>) {
+/// What a call came to.
+struct Fetch {
+    /// How many backends it returned.
+    backends: Result<usize, PlatformError>,
+    /// The targets of its requests; the last one is empty if the connection ended after a response.
+    targets: Vec<String>,
+}
+
+/// Reads the list of a platform that sends `responses`, one after each request, and then waits for the connection to end.
+fn fetch_from(responses: Vec<Vec<u8>>) -> Fetch {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
@@ -37,46 +44,64 @@
         let platform = tokio::task::spawn_local(async move {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut targets = Vec::new();
-            for page in pages {
-                targets.push(request(&mut stream).await);
-                stream.write_all(&page).await.expect("answered");
+            for response in responses {
+                targets.push(request_target(&mut stream).await);
+                stream.write_all(&response).await.expect("sent");
             }
             // Ends only when the caller gives the connection up.
-            targets.push(request(&mut stream).await);
+            targets.push(request_target(&mut stream).await);
             let mut rest = Vec::new();
-            let _ = stream.read_to_end(&mut rest).await;
+            // The caller may reset the connection: only its end matters here.
+            drop(stream.read_to_end(&mut rest).await);
             targets
         });
-        let backends = whole(address).await.map(|backends| backends.len());
-        (backends, platform.await.expect("the platform"))
+        let backends = fetch_backends(address).await.map(|backends| backends.len());
+        Fetch { backends, targets: platform.await.expect("the platform") }
     })
 }
 
 #[test]
 fn all_pages_make_the_list_and_the_connection_ends_with_it() {
-    let (backends, targets) = called(vec![answer(200, FIRST_PAGE), answer(200, LAST_PAGE)]);
-    assert_eq!(backends, Some(2));
-    assert_eq!(targets, ["/instances", "/instances?page-token=p-2", ""]);
+    let fetch = fetch_from(vec![response(200, FIRST_PAGE), response(200, LAST_PAGE)]);
+    assert_eq!(fetch.backends.expect("a list"), 2);
+    assert_eq!(fetch.targets, ["/instances", "/instances?page-token=p-2", ""]);
+}
+
+#[test]
+fn platform_that_falls_silent_between_pages_leaves_no_connection_behind() {
+    let fetch = fetch_from(vec![response(200, FIRST_PAGE)]);
+    assert!(matches!(fetch.backends, Err(PlatformError::Timeout)), "{:?}", fetch.backends);
+    assert_eq!(fetch.targets, ["/instances", "/instances?page-token=p-2"]);
 }
 
 #[test]
-fn a_platform_that_falls_silent_between_pages_leaves_no_connection_behind() {
-    let (backends, targets) = called(vec![answer(200, FIRST_PAGE)]);
-    assert_eq!(backends, None);
-    assert_eq!(targets, ["/instances", "/instances?page-token=p-2"]);
+fn response_that_came_before_its_request_is_taken_for_no_page() {
+    let two = [response(200, FIRST_PAGE), response(200, LAST_PAGE)].concat();
+    let fetch = fetch_from(vec![two]);
+    assert!(matches!(fetch.backends, Err(PlatformError::Exchange(_))), "{:?}", fetch.backends);
+    assert_eq!(fetch.targets, ["/instances", ""]);
 }
 
 #[test]
-fn an_answer_too_many_is_taken_for_no_page() {
-    let two = [answer(200, FIRST_PAGE), answer(200, LAST_PAGE)].concat();
-    let (backends, targets) = called(vec![two]);
-    assert_eq!(backends, None, "a page that came before it was asked for");
-    assert_eq!(targets, ["/instances", ""]);
+fn refusal_ends_the_call() {
+    let fetch = fetch_from(vec![response(200, FIRST_PAGE), response(429, "")]);
+    assert!(
+        matches!(&fetch.backends, Err(PlatformError::Status(status)) if status.as_u16() == 429),
+        "{:?}",
+        fetch.backends
+    );
+    assert_eq!(fetch.targets, ["/instances", "/instances?page-token=p-2", ""]);
 }
 
 #[test]
-fn a_refusal_ends_the_call() {
-    let (backends, targets) = called(vec![answer(200, FIRST_PAGE), answer(429, "")]);
-    assert_eq!(backends, None);
-    assert_eq!(targets, ["/instances", "/instances?page-token=p-2", ""]);
+fn page_is_read_as_the_platform_writes_it() {
+    let text = br#"{"instances":{"i-7f3a91c2":{"service":"huvo11a","address":"10.128.0.9:8080","zone":"a1",
+        "version":"v1","slots":6,"state":"draining","cold-left-ms":12.5,"new":1}},"next-token":"p-50"}"#;
+    let page = Page::parse(text).expect("a page");
+    assert_eq!(page.next_token.as_deref(), Some("p-50"));
+    let backend = &page.backends[0];
+    assert_eq!((backend.id.as_str(), backend.draining, backend.slow_start_left_ms), ("i-7f3a91c2", true, 13));
+    let empty = Page::parse(b"{\"instances\":{}}").expect("a page");
+    assert_eq!(empty, Page { backends: Vec::new(), next_token: None });
+    assert!(Page::parse(b"{\"instances\":{\"i-1\":{}}}").is_err());
 }
--- /dev/null
+++ b/crates/registry/tests/proxy_progress.rs
@@ -0,0 +1,150 @@
+//! Which updates are due for a proxy, and when.
+
+#![cfg(test)]
+
+use violetyoke_registry::updates::{
+    is_installed_by_all, LatestVersions, ProxyProgress, ProxyVersions, StalenessTimers, UpdateKinds,
+    FALLBACK_DELAY,
+};
+use violetyoke_transport::messages::{ListDigest, Revision};
+
+const NONE: UpdateKinds = UpdateKinds { state: false, backend_list: false, membership: false };
+const ALL: UpdateKinds = UpdateKinds { state: true, backend_list: true, membership: true };
+
+fn revision(sequence: u64) -> Revision {
+    Revision { epoch: 1, sequence }
+}
+
+/// What a registry has once it knows all.
+fn latest() -> LatestVersions {
+    LatestVersions {
+        state: Some(revision(5)),
+        backend_list: ListDigest(50),
+        membership: 500,
+        ownership: (true, revision(1)),
+    }
+}
+
+/// What a proxy has once it was sent all of [`latest`].
+fn up_to_date() -> ProxyVersions {
+    ProxyVersions { state: revision(5), backend_list: ListDigest(50), membership: 500 }
+}
+
+/// A proxy that has some older version of everything, sent from here.
+fn outdated_proxy(is_primary: bool) -> ProxyProgress {
+    let mut proxy = ProxyProgress::default();
+    proxy.membership_sent(400, latest().ownership);
+    let versions = ProxyVersions { state: revision(4), backend_list: ListDigest(40), membership: 400 };
+    proxy.on_poll(versions, is_primary);
+    proxy
+}
+
+#[test]
+fn lists_from_the_primary_registry_do_not_delay_the_state_of_another() {
+    // The proxy's primary registry is partitioned from the store and not from the platform: it sends a list every 500 ms,
+    // and the proxy polls everybody again after each.
+    let mut timers = StalenessTimers::default();
+    let mut overdue_at = None;
+    for now in (0..3_000u64).step_by(50) {
+        timers.update(now, UpdateKinds { state: true, backend_list: true, membership: false });
+        if timers.overdue(now).state {
+            overdue_at = Some(now);
+            break;
+        }
+        if now % 500 == 450 {
+            timers.on_poll(false, true);
+        }
+    }
+    assert_eq!(overdue_at, Some(FALLBACK_DELAY));
+}
+
+#[test]
+fn proxy_that_its_primary_registry_keeps_up_to_date_is_sent_nothing_twice() {
+    let mut timers = StalenessTimers::default();
+    for now in (0..6_000u64).step_by(50) {
+        // There is something new every 500 ms, which the proxy has 100 ms later from the other registry.
+        let is_new = now % 500 < 100;
+        timers.update(now, UpdateKinds { state: is_new, backend_list: false, membership: is_new });
+        assert_eq!(timers.overdue(now), NONE);
+        // Its list is always another than the one that is known here, and never the same for long.
+        timers.update(now, UpdateKinds { state: false, backend_list: true, membership: false });
+        assert_eq!(timers.overdue(now), NONE);
+        if now % 500 == 450 {
+            timers.on_poll(false, true);
+        }
+    }
+}
+
+#[test]
+fn primary_registry_sends_all_that_a_proxy_lacks_at_once() {
+    let mut proxy = outdated_proxy(true);
+
+    assert_eq!(proxy.due_updates(1_000, &latest()), ALL);
+
+    proxy.state_sent(revision(5));
+    proxy.backend_list_sent(ListDigest(50));
+    proxy.membership_sent(500, latest().ownership);
+    assert_eq!(proxy.sent(), up_to_date());
+    assert_eq!(proxy.due_updates(1_001, &latest()), NONE, "sent once");
+}
+
+#[test]
+fn other_registry_sends_only_after_the_fallback_delay() {
+    let mut proxy = outdated_proxy(false);
+
+    assert_eq!(proxy.due_updates(1_000, &latest()), NONE);
+    assert_eq!(proxy.due_updates(1_000 + FALLBACK_DELAY - 1, &latest()), NONE);
+    assert_eq!(proxy.due_updates(1_000 + FALLBACK_DELAY, &latest()), ALL);
+}
+
+#[test]
+fn proxy_that_was_brought_up_to_date_from_elsewhere_is_sent_nothing() {
+    let mut proxy = outdated_proxy(false);
+    assert_eq!(proxy.due_updates(1_000, &latest()), NONE);
+
+    proxy.on_poll(up_to_date(), false);
+
+    assert_eq!(proxy.due_updates(1_000 + FALLBACK_DELAY, &latest()), NONE);
+}
+
+#[test]
+fn new_proxy_and_new_shard_owners_are_not_delayed() {
+    let membership = UpdateKinds { membership: true, ..NONE };
+    let mut started = ProxyProgress::default();
+    started.on_poll(ProxyVersions { membership: 0, ..up_to_date() }, false);
+    assert_eq!(started.due_updates(1_000, &latest()), membership, "it has no membership from here");
+
+    let mut known = ProxyProgress::default();
+    known.membership_sent(500, latest().ownership);
+    known.on_poll(up_to_date(), false);
+    let other_owners = LatestVersions { membership: 501, ownership: (true, revision(2)), ..latest() };
+    assert_eq!(known.due_updates(1_000, &other_owners), membership);
+    let other_proxies = LatestVersions { membership: 501, ..latest() };
+    assert_eq!(known.due_updates(1_000, &other_proxies), NONE, "other proxies alone can wait");
+}
+
+#[test]
+fn registry_that_knows_nothing_sends_nothing_of_it() {
+    let mut proxy = ProxyProgress::default();
+    proxy.on_poll(up_to_date(), true);
+    let nothing = LatestVersions { state: None, backend_list: ListDigest::NONE, ..latest() };
+    assert_eq!(proxy.due_updates(1_000, &nothing), NONE);
+}
+
+#[test]
+fn proxy_that_checks_freshness_is_sent_the_state_again_at_once() {
+    let mut proxy = outdated_proxy(false);
+    proxy.state_sent(revision(5));
+
+    proxy.request_state_since(revision(4));
+
+    assert!(proxy.due_updates(1_000, &latest()).state);
+    assert_eq!(proxy.sent().state, revision(4), "the change leads on from what it knows");
+}
+
+#[test]
+fn version_is_installed_by_all_once_no_proxy_reports_an_older_state() {
+    assert!(is_installed_by_all(revision(5), []));
+    assert!(is_installed_by_all(revision(5), [revision(5), revision(7)]));
+    assert!(!is_installed_by_all(revision(5), [revision(5), revision(4)]));
+}
--- /dev/null
+++ b/crates/registry/tests/support/mod.rs
@@ -0,0 +1,16 @@
+//! Values that several tests of the registry use.
+
+use violetyoke_transport::messages::Backend;
+
+/// A backend of the one service, in the one zone.
+pub(crate) fn backend(id: &str, draining: bool, slow_start_left_ms: u64) -> Backend {
+    Backend {
+        id: id.into(),
+        service: "finder".into(),
+        address: "10.0.0.1:80".parse().expect("an address"),
+        zone: "a1".into(),
+        slots: 6,
+        draining,
+        slow_start_left_ms,
+    }
+}
