--- a/crates/store/tests/lossy/mod.rs
+++ b/crates/store/tests/power_loss/files.rs
@@ -1,19 +1,16 @@
-//! Two files in memory whose writes stop at any step, and which lose or tear with the power what was not synced.
-
-#![allow(unreachable_pub, reason = "support modules are public to the tests")]
-#![allow(clippy::ref_option, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+//! Two files in memory whose writes may fail at any step, and which lose or tear unsynced bytes in a loss of power.
 
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
 use violetyoke_store::disk::SlotFiles;
 
-/// What a loss of power makes of a write that was not synced.
+/// What a loss of power makes of bytes that were not synced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Unsynced {
     Lost,
     Kept,
-    /// The first bytes are there, and what was behind them before.
+    /// The first bytes are there, and behind them what was there before.
     Torn(usize),
 }
 
@@ -23,28 +20,31 @@
     written: Option<Vec<u8>>,
     /// What a loss of power leaves.
     synced: Option<Vec<u8>>,
-    named: bool,
+    /// Its directory entry is synced.
+    is_entry_synced: bool,
 }
 
 #[derive(Debug, Default)]
 struct Disk {
     files: [File; 2],
-    takes: Option<usize>,
+    /// How many bytes, and after them syncs, still succeed; all where there is no number.
+    steps_left: Option<usize>,
     skips_sync_of_found: bool,
 }
 
-/// A disk; clones are the same one.
+/// A disk; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct LossyFiles(Rc<RefCell<Disk>>);
+pub struct FaultyFiles(Rc<RefCell<Disk>>);
 
-fn over(old: &Option<Vec<u8>>, new: &[u8]) -> Vec<u8> {
-    let rest = old.as_deref().and_then(|old| old.get(new.len()..)).unwrap_or_default();
+/// `old` with its first bytes overwritten.
+fn overwrite(old: Option<&[u8]>, new: &[u8]) -> Vec<u8> {
+    let rest = old.and_then(|old| old.get(new.len()..)).unwrap_or_default();
     [new, rest].concat()
 }
 
 impl Disk {
     fn step(&mut self) -> io::Result<()> {
-        match &mut self.takes {
+        match &mut self.steps_left {
             None => Ok(()),
             Some(0) => Err(io::ErrorKind::StorageFull.into()),
             Some(left) => {
@@ -56,37 +56,35 @@
 
     fn lose_power(&mut self, unsynced: Unsynced) {
         for file in &mut self.files {
-            let torn = match (unsynced, &file.written) {
-                (Unsynced::Torn(at), Some(written)) => {
-                    Some(over(&file.synced, &written[..at.min(written.len())]))
-                }
-                _ => None,
-            };
-            file.written = match unsynced {
-                _ if file.written == file.synced => file.written.take(),
-                Unsynced::Lost => file.synced.clone(),
-                Unsynced::Kept => file.written.take(),
-                Unsynced::Torn(_) => torn,
-            };
-            if !file.named && unsynced == Unsynced::Lost {
+            if file.written != file.synced {
+                file.written = match (unsynced, file.written.take()) {
+                    (Unsynced::Torn(at), Some(written)) => {
+                        Some(overwrite(file.synced.as_deref(), &written[..at.min(written.len())]))
+                    }
+                    (Unsynced::Torn(_), None) => None,
+                    (Unsynced::Lost, _) => file.synced.clone(),
+                    (Unsynced::Kept, written) => written,
+                };
+            }
+            if !file.is_entry_synced && unsynced == Unsynced::Lost {
                 file.written = None;
             }
             file.synced = file.written.clone();
         }
-        self.takes = None;
+        self.steps_left = None;
     }
 }
 
-impl LossyFiles {
-    /// It says that it has synced what it has not, where a file is synced as it is found: the negative control.
-    pub fn without_sync_of_found() -> LossyFiles {
+impl FaultyFiles {
+    /// Reports a file as synced without syncing it, where it is synced as it was found: the negative control.
+    pub fn without_sync_of_found() -> FaultyFiles {
         let disk = Disk { skips_sync_of_found: true, ..Disk::default() };
-        LossyFiles(Rc::new(RefCell::new(disk)))
+        FaultyFiles(Rc::new(RefCell::new(disk)))
     }
 
-    /// Bytes, and after them syncs, that the disk still takes; all, where there is no number.
-    pub fn takes(&self, steps: Option<usize>) {
-        self.0.borrow_mut().takes = steps;
+    /// How many bytes, and after them syncs, succeed from now on; all where there is no number.
+    pub fn limit_steps(&self, steps: Option<usize>) {
+        self.0.borrow_mut().steps_left = steps;
     }
 
     pub fn lose_power(&self, unsynced: Unsynced) {
@@ -94,18 +92,18 @@
     }
 }
 
-impl SlotFiles for LossyFiles {
+impl SlotFiles for FaultyFiles {
     fn read(&mut self, slot: usize) -> io::Result<Option<Vec<u8>>> {
         Ok(self.0.borrow().files[slot].written.clone())
     }
 
     fn write(&mut self, slot: usize, bytes: &[u8]) -> io::Result<()> {
         let disk = &mut *self.0.borrow_mut();
-        let taken = disk.takes.map_or(bytes.len(), |takes| takes.min(bytes.len()));
+        let count = disk.steps_left.map_or(bytes.len(), |left| left.min(bytes.len()));
         let old = disk.files[slot].written.take();
-        disk.files[slot].written = Some(over(&old, &bytes[..taken]));
-        disk.takes = disk.takes.map(|takes| takes - taken);
-        if taken < bytes.len() {
+        disk.files[slot].written = Some(overwrite(old.as_deref(), &bytes[..count]));
+        disk.steps_left = disk.steps_left.map(|left| left - count);
+        if count < bytes.len() {
             return Err(io::ErrorKind::StorageFull.into());
         }
         disk.files[slot].written = Some(bytes.to_vec());
@@ -127,7 +125,7 @@
         let disk = &mut *self.0.borrow_mut();
         disk.step()?;
         for file in &mut disk.files {
-            file.named = file.written.is_some();
+            file.is_entry_synced = file.written.is_some();
         }
         Ok(())
     }
--- /dev/null
+++ b/crates/store/tests/power_loss/main.rs
@@ -0,0 +1,146 @@
+//! Slots through processes that die and losses of power at each step of a write: a state that counted once is there, or a
+//! newer one.
+
+#![cfg(test)]
+#![allow(unreachable_pub, reason = "support modules are public to the tests")]
+
+mod files;
+
+use files::{FaultyFiles, Unsynced};
+use violetyoke_store::consensus::DurableState;
+use violetyoke_store::disk::{encode_slot, SlotFiles, SlotStorage};
+
+fn state(promised: u64) -> DurableState {
+    DurableState { id: 7, promised, ..DurableState::default() }
+}
+
+fn slot(write_number: u64, state: &DurableState) -> Vec<u8> {
+    encode_slot(write_number, state).expect("a state can be encoded")
+}
+
+/// The storage of a process that starts now.
+fn recover(files: &FaultyFiles) -> SlotStorage<FaultyFiles> {
+    SlotStorage::recover(files.clone()).expect("a disk without a limit").0
+}
+
+/// The promise of the newest state that a process finds which starts now; 0 where there is none.
+fn newest(files: &FaultyFiles) -> u64 {
+    let (_, found) = SlotStorage::recover(files.clone()).expect("a disk without a limit");
+    found.map_or(0, |state| state.promised)
+}
+
+/// A process starts and writes a state to a disk that fails after so many steps; whether the write counted.
+fn write(files: &FaultyFiles, promised: u64, steps: Option<usize>) -> bool {
+    let mut storage = recover(files);
+    files.limit_steps(steps);
+    let is_written = storage.write(&state(promised)).is_ok();
+    files.limit_steps(None);
+    is_written
+}
+
+/// Steps at which a write of `bytes` may fail: within the header, at its end, within the state, before each sync.
+fn failure_points(bytes: usize) -> Vec<usize> {
+    let steps = [0, 1, 7, 8, 9, 15, 16, 24, 31, 32, 33, bytes / 2, bytes - 1, bytes, bytes + 1, bytes + 2];
+    let mut steps: Vec<usize> = steps.into_iter().filter(|at| *at <= bytes + 2).collect();
+    steps.dedup();
+    steps
+}
+
+/// Some complete writes, two processes that die while they write, and a loss of power.
+#[derive(Clone, Copy, Debug)]
+struct Scenario {
+    complete_writes: u64,
+    first_fails_at: usize,
+    second_fails_at: usize,
+    unsynced: Unsynced,
+}
+
+impl Scenario {
+    fn all() -> Vec<Scenario> {
+        let points = failure_points(slot(9, &state(100)).len());
+        let torn = points.iter().copied().map(Unsynced::Torn);
+        let losses: Vec<Unsynced> = [Unsynced::Lost, Unsynced::Kept].into_iter().chain(torn).collect();
+        let mut all = Vec::new();
+        for complete_writes in 0..4 {
+            for &first_fails_at in &points {
+                for &second_fails_at in &points {
+                    let scenario =
+                        |&unsynced| Scenario { complete_writes, first_fails_at, second_fails_at, unsynced };
+                    all.extend(losses.iter().map(scenario));
+                }
+            }
+        }
+        all
+    }
+
+    /// Plays it; what was lost, if a state was that had counted.
+    fn loss(self, files: &FaultyFiles) -> Option<String> {
+        let mut counted = 0;
+        for number in 0..self.complete_writes {
+            assert!(write(files, 10 + number, None));
+            counted = 10 + number;
+        }
+        if write(files, 100, Some(self.first_fails_at)) {
+            counted = 100;
+        }
+        // The process that starts next acts on what it finds, so that this counts.
+        counted = counted.max(newest(files));
+        if write(files, 200, Some(self.second_fails_at)) {
+            counted = 200;
+        }
+        files.lose_power(self.unsynced);
+        let found = newest(files);
+        (found < counted).then(|| format!("{self:?}: found {found} instead of {counted}"))
+    }
+}
+
+#[test]
+fn state_that_counted_survives_two_failed_writes_and_a_loss_of_power() {
+    let scenarios = Scenario::all();
+    assert!(scenarios.len() > 10_000, "{} scenarios", scenarios.len());
+    for scenario in scenarios {
+        assert_eq!(scenario.loss(&FaultyFiles::default()), None);
+    }
+}
+
+#[test]
+fn without_sync_of_found_slots_a_state_that_counted_is_lost() {
+    let mut losses =
+        Scenario::all().into_iter().filter_map(|it| it.loss(&FaultyFiles::without_sync_of_found()));
+    assert!(losses.next().is_some(), "the negative control finds the loss");
+}
+
+#[test]
+fn full_disk_keeps_the_state_before_and_takes_the_next_once_it_has_space() {
+    for step in failure_points(slot(9, &state(100)).len()) {
+        let files = FaultyFiles::default();
+        assert!(write(&files, 1, None) && write(&files, 2, None));
+        let mut storage = recover(&files);
+        files.limit_steps(Some(step));
+        let is_written = storage.write(&state(3)).is_ok();
+        files.limit_steps(Some(0));
+        assert!(storage.write(&state(3)).is_err(), "it is still full");
+        files.limit_steps(None);
+        storage.write(&state(3)).expect("space again");
+        storage.write(&state(4)).expect("and again");
+        files.lose_power(Unsynced::Lost);
+        assert_eq!(newest(&files), 4, "failed at {step}, written {is_written}");
+    }
+}
+
+#[test]
+fn with_both_slots_corrupt_nothing_is_recovered_and_the_disk_works_again() {
+    let mut files = FaultyFiles::default();
+    for (index, write_number) in [(0, 1), (1, 2)] {
+        let mut bytes = slot(write_number, &state(write_number));
+        bytes[40] ^= 1;
+        files.write(index, &bytes).expect("written");
+    }
+    let (mut storage, found) = SlotStorage::recover(files.clone()).expect("read");
+    // The store has a new disk id then, and never a part of the state under the old one.
+    assert_eq!(found, None);
+    for promised in [5, 6, 7] {
+        storage.write(&state(promised)).expect("written");
+    }
+    assert_eq!(newest(&files), 7);
+}
--- /dev/null
+++ b/crates/store/tests/slots.rs
@@ -0,0 +1,100 @@
+//! The two slots of a folder through torn, missing and damaged files.
+
+#![cfg(test)]
+
+use std::path::{Path, PathBuf};
+use violetyoke_store::consensus::DurableState;
+use violetyoke_store::disk::{decode_slot, encode_slot, inspect_slot, SlotContents, SlotStorage};
+
+fn state(promised: u64) -> DurableState {
+    DurableState { id: 7, promised, ..DurableState::default() }
+}
+
+fn slot(write_number: u64, state: &DurableState) -> Vec<u8> {
+    encode_slot(write_number, state).expect("a state can be encoded")
+}
+
+/// A folder that is removed with this value.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(test: &str) -> Folder {
+        Folder(std::env::temp_dir().join(format!("store-slots-{}-{test}", std::process::id())))
+    }
+
+    /// The newest state, as a process that starts now finds it.
+    fn recover(&self) -> Option<DurableState> {
+        SlotStorage::open(&self.0).expect("opened").1
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        std::fs::remove_dir_all(&self.0).expect("removed");
+    }
+}
+
+#[test]
+fn newest_state_is_recovered() {
+    let folder = Folder::new("newest");
+    let (mut storage, found) = SlotStorage::open(&folder.0).expect("an empty folder");
+    assert_eq!(found, None);
+    for promised in 1..=5 {
+        storage.write(&state(promised)).expect("written");
+    }
+    let (mut storage, found) = SlotStorage::open(&folder.0).expect("the folder again");
+    assert_eq!(found, Some(state(5)));
+    storage.write(&state(6)).expect("written");
+    assert_eq!(folder.recover(), Some(state(6)));
+}
+
+#[test]
+fn write_that_is_torn_or_damaged_at_any_byte_leaves_the_state_before() {
+    let folder = Folder::new("torn");
+    let (mut storage, _) = SlotStorage::open(&folder.0).expect("an empty folder");
+    storage.write(&state(1)).expect("written");
+    storage.write(&state(2)).expect("written");
+    // The slot of state 1 is the one that is written next.
+    let next_slot = folder.0.join("state-0");
+    let bytes = slot(3, &state(3));
+    for end in 0..bytes.len() {
+        std::fs::write(&next_slot, &bytes[..end]).expect("torn");
+        assert_eq!(folder.recover(), Some(state(2)), "torn at {end}");
+    }
+    for at in 0..bytes.len() {
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 0x20;
+        std::fs::write(&next_slot, &damaged).expect("damaged");
+        assert_eq!(folder.recover(), Some(state(2)), "damaged at {at}");
+    }
+}
+
+#[test]
+fn contents_of_a_slot_are_told_apart() {
+    assert_eq!(decode_slot(b""), SlotContents::Corrupt);
+    let contents = decode_slot(&slot(9, &state(4)));
+    assert_eq!(contents, SlotContents::State { write_number: 9, state: Box::new(state(4)) });
+    let longer = [slot(9, &state(4)), vec![1, 2, 3]].concat();
+    assert!(
+        matches!(decode_slot(&longer), SlotContents::State { write_number: 9, .. }),
+        "bytes that an earlier, longer state left behind are ignored"
+    );
+    let missing = inspect_slot(Path::new("/nowhere/state-0")).expect("inspected");
+    assert_eq!(missing, SlotContents::Missing);
+}
+
+/// A state that can't be encoded.
+struct Unencodable;
+
+impl serde::Serialize for Unencodable {
+    fn serialize<S: serde::Serializer>(&self, _: S) -> Result<S::Ok, S::Error> {
+        Err(serde::ser::Error::custom("by design"))
+    }
+}
+
+#[test]
+fn state_that_cannot_be_encoded_is_an_error_and_never_an_empty_slot() {
+    let error = encode_slot(9, &Unencodable).expect_err("it can't be encoded");
+    let source = std::error::Error::source(&error).expect("a source").to_string();
+    assert!(source.contains("by design"), "{source}");
+}
