--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -2,7 +2,6 @@
 
 use crate::backend::{attempt, Answer, Flow, Try};
 use crate::body::Body;
-use crate::figures::add;
 use crate::state::Proxy;
 use bytes::{Bytes, BytesMut};
 use std::rc::Rc;
@@ -46,7 +45,7 @@
 pub async fn run(proxy: &Rc<Proxy>, job: &Job) -> Outcome {
     let mut verdict = Execution::NotExecuted;
     let mut tried: Vec<String> = Vec::new();
-    proxy.budget(&job.service, |budget| budget.record_request(proxy.now()));
+    proxy.retry_budgets.record_request(&job.service);
     let ended = |verdict, ending, retry_ms| Outcome::Ended { verdict, ending, retry_ms };
     loop {
         if left(job) < Duration::from_millis(MIN_ATTEMPT_MS) {
@@ -56,11 +55,11 @@
             return ended(verdict, FailureReason::Overloaded, Some(RETRY_AFTER_MS));
         };
         if !tried.is_empty() {
-            if !proxy.budget(&job.service, |budget| budget.try_acquire(proxy.now(), proxy.ingresses())) {
-                add(&proxy.figures.no_budget);
+            if !proxy.retry_budgets.try_acquire(&job.service) {
+                proxy.metrics.retry_budget_exhausted.increment();
                 return ended(verdict, FailureReason::Overloaded, None);
             }
-            add(&proxy.figures.further);
+            proxy.metrics.retries.increment();
         }
         let Some(one) = prepare(proxy, job, &id) else { continue };
         tried.push(id.clone());
@@ -70,7 +69,7 @@
             service: job.service.clone(),
             observed: Observation::Inconclusive,
         };
-        proxy.fleet.borrow_mut().record_attempt_started(proxy.now(), &guard.id);
+        proxy.backends.record_attempt_started(&guard.id);
         let end = attempt(proxy, &one, &|| elsewhere(proxy, job, &tried)).await;
         guard.observed = end.observed;
         verdict = verdict.combine(end.verdict);
@@ -117,7 +116,7 @@
         attempted: tried,
         home_regions: [&job.homes[0], &job.homes[1]],
     };
-    let look = || proxy.fleet.borrow().select(proxy.now(), wanted);
+    let look = || proxy.backends.select(wanted);
     // Those who wait already go first.
     let first = if proxy.waiting.borrow().anybody(&job.service) { Selection::AtCapacity } else { look() };
     match first {
@@ -152,11 +151,9 @@
 }
 
 fn prepare(proxy: &Rc<Proxy>, job: &Job, id: &str) -> Option<Try> {
-    let fleet = proxy.fleet.borrow();
-    let backend = fleet.get(id)?;
+    let target = proxy.backends.target(id)?;
     let now = Instant::now();
-    let patience =
-        job.bounds.attempt_timeout_ms(left(job).as_millis() as Millis, backend.latency_estimate_ms());
+    let patience = job.bounds.attempt_timeout_ms(left(job).as_millis() as Millis, target.latency_estimate_ms);
     let deadline_ms = left(job).saturating_sub(WAY).as_millis();
     let held = if job.body.flows() { crate::body::HELD } else { job.body.length().unwrap_or(0) as usize };
     let mut bytes = BytesMut::with_capacity(job.head.len() + held + 96);
@@ -167,8 +164,8 @@
     Some(Try {
         id: id.to_owned(),
         service: job.service.clone(),
-        address: backend.address(),
-        same_region: fleet.is_same_region(backend),
+        address: target.address,
+        same_region: target.is_same_region,
         attempt: job.attempt.clone(),
         bytes: bytes.freeze(),
         body: job.body.clone(),
@@ -187,11 +184,11 @@
         attempted: tried,
         home_regions: [&job.homes[0], &job.homes[1]],
     };
-    !proxy.leaving.get()
+    !proxy.serving.is_draining()
         && !job.body.spent()
         && job.bounds.allows_another_attempt(tried.len())
-        && proxy.budget(&job.service, |budget| budget.has_capacity(proxy.now(), proxy.ingresses()))
-        && matches!(proxy.fleet.borrow().select(proxy.now(), wanted), Selection::Backend(_))
+        && proxy.retry_budgets.has_capacity(&job.service)
+        && matches!(proxy.backends.select(wanted), Selection::Backend(_))
 }
 
 /// An attempt that is out: its end is noted however it comes.
@@ -204,8 +201,7 @@
 
 impl Drop for Open {
     fn drop(&mut self) {
-        let now = self.proxy.now();
-        self.proxy.fleet.borrow_mut().record_attempt_finished(now, &self.id, self.observed);
-        self.proxy.waiting.borrow_mut().room(&self.service, now);
+        self.proxy.backends.record_attempt_finished(&self.id, self.observed);
+        self.proxy.waiting.borrow_mut().room(&self.service, self.proxy.now());
     }
 }
--- a/crates/proxy/src/backend/exchange.rs
+++ b/crates/proxy/src/backend/exchange.rs
@@ -86,8 +86,7 @@
     if reused && matches!(due, Some(Err(Broken { answered: false, .. }))) {
         proxy.pools.borrow_mut().forgotten();
         // The backend had forgotten the connection: where the request may run again, it goes out on a new one.
-        let again =
-            || proxy.budget(&one.service, |budget| budget.try_acquire(proxy.now(), proxy.ingresses()));
+        let again = || proxy.retry_budgets.try_acquire(&one.service);
         if one.repeatable && again() {
             buffer.clear();
             stream = match connect(proxy, one).await {
@@ -117,7 +116,7 @@
     // Bytes past a complete answer are nobody's: the connection goes with them.
     // So it does after a refusal: those may bear no id, and a second one would be taken for the next request's.
     if answer.keep && buffer.is_empty() && !refuses(&answer) {
-        let most = proxy.fleet.borrow().max_connections(&one.service);
+        let most = proxy.backends.max_connections(&one.service);
         proxy.pools.borrow_mut().give(&one.id, stream, buffer, answer.keep_for, most);
     }
     judge(answer, took)
@@ -216,7 +215,7 @@
 }
 
 async fn connect(proxy: &Rc<Proxy>, one: &Try) -> io::Result<Stream> {
-    crate::figures::add(&proxy.figures.connections);
+    proxy.metrics.backend_connections.increment();
     let within = Instant::now() + if one.same_region { NEAR } else { FAR };
     timeout_at(within.min(one.until), net::connect(one.address.into())).await?
 }
--- a/crates/proxy/src/backend/flow.rs
+++ b/crates/proxy/src/backend/flow.rs
@@ -29,7 +29,7 @@
         let until = self.until;
         match timeout_at(until, self.run(&mut to)).await {
             Ok(Ok(())) if self.keep && self.buffer.is_empty() => {
-                let most = proxy.fleet.borrow().max_connections(&self.service);
+                let most = proxy.backends.max_connections(&self.service);
                 let Flow { id, stream, buffer, keep_for, .. } = self;
                 proxy.pools.borrow_mut().give(&id, stream, buffer, keep_for, most);
             }
--- a/crates/proxy/src/backend/mod.rs
+++ b/crates/proxy/src/backend/mod.rs
@@ -13,7 +13,6 @@
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
-use violetyoke_balancing::BackendDirectory;
 use violetyoke_transport::net::Stream;
 
 /// Idle connections kept to one backend.
@@ -90,11 +89,11 @@
     }
 
     /// Closes connections to backends that are no more.
-    pub fn retain(&mut self, fleet: &BackendDirectory) {
+    pub fn retain(&mut self, is_available: impl Fn(&str) -> bool) {
         let now = Instant::now();
         self.idle.retain(|id, idle| {
             idle.retain(|one| now < one.until);
-            !idle.is_empty() && fleet.get(id).is_some_and(|backend| !backend.is_draining())
+            !idle.is_empty() && is_available(id)
         });
     }
 }
--- /dev/null
+++ b/crates/proxy/src/control_client/updates.rs
@@ -0,0 +1,94 @@
+//! Configurations and backend lists, as registries send them: in full, or as a change of what is known here.
+
+use super::ControlClient;
+use slog::{error, info};
+use std::collections::BTreeSet;
+use std::fmt::Display;
+use violetyoke_api::change::ConfigurationChange;
+use violetyoke_api::Configuration;
+use violetyoke_transport::compression::Compressed;
+use violetyoke_transport::messages::{BackendList, BackendListChange, Revision};
+
+impl ControlClient {
+    /// Installs a full state.
+    pub(super) fn on_full_state(
+        &mut self,
+        revision: Revision,
+        evacuated: BTreeSet<String>,
+        configuration: &Compressed,
+    ) {
+        match configuration.decode::<Configuration>() {
+            Ok(configuration) => self.install(revision, evacuated, configuration),
+            Err(error) => self.log_undecodable(&error),
+        }
+        self.poll();
+    }
+
+    /// Installs the state that a change makes of the one in force; where the change was made from another state, the full
+    /// one is asked for.
+    pub(super) fn on_state_change(
+        &mut self,
+        from: Revision,
+        revision: Revision,
+        evacuated: BTreeSet<String>,
+        change: &Compressed,
+    ) {
+        let change = match change.decode::<ConfigurationChange>() {
+            Ok(change) => change,
+            Err(error) => {
+                self.log_undecodable(&error);
+                return self.poll();
+            }
+        };
+        let base = self.proxy.configuration.snapshot().filter(|active| active.revision() == from);
+        match base.and_then(|base| change.apply(base.configuration()).ok()) {
+            Some(configuration) => self.install(revision, evacuated, configuration),
+            None if revision > self.proxy.configuration.revision() => return self.poll_full_state(),
+            None => {}
+        }
+        self.poll();
+    }
+
+    /// Puts a newer configuration in force; an older one changes nothing.
+    fn install(&self, revision: Revision, evacuated: BTreeSet<String>, configuration: Configuration) {
+        let proxy = &self.proxy;
+        if revision <= proxy.configuration.revision() {
+            return;
+        }
+        info!(proxy.log, "configuration in force"; "version" => configuration.version, "epoch" => revision.epoch,
+            "evacuated" => evacuated.len());
+        proxy.backends.configure(&configuration.services, evacuated);
+        let active = proxy.configuration.install(revision, configuration);
+        proxy.quota.retain_tenants(&active.routing().tenants);
+        proxy.waiting.borrow_mut().all();
+        proxy.freshness.on_updated();
+    }
+
+    /// Replaces the list of backends.
+    pub(super) fn on_backend_list(&mut self, list: BackendList) {
+        if self.proxy.backends.replace_list(list) {
+            self.on_backends_changed();
+        }
+    }
+
+    /// Applies a change to the list of backends; if it was made from another list than the one in force, registries are
+    /// polled with that one's digest.
+    pub(super) fn on_backend_list_change(&mut self, change: BackendListChange) {
+        if change.from != self.proxy.backends.list_digest() {
+            self.poll();
+        } else if self.proxy.backends.apply_list_change(change) {
+            self.on_backends_changed();
+        }
+    }
+
+    fn on_backends_changed(&mut self) {
+        let backends = &self.proxy.backends;
+        self.proxy.pools.borrow_mut().retain(|id| backends.is_available(id));
+        self.proxy.waiting.borrow_mut().all();
+        self.poll();
+    }
+
+    fn log_undecodable(&self, error: &impl Display) {
+        error!(self.proxy.log, "undecodable configuration"; "error" => %error);
+    }
+}
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,128 +1,171 @@
-//! The proxy as a process: when it is ready, how it leaves, what it does when its settings change.
+//! The proxy as a process: it starts, becomes ready, serves until SIGTERM, and drains.
 
+use crate::control_client::{ControlClient, RegistryEvent};
+use crate::readiness_gate::ReadinessGate;
 use crate::state::Proxy;
-use crate::{front, ready};
+use crate::{front, readiness};
 use error_stack::{Report, ResultExt};
 use slog::{info, Logger};
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::mpsc::unbounded_channel;
-use tokio::time::{interval, sleep, Instant, MissedTickBehavior};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use tokio::task::{AbortHandle, JoinSet};
+use tokio::time::{interval, sleep, Instant, Interval, MissedTickBehavior};
 use violetyoke_api::Settings;
-use violetyoke_transport::connection;
 use violetyoke_transport::daemon::StartError;
 use violetyoke_transport::lifecycle::Lifecycle;
-use violetyoke_transport::messages::{ListDigest, Membership};
 use violetyoke_transport::net::{self, Listener};
 
+/// How often new registries are connected to, and readiness is checked.
 const TICK: Duration = Duration::from_millis(50);
-/// Registries that may know something newer are waited for so long, once one has told its state.
-const ALL_HEARD: Duration = Duration::from_millis(700);
-/// And so long where none of those that are connected is in contact with the core.
-const CONTACT: Duration = Duration::from_millis(3_000);
-/// Clients that were sent here before may still come for so long after a SIGTERM.
-const STILL_COME: Duration = Duration::from_millis(2_200);
+/// How often the end of a drain is checked.
+const DRAIN_TICK: Duration = Duration::from_millis(20);
+/// After SIGTERM, the time for registries to learn of it before connections are closed.
+const DRAIN_ANNOUNCEMENT: Duration = Duration::from_millis(150);
+/// After SIGTERM, clients that were sent here before may still connect for so long.
+const ACCEPT_AFTER_SHUTDOWN: Duration = Duration::from_millis(2_200);
+/// The process ends so much before the platform would kill it.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Bounds of the grace period that the settings give (s).
+const MIN_GRACE_S: f64 = 0.5;
+const MAX_GRACE_S: f64 = 60.0;
 
-/// The program, with the arguments after its name.
+const FAILED: StartError = StartError("proxy");
+
+/// Runs the program, with the arguments after its name.
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about = "The proxy: carries clients' requests to backends; one process on each edge machine.";
     violetyoke_transport::daemon::run("proxy", about, arguments, run)
 }
 
-const FAILED: StartError = StartError("proxy");
+/// Runs a proxy until it has drained.
+///
+/// # Errors
+///
+/// Where an address of the settings is missing or can't be listened on.
+pub async fn run(
+    settings: Settings,
+    mut lifecycle: Lifecycle,
+    log: Logger,
+) -> Result<(), Report<StartError>> {
+    let grace_s = settings.terms.bounds.grace_s.clamp(MIN_GRACE_S, MAX_GRACE_S);
+    let listeners = Listeners::open(&settings)?;
+    let proxy = Rc::new(Proxy::new(&settings, log));
+    let servers = Servers::start(listeners, &proxy);
+    let (sender, mut events) = unbounded_channel();
+    let mut control = ControlClient::new(proxy.clone(), settings, lifecycle.incarnation, sender);
+    info!(proxy.log, "started");
+    serve_until_shutdown(&proxy, &mut control, &mut events, &mut lifecycle).await;
+    let grace = Duration::from_secs_f64(grace_s);
+    drain(&proxy, &mut control, &mut events, &servers, grace).await;
+    info!(proxy.log, "stopped"; "connections" => proxy.serving.open_connections(), "metrics" => %proxy.metrics);
+    Ok(())
+}
 
-pub enum Input {
-    Registry(Ipv4Addr, connection::Event),
+struct Listeners {
+    front: Listener,
+    readiness: Listener,
 }
 
-fn listen(address: Option<SocketAddr>, field: &str) -> Result<Listener, Report<StartError>> {
+impl Listeners {
+    fn open(settings: &Settings) -> Result<Listeners, Report<StartError>> {
+        let listen = &settings.network.listen;
+        Ok(Listeners {
+            front: open_listener(listen.front, "network.listen.front")?,
+            readiness: open_listener(listen.ready, "network.listen.ready")?,
+        })
+    }
+}
+
+fn open_listener(address: Option<SocketAddr>, field: &str) -> Result<Listener, Report<StartError>> {
     let address = address.ok_or_else(|| Report::new(FAILED).attach(format!("{field} is missing")))?;
     net::listen(address).change_context(FAILED).attach_with(|| format!("{field}: {address}"))
 }
 
-pub async fn run(
-    settings: Settings,
-    mut lifecycle: Lifecycle,
-    log: Logger,
-) -> Result<(), Report<StartError>> {
-    let front = listen(settings.network.listen.front, "network.listen.front")?;
-    let readiness = listen(settings.network.listen.ready, "network.listen.ready")?;
-    let grace = Duration::from_secs_f64(settings.terms.bounds.grace_s.clamp(0.5, 60.0));
-    let proxy = Rc::new(Proxy::new(settings, lifecycle.incarnation, log));
-    let (inputs, mut queue) = unbounded_channel();
-    let taking = tokio::task::spawn_local(front::serve(front, proxy.clone()));
-    tokio::task::spawn_local(ready::serve(readiness, proxy.clone()));
-    info!(proxy.log, "begins");
-    let begun = Instant::now();
-    let mut told = None;
-    let mut ticks = interval(TICK);
+/// The tasks that accept connections; they end when this is dropped.
+struct Servers {
+    front: AbortHandle,
+    _tasks: JoinSet<()>,
+}
+
+impl Servers {
+    fn start(listeners: Listeners, proxy: &Rc<Proxy>) -> Servers {
+        let mut tasks = JoinSet::new();
+        let front = tasks.spawn_local(front::serve(listeners.front, proxy.clone()));
+        tasks.spawn_local(readiness::serve(listeners.readiness, proxy.clone()));
+        Servers { front, _tasks: tasks }
+    }
+
+    /// Accepts no more clients; connections that are open are served on.
+    fn stop_accepting_clients(&self) {
+        self.front.abort();
+    }
+}
+
+fn ticks(period: Duration) -> Interval {
+    let mut ticks = interval(period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    ticks
+}
+
+/// Handles events of registries and changes of the settings until SIGTERM.
+async fn serve_until_shutdown(
+    proxy: &Proxy,
+    control: &mut ControlClient,
+    events: &mut UnboundedReceiver<RegistryEvent>,
+    lifecycle: &mut Lifecycle,
+) {
+    let started_at = Instant::now();
+    let mut gate = ReadinessGate::default();
+    let mut ticks = ticks(TICK);
     loop {
         tokio::select! {
-            input = queue.recv() => match input {
-                Some(Input::Registry(ip, event)) => proxy.registry(ip, event),
-                None => return Ok(()),
-            },
+            Some(event) = events.recv() => control.on_event(event),
             _ = ticks.tick() => {
-                proxy.connect(&inputs);
-                if !proxy.ready.get() && knows(&proxy) {
-                    let since = *told.get_or_insert_with(Instant::now);
-                    let patience = if in_contact(&proxy) { ALL_HEARD } else { CONTACT };
-                    if all_heard(&proxy) || since.elapsed() > patience {
-                        proxy.ready.set(true);
-                        info!(proxy.log, "ready"; "after_ms" => begun.elapsed().as_millis());
-                        proxy.announce();
-                    }
+                control.connect_to_known_registries();
+                if !proxy.serving.is_ready() && gate.is_open(proxy) {
+                    proxy.serving.mark_ready();
+                    info!(proxy.log, "ready"; "after_ms" => started_at.elapsed().as_millis());
+                    control.announce();
                 }
             }
-            Some(settings) = lifecycle.settings.recv() => *proxy.seeds.borrow_mut() = settings.seeds(),
-            _ = lifecycle.shutdown.recv() => break,
+            Some(settings) = lifecycle.settings.recv() => control.update_settings(settings),
+            _ = lifecycle.shutdown.recv() => return,
         }
     }
-    proxy.leaving.set(true);
-    proxy.announce();
-    info!(proxy.log, "leaves"; "connections" => proxy.open.get());
-    let left = Instant::now();
-    let last = left + grace.saturating_sub(Duration::from_millis(400));
-    sleep(Duration::from_millis(150)).await;
-    proxy.leave.notify_waiters();
-    let mut ticks = interval(Duration::from_millis(20));
-    while Instant::now() < last {
+}
+
+/// Drains: clients are sent elsewhere, connections close after their current request, and the last requests are answered, for at
+/// most `grace`.
+async fn drain(
+    proxy: &Proxy,
+    control: &mut ControlClient,
+    events: &mut UnboundedReceiver<RegistryEvent>,
+    servers: &Servers,
+    grace: Duration,
+) {
+    proxy.serving.start_draining();
+    control.announce();
+    info!(proxy.log, "draining"; "connections" => proxy.serving.open_connections());
+    let started_at = Instant::now();
+    let deadline = started_at + grace.saturating_sub(EXIT_MARGIN);
+    sleep(DRAIN_ANNOUNCEMENT).await;
+    proxy.serving.close_connections();
+    let mut ticks = interval(DRAIN_TICK);
+    while Instant::now() < deadline {
         tokio::select! {
-            Some(Input::Registry(ip, event)) = queue.recv() => proxy.registry(ip, event),
+            Some(event) = events.recv() => control.on_event(event),
             _ = ticks.tick() => {
-                proxy.leave.notify_waiters();
-                if left.elapsed() > STILL_COME {
-                    taking.abort();
-                    if proxy.open.get() == 0 {
-                        break;
+                // Again for connections that were opened meanwhile.
+                proxy.serving.close_connections();
+                if started_at.elapsed() > ACCEPT_AFTER_SHUTDOWN {
+                    servers.stop_accepting_clients();
+                    if proxy.serving.open_connections() == 0 {
+                        return;
                     }
                 }
             }
         }
     }
-    info!(proxy.log, "ends"; "connections" => proxy.open.get(), "figures" => proxy.figures.line());
-    Ok(())
-}
-
-fn knows(proxy: &Proxy) -> bool {
-    proxy.snapshot.borrow().is_some() && proxy.list.get() != ListDigest::NONE
-}
-
-/// A registry that is not cut off from the core has told its state, and nothing newer than what is known here.
-fn in_contact(proxy: &Proxy) -> bool {
-    let registries = proxy.registries.borrow();
-    let up = registries.values().filter(|registry| registry.sender.is_some());
-    up.map(|registry| &registry.members).any(|it| it.in_contact && it.newest <= proxy.revision())
-}
-
-/// All registries that are connected have told how new a state they have, none a newer one than is known here, and
-/// they are more than half of those that are known.
-fn all_heard(proxy: &Proxy) -> bool {
-    let registries = proxy.registries.borrow();
-    let up = registries.values().filter(|registry| registry.sender.is_some());
-    let told = |members: &Membership| members.digest != 0 && members.newest <= proxy.revision();
-    let certain = up.clone().any(|registry| registry.members.in_contact);
-    certain && up.clone().all(|registry| told(&registry.members)) && up.count() * 2 > registries.len()
 }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -30,30 +30,20 @@
     }
 }
 
-/// A connection that is counted as long as it stands.
-struct Counted(Rc<Proxy>);
-
-impl Drop for Counted {
-    fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-    }
-}
-
 async fn connection(stream: Stream, proxy: Rc<Proxy>) {
-    proxy.open.set(proxy.open.get() + 1);
-    let counted = Counted(proxy.clone());
-    let limits = proxy.snapshot().map(|snapshot| snapshot.table.limits);
+    let _guard = proxy.serving.track_connection();
+    let limits = proxy.configuration.snapshot().map(|snapshot| snapshot.routing().limits);
     let silent = limits.map_or(SILENT_MS, |limits| limits.idle_timeout_ms.max(limits.header_timeout_ms));
     let late = Duration::from_secs_f64(limits.map_or(HEAD_MS, |limits| limits.header_timeout_ms) / 1000.0);
     let head = limits.map_or(LEAST_HEAD, |limits| (limits.max_header_bytes as usize).max(LEAST_HEAD));
     let heads = Heads::new();
     let service = service_fn(|request| {
-        let (proxy, heads) = (counted.0.clone(), heads.clone());
+        let (proxy, heads) = (proxy.clone(), heads.clone());
         heads.whole();
         async move {
             let mut reply = handle(&proxy, request).await;
             heads.answered(matches!(reply.body(), Either::Right(_)));
-            if proxy.leaving.get() {
+            if proxy.serving.is_draining() {
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(reply)
@@ -70,7 +60,7 @@
         // A client that breaks off has its own reasons.
         _ = served.as_mut() => return,
         () = heads.late(late) => return,
-        () = proxy.leave.notified() => served.as_mut().graceful_shutdown(),
+        () = proxy.serving.connections_closing() => served.as_mut().graceful_shutdown(),
     }
     let _ = served.await;
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,15 @@
-//! The proxy. A request's way: `front` (connections of clients), `request` (route, tenant, limit), `attempts` (which
-//! backends, again or not), `backend` (one attempt on one connection). `news` brings what registries tell, `counting`
-//! asks for the tenants' counts, `ready` answers the platform.
+//! The proxy: carries clients' requests to backends. One process runs on each edge machine ([`daemon`]).
+//!
+//! The **data path**: `front` accepts clients' connections, `request` finds the route, the tenant and the limit of a request,
+//! `attempts` decides which backends it is sent to, `backend` makes one attempt on one connection.
+//!
+//! The **control path**: `control_client` keeps connections to all registries and applies what they send: configurations
+//! (`configuration`), backend lists (`backends`), membership (`registries`). `quota_client` asks the owner of a tenant's counter
+//! for each request; `freshness` asks whether there is a newer configuration before a request is denied. `readiness` answers
+//! the platform.
+//!
+//! Which backend is best, whether a retry is allowed and what a limit admits are decided in `violetyoke-balancing` and
+//! `violetyoke-quota`, without I/O. The proxy keeps nothing on disk: all it knows, registries tell it again after a restart.
 
 #![allow(
     clippy::let_underscore_must_use,
@@ -14,14 +23,21 @@
 
 mod attempts;
 mod backend;
+mod backends;
 mod body;
-mod counting;
+mod clock;
+mod configuration;
+mod control_client;
 pub mod daemon;
-mod figures;
+mod freshness;
 mod front;
-mod learning;
-mod news;
-mod ready;
+mod metrics;
+mod quota_client;
+mod readiness;
+mod readiness_gate;
+mod registries;
 mod request;
+mod retry_budgets;
+mod serving;
 mod state;
 mod waiting;
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -3,9 +3,7 @@
 use crate::attempts::{run, Job, Outcome};
 use crate::backend::Answer;
 use crate::body::{Body, Unusable};
-use crate::counting::count;
-use crate::figures::add;
-use crate::learning::Learned;
+use crate::freshness::Freshness;
 use crate::state::Proxy;
 use bytes::{Bytes, BytesMut};
 use http_body_util::channel::Channel;
@@ -23,6 +21,7 @@
 use violetyoke_api::routing::{Caller, RouteEntry, RoutingTable};
 use violetyoke_balancing::retry_policy::RetryPolicy;
 use violetyoke_balancing::Millis;
+use violetyoke_quota::Admission;
 
 pub type Reply = Response<Either<Full<Bytes>, Channel<Bytes, std::io::Error>>>;
 
@@ -100,31 +99,31 @@
 
 pub async fn handle(proxy: &Rc<Proxy>, request: Request<Incoming>) -> Reply {
     let arrived = Instant::now();
-    add(&proxy.figures.requests);
+    proxy.metrics.requests.increment();
     let (parts, body) = request.into_parts();
-    let mut snapshot = match proxy.snapshot().filter(|_| proxy.ready.get()) {
+    let mut snapshot = match proxy.configuration.snapshot().filter(|_| proxy.serving.is_ready()) {
         Some(snapshot) => snapshot,
         None => return given_up(Execution::NotExecuted, FailureReason::Overloaded, Some(200)),
     };
-    if matches!(known(&snapshot.table, &parts), Known::No(_)) {
-        match proxy.learn().await {
-            Learned::Newer => snapshot = proxy.snapshot().unwrap_or(snapshot),
-            Learned::Nothing => {}
+    if matches!(known(snapshot.routing(), &parts), Known::No(_)) {
+        match proxy.freshness.check().await {
+            Freshness::Updated => snapshot = proxy.configuration.snapshot().unwrap_or(snapshot),
+            Freshness::UpToDate => {}
             // An ingress that is cut off denies nothing: what it lacks may have been acknowledged.
-            Learned::Unknown => {
+            Freshness::Unknown => {
                 return given_up(Execution::NotExecuted, FailureReason::Overloaded, Some(UNKNOWN))
             }
         }
     }
-    let table = &snapshot.table;
+    let table = snapshot.routing();
     let (entry, tenant) = match known(table, &parts) {
         Known::Yes(entry, tenant) => (entry, tenant),
         Known::No(status) => {
             let (figure, why) = match status {
-                404 => (&proxy.figures.no_route, "no such route"),
-                _ => (&proxy.figures.no_key, "no such key"),
+                404 => (&proxy.metrics.unknown_routes, "no such route"),
+                _ => (&proxy.metrics.unknown_credentials, "no such key"),
             };
-            add(figure);
+            figure.increment();
             return plain(status, why);
         }
     };
@@ -133,13 +132,13 @@
         Err(why) => return unusable(why),
     };
     if let Some(tenant) = tenant {
-        if let Err(retry_ms) = count(proxy, tenant).await {
-            add(&proxy.figures.past_limit);
-            return given_up(Execution::NotExecuted, FailureReason::OverLimit, Some(retry_ms));
+        if let Admission::Denied { retry_after_ms } = proxy.quota.admit(tenant).await {
+            proxy.metrics.over_limit.increment();
+            return given_up(Execution::NotExecuted, FailureReason::OverLimit, Some(retry_after_ms));
         }
     }
     let Some(service) =
-        entry.service(proxy.fleet.borrow().sample_uniform()).and_then(|number| table.services.get(number))
+        entry.service(proxy.backends.sample_uniform()).and_then(|number| table.services.get(number))
     else {
         return given_up(Execution::NotExecuted, FailureReason::Overloaded, None);
     };
@@ -166,11 +165,11 @@
     };
     match run(proxy, &job).await {
         Outcome::Answer(answer) => {
-            add(&proxy.figures.answered);
+            proxy.metrics.answered.increment();
             pass(answer)
         }
         Outcome::Flowing(answer, flow, open) => {
-            add(&proxy.figures.answered);
+            proxy.metrics.answered.increment();
             let (mut sender, channel) = Channel::new(1);
             let (length, first) = (answer.length, answer.body.clone());
             let proxy = proxy.clone();
@@ -190,11 +189,11 @@
             unusable(job.body.unusable().unwrap_or(Unusable::Broken))
         }
         Outcome::Ended { verdict, ending, retry_ms } => {
-            add(if verdict == Execution::NotExecuted {
-                &proxy.figures.refused
-            } else {
-                &proxy.figures.failed
-            });
+            let counter = match verdict {
+                Execution::NotExecuted => &proxy.metrics.rejected,
+                Execution::Unknown => &proxy.metrics.failed,
+            };
+            counter.increment();
             given_up(verdict, ending, retry_ms)
         }
     }
