--- /dev/null
+++ b/crates/proxy/tests/proxy/support/mod.rs
@@ -0,0 +1,97 @@
+//! Starts a proxy in virtual time.
+
+pub(crate) mod backends;
+pub(crate) mod client;
+pub(crate) mod network;
+pub(crate) mod registries;
+
+use backends::Backend;
+use network::InMemoryNetwork;
+use registries::Registry;
+use serde_json::{json, Value};
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+use violetyoke_api::Settings;
+use violetyoke_transport::environment::install;
+use violetyoke_transport::lifecycle::{Lifecycle, LifecycleSender};
+
+pub(crate) const FRONT_ADDRESS: &str = "10.1.0.9:8089";
+pub(crate) const READINESS_ADDRESS: &str = "10.1.0.9:8085";
+
+/// Runs a test in virtual time, on a network in memory.
+pub(crate) fn run_in_virtual_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = runtime.expect("a runtime");
+    install(Some(Rc::new(InMemoryNetwork::default())));
+    tokio::task::LocalSet::new().block_on(&runtime, test());
+    install(None);
+}
+
+/// Two routes (`/search/` to the service `finder`, `/book/` to `ledger`) and two tenants: `key-1` without a limit, `key-2` with 20 requests
+/// a second.
+pub(crate) fn configuration(version: u64) -> Value {
+    json!({
+        "version": version,
+        "routes": {
+            "columns": ["name", "host", "path-prefix", "route-kind", "timeout-ms", "target-ms", "attempts", "service"],
+            "rows": [["search", "rooms.example", "/search/", "idempotent", 2000, 800, 2, "finder"],
+                     ["book", "rooms.example", "/book/", "nonidempotent", 2000, 800, 2, "ledger"]]
+        },
+        "services": {"columns": ["name", "cold-s", "cold-rate-s"], "rows": [["finder", 3, 20], ["ledger", 3, 20]]},
+        "tenants": {"columns": ["name", "api-keys", "rate-per-s", "burst"],
+                    "rows": [["kolkheti", ["key-1"], 0, 0], ["svaneti", ["key-2"], 20, 20]]}
+    })
+}
+
+/// The same with one more route.
+pub(crate) fn configuration_with_route(version: u64, prefix: &str) -> Value {
+    let mut configuration = configuration(version);
+    let route = json!([prefix, "rooms.example", prefix, "idempotent", 2000, 800, 2, "finder"]);
+    configuration["routes"]["rows"].as_array_mut().expect("routes").push(route);
+    configuration
+}
+
+/// A running proxy; it would shut down if this were dropped.
+#[must_use]
+pub(crate) struct RunningProxy {
+    _lifecycle: LifecycleSender,
+}
+
+/// Starts a proxy with these registries as its seeds.
+pub(crate) fn start_proxy(seeds: &[&Registry]) -> RunningProxy {
+    let seeds: Vec<String> = seeds.iter().map(|seed| format!("{}:8083", seed.ip)).collect();
+    let text = json!({
+        "self": {"node": "edge-1", "ip": "10.1.0.9", "zone": "a", "region": "west", "data-dir": null},
+        "network": {"listen": {"front": FRONT_ADDRESS, "ready": READINESS_ADDRESS}, "internal-ports": [7460, 7475],
+                    "seeds": seeds, "zones": {"a": "west"}},
+        "platform": {},
+        "terms": {"bounds": {"retry-ratio": 0.2, "retry-window-s": 10, "retry-slack": 58, "quota-overshoot": 0.1}}
+    });
+    let settings = Settings::parse(&text.to_string()).expect("settings");
+    let (lifecycle, sender) = Lifecycle::new(7);
+    let log = slog::Logger::root(slog::Discard, slog::o!());
+    tokio::task::spawn_local(async move { violetyoke_proxy::daemon::run(settings, lifecycle, log).await });
+    RunningProxy { _lifecycle: sender }
+}
+
+/// Starts a proxy with one registry and these backends, and waits until it is ready.
+pub(crate) async fn start_ready_proxy(backends: &[&Backend]) -> (RunningProxy, Registry) {
+    let registry = Registry::start(1);
+    registry.set_state(1, &configuration(1), backends);
+    registry.set_membership(1, &[&registry], true);
+    let proxy = start_proxy(&[&registry]);
+    assert!(client::is_ready_within(Duration::from_secs(5)).await);
+    (proxy, registry)
+}
+
+/// Waits in virtual time until a condition is met. Returns whether it was, within that time.
+pub(crate) async fn wait_until(within: Duration, is_met: impl Fn() -> bool) -> bool {
+    let met = timeout(within, async {
+        while !is_met() {
+            sleep(Duration::from_millis(1)).await;
+        }
+    });
+    met.await.is_ok()
+}
--- /dev/null
+++ b/crates/proxy/tests/proxy/support/network.rs
@@ -0,0 +1,43 @@
+//! A network in memory: connections are up at once, and nothing is lost.
+
+use futures_util::future::LocalBoxFuture;
+use futures_util::FutureExt;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use tokio::io::{duplex, DuplexStream};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
+use violetyoke_transport::environment::{Disk, Environment, Incoming};
+
+/// Bytes that a connection holds in each direction.
+const BUFFER_BYTES: usize = 64 << 10;
+
+/// Listeners by their address; connections to any other address are refused.
+#[derive(Default)]
+pub(crate) struct InMemoryNetwork {
+    listeners: RefCell<HashMap<SocketAddr, UnboundedSender<(DuplexStream, SocketAddr)>>>,
+}
+
+impl Environment for InMemoryNetwork {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
+        let (ours, theirs) = duplex(BUFFER_BYTES);
+        let from = SocketAddr::from(([10, 1, 0, 9], 10_000));
+        let accepted =
+            self.listeners.borrow().get(&to).is_some_and(|listener| listener.send((theirs, from)).is_ok());
+        let result = if accepted { Ok(ours) } else { Err(io::ErrorKind::ConnectionRefused.into()) };
+        async move { result }.boxed_local()
+    }
+
+    fn listen(&self, at: SocketAddr) -> io::Result<Incoming> {
+        let (sender, incoming) = unbounded_channel();
+        self.listeners.borrow_mut().insert(at, sender);
+        Ok(incoming)
+    }
+
+    fn disk(&self, _folder: &Path) -> Rc<dyn Disk> {
+        unreachable!("a proxy has no disk")
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/proxy/support/registries.rs
@@ -0,0 +1,228 @@
+//! Registries that send what a test has set.
+
+use super::backends::Backend;
+use serde_json::Value;
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use violetyoke_api::Configuration;
+use violetyoke_transport::codec::{decode, encode};
+use violetyoke_transport::compression::Compressed;
+use violetyoke_transport::connection::{self, ConnectionId, Event, Sender};
+use violetyoke_transport::messages::{
+    proxy_id, BackendList, ListDigest, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision,
+    ShardOwners,
+};
+use violetyoke_transport::net::listen;
+
+const PORT: u16 = 7461;
+
+/// What a registry does with an increment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum QuotaBehavior {
+    /// Admits every request.
+    Admit,
+    /// Never replies.
+    Hang,
+    /// Replies that it is not the owner.
+    RejectAsNotOwner,
+}
+
+/// What a registry knows, and how it behaves.
+struct Script {
+    state: Option<(Revision, Configuration)>,
+    backends: BackendList,
+    membership: Membership,
+    quota: QuotaBehavior,
+    replies_to_freshness_checks: bool,
+    received: Vec<ProxyRequest>,
+    connections: BTreeMap<ConnectionId, Sender>,
+}
+
+/// A registry at an address of its own.
+#[derive(Clone)]
+pub(crate) struct Registry {
+    pub(crate) ip: Ipv4Addr,
+    script: Rc<RefCell<Script>>,
+}
+
+impl Registry {
+    /// Starts a registry that knows nothing yet; `number` distinguishes its address.
+    pub(crate) fn start(number: u8) -> Registry {
+        let script = Script {
+            state: None,
+            backends: BackendList::default(),
+            membership: Membership::default(),
+            quota: QuotaBehavior::Admit,
+            replies_to_freshness_checks: true,
+            received: Vec::new(),
+            connections: BTreeMap::new(),
+        };
+        let ip = Ipv4Addr::new(10, 9, 0, number);
+        let registry = Registry { ip, script: Rc::new(RefCell::new(script)) };
+        registry.listen();
+        registry
+    }
+
+    fn listen(&self) {
+        let listener = listen((self.ip, PORT).into()).expect("a listener");
+        let registry = self.clone();
+        tokio::task::spawn_local(connection::accept_all(listener, move |connection| {
+            let registry = registry.clone();
+            move |event| registry.on_event(connection, event)
+        }));
+    }
+
+    /// Sets the configuration, at revision 1.`sequence`, and the list of backends.
+    pub(crate) fn set_state(&self, sequence: u64, configuration: &Value, backends: &[&Backend]) {
+        let configuration = Configuration::parse(configuration.to_string().as_bytes()).expect("valid");
+        let script = &mut *self.script.borrow_mut();
+        script.state = Some((Revision { epoch: 1, sequence }, configuration));
+        let backends = backends.iter().map(|backend| backend.list_entry()).collect();
+        script.backends = BackendList { digest: ListDigest(77), age_ms: 10, backends };
+    }
+
+    /// Forgets its configuration, as after a start with an empty disk.
+    pub(crate) fn clear_state(&self) {
+        self.script.borrow_mut().state = None;
+    }
+
+    /// The revision of its configuration.
+    pub(crate) fn revision(&self) -> Revision {
+        self.script.borrow().state.as_ref().map(|(revision, _)| *revision).unwrap_or_default()
+    }
+
+    /// Sets what it reports: that many proxies, these registries (all of them owners of quota shards), and whether it is in
+    /// contact with a majority of the registries.
+    pub(crate) fn set_membership(&self, proxies: u32, registries: &[&Registry], in_contact: bool) {
+        self.set_membership_with_fence(1, proxies, registries, in_contact);
+    }
+
+    /// The same, with a fencing token of that epoch.
+    pub(crate) fn set_membership_with_fence(
+        &self,
+        fencing_epoch: u64,
+        proxies: u32,
+        registries: &[&Registry],
+        in_contact: bool,
+    ) {
+        let registries: Vec<Ipv4Addr> = registries.iter().map(|registry| registry.ip).collect();
+        let mut proxies: Vec<u32> = (1..proxies).chain([proxy_id("edge-1")]).collect();
+        proxies.sort_unstable();
+        let fencing_token = Revision { epoch: fencing_epoch, sequence: 0 };
+        let newest = self.revision();
+        let script = &mut *self.script.borrow_mut();
+        script.membership = Membership {
+            digest: script.membership.digest + 1,
+            proxies,
+            shard_owners: ShardOwners { fencing_token, registries: registries.clone() },
+            registries,
+            in_contact,
+            newest,
+        };
+    }
+
+    /// Sets what it does with increments.
+    pub(crate) fn set_quota_behavior(&self, behavior: QuotaBehavior) {
+        self.script.borrow_mut().quota = behavior;
+    }
+
+    /// Sets whether it replies to freshness checks.
+    pub(crate) fn set_replies_to_freshness_checks(&self, replies: bool) {
+        self.script.borrow_mut().replies_to_freshness_checks = replies;
+    }
+
+    /// Sends a message to all connected proxies.
+    pub(crate) fn send(&self, reply: &ProxyReply) {
+        for sender in self.script.borrow().connections.values() {
+            sender.send(encode(reply));
+        }
+    }
+
+    /// Sends what it reports of the membership to all connected proxies.
+    pub(crate) fn send_membership(&self) {
+        let membership = self.script.borrow().membership.clone();
+        self.send(&ProxyReply::Membership(membership));
+    }
+
+    pub(crate) fn is_connected(&self) -> bool {
+        !self.script.borrow().connections.is_empty()
+    }
+
+    /// Whether the newest poll named it the primary registry.
+    pub(crate) fn is_primary(&self) -> bool {
+        let script = self.script.borrow();
+        let mut polls = script.received.iter().rev().filter_map(|request| match request {
+            ProxyRequest::Poll { is_primary, .. } => Some(*is_primary),
+            _ => None,
+        });
+        polls.next().unwrap_or(false)
+    }
+
+    fn on_event(&self, connection: ConnectionId, event: Event) {
+        let script = &mut *self.script.borrow_mut();
+        match event {
+            Event::Connected(sender) => drop(script.connections.insert(connection, sender)),
+            Event::Disconnected => drop(script.connections.remove(&connection)),
+            Event::Message(message) => {
+                let Ok(RegistryRequest::Proxy(request)) = decode(&message) else { return };
+                let Some(sender) = script.connections.get(&connection).cloned() else { return };
+                for reply in script.replies(&request) {
+                    sender.send(encode(&reply));
+                }
+                script.received.push(request);
+            }
+        }
+    }
+}
+
+impl Script {
+    fn replies(&self, request: &ProxyRequest) -> Vec<ProxyReply> {
+        match request {
+            ProxyRequest::Poll { revision, backend_list, membership, .. } => {
+                self.updates_since(*revision, *backend_list, *membership)
+            }
+            ProxyRequest::CheckFreshness { request_id, known } if self.replies_to_freshness_checks => {
+                let newest = self.state.as_ref().map(|(revision, _)| *revision).unwrap_or_default();
+                let up_to_date = ProxyReply::Freshness { request_id: *request_id, newest };
+                vec![self.full_state_since(*known).unwrap_or(up_to_date)]
+            }
+            ProxyRequest::Increment { request_id, .. } => match self.quota {
+                QuotaBehavior::Admit => {
+                    vec![ProxyReply::Counted { request_id: *request_id, retry_ms: None }]
+                }
+                QuotaBehavior::RejectAsNotOwner => {
+                    vec![ProxyReply::NotOwner { request_id: *request_id }]
+                }
+                QuotaBehavior::Hang => Vec::new(),
+            },
+            ProxyRequest::Hello(_)
+            | ProxyRequest::CheckFreshness { .. }
+            | ProxyRequest::TransferCount { .. } => Vec::new(),
+        }
+    }
+
+    /// All that is newer, whether it was polled as the primary or not.
+    fn updates_since(
+        &self,
+        revision: Revision,
+        backend_list: ListDigest,
+        membership: u64,
+    ) -> Vec<ProxyReply> {
+        let mut updates: Vec<ProxyReply> = self.full_state_since(revision).into_iter().collect();
+        if backend_list != self.backends.digest {
+            updates.push(ProxyReply::BackendList(self.backends.clone()));
+        }
+        if membership != self.membership.digest {
+            updates.push(ProxyReply::Membership(self.membership.clone()));
+        }
+        updates
+    }
+
+    fn full_state_since(&self, known: Revision) -> Option<ProxyReply> {
+        let (revision, configuration) = self.state.as_ref().filter(|(revision, _)| *revision > known)?;
+        let configuration = Compressed::encode(configuration).expect("encoded");
+        Some(ProxyReply::FullState { revision: *revision, evacuated: BTreeSet::new(), configuration })
+    }
+}
