--- a/crates/proxy/src/control_client/membership.rs
+++ b/crates/proxy/src/control_client/membership.rs
@@ -7,7 +7,7 @@
 impl ControlClient {
     /// Takes a registry's report.
     pub(super) fn on_membership(&mut self, registry: Ipv4Addr, membership: Membership) {
-        self.proxy.registries.set_membership(registry, membership);
+        self.proxy.registries.set_report(registry, membership);
         self.apply_membership();
         self.poll_if_primary_changed();
     }
--- a/crates/proxy/src/control_client/mod.rs
+++ b/crates/proxy/src/control_client/mod.rs
@@ -18,8 +18,6 @@
 use slog::{info, warn};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
-use tokio::sync::mpsc::UnboundedSender;
-use tokio::task::JoinSet;
 use violetyoke_api::Settings;
 use violetyoke_balancing::Millis;
 use violetyoke_quota::Admission;
@@ -42,22 +40,12 @@
     incarnation: u64,
     /// The registry that is asked to send updates first.
     primary_registry: Option<Ipv4Addr>,
-    /// Where the connections' events go; unbounded, as the transport bounds what a connection holds.
-    events: UnboundedSender<RegistryEvent>,
-    /// The tasks that maintain the connections, one for each known registry; they end with the client.
-    connections: JoinSet<()>,
 }
 
 impl ControlClient {
     /// A client without connections; [`ControlClient::connect_to_known_registries`] opens them.
-    pub(crate) fn new(
-        proxy: Rc<Proxy>,
-        settings: Settings,
-        incarnation: u64,
-        events: UnboundedSender<RegistryEvent>,
-    ) -> ControlClient {
-        let (primary_registry, connections) = (None, JoinSet::new());
-        ControlClient { proxy, settings, incarnation, primary_registry, events, connections }
+    pub(crate) fn new(proxy: Rc<Proxy>, settings: Settings, incarnation: u64) -> ControlClient {
+        ControlClient { proxy, settings, incarnation, primary_registry: None }
     }
 
     /// Takes new settings: of these, the seeds alone can change while the process runs.
@@ -77,12 +65,12 @@
     fn on_connected(&mut self, registry: Ipv4Addr, sender: Sender) {
         info!(self.proxy.log, "connected to registry"; "registry" => %registry);
         sender.send(self.session_message());
-        self.proxy.registries.connected(registry, sender);
+        self.proxy.registries.on_connected(registry, sender);
         self.poll();
     }
 
     fn on_disconnected(&mut self, registry: Ipv4Addr) {
-        self.proxy.registries.disconnected(registry);
+        self.proxy.registries.on_disconnected(registry);
         self.proxy.quota.on_disconnected(registry);
         self.apply_membership();
         self.poll();
--- a/crates/proxy/src/control_client/session.rs
+++ b/crates/proxy/src/control_client/session.rs
@@ -1,33 +1,18 @@
 //! Sessions with the registries: which ones, and what this proxy announces of itself.
 
-use super::{ControlClient, RegistryEvent};
+use super::ControlClient;
 use bytes::Bytes;
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
-use violetyoke_api::settings::Process;
+use std::net::{SocketAddr, SocketAddrV4};
 use violetyoke_transport::codec::encode;
-use violetyoke_transport::connection;
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Session};
 
 impl ControlClient {
     /// Opens a connection to each registry that the settings or another registry name and that has none yet. Connections
     /// are never given up: a registry that is out of reach may return.
-    pub(crate) fn connect_to_known_registries(&mut self) {
+    pub(crate) fn connect_to_known_registries(&self) {
         let mut known = self.proxy.registries.reported_registries();
         known.extend(self.settings.seeds());
-        for registry in known {
-            if self.proxy.registries.add(registry) {
-                self.maintain_connection(registry);
-            }
-        }
-    }
-
-    fn maintain_connection(&mut self, registry: Ipv4Addr) {
-        let address = SocketAddrV4::new(registry, self.settings.internal_port(Process::Registry));
-        let events = self.events.clone();
-        self.connections.spawn_local(connection::maintain(address, move |event| {
-            // Lost only while the process ends: then nobody handles events any more.
-            drop(events.send(RegistryEvent { registry, event }));
-        }));
+        self.proxy.registries.connect_to(known);
     }
 
     /// Tells all registries whether clients should be sent here.
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -2,20 +2,21 @@
 
 use crate::control_client::{ControlClient, RegistryEvent};
 use crate::readiness_gate::ReadinessGate;
+use crate::registries::RegistryConnections;
 use crate::state::Proxy;
 use crate::{front, readiness};
-use error_stack::{Report, ResultExt};
+use error_stack::Report;
 use slog::{info, Logger};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{interval, sleep, Instant, Interval, MissedTickBehavior};
+use violetyoke_api::settings::Process;
 use violetyoke_api::Settings;
-use violetyoke_transport::daemon::StartError;
+use violetyoke_transport::daemon::{bind, StartError};
 use violetyoke_transport::lifecycle::Lifecycle;
-use violetyoke_transport::net::{self, Listener};
+use violetyoke_transport::net::Listener;
 
 /// How often new registries are connected to, and readiness is checked.
 const TICK: Duration = Duration::from_millis(50);
@@ -31,12 +32,13 @@
 const MIN_GRACE_S: f64 = 0.5;
 const MAX_GRACE_S: f64 = 60.0;
 
-const FAILED: StartError = StartError("proxy");
+/// The name of the program, in its log and its errors.
+const PROGRAM: &str = "proxy";
 
 /// Runs the program, with the arguments after its name.
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about = "The proxy: carries clients' requests to backends; one process on each edge machine.";
-    violetyoke_transport::daemon::run("proxy", about, arguments, run)
+    violetyoke_transport::daemon::run(PROGRAM, about, arguments, run)
 }
 
 /// Runs a proxy until it has drained.
@@ -51,10 +53,16 @@
 ) -> Result<(), Report<StartError>> {
     let grace_s = settings.terms.bounds.grace_s.clamp(MIN_GRACE_S, MAX_GRACE_S);
     let listeners = Listeners::open(&settings)?;
-    let proxy = Rc::new(Proxy::new(&settings, log));
-    let servers = Servers::start(listeners, &proxy);
+    // Unbounded: the transport bounds the messages, and events are handled without waiting for anything.
     let (sender, mut events) = unbounded_channel();
-    let mut control = ControlClient::new(proxy.clone(), settings, lifecycle.incarnation, sender);
+    let port = settings.internal_port(Process::Registry);
+    let registries = RegistryConnections::new(port, move |registry, event| {
+        // Lost only while the process ends: then nobody handles events any more.
+        drop(sender.send(RegistryEvent { registry, event }));
+    });
+    let proxy = Rc::new(Proxy::new(&settings, registries, log));
+    let servers = Servers::start(listeners, &proxy);
+    let mut control = ControlClient::new(proxy.clone(), settings, lifecycle.incarnation);
     info!(proxy.log, "started");
     serve_until_shutdown(&proxy, &mut control, &mut events, &mut lifecycle).await;
     let grace = Duration::from_secs_f64(grace_s);
@@ -72,17 +80,12 @@
     fn open(settings: &Settings) -> Result<Listeners, Report<StartError>> {
         let listen = &settings.network.listen;
         Ok(Listeners {
-            front: open_listener(listen.front, "network.listen.front")?,
-            readiness: open_listener(listen.ready, "network.listen.ready")?,
+            front: bind(PROGRAM, listen.front, "network.listen.front")?,
+            readiness: bind(PROGRAM, listen.ready, "network.listen.ready")?,
         })
     }
 }
 
-fn open_listener(address: Option<SocketAddr>, field: &str) -> Result<Listener, Report<StartError>> {
-    let address = address.ok_or_else(|| Report::new(FAILED).attach(format!("{field} is missing")))?;
-    net::listen(address).change_context(FAILED).attach_with(|| format!("{field}: {address}"))
-}
-
 /// The tasks that accept connections; they end when this is dropped.
 struct Servers {
     front: AbortHandle,
--- a/crates/proxy/src/quota_client/mod.rs
+++ b/crates/proxy/src/quota_client/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::registries::{ConnectionId, RegistryConnections};
+use crate::registries::{RegistryConnectionId, RegistryConnections};
 pub(crate) use pending::OwnerReply;
 use pending::PendingIncrements;
 use round_trip::RoundTripEstimate;
@@ -41,7 +41,7 @@
     fencing_token: Revision,
     pending: PendingIncrements,
     /// On which connection the usage of a tenant was last transferred to its owner.
-    transferred_on: HashMap<String, ConnectionId>,
+    transferred_on: HashMap<String, RegistryConnectionId>,
     round_trips: HashMap<Ipv4Addr, RoundTripEstimate>,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Passes on a reply that came on connection `from`.
-    pub(crate) fn on_reply(&self, from: ConnectionId, request_id: u32, reply: OwnerReply) {
+    pub(crate) fn on_reply(&self, from: RegistryConnectionId, request_id: u32, reply: OwnerReply) {
         self.state.borrow_mut().pending.complete(from, request_id, reply);
     }
 
@@ -149,7 +149,7 @@
         tenant: &str,
         limit: Limit,
         now: Millis,
-        connection: ConnectionId,
+        connection: RegistryConnectionId,
         owner: &Sender,
     ) {
         if self.transferred_on.get(tenant) == Some(&connection) {
--- a/crates/proxy/src/quota_client/pending.rs
+++ b/crates/proxy/src/quota_client/pending.rs
@@ -1,6 +1,6 @@
 //! Increments whose reply is outstanding.
 
-use crate::registries::ConnectionId;
+use crate::registries::RegistryConnectionId;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use tokio::sync::oneshot;
@@ -24,13 +24,13 @@
 
 #[derive(Debug)]
 struct PendingIncrement {
-    sent_on: ConnectionId,
+    sent_on: RegistryConnectionId,
     reply: oneshot::Sender<OwnerReply>,
 }
 
 impl PendingIncrements {
     /// Adds an increment that is sent on a connection. Returns its request id, and where its reply arrives.
-    pub(super) fn register(&mut self, sent_on: ConnectionId) -> (u32, oneshot::Receiver<OwnerReply>) {
+    pub(super) fn register(&mut self, sent_on: RegistryConnectionId) -> (u32, oneshot::Receiver<OwnerReply>) {
         self.last_request_id = self.last_request_id.wrapping_add(1);
         let (reply, receiver) = oneshot::channel();
         self.by_request_id.insert(self.last_request_id, PendingIncrement { sent_on, reply });
@@ -38,7 +38,7 @@
     }
 
     /// Passes on a reply. One that came on another connection than the increment was sent on belongs to none of ours.
-    pub(super) fn complete(&mut self, from: ConnectionId, request_id: u32, reply: OwnerReply) {
+    pub(super) fn complete(&mut self, from: RegistryConnectionId, request_id: u32, reply: OwnerReply) {
         if self.by_request_id.get(&request_id).is_none_or(|pending| pending.sent_on != from) {
             return;
         }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -36,10 +36,10 @@
 }
 
 impl Proxy {
-    pub(crate) fn new(settings: &Settings, log: Logger) -> Proxy {
+    pub(crate) fn new(settings: &Settings, registries: RegistryConnections, log: Logger) -> Proxy {
         let clock = Clock::start();
         let metrics = Rc::new(Metrics::default());
-        let registries = Rc::new(RegistryConnections::default());
+        let registries = Rc::new(registries);
         let configuration = Rc::new(ConfigurationStore::default());
         Proxy {
             log,
