--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -1,6 +1,6 @@
 //! The command line: a verb, what it is about, and options.
 
-use crate::commands::CommandError;
+use crate::error::CommandError;
 use lexopt::prelude::*;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,93 +1,17 @@
 //! What each verb does, and what it prints.
 
 use crate::capacity::{summarize, to_table};
-use crate::client::{call, CallRequest, NoConclusiveResponse, Response};
+use crate::client::{call, CallRequest, Response};
 use crate::command_line::{Command, CommandLine};
+use crate::error::CommandError;
 use crate::plan::Plan;
 use crate::store::StoreInspection;
 use bytes::Bytes;
-use error_stack::Report;
 use std::io::{self, Write};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::time::Duration;
 use violetyoke_api::calls::Call;
-use violetyoke_api::{Configuration, ValidationError};
-
-/// Why a verb was not carried out.
-#[derive(Debug, thiserror::Error)]
-pub enum CommandError {
-    /// The system has answered that it does not accept this.
-    #[error("{status}: {body}")]
-    Rejected {
-        /// The status of the answer.
-        status: u16,
-        /// The text of the answer.
-        body: String,
-    },
-    /// A configuration is invalid.
-    #[error(transparent)]
-    Invalid(#[from] ValidationError),
-    /// The version is not above the one in force.
-    #[error("it would have no effect")]
-    NoEffect,
-    /// A store's folder has no state with a correct digest.
-    #[error("{}: no state that can be trusted", .0.display())]
-    NoTrustedState(PathBuf),
-    /// A file or folder can't be read.
-    #[error("{}: {source}", path.display())]
-    Unreadable {
-        /// Which one.
-        path: PathBuf,
-        /// What the operating system says.
-        source: io::Error,
-    },
-    /// The command line has no verb.
-    #[error("a verb is missing")]
-    MissingVerb,
-    /// The command line has another first word than a verb.
-    #[error("{0}: no such verb")]
-    UnknownVerb(String),
-    /// The verb needs a second word.
-    #[error("a file or a zone is missing")]
-    MissingOperand,
-    /// The verb needs a registry's address.
-    #[error("no --control was given")]
-    MissingControlAddress,
-    /// The verb needs an edge's address.
-    #[error("no --edge was given")]
-    MissingEdgeAddress,
-    /// The output can't be written.
-    #[error(transparent)]
-    Output(io::Error),
-    /// The output can't be encoded.
-    #[error(transparent)]
-    Encode(#[from] serde_json::Error),
-    /// No registry answered conclusively: a change may be in force or may not.
-    #[error("{0:?}")]
-    Inconclusive(Report<NoConclusiveResponse>),
-    /// No edge has reported.
-    #[error("no edge gave an answer")]
-    NoEdgeReport,
-}
-
-impl CommandError {
-    /// The exit status of the program.
-    #[must_use]
-    pub fn exit_status(&self) -> u8 {
-        match self {
-            Self::Rejected { .. } | Self::Invalid(_) | Self::NoEffect | Self::NoTrustedState(_) => 1,
-            Self::Unreadable { .. }
-            | Self::MissingVerb
-            | Self::UnknownVerb(_)
-            | Self::MissingOperand
-            | Self::MissingControlAddress
-            | Self::MissingEdgeAddress
-            | Self::Output(_)
-            | Self::Encode(_) => 2,
-            Self::Inconclusive(_) | Self::NoEdgeReport => 3,
-        }
-    }
-}
+use violetyoke_api::Configuration;
 
 /// Carries out what the command line asks for, and prints to `out`.
 ///
--- a/crates/ctl/tests/store.rs
+++ b/crates/ctl/tests/store.rs
@@ -4,8 +4,9 @@
 
 use std::path::PathBuf;
 use violetyoke_ctl::command_line::CommandLine;
-use violetyoke_ctl::commands::{run, CommandError};
+use violetyoke_ctl::commands::run;
 use violetyoke_ctl::store::StoreInspection;
+use violetyoke_ctl::CommandError;
 use violetyoke_store::consensus::DurableState;
 use violetyoke_store::disk::SlotStorage;
 use violetyoke_transport::messages::{AcceptedVersions, ControlState, ReplicaConfig, Revision, StoreNode};
