--- a/crates/duties/src/supervisor.rs
+++ b/crates/duties/src/supervisor.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use tokio::task::JoinHandle;
+use tokio::task::{JoinError, JoinHandle, JoinSet};
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 use violetyoke_ownership::{CallId, Claim, LeaseEvent, LeaseHolder, RenewResponse, ShardId};
 
@@ -43,9 +43,13 @@
     task: JoinHandle<()>,
 }
 
-type CallResult = (CallId, Result<RenewResponse, LeaseClientError>);
+/// A call to the lease manager that has ended.
+struct CompletedCall {
+    id: CallId,
+    result: Result<RenewResponse, LeaseClientError>,
+}
 
-/// Supervises all workers until they are shut down. Worker tasks and calls end with it.
+/// The state of [`run`], which owns all tasks: calls in flight end with it, workers by `finish_shutdown`.
 struct Supervisor {
     client: Arc<dyn LeaseClient>,
     workers: RoleWorkers,
@@ -53,8 +57,8 @@
     running: BTreeMap<ShardId, RunningWorker>,
     /// Workers that have returned. At most one message for each running worker is queued.
     finished: mpsc::UnboundedSender<Claim>,
-    /// Results of calls. Calls are paced, so that few results are queued.
-    call_results: mpsc::UnboundedSender<CallResult>,
+    /// Calls in flight: few, as they are paced.
+    calls: JoinSet<CompletedCall>,
     random: Pcg64Mcg,
     /// The pause between two calls, before jitter.
     call_pause: Duration,
@@ -71,7 +75,6 @@
     shutdown: impl Future<Output = ()>,
 ) {
     let (finished, mut finished_workers) = mpsc::unbounded_channel();
-    let (call_results, mut completed_calls) = mpsc::unbounded_channel();
     let mut seed = [0; 8];
     if let Err(error) = getrandom::fill(&mut seed) {
         tracing::warn!(%error, "no random numbers: processes may call at the same time");
@@ -86,7 +89,7 @@
         holder,
         running: BTreeMap::new(),
         finished,
-        call_results,
+        calls: JoinSet::new(),
         random,
         call_pause: INITIAL_PAUSE,
         next_call: Instant::now(),
@@ -102,7 +105,7 @@
             () = &mut shutdown, if supervisor.shutdown_deadline.is_none() => supervisor.start_shutdown(),
             _ = expiry_checks.tick() => supervisor.expire_leases(),
             Some(claim) = finished_workers.recv() => supervisor.on_worker_finished(&claim),
-            Some((call, result)) = completed_calls.recv() => supervisor.on_call_completed(call, result),
+            Some(call) = supervisor.calls.join_next() => supervisor.on_call_completed(call),
             () = request_due.notified() => supervisor.next_call = Instant::now(),
             () = sleep_until(supervisor.next_call) => supervisor.call(),
         }
@@ -171,32 +174,35 @@
     fn call(&mut self) {
         // Jitter, so that processes that started together do not call together.
         self.next_call = Instant::now() + self.call_pause.mul_f64(self.random.random_range(0.75..1.0));
-        let (call, request) = self.holder.lock().next_request(boottime());
-        let (client, results) = (self.client.clone(), self.call_results.clone());
-        tokio::spawn(async move {
-            // A result that arrives after the shutdown is of no use.
-            drop(results.send((call, client.renew(request).await)));
-        });
+        let (id, request) = self.holder.lock().next_request(boottime());
+        let client = self.client.clone();
+        self.calls.spawn(async move { CompletedCall { id, result: client.renew(request).await } });
     }
 
-    fn on_call_completed(&mut self, call: CallId, result: Result<RenewResponse, LeaseClientError>) {
-        match result {
-            Ok(response) => {
+    fn on_call_completed(&mut self, call: Result<CompletedCall, JoinError>) {
+        match call {
+            Ok(CompletedCall { id, result: Ok(response) }) => {
                 self.last_error.clear();
                 let pause = Duration::from_millis(response.next_call_ms);
                 self.call_pause = pause.clamp(EXPIRY_CHECK_INTERVAL, MAX_CALL_PAUSE);
                 self.next_call = self.next_call.min(Instant::now() + self.call_pause);
-                let events = self.holder.lock().on_response(call, response, boottime());
+                let events = self.holder.lock().on_response(id, response, boottime());
                 self.handle_events(events);
             }
-            Err(error) => {
-                self.holder.lock().on_call_failed(call);
-                let error = error.to_string();
-                if error != self.last_error {
-                    tracing::warn!(%error, "leases cannot be requested");
-                    self.last_error = error;
-                }
+            Ok(CompletedCall { id, result: Err(error) }) => {
+                self.holder.lock().on_call_failed(id);
+                self.log_once(error.to_string());
             }
+            // A client that panics; the holder abandons the call later.
+            Err(error) => self.log_once(error.to_string()),
+        }
+    }
+
+    /// Logs an error, unless it is the same as that of the call before.
+    fn log_once(&mut self, error: String) {
+        if error != self.last_error {
+            tracing::warn!(%error, "leases cannot be requested");
+            self.last_error = error;
         }
     }
 
--- a/crates/ownership/src/fencing.rs
+++ b/crates/ownership/src/fencing.rs
@@ -4,7 +4,6 @@
 use crate::claim::ShardId;
 use crate::epoch::Epoch;
 use std::collections::BTreeMap;
-use std::fmt;
 
 /// The newest epoch of each shard that a receiver has seen. It must outlive the receiver's restarts for as long as
 /// the effects of the operations do.
@@ -14,20 +13,13 @@
 }
 
 /// An operation is rejected, because a newer owner has been here.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("epoch: an owner with epoch {newest} has been here")]
 pub struct StaleEpoch {
     /// The newest epoch that was seen.
     pub newest: Epoch,
 }
 
-impl fmt::Display for StaleEpoch {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "epoch: an owner with epoch {} has been here", self.newest)
-    }
-}
-
-impl std::error::Error for StaleEpoch {}
-
 impl FencingGuard {
     /// Admits an operation, after which no older epoch of the shard is admitted.
     ///
--- a/crates/ownership/src/messages.rs
+++ b/crates/ownership/src/messages.rs
@@ -50,19 +50,23 @@
 }
 
 /// Why a claimed lease is not the holder's.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum LossReason {
     /// Granted since to another holder, or to the same one anew.
     #[serde(rename = "newer")]
+    #[error("granted anew since")]
     Superseded,
     /// The lease manager has no such grant on record.
+    #[error("no such grant on record")]
     Unknown,
     /// It had expired before the renewal arrived.
     #[serde(rename = "ran_out")]
+    #[error("expired before the renewal arrived")]
     Expired,
     /// The role, or this shard of it, no longer exists.
     #[serde(rename = "gone")]
+    #[error("the role or shard no longer exists")]
     Removed,
 }
 
