--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -6,7 +6,8 @@
 use violetyoke_api::Configuration;
 use violetyoke_transport::messages::Revision;
 
-/// A configuration with the routing table made of it. It is replaced as a whole: a request keeps the one that it started with.
+/// A configuration with the routing table made of it. It is replaced as a whole: a request keeps the one that it
+/// started with.
 #[derive(Debug)]
 pub(crate) struct ActiveConfiguration {
     revision: Revision,
--- a/crates/proxy/src/control_client/mod.rs
+++ b/crates/proxy/src/control_client/mod.rs
@@ -1,5 +1,5 @@
-//! The client of the registries: it keeps a connection to each one, polls them for what is newer than what is known here, and
-//! applies what they send.
+//! The client of the registries: it keeps a connection to each one, polls them for what is newer than what is known
+//! here, and applies what they send.
 //!
 //! - `session` connects, and announces this proxy;
 //! - `polling` asks for updates, one registry as the primary;
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -139,8 +139,8 @@
     }
 }
 
-/// Drains: clients are sent elsewhere, connections close after their current request, and the last requests are answered, for at
-/// most `grace`.
+/// Drains: clients are sent elsewhere, connections close after their current request, and the last requests are
+/// answered, for at most `grace`.
 async fn drain(
     proxy: &Proxy,
     control: &mut ControlClient,
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -1,5 +1,5 @@
-//! Whether the configuration in force is the newest: asked before a request is denied for a route or a credential that is not
-//! known here, as it may have been acknowledged to an operator a moment ago.
+//! Whether the configuration in force is the newest: asked before a request is denied for a route or a credential that
+//! is not known here, as it may have been acknowledged to an operator a moment ago.
 //!
 //! All requests share one query at a time, and none is sent for a while after a conclusive one: clients that invent
 //! credentials cause no load on the registries.
@@ -100,8 +100,8 @@
         self.result(known)
     }
 
-    /// Takes a reply. The last one outstanding finishes the query. A reply to an earlier query proves nothing; nor does one of
-    /// a registry that is behind the configuration in force, or out of contact with the other registries.
+    /// Takes a reply. The last one outstanding finishes the query. A reply to an earlier query proves nothing; nor does
+    /// one of a registry that is behind the configuration in force, or out of contact with the other registries.
     pub(crate) fn on_reply(&self, reply: FreshnessReply) {
         let query = &mut *self.query.borrow_mut();
         if query.request_id != reply.request_id || !query.awaiting.remove(&reply.registry) {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,12 +1,12 @@
 //! The proxy: carries clients' requests to backends. One process runs on each edge machine ([`daemon`]).
 //!
-//! The **data path**: `front` accepts clients' connections, `request` finds the route, the tenant and the limit of a request,
-//! `attempts` decides which backends it is sent to, `backend` makes one attempt on one connection.
+//! The **data path**: `front` accepts clients' connections, `request` finds the route, the tenant and the limit of a
+//! request, `attempts` decides which backends it is sent to, `backend` makes one attempt on one connection.
 //!
 //! The **control path**: `control_client` keeps connections to all registries and applies what they send: configurations
-//! (`configuration`), backend lists (`backends`), membership (`registries`). `quota_client` asks the owner of a tenant's counter
-//! for each request; `freshness` asks whether there is a newer configuration before a request is denied. `readiness` answers
-//! the platform.
+//! (`configuration`), backend lists (`backends`), membership (`registries`). `quota_client` asks the owner of a
+//! tenant's counter for each request; `freshness` asks whether there is a newer configuration before a request is
+//! denied. `readiness` answers the platform.
 //!
 //! Which backend is best, whether a retry is allowed and what a limit admits are decided in `violetyoke-balancing` and
 //! `violetyoke-quota`, without I/O. The proxy keeps nothing on disk: all it knows, registries tell it again after a restart.
--- a/crates/proxy/src/quota_client/mod.rs
+++ b/crates/proxy/src/quota_client/mod.rs
@@ -1,5 +1,5 @@
-//! Tenants' limits, as a proxy enforces them: one increment at the owner for each request, and a local share of the limit while
-//! the owner can't be reached.
+//! Tenants' limits, as a proxy enforces them: one increment at the owner for each request, and a local share of the
+//! limit while the owner can't be reached.
 
 mod pending;
 mod round_trip;
--- a/crates/proxy/src/readiness_gate.rs
+++ b/crates/proxy/src/readiness_gate.rs
@@ -1,5 +1,5 @@
-//! When a process that has just started may serve: once its configuration and its list of backends are as new as any registry
-//! has them, as far as that can be found out in time.
+//! When a process that has just started may serve: once its configuration and its list of backends are as new as any
+//! registry has them, as far as that can be found out in time.
 
 use crate::state::Proxy;
 use std::time::Duration;
--- a/crates/proxy/tests/proxy/support/mod.rs
+++ b/crates/proxy/tests/proxy/support/mod.rs
@@ -29,8 +29,8 @@
     install(None);
 }
 
-/// Two routes (`/search/` to the service `finder`, `/book/` to `ledger`) and two tenants: `key-1` without a limit, `key-2` with 20 requests
-/// a second.
+/// Two routes (`/search/` to the service `finder`, `/book/` to `ledger`) and two tenants: `key-1` without a limit,
+/// `key-2` with 20 requests a second.
 pub(crate) fn configuration(version: u64) -> Value {
     json!({
         "version": version,
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -10,8 +10,8 @@
 /// A registry may own any number of shards.
 const UNLIMITED: u32 = 0;
 
-/// The assignment of tenants to registries, by rendezvous hashing of the registries' addresses: when a registry leaves, only
-/// its own tenants move.
+/// The assignment of tenants to registries, by rendezvous hashing of the registries' addresses: when a registry leaves,
+/// only its own tenants move.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardAssignment {
     /// The owner of each shard; empty where no registry is known.
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! - The owner changes, and its counters are lost. Each proxy remembers what it has admitted ([`LocalUsage`]) and transfers
 //!   that to the new owner, which rebuilds the counter from it.
-//! - A proxy can't reach the owner. It then admits a bounded share of the limit on its own ([`LocalUsage`]); owners set aside
-//!   what such proxies may admit ([`PartitionedProxies`]).
+//! - A proxy can't reach the owner. It then admits a bounded share of the limit on its own ([`LocalUsage`]); owners set
+//!   aside what such proxies may admit ([`PartitionedProxies`]).
 //!
 //! Sending increments, timing them out and learning the assignment belong to the proxy and the registry.
 //!
@@ -18,7 +18,8 @@
 //! let mut window = SlidingWindow::default();
 //! let admitted = (0..20).filter(|_| window.try_increment(1_000, limit).is_admitted()).count();
 //! assert_eq!(admitted, 5);
-//! // Windows are 500 ms long. At the start of the next one the previous one still counts in full; a window later it is gone.
+//! // Windows are 500 ms long. At the start of the next one the previous one still counts in full; a window later it
+//! // is gone.
 //! assert!(matches!(window.try_increment(1_501, limit), Admission::Denied { .. }));
 //! assert_eq!(window.try_increment(2_001, limit), Admission::Admitted);
 //! ```
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -33,8 +33,8 @@
         Some(Limit { window_ms: window_ms as Millis, max_requests })
     }
 
-    /// The part `share` (0 to 1) of this limit, in windows of at least `min_window_ms`. At least one request is allowed in a
-    /// window: the window has to be long enough for whole requests.
+    /// The part `share` (0 to 1) of this limit, in windows of at least `min_window_ms`. At least one request is allowed
+    /// in a window: the window has to be long enough for whole requests.
     #[must_use]
     pub fn scaled(self, share: f64, min_window_ms: Millis) -> Limit {
         let requests_per_ms = self.max_requests / self.window_ms as f64;
--- a/crates/quota/src/local.rs
+++ b/crates/quota/src/local.rs
@@ -19,7 +19,8 @@
 struct TenantUsage {
     /// All admitted requests, in the windows of the tenant's limit: what a new owner is told.
     admitted: SlidingWindow,
-    /// All admitted requests, in windows of [`LOCAL_WINDOW_MS`]: requests that the owner admitted use up the local share too.
+    /// All admitted requests, in windows of [`LOCAL_WINDOW_MS`]: requests that the owner admitted use up the local
+    /// share too.
     local: SlidingWindow,
 }
 
@@ -31,7 +32,8 @@
         usage.local.record(now, limit.scaled(1.0, LOCAL_WINDOW_MS), WindowCounts::ONE_REQUEST);
     }
 
-    /// Decides on a request while the owner can't be asked, as one of `proxy_count` proxies, and records it if it is admitted.
+    /// Decides on a request while the owner can't be asked, as one of `proxy_count` proxies, and records it if it is
+    /// admitted.
     pub fn try_admit_locally(
         &mut self,
         now: Millis,
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -21,8 +21,8 @@
     newest_token: F,
 }
 
-/// Two counts of the same requests. The larger one decides: an owner that kept its tenant over a change of the assignment has
-/// counted more than the few proxies that transfer their usage report, and a new owner has counted less.
+/// Two counts of the same requests. The larger one decides: an owner that kept its tenant over a change of the
+/// assignment has counted more than the few proxies that transfer their usage report, and a new owner has counted less.
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantCounter<F> {
     /// Requests that were admitted here.
--- a/crates/quota/src/partitioned.rs
+++ b/crates/quota/src/partitioned.rs
@@ -1,5 +1,5 @@
-//! Which proxies may be admitting requests without asking the owner: those whose session has ended may be partitioned from the
-//! registries and still serve clients.
+//! Which proxies may be admitting requests without asking the owner: those whose session has ended may be partitioned
+//! from the registries and still serve clients.
 
 use crate::local::LOCAL_WINDOW_MS;
 use crate::Millis;
--- a/crates/quota/tests/owner_counters.rs
+++ b/crates/quota/tests/owner_counters.rs
@@ -71,14 +71,15 @@
 }
 
 #[test]
-fn usage_transferred_by_one_proxy_does_not_reduce_the_counter_of_a_lasting_owner() {
+fn usage_transferred_by_one_proxy_does_not_reduce_the_counter_of_an_unchanged_owner() {
     let limit = ten_per_second();
     let mut owner: OwnerCounters<u32> = OwnerCounters::default();
     for _ in 0..9 {
         assert_eq!(owner.increment(2_000, TENANT, 1, limit), Ok(Admission::Admitted));
     }
 
-    // Another registry has joined and this tenant has stayed; one proxy was partitioned and returns under the new assignment.
+    // Another registry has joined and this tenant has stayed; one proxy was partitioned and returns under the new
+    // assignment.
     owner.advance_fence(2);
     owner.import(2_100, TENANT, 2, limit, usage(2.0)).expect("the newest assignment");
 
--- a/crates/quota/tests/partitions.rs
+++ b/crates/quota/tests/partitions.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn proxy_that_stays_away_is_forgotten() {
+fn proxy_that_does_not_return_is_forgotten() {
     let mut proxies = PartitionedProxies::default();
     proxies.update_members(31_000, &all(), &[]);
 
