--- a/crates/proxy/src/control_client/updates.rs
+++ b/crates/proxy/src/control_client/updates.rs
@@ -1,7 +1,7 @@
 //! Configurations and backend lists, as registries send them: in full, or as a change of what is known here.
 
 use super::ControlClient;
-use slog::{error, info};
+use slog::{error, info, warn};
 use std::collections::BTreeSet;
 use std::fmt::Display;
 use violetyoke_api::change::ConfigurationChange;
@@ -40,8 +40,7 @@
                 return self.poll();
             }
         };
-        let base = self.proxy.configuration.snapshot().filter(|active| active.revision() == from);
-        match base.and_then(|base| change.apply(base.configuration()).ok()) {
+        match self.changed_configuration(from, &change) {
             Some(configuration) => self.install(revision, evacuated, configuration),
             None if revision > self.proxy.configuration.revision() => return self.poll_full_state(),
             None => {}
@@ -49,6 +48,13 @@
         self.poll();
     }
 
+    /// The configuration that a change leads to, if it was made from the one in force.
+    fn changed_configuration(&self, from: Revision, change: &ConfigurationChange) -> Option<Configuration> {
+        let base = self.proxy.configuration.snapshot().filter(|active| active.revision() == from)?;
+        let changed = change.apply(base.configuration());
+        changed.inspect_err(|error| warn!(self.proxy.log, "change does not apply"; "error" => %error)).ok()
+    }
+
     /// Puts a newer configuration in force; an older one changes nothing.
     fn install(&self, revision: Revision, evacuated: BTreeSet<String>, configuration: Configuration) {
         let proxy = &self.proxy;
--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -2,8 +2,10 @@
 
 #![cfg(test)]
 
+mod control_updates;
 mod metrics;
 mod partitions;
+mod quota;
 mod response_matching;
 mod retry_safety;
 mod support;
--- a/crates/proxy/tests/proxy/support/registries.rs
+++ b/crates/proxy/tests/proxy/support/registries.rs
@@ -25,6 +25,8 @@
     Admit,
     /// Never replies.
     Hang,
+    /// Denies every request, to be retried after this time (ms).
+    Deny { retry_ms: u32 },
     /// Replies that it is not the owner.
     RejectAsNotOwner,
 }
@@ -83,6 +85,11 @@
         script.backends = BackendList { digest: ListDigest(77), age_ms: 10, backends };
     }
 
+    /// Sets the digest of its list of backends, and leaves the list as it is.
+    pub(crate) fn set_backend_list_digest(&self, digest: ListDigest) {
+        self.script.borrow_mut().backends.digest = digest;
+    }
+
     /// Forgets its configuration, as after a start with an empty disk.
     pub(crate) fn clear_state(&self) {
         self.script.borrow_mut().state = None;
@@ -146,6 +153,11 @@
         self.send(&ProxyReply::Membership(membership));
     }
 
+    /// All messages received so far.
+    pub(crate) fn received(&self) -> Vec<ProxyRequest> {
+        self.script.borrow().received.clone()
+    }
+
     pub(crate) fn is_connected(&self) -> bool {
         !self.script.borrow().connections.is_empty()
     }
@@ -192,6 +204,9 @@
                 QuotaBehavior::Admit => {
                     vec![ProxyReply::Counted { request_id: *request_id, retry_ms: None }]
                 }
+                QuotaBehavior::Deny { retry_ms } => {
+                    vec![ProxyReply::Counted { request_id: *request_id, retry_ms: Some(retry_ms) }]
+                }
                 QuotaBehavior::RejectAsNotOwner => {
                     vec![ProxyReply::NotOwner { request_id: *request_id }]
                 }
