--- a/crates/store/src/daemon/connections.rs
+++ b/crates/store/src/daemon/connections.rs
@@ -4,12 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use violetyoke_transport::codec::encode_deflated;
-use violetyoke_transport::connection::Sender;
+use violetyoke_transport::connection::{ConnectionId, Sender};
 use violetyoke_transport::messages::{Outcome, Revision, StoreReply};
 
-/// Numbers the accepted connections of one run of the process, from 1.
-pub(super) type ConnectionId = u64;
-
 /// A registry that wants to be sent what is new.
 pub(super) struct Watcher {
     pub(super) registry: Ipv4Addr,
--- a/crates/store/src/daemon/event_loop.rs
+++ b/crates/store/src/daemon/event_loop.rs
@@ -1,10 +1,9 @@
 //! The one task that owns the replica: it takes inputs in turn, and carries out the effects.
 
-use super::connections::{AcceptedConnections, ConnectionId};
+use super::connections::AcceptedConnections;
 use super::disk_writer::DiskWriter;
 use super::encoder::Encoder;
 use super::input::{Input, InputSender};
-use super::peer_links::PeerLinks;
 use super::publisher::Publisher;
 use super::storage::Storage;
 use crate::consensus::{Effect, Event, Replica};
@@ -15,9 +14,10 @@
 use tokio::time::{interval, Instant, MissedTickBehavior};
 use violetyoke_api::settings::{Process, Settings};
 use violetyoke_transport::codec::decode;
-use violetyoke_transport::connection;
+use violetyoke_transport::connection::{self, ConnectionId};
 use violetyoke_transport::lifecycle::Lifecycle;
 use violetyoke_transport::messages::{PeerMessage, StoreRequest};
+use violetyoke_transport::peers::PeerConnections;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// On a shutdown, the hand-over may take `grace-s` but for this: the rest is for the process to end.
@@ -34,7 +34,7 @@
     replica: Replica,
     started_at: Instant,
     disk_writer: DiskWriter,
-    peer_links: PeerLinks,
+    peers: PeerConnections,
     connections: AcceptedConnections,
     publisher: Publisher,
     encoder: Encoder,
@@ -58,7 +58,7 @@
         EventLoop {
             started_at: Instant::now(),
             disk_writer: DiskWriter::start(storage, inputs.clone()),
-            peer_links: PeerLinks::new(replica.node().ip, port, inputs),
+            peers: PeerConnections::new(port, move |ip, event| inputs.send(Input::Peer(ip, event))),
             replica,
             connections: AcceptedConnections::default(),
             publisher: Publisher::default(),
@@ -103,7 +103,8 @@
     }
 
     fn on_tick(&mut self) {
-        self.peer_links.connect(self.replica.known_stores());
+        let local_ip = self.replica.node().ip;
+        self.peers.connect_to(self.replica.known_stores().into_iter().filter(|ip| *ip != local_ip));
         let disk_healthy = self.disk_writer.is_healthy();
         self.step(Event::Tick { disk_healthy });
     }
@@ -122,10 +123,10 @@
     fn on_peer_event(&mut self, ip: Ipv4Addr, event: connection::Event) {
         match event {
             connection::Event::Connected(sender) => {
-                self.peer_links.on_connected(ip, sender);
+                self.peers.connected(ip, sender);
                 self.replica.request_heartbeat();
             }
-            connection::Event::Disconnected => self.peer_links.on_disconnected(ip),
+            connection::Event::Disconnected => self.peers.disconnected(ip),
             connection::Event::Message(message) => match decode(&message) {
                 Ok(StoreRequest::Envelope(envelope)) => self.step(Event::Message(envelope)),
                 // Other requests belong on connections that their senders have opened.
@@ -185,7 +186,7 @@
     /// Sends a message to another store, by either side's connection. It is dropped where there is none: the replica
     /// repeats what matters.
     fn send(&mut self, to: Ipv4Addr, message: PeerMessage) {
-        if let Some(sender) = self.peer_links.sender(to).or_else(|| self.connections.sender_to_peer(to)) {
+        if let Some(sender) = self.peers.sender(to).or_else(|| self.connections.sender_to_peer(to)) {
             // The replica bears messages in any order: small ones don't wait behind a state.
             sender.send_urgent(self.encoder.encode_envelope(self.replica.node(), message));
         }
--- a/crates/store/src/daemon/input.rs
+++ b/crates/store/src/daemon/input.rs
@@ -1,10 +1,9 @@
 //! What the event loop takes in, and the way to it.
 
-use super::connections::ConnectionId;
 use crate::consensus::WriteNumber;
 use std::net::Ipv4Addr;
 use tokio::sync::mpsc::UnboundedSender;
-use violetyoke_transport::connection;
+use violetyoke_transport::connection::{self, ConnectionId};
 
 /// One input of the event loop.
 pub(super) enum Input {
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -5,7 +5,6 @@
 mod encoder;
 mod event_loop;
 mod input;
-mod peer_links;
 mod publisher;
 mod storage;
 
@@ -14,23 +13,20 @@
 use event_loop::EventLoop;
 use input::{Input, InputSender};
 use slog::{info, Logger};
-use std::cell::Cell;
-use std::future::Future;
 use storage::Storage;
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::JoinSet;
 use violetyoke_api::settings::{Process, Settings};
 use violetyoke_transport::connection;
-use violetyoke_transport::daemon::StartError;
+use violetyoke_transport::daemon::{bind, StartError};
 use violetyoke_transport::lifecycle::Lifecycle;
-use violetyoke_transport::net::{self, Listener};
 
-const START_ERROR: StartError = StartError("store");
+const PROGRAM: &str = "store";
 
 /// Runs the program until it ends; `arguments` are those after its name.
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about = "The store of configuration: one process on each core machine.";
-    violetyoke_transport::daemon::run("store", about, arguments, run)
+    violetyoke_transport::daemon::run(PROGRAM, about, arguments, run)
 }
 
 /// Runs a store until it is told to shut down and has handed over what it has.
@@ -42,14 +38,19 @@
 /// If the folder of its state can't be opened or its port can't be bound.
 pub async fn run(settings: Settings, lifecycle: Lifecycle, log: Logger) -> Result<(), Report<StartError>> {
     let (storage, durable) = open_storage(&settings)?;
-    let listener = bind(&settings)?;
+    let address = (settings.local.ip, settings.internal_port(Process::Store)).into();
+    let listener = bind(PROGRAM, Some(address), "network.internal-ports")?;
     info!(log, "begins"; "epoch" => durable.config.epoch, "version" => durable.state.version);
     // Unbounded, because connections report by callbacks that can't wait. The loop below does nothing that blocks, and
     // what a connection reads is bounded by the speed of its link.
     let (inputs, queue) = unbounded_channel();
     let inputs = InputSender(inputs);
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(accept_connections(listener, inputs.clone()));
+    let accepted = inputs.clone();
+    tasks.spawn_local(connection::accept_all(listener, move |id| {
+        let inputs = accepted.clone();
+        move |event| inputs.send(Input::Accepted(id, event))
+    }));
     let replica = Replica::new(replica_options(&settings, &lifecycle, durable), 1);
     EventLoop::new(&settings, replica, storage, inputs, log).run(queue, lifecycle).await;
     Ok(())
@@ -59,18 +60,11 @@
 fn open_storage(settings: &Settings) -> Result<(Storage, DurableState), Report<StartError>> {
     let folder = settings.local.data_dir.clone().unwrap_or_else(|| std::env::temp_dir().join("store"));
     let (storage, durable) = Storage::open(&folder)
-        .change_context(START_ERROR)
+        .change_context(StartError(PROGRAM))
         .attach_with(|| format!("self.data-dir: {}", folder.display()))?;
     Ok((storage, durable.unwrap_or_default()))
 }
 
-fn bind(settings: &Settings) -> Result<Listener, Report<StartError>> {
-    let (ip, port) = (settings.local.ip, settings.internal_port(Process::Store));
-    net::listen((ip, port).into())
-        .change_context(START_ERROR)
-        .attach_with(|| format!("network.internal-ports: {ip}:{port}"))
-}
-
 fn replica_options(settings: &Settings, lifecycle: &Lifecycle, durable: DurableState) -> ReplicaOptions {
     ReplicaOptions {
         ip: settings.local.ip,
@@ -82,13 +76,3 @@
         is_bootstrap: settings.local.bootstrap,
     }
 }
-
-/// Numbers the connections that others open, from 1, and passes on what comes on them.
-fn accept_connections(listener: Listener, inputs: InputSender) -> impl Future<Output = ()> {
-    let last_id = Cell::new(0);
-    connection::accept_all(listener, move |_| {
-        last_id.set(last_id.get() + 1);
-        let (id, inputs) = (last_id.get(), inputs.clone());
-        move |event| inputs.send(Input::Accepted(id, event))
-    })
-}
