--- a/crates/store/src/consensus/commands.rs
+++ b/crates/store/src/consensus/commands.rs
@@ -7,7 +7,7 @@
 /// A state that a data replica has not reported as written is sent again after this time.
 const RESEND_AFTER: Millis = 250;
 /// A command waits this long for an epoch to be installed, and a reply for its confirmation: no longer than a registry
-/// waits, so that nothing takes effect long after its operator was told that the outcome is unknown.
+/// waits, so that nothing takes effect long after its operator was answered that the outcome is unknown.
 const COMMAND_TIMEOUT: Millis = 900;
 
 /// A reply that is ready but for its commit or confirmation.
--- a/crates/store/src/consensus/mod.rs
+++ b/crates/store/src/consensus/mod.rs
@@ -7,7 +7,8 @@
 //! Simple", 2001).
 //!
 //! - A configuration (`ReplicaConfig`) names an epoch, the voters, and the data replicas, the leader first. Voters that
-//!   hold no data are witnesses. Stores without a vote are learners.
+//!   hold no data are witnesses, and data replicas other than the leader are its backups. Stores without a vote are
+//!   learners.
 //! - A configuration is installed once a majority of its own voters and of those of each configuration before it that
 //!   may not be installed have accepted it, and all its data replicas have the state on their disks. Data replicas are
 //!   more than half of the voters, so that every majority contains one.
--- a/crates/store/src/consensus/quorum.rs
+++ b/crates/store/src/consensus/quorum.rs
@@ -1,4 +1,4 @@
-//! Majorities, and how stores that would act at the same time are told apart.
+//! Majorities, and the jitter by which stores that would act at the same time are spread.
 
 use violetyoke_transport::messages::{ReplicaConfig, StoreNode};
 
--- a/crates/store/src/consensus/replica/heartbeat.rs
+++ b/crates/store/src/consensus/replica/heartbeat.rs
@@ -1,6 +1,7 @@
 //! Heartbeats: who can be reached, who leads, which configuration is the newest, and what is committed.
 
 use super::Replica;
+use crate::consensus::event::Millis;
 use std::net::Ipv4Addr;
 use violetyoke_transport::messages::{Heartbeat, PeerMessage, ReplicaConfig, StoreNode};
 
@@ -48,8 +49,7 @@
     /// before it; a store that missed it learns it, and thereby whether it is still a voter.
     ///
     /// Invariant: the epoch of the accepted configuration and the promise never decrease. A configuration may be learnt
-    /// under a higher promise: once installed it is no vote any more, and whoever collects promises finds it at a
-    /// majority.
+    /// under a higher promise: once installed it is no vote any more, and a candidate finds it at any majority.
     fn learn_installed_config(&mut self, config: &ReplicaConfig) {
         let accepted = &self.durable.config;
         if config.epoch == accepted.epoch {
@@ -82,8 +82,8 @@
     fn learn_committed(&mut self, heartbeat: &Heartbeat) {
         let has_same_state = heartbeat.config.epoch == self.durable.config.epoch
             && heartbeat.committed == self.durable.state.revision;
-        let is_news = self.committed != heartbeat.committed;
-        if has_same_state && is_news && self.is_data_replica() && self.outbox.is_all_persisted() {
+        let is_newly_committed = self.committed != heartbeat.committed;
+        if has_same_state && is_newly_committed && self.is_data_replica() && self.outbox.is_all_persisted() {
             self.committed = heartbeat.committed;
             self.outbox.notify_watchers_now();
         }
@@ -100,9 +100,8 @@
         self.peers.leader_config(self.durable.config.epoch, self.now)
     }
 
-    /// How long the store at an address has been silent; one that was never heard is silent since the configuration was
-    /// installed.
-    pub(super) fn silence_of(&self, ip: Ipv4Addr) -> u64 {
+    /// The time since the store at an address was last heard, or since the configuration was installed where it never was.
+    pub(super) fn time_since_heard(&self, ip: Ipv4Addr) -> Millis {
         let since = self.peers.at(ip).map_or(self.timers.installed_at(), |peer| peer.last_heard);
         self.now - since
     }
--- a/crates/store/src/consensus/replica/learner.rs
+++ b/crates/store/src/consensus/replica/learner.rs
@@ -1,4 +1,4 @@
-//! Learners: stores without a vote that follow the committed state, and may take the place of a voter.
+//! Learners: stores without a vote that follow the committed state, and may replace a voter.
 
 use super::Replica;
 use crate::consensus::peers::Peer;
--- a/crates/store/src/consensus/replica/reconfiguration.rs
+++ b/crates/store/src/consensus/replica/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Reconfiguration by the leader: which stores vote and which hold data. A learner that has caught up gets the place of a
-//! voter that is silent, leaves, or has lost its disk.
+//! Reconfiguration by the leader: which stores vote and which hold data. A learner that has caught up replaces a voter
+//! that is silent, leaves, or has lost its disk.
 //!
 //! Invariant: a leader changes the voters of its installed configuration only, one change at a time, and the change
 //! needs majorities of the voters before and after it (`Proposal`, joint consensus).
@@ -9,7 +9,7 @@
 use crate::consensus::quorum::{data_replica_count, is_majority};
 use violetyoke_transport::messages::StoreNode;
 
-/// Silence after which a voter's place may go to a learner; more than what makes it suspected.
+/// A voter that was not heard for this long may be replaced; more than what makes it suspected.
 const REPLACE_AFTER: Millis = 1_300;
 /// A configuration is installed for this long before its voters change.
 const CHANGE_INTERVAL: Millis = 300;
@@ -42,16 +42,16 @@
         self.now > self.timers.installed_at() + interval
     }
 
-    /// The voters as they should be: at most one place changes hands, or one or two are added.
+    /// The voters as they should be: at most one is replaced, or one or two are added.
     fn next_voters(&self) -> Vec<StoreNode> {
         let ready: Vec<&StoreNode> =
             self.learners().filter(|peer| self.has_caught_up(peer)).map(|peer| &peer.node).collect();
         let mut voters = self.durable.config.voters.clone();
-        if let Some((place, learner)) = self.place_to_hand_over(&ready) {
-            voters[place] = learner.clone();
+        if let Some((index, learner)) = self.replacement(&ready) {
+            voters[index] = learner.clone();
             return voters;
         }
-        // An even number of voters bears no more losses than the odd one below it.
+        // An even number of voters tolerates no more losses than the odd one below it.
         let most = (2 * self.settings.fault_tolerance as usize + 1).max(self.settings.seeds.len());
         let added = if voters.len().is_multiple_of(2) { 1 } else { 2 };
         if ready.len() >= added && voters.len() + added <= most {
@@ -60,19 +60,19 @@
         voters
     }
 
-    /// The index of a voter whose place a learner should get, and that learner.
-    fn place_to_hand_over<'a>(&self, ready: &[&'a StoreNode]) -> Option<(usize, &'a StoreNode)> {
+    /// The index of a voter that a learner should replace, and that learner.
+    fn replacement<'a>(&self, ready: &[&'a StoreNode]) -> Option<(usize, &'a StoreNode)> {
         let voters = &self.durable.config.voters;
-        // A machine whose disk was lost takes the place of the disk; a disk that is in another machine keeps its own.
-        let own_place = ready.iter().find_map(|learner| {
+        // A new disk replaces the lost one of the same machine; a disk that moved to another machine replaces itself.
+        let same_store = ready.iter().find_map(|learner| {
             let is_same = |voter: &StoreNode| voter.ip == learner.ip || voter.id == learner.id;
-            voters.iter().position(is_same).map(|place| (place, *learner))
+            voters.iter().position(is_same).map(|index| (index, *learner))
         });
         let is_replaceable = |voter: &StoreNode| {
-            let is_silent = || self.silence_of(voter.ip) > REPLACE_AFTER;
+            let is_silent = || self.time_since_heard(voter.ip) > REPLACE_AFTER;
             !self.is_local(voter.id) && (is_silent() || self.is_known_to_leave(voter.id))
         };
-        own_place.or_else(|| Some((voters.iter().position(is_replaceable)?, *ready.first()?)))
+        same_store.or_else(|| Some((voters.iter().position(is_replaceable)?, *ready.first()?)))
     }
 
     /// Has announced that it leaves, and is still there.
--- a/crates/store/src/consensus/replica/shutdown.rs
+++ b/crates/store/src/consensus/replica/shutdown.rs
@@ -12,7 +12,7 @@
     }
 
     /// After [`Event::Shutdown`](crate::consensus::Event::Shutdown): whether others have what this store had, as far as
-    /// they can. Its place as a voter is waited for only while a learner is there to take it.
+    /// they can. That another store gets its vote is waited for only while there is a learner that could.
     #[must_use]
     pub fn is_handover_complete(&self) -> bool {
         if !self.status.is_leaving || !matches!(self.role, Role::Follower) {
@@ -24,8 +24,8 @@
         let Some(config) = self.live_leader_config() else { return false };
         let id = self.settings.node.id;
         let is_newcomer = |peer: &Peer| {
-            let has_place = config.voters.iter().any(|voter| voter.ip == peer.node.ip);
-            !has_place && !peer.heartbeat.is_leaving
+            let is_voter = config.voters.iter().any(|voter| voter.ip == peer.node.ip);
+            !is_voter && !peer.heartbeat.is_leaving
         };
         let has_successor = || self.peers.alive(self.now).any(is_newcomer);
         !(config.data_replicas.contains(&id) || config.has_voter(id) && has_successor())
--- a/crates/store/src/consensus/role.rs
+++ b/crates/store/src/consensus/role.rs
@@ -13,7 +13,7 @@
 /// The role of a store.
 #[derive(Clone, Debug)]
 pub(super) enum Role {
-    /// Follows whoever leads.
+    /// Follows the leader, if there is one.
     Follower,
     /// Candidate in the first phase: collects promises for an epoch.
     Preparing(Preparing),
--- a/crates/store/src/daemon/connections.rs
+++ b/crates/store/src/daemon/connections.rs
@@ -25,7 +25,7 @@
     open_requests: BTreeMap<ClientId, u64>,
 }
 
-/// A watcher with the way to it.
+/// A watcher and the sender of its connection.
 pub(super) struct WatcherLink<'a> {
     pub(super) sender: &'a Sender,
     pub(super) watcher: &'a mut Watcher,
@@ -44,12 +44,12 @@
         self.by_id.insert(id, connection);
     }
 
-    /// A connection has ended: replies to its open requests are dropped, and whoever sent them sends them again.
+    /// A connection has ended: replies to its open requests are dropped, and their senders repeat them.
     pub(super) fn close(&mut self, id: ConnectionId) {
         self.by_id.remove(&id);
     }
 
-    /// A message of another store came on a connection, which is the way back to it from now on.
+    /// A message of another store came on a connection, by which it can be reached from now on.
     pub(super) fn set_peer(&mut self, id: ConnectionId, peer: Ipv4Addr) {
         if self.by_id.get(&id).is_none_or(|connection| connection.peer == Some(peer)) {
             return;
--- a/crates/store/src/daemon/event_loop.rs
+++ b/crates/store/src/daemon/event_loop.rs
@@ -41,7 +41,7 @@
     log: Logger,
     logged: Standing,
     handover_timeout: Duration,
-    /// When the process was told to end.
+    /// When the process got its shutdown request.
     shutdown_at: Option<Instant>,
 }
 
@@ -187,7 +187,7 @@
     /// repeats what matters.
     fn send(&mut self, to: Ipv4Addr, message: PeerMessage) {
         if let Some(sender) = self.peers.sender(to).or_else(|| self.connections.sender_to_peer(to)) {
-            // The replica bears messages in any order: small ones don't wait behind a state.
+            // The replica takes messages in any order: small ones don't wait behind a state.
             sender.send_urgent(self.encoder.encode_envelope(self.replica.node(), message));
         }
     }
--- a/crates/store/src/daemon/input.rs
+++ b/crates/store/src/daemon/input.rs
@@ -1,4 +1,4 @@
-//! What the event loop takes in, and the way to it.
+//! The inputs of the event loop, and the sender that passes them on.
 
 use crate::consensus::WriteNumber;
 use std::net::Ipv4Addr;
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -29,7 +29,7 @@
     violetyoke_transport::daemon::run(PROGRAM, about, arguments, run)
 }
 
-/// Runs a store until it is told to shut down and has handed over what it has.
+/// Runs a store until it gets a shutdown request and has handed over what others depend on.
 ///
 /// All tasks that it spawns end with it.
 ///
--- a/crates/store/src/daemon/publisher.rs
+++ b/crates/store/src/daemon/publisher.rs
@@ -51,7 +51,7 @@
     }
 
     /// Appoints the connected registries. Each change of them gets a higher fencing token, within an epoch by its
-    /// sequence, so that owners of before are told apart.
+    /// sequence, so that what earlier owners send is recognized as stale.
     fn appoint(&mut self, epoch: u64, registries: Vec<Ipv4Addr>) {
         let last = self.shard_owners.fencing_token;
         if registries == self.shard_owners.registries && last.epoch == epoch {
--- a/crates/store/tests/model/replication.rs
+++ b/crates/store/tests/model/replication.rs
@@ -78,8 +78,8 @@
     fn lose_heartbeats(system: &mut System, n: usize) -> Option<()> {
         let leader = (0..3).find(|other| system.is_leader(*other));
         let third = (0..3).find(|other| *other != n && Some(*other) != leader)?;
-        for silence in [SILENCE, ELECTION_DELAY] {
-            system.now += silence;
+        for span in [SILENCE, ELECTION_DELAY] {
+            system.now += span;
             if let Some(leader) = leader {
                 system.heartbeat(leader, third);
             }
--- a/crates/store/tests/model/system.rs
+++ b/crates/store/tests/model/system.rs
@@ -207,8 +207,8 @@
     /// A store hears only one other for so long that it takes over, where it may.
     pub fn elect(&mut self, n: usize, heard: usize) {
         // More silence than a leader is believed to be alive through, and the longest delay of a follower.
-        for silence in [900, 450] {
-            self.now += silence;
+        for span in [900, 450] {
+            self.now += span;
             self.heartbeat(heard, n);
             self.tick(n, Heartbeats::Dropped);
             self.sync_all();
--- a/crates/store/tests/schedules/generators.rs
+++ b/crates/store/tests/schedules/generators.rs
@@ -31,8 +31,8 @@
         let other = random.below(GENERATORS.len() as u64) as usize;
         let more = GENERATORS[other].1(&mut random);
         for step in more {
-            let place = random.below(steps.len() as u64 + 1) as usize;
-            steps.insert(place, step);
+            let index = random.below(steps.len() as u64 + 1) as usize;
+            steps.insert(index, step);
         }
     }
     Schedule { seed, machines, fault_tolerance: (machines as u32 - 1) / 2, steps }
@@ -41,8 +41,8 @@
 /// Point 1: a machine is partitioned for twenty seconds, and clients still reach it.
 fn partition(random: &mut Random) -> Vec<ScheduledStep> {
     let (first, direction) = (target(random), direction(random));
-    let cut = Step::Partition { target: first, direction, span: 20_000 };
-    let mut steps = vec![ScheduledStep::new(random.below(500), activity(random), cut)];
+    let partition = Step::Partition { target: first, direction, span: 20_000 };
+    let mut steps = vec![ScheduledStep::new(random.below(500), activity(random), partition)];
     let (other, at, span) = (target(random), random.within(500..18_000), random.within(500..4_000));
     let all = Step::KillAll { loses_power: random.one_in(2), down: 300 + random.below(1_000) };
     let meanwhile = if random.one_in(3) { all } else { loss(random, other, span) };
@@ -144,19 +144,19 @@
 
 /// Point 4: hundreds of changes while a machine is lost or slow; it returns, and then another is lost.
 fn many_changes(random: &mut Random) -> Vec<ScheduledStep> {
-    let away = target(random);
+    let victim = target(random);
     let span = random.within(3_000..12_000);
     let padding = if random.one_in(3) { random.within(1_000..40_000) as usize } else { 0 };
-    let away = match random.below(6) {
-        0 => Step::SlowLinks { target: away, delay: 40, bytes_per_ms: 250, span },
-        1 => Step::SlowDisk { target: away, factor: 30, span },
-        _ => loss(random, away, span),
+    let fault = match random.below(6) {
+        0 => Step::SlowLinks { target: victim, delay: 40, bytes_per_ms: 250, span },
+        1 => Step::SlowDisk { target: victim, factor: 30, span },
+        _ => loss(random, victim, span),
     };
     let second = target(random);
     let second = loss(random, second, 3_000);
     let count = random.within(100..400);
     vec![
-        ScheduledStep::new(random.below(500), activity(random), away),
+        ScheduledStep::new(random.below(500), activity(random), fault),
         ScheduledStep::new(0, None, Step::Changes { count, padding }),
         ScheduledStep::new(span + 4_000, Some(Activity::CommandInFlight), second),
         ScheduledStep::new(100, None, Step::Changes { count: count / 2, padding }),
--- a/crates/store/tests/schedules/main.rs
+++ b/crates/store/tests/schedules/main.rs
@@ -163,7 +163,7 @@
 ];
 
 #[test]
-fn faults_happen_during_the_activities_that_they_are_meant_for() {
+fn faults_occur_during_the_activities_that_they_are_meant_for() {
     let Results { statistics, .. } = run_all(0, ORDINARY, |_| true);
     for Coverage { generator, step, during } in COVERAGE {
         let index = GENERATORS.iter().position(|(name, _)| *name == generator).expect("a generator");
@@ -177,7 +177,7 @@
     let mut found = 0;
     for seed in 0..20 {
         let power_loss = Step::KillAll { loses_power: true, down: 400 };
-        // A loss that a higher version covers before anybody reads shows in no record: there are several.
+        // A loss that a higher version covers before it is read shows in no record: there are several.
         let steps = vec![ScheduledStep::new(3_000, None, power_loss); 6];
         let schedule = Schedule { seed, machines: 3, fault_tolerance: 1, steps };
         assert_eq!(run(&schedule).violations, [], "seed {seed}: with disks that sync");
--- a/crates/store/tests/slots.rs
+++ b/crates/store/tests/slots.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn contents_of_a_slot_are_told_apart() {
+fn missing_corrupt_and_complete_slots_are_distinguished() {
     assert_eq!(decode_slot(b""), SlotContents::Corrupt);
     let contents = decode_slot(&slot(9, &state(4)));
     assert_eq!(contents, SlotContents::State { write_number: 9, state: Box::new(state(4)) });
