--- a/crates/emulator/src/backends/mod.rs
+++ b/crates/emulator/src/backends/mod.rs
@@ -1,10 +1,11 @@
-//! Backends: lives with slots, queues and a pace; they note what reached them, and fail as days want it.
+//! Backends: incarnations with slots and queues of different speeds. They record what reaches them, and fail as days
+//! want it.
 
 mod serving;
 
-use crate::net::{Net, Place};
+use crate::net::{Location, Net};
 use crate::process::Process;
-use crate::records::{Life, Millis, Notes};
+use crate::records::{Incarnation, Millis, Recorder};
 use crate::site::Site;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -16,166 +17,170 @@
 use tokio::sync::Semaphore;
 
 const PORT: u16 = 8080;
-/// One life.
+
+/// One incarnation of a backend.
 struct Backend {
-    number: usize,
+    /// Its index in the records.
+    index: usize,
     id: String,
     service: usize,
     ip: Ipv4Addr,
     speed: f64,
     cold_until: Cell<Millis>,
     slots: Semaphore,
-    waiting: Cell<usize>,
+    queue_length: Cell<usize>,
     rng: RefCell<Pcg64Mcg>,
-    /// Of all answers, the part that is lost on the way.
-    loses: Rc<Cell<f64>>,
+    /// The part of all responses that is lost on the way; the same for all backends.
+    response_loss: Rc<Cell<f64>>,
     process: RefCell<Option<Process>>,
 }
 
-/// All backends, and the list of them that the platform gives.
-pub struct Backends {
+/// All backends, and the platform's list of them.
+pub(crate) struct Backends {
     net: Rc<Net>,
-    notes: Notes,
+    recorder: Recorder,
     site: Site,
-    lives: RefCell<BTreeMap<String, Rc<Backend>>>,
-    /// Lines of the list, as they are now.
-    lines: RefCell<BTreeMap<String, Value>>,
-    next: Cell<u32>,
+    running: RefCell<BTreeMap<String, Rc<Backend>>>,
+    /// Entries of the list, as they are now.
+    entries: RefCell<BTreeMap<String, Value>>,
+    started: Cell<u32>,
     seed: u64,
-    pub loses: Rc<Cell<f64>>,
+    response_loss: Rc<Cell<f64>>,
 }
 
 impl Backends {
-    pub fn new(net: Rc<Net>, notes: Notes, site: &Site, seed: u64) -> Rc<Backends> {
+    /// Starts the backends of a site.
+    pub(crate) fn new(net: Rc<Net>, recorder: Recorder, site: &Site, seed: u64) -> Rc<Backends> {
         let backends = Rc::new(Backends {
             net,
-            notes,
+            recorder,
             site: site.clone(),
-            lives: RefCell::default(),
-            lines: RefCell::default(),
-            next: Cell::new(0),
+            running: RefCell::default(),
+            entries: RefCell::default(),
+            started: Cell::new(0),
             seed,
-            loses: Rc::default(),
+            response_loss: Rc::default(),
         });
         for (service, about) in site.services.iter().enumerate() {
             for (zone, count) in about.backends.iter().enumerate() {
-                for _ in 0..*count {
-                    backends.begin(service, zone, false);
-                }
+                (0..*count).for_each(|_| backends.start(service, zone, false));
             }
         }
         backends
     }
 
     /// The list as it is now.
-    pub fn list(&self) -> BTreeMap<String, Value> {
-        let (mut lines, now) = (self.lines.borrow().clone(), self.notes.now());
-        for (id, backend) in self.lives.borrow().iter() {
-            if let Some(line) = lines.get_mut(id) {
-                line["cold-left-ms"] = json!(backend.cold_until.get().saturating_sub(now));
+    pub(crate) fn list(&self) -> BTreeMap<String, Value> {
+        let (mut entries, now) = (self.entries.borrow().clone(), self.recorder.now());
+        for (id, backend) in self.running.borrow().iter() {
+            if let Some(entry) = entries.get_mut(id) {
+                entry["cold-left-ms"] = json!(backend.cold_until.get().saturating_sub(now));
             }
         }
-        lines
+        entries
+    }
+
+    /// Ids of a service's backends, in their order.
+    pub(crate) fn ids_of_service(&self, service: usize) -> Vec<String> {
+        let running = self.running.borrow();
+        running.values().filter(|it| it.service == service).map(|it| it.id.clone()).collect()
     }
 
-    /// Lives of a service, in the order of their ids.
-    pub fn of(&self, service: usize) -> Vec<String> {
-        let lives = self.lives.borrow();
-        lives.values().filter(|it| it.service == service).map(|it| it.id.clone()).collect()
+    /// From now on that part of all responses is lost.
+    pub(crate) fn set_response_loss(&self, part: f64) {
+        self.response_loss.set(part);
     }
 
-    /// A new life; cold where it begins during traffic.
-    pub fn begin(&self, service: usize, zone: usize, cold: bool) -> String {
-        let n = self.next.get() + 1;
-        self.next.set(n);
+    /// Starts a new incarnation; one that starts during traffic is cold.
+    pub(crate) fn start(&self, service: usize, zone: usize, is_cold: bool) {
+        let number = self.started.get() + 1;
+        self.started.set(number);
         let about = &self.site.services[service];
-        let ip = Ipv4Addr::new(10, 128, (n / 200) as u8, (n % 200 + 1) as u8);
-        self.net.place(ip, Place { zone, region: self.site.region(zone) });
-        let now = self.notes.now();
-        let cold_until = if cold { now + (about.cold_s * 1000.0) as Millis } else { 0 };
-        let id = format!("i-{n:04}");
-        let life = Life {
-            id: id.clone(),
-            service,
-            zone,
-            cold: if cold { vec![(now, cold_until)] } else { Vec::new() },
-            drains: None,
-        };
-        let number = self.notes.with(|records| {
-            records.lives.push(life);
-            records.lives.len() - 1
+        let ip = Ipv4Addr::new(10, 128, (number / 200) as u8, (number % 200 + 1) as u8);
+        self.net.set_location(ip, Location { zone, region: self.site.region(zone) });
+        let now = self.recorder.now();
+        let cold_until = if is_cold { now + self.slow_start(service) } else { 0 };
+        let id = format!("i-{number:04}");
+        let slow_starts = if is_cold { vec![(now, cold_until)] } else { Vec::new() };
+        let incarnation = Incarnation { id: id.clone(), service, zone, slow_starts, draining_since: None };
+        let index = self.recorder.with(|records| {
+            records.incarnations.push(incarnation);
+            records.incarnations.len() - 1
         });
         let backend = Rc::new(Backend {
-            number,
+            index,
             id: id.clone(),
             service,
             ip,
-            speed: about.speeds[n as usize % about.speeds.len()],
+            speed: about.speeds[number as usize % about.speeds.len()],
             cold_until: Cell::new(cold_until),
             slots: Semaphore::new(about.slots as usize),
-            waiting: Cell::new(0),
-            rng: RefCell::new(Pcg64Mcg::seed_from_u64(self.seed ^ u64::from(n))),
-            loses: self.loses.clone(),
+            queue_length: Cell::new(0),
+            rng: RefCell::new(Pcg64Mcg::seed_from_u64(self.seed ^ u64::from(number))),
+            response_loss: self.response_loss.clone(),
             process: RefCell::default(),
         });
-        let (site, notes, one) = (self.site.clone(), self.notes.clone(), backend.clone());
-        let process = Process::start(&self.net, ip, async move { serving::serve(one, site, notes).await });
-        *backend.process.borrow_mut() = Some(process);
-        let line = json!({"service": about.name, "address": SocketAddr::from((ip, PORT)).to_string(),
-            "zone": self.site.zones[zone].0, "version": "v1", "slots": about.slots, "state": "ready",
+        let server = serving::serve(backend.clone(), self.site.clone(), self.recorder.clone());
+        *backend.process.borrow_mut() = Some(Process::start(&self.net, ip, server));
+        let entry = json!({"service": about.name, "address": SocketAddr::from((ip, PORT)).to_string(),
+            "zone": self.site.zones[zone].name, "version": "v1", "slots": about.slots, "state": "ready",
             "cold-left-ms": 0});
-        self.lines.borrow_mut().insert(id.clone(), line);
-        self.lives.borrow_mut().insert(id.clone(), backend);
-        id
+        self.entries.borrow_mut().insert(id.clone(), entry);
+        self.running.borrow_mut().insert(id, backend);
+    }
+
+    fn slow_start(&self, service: usize) -> Millis {
+        (self.site.services[service].slow_start_s * 1000.0) as Millis
     }
 
-    /// From now on the list shows that it leaves; it goes on serving.
-    pub fn drain(&self, id: &str) {
-        if let Some(line) = self.lines.borrow_mut().get_mut(id) {
-            line["state"] = json!("draining");
+    /// From now on the list shows that it drains; it goes on serving.
+    pub(crate) fn drain(&self, id: &str) {
+        if let Some(entry) = self.entries.borrow_mut().get_mut(id) {
+            entry["state"] = json!("draining");
         }
-        self.shown_leaving(id);
+        self.record_draining(id);
     }
 
-    /// It ends; the list shows it for as long as `off` has not been called.
-    pub fn end(&self, id: &str) {
-        let backend = self.lives.borrow_mut().remove(id);
+    /// Its process ends; the list shows it until it is removed there.
+    pub(crate) fn kill(&self, id: &str) {
+        let backend = self.running.borrow_mut().remove(id);
         if let Some(backend) = backend {
             if let Some(process) = backend.process.borrow_mut().take() {
                 process.kill();
             }
-            self.net.silence(backend.ip);
+            self.net.close_listeners(backend.ip);
         }
     }
 
-    pub fn off(&self, id: &str) {
-        self.lines.borrow_mut().remove(id);
-        self.shown_leaving(id);
+    /// From now on the list does not show it.
+    pub(crate) fn remove_from_list(&self, id: &str) {
+        self.entries.borrow_mut().remove(id);
+        self.record_draining(id);
     }
 
-    /// A zone without power, or with it again: its backends come back cold.
-    pub fn power(&self, zone: usize, dark: bool) {
-        let lives = self.lives.borrow();
-        let cold = |service: usize| (self.site.services[service].cold_s * 1000.0) as Millis;
-        let here = |life: &Life| life.zone == zone;
-        for backend in lives.values().filter(|it| self.notes.with(|records| here(&records.lives[it.number])))
-        {
-            self.net.dark(backend.ip, dark);
-            if !dark {
-                let now = self.notes.now();
-                let until = now + cold(backend.service);
+    /// A zone loses its power, or has it again: then its backends are cold.
+    pub(crate) fn set_zone_power_lost(&self, zone: usize, is_lost: bool) {
+        let is_in_zone = |backend: &&Rc<Backend>| {
+            self.recorder.with(|records| records.incarnations[backend.index].zone == zone)
+        };
+        for backend in self.running.borrow().values().filter(is_in_zone) {
+            self.net.set_power_lost(backend.ip, is_lost);
+            if !is_lost {
+                let now = self.recorder.now();
+                let until = now + self.slow_start(backend.service);
                 backend.cold_until.set(until);
-                self.notes.with(|records| records.lives[backend.number].cold.push((now, until)));
+                self.recorder
+                    .with(|records| records.incarnations[backend.index].slow_starts.push((now, until)));
             }
         }
     }
 
-    /// What the list shows now is seen so much later.
-    fn shown_leaving(&self, id: &str) {
-        let at = self.notes.now() + self.site.lag_ms;
-        self.notes.with(|records| {
-            if let Some(life) = records.lives.iter_mut().find(|life| life.id == id) {
-                life.drains.get_or_insert(at);
+    /// What the list shows now is visible after the list's lag.
+    fn record_draining(&self, id: &str) {
+        let at = self.recorder.now() + self.site.lag_ms;
+        self.recorder.with(|records| {
+            if let Some(incarnation) = records.incarnations.iter_mut().find(|it| it.id == id) {
+                incarnation.draining_since.get_or_insert(at);
             }
         });
     }
--- a/crates/emulator/src/backends/serving.rs
+++ b/crates/emulator/src/backends/serving.rs
@@ -1,11 +1,12 @@
 //! What a backend does with a request.
 
 use super::{Backend, PORT};
-use crate::records::{Arrival, Notes};
+use crate::records::{Arrival, Recorder};
 use crate::site::Site;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
+use hyper::header::HeaderValue;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
@@ -17,78 +18,105 @@
 use std::time::Duration;
 use violetyoke_transport::net::listen;
 
-/// Requests that wait at a backend, beside those that it works on; one more is never answered.
-const QUEUE: usize = 24;
-/// How far work times spread (the deviation of their logarithm).
+/// Requests that wait at a backend, beside those that it executes; one more is never answered.
+const QUEUE_LENGTH: usize = 24;
+/// How far execution times spread (the deviation of their logarithm).
 const SPREAD: f64 = 0.7;
+/// How much slower a cold backend is.
+const COLD_SPEED: f64 = 0.5;
+/// The longest execution, in mean times.
+const MAX_EXECUTION: f64 = 6.0;
 
-pub(super) async fn serve(backend: Rc<Backend>, site: Site, notes: Notes) {
+type Reply = Response<Full<Bytes>>;
+
+pub(super) async fn serve(backend: Rc<Backend>, site: Site, recorder: Recorder) {
     let Ok(listener) = listen((backend.ip, PORT).into()) else { return };
     while let Ok((stream, _)) = listener.accept().await {
-        let (backend, site, notes) = (backend.clone(), site.clone(), notes.clone());
+        let (backend, site, recorder) = (backend.clone(), site.clone(), recorder.clone());
         tokio::task::spawn_local(async move {
-            let service = service_fn(|request| answer(&backend, &site, &notes, request));
-            // Whoever calls may break off: then the work ends too.
-            let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), service)
-                .await;
+            let service = service_fn(|request| respond(&backend, &site, &recorder, request));
+            let connection =
+                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            #[expect(
+                clippy::let_underscore_must_use,
+                reason = "a proxy may close it, and the execution ends too"
+            )]
+            let _ = connection.await;
         });
     }
 }
 
-async fn answer(
+async fn respond(
     backend: &Rc<Backend>,
     site: &Site,
-    notes: &Notes,
+    recorder: &Recorder,
     request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, io::Error> {
-    let field = |name: &str| request.headers().get(name).and_then(|it| it.to_str().ok()).map(str::to_owned);
-    let id = field("x-attempt-id").unwrap_or_default();
-    let elsewhere = field("x-target-instance").is_some_and(|target| target != backend.id);
-    let tenant = field("x-tenant");
-    let path = request.uri().path().to_owned();
-    request.into_body().collect().await.map_err(io::Error::other)?;
-    let (at, life) = (notes.now(), backend.number);
-    let arrival = Arrival { at, life, id: id.clone(), tenant, path, ran: false, elsewhere };
-    let place = notes.with(|records| {
+) -> Result<Reply, io::Error> {
+    let arrival = read_request(backend, recorder, request).await?;
+    let (id, was_misdirected) = (arrival.id.clone(), arrival.was_misdirected);
+    let index = recorder.with(|records| {
         records.arrivals.push(arrival);
         records.arrivals.len() - 1
     });
-    if elsewhere {
+    if was_misdirected {
         return reply(backend, 421, &id, Bytes::new());
     }
-    if backend.slots.available_permits() == 0 && backend.waiting.get() >= QUEUE {
+    if backend.slots.available_permits() == 0 && backend.queue_length.get() >= QUEUE_LENGTH {
         return pending().await;
     }
-    backend.waiting.set(backend.waiting.get() + 1);
+    backend.queue_length.set(backend.queue_length.get() + 1);
     let slot = backend.slots.acquire().await;
-    backend.waiting.set(backend.waiting.get() - 1);
+    backend.queue_length.set(backend.queue_length.get() - 1);
     let _slot = slot.map_err(io::Error::other)?;
-    notes.with(|records| records.arrivals[place].ran = true);
-    let kind = site.kinds.iter().find(|kind| kind.service == backend.service);
-    let mean = kind.map_or(50.0, |kind| kind.work_ms);
-    let pace = backend.speed * if notes.now() < backend.cold_until.get() { 0.5 } else { 1.0 };
-    let (drawn, lost) = {
-        let rng = &mut *backend.rng.borrow_mut();
-        let spread = LogNormal::new(-SPREAD * SPREAD / 2.0, SPREAD).map_err(io::Error::other)?;
-        (spread.sample(rng), rng.random::<f64>() < backend.loses.get())
-    };
-    tokio::time::sleep(Duration::from_secs_f64((mean * drawn / pace).min(6.0 * mean) / 1000.0)).await;
-    if lost {
+    recorder.with(|records| records.arrivals[index].was_executed = true);
+    let is_lost = execute(backend, site, recorder).await?;
+    if is_lost {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     let body = Bytes::from(format!("{} ran {id}", backend.id));
-    let mut answer = reply(backend, 200, &id, body)?;
-    answer.headers_mut().insert("x-server-seal", hyper::header::HeaderValue::from_static("seal"));
-    Ok(answer)
+    let mut response = reply(backend, 200, &id, body)?;
+    response.headers_mut().insert("x-server-seal", HeaderValue::from_static("seal"));
+    Ok(response)
+}
+
+/// Reads the whole request.
+async fn read_request(
+    backend: &Backend,
+    recorder: &Recorder,
+    request: Request<Incoming>,
+) -> Result<Arrival, io::Error> {
+    let header = |name: &str| request.headers().get(name).and_then(|it| it.to_str().ok()).map(str::to_owned);
+    let id = header("x-attempt-id").unwrap_or_default();
+    let was_misdirected = header("x-target-instance").is_some_and(|target| target != backend.id);
+    let tenant = header("x-tenant");
+    let path = request.uri().path().to_owned();
+    request.into_body().collect().await.map_err(io::Error::other)?;
+    let (at, incarnation) = (recorder.now(), backend.index);
+    Ok(Arrival { at, incarnation, id, tenant, path, was_executed: false, was_misdirected })
+}
+
+/// Takes as long as one execution; whether its response is lost.
+async fn execute(backend: &Backend, site: &Site, recorder: &Recorder) -> Result<bool, io::Error> {
+    let kind = site.request_kinds.iter().find(|kind| kind.service == backend.service);
+    let mean_ms = kind.map_or(50.0, |kind| kind.work_ms);
+    let is_cold = recorder.now() < backend.cold_until.get();
+    let speed = backend.speed * if is_cold { COLD_SPEED } else { 1.0 };
+    let (factor, is_lost) = {
+        let rng = &mut *backend.rng.borrow_mut();
+        let spread = LogNormal::new(-SPREAD * SPREAD / 2.0, SPREAD).map_err(io::Error::other)?;
+        (spread.sample(rng), rng.random::<f64>() < backend.response_loss.get())
+    };
+    let time_ms = (mean_ms * factor / speed).min(MAX_EXECUTION * mean_ms);
+    tokio::time::sleep(Duration::from_secs_f64(time_ms / 1000.0)).await;
+    Ok(is_lost)
 }
 
-fn reply(backend: &Backend, status: u16, id: &str, body: Bytes) -> Result<Response<Full<Bytes>>, io::Error> {
-    let running = 6usize.saturating_sub(backend.slots.available_permits());
+fn reply(backend: &Backend, status: u16, id: &str, body: Bytes) -> Result<Reply, io::Error> {
+    let in_flight = 6usize.saturating_sub(backend.slots.available_permits());
     Response::builder()
         .status(status)
         .header("x-attempt-id", id)
-        .header("x-server-load", format!("{running},{},6", backend.waiting.get()))
+        .header("x-server-load", format!("{in_flight},{},6", backend.queue_length.get()))
         .body(Full::new(body))
         .map_err(io::Error::other)
 }
--- /dev/null
+++ b/crates/emulator/src/checker.rs
@@ -0,0 +1,122 @@
+//! The rules, checked against what was observed. Those with a time bound are checked outside of spans with faults only.
+
+mod control;
+mod executions;
+mod rates;
+
+use crate::records::{Attempt, Command, Millis, Records};
+use crate::site::Site;
+use std::collections::HashMap;
+
+/// A broken rule.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Violation {
+    /// The rule's name.
+    pub rule: &'static str,
+    /// What broke it.
+    pub detail: String,
+}
+
+struct Checker<'a> {
+    site: &'a Site,
+    records: &'a Records,
+    attempts: HashMap<&'a str, &'a Attempt>,
+    violations: Vec<Violation>,
+}
+
+/// Checks a day; empty: it kept all rules.
+#[must_use]
+pub fn check(site: &Site, records: &Records) -> Vec<Violation> {
+    let attempts = records.attempts.iter().map(|attempt| (attempt.id.as_str(), attempt)).collect();
+    let mut checker = Checker { site, records, attempts, violations: Vec::new() };
+    checker.check_responses();
+    checker.check_executions();
+    checker.check_quotas();
+    checker.check_retry_budgets();
+    checker.check_slow_starts();
+    checker.check_control();
+    checker.violations
+}
+
+/// The most that fell into any span of some length.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Densest {
+    count: usize,
+    /// When that span begins.
+    from: Millis,
+}
+
+fn densest(at: &[Millis], span: Millis) -> Densest {
+    let mut at = at.to_vec();
+    at.sort_unstable();
+    let mut densest = Densest { count: 0, from: 0 };
+    let mut first = 0;
+    for last in 0..at.len() {
+        while at[last] - at[first] >= span {
+            first += 1;
+        }
+        if last + 1 - first > densest.count {
+            densest = Densest { count: last + 1 - first, from: at[first] };
+        }
+    }
+    densest
+}
+
+impl Checker<'_> {
+    fn report(&mut self, rule: &'static str, detail: String) {
+        self.violations.push(Violation { rule, detail });
+    }
+
+    /// No fault at that time, nor for as long before as it takes to be in contact again.
+    fn is_calm(&self, at: Millis) -> bool {
+        let contact = self.site.bounds.contact_ms as Millis;
+        !self.records.fault_spans.iter().any(|(from, to)| at >= *from && at <= to + contact)
+    }
+
+    /// Each configuration that may be in force when an attempt was sent: none older than the newest acknowledged by then.
+    fn in_force(&self, sent: Millis, until: Millis) -> Vec<&Command> {
+        let versions = self.records.commands.iter().filter_map(|record| match &record.command {
+            Command::Configuration { version, is_valid: true, .. } => Some((*version, record)),
+            _ => None,
+        });
+        let is_applied = |at: Millis| at + self.site.bounds.config_apply_ms as Millis <= sent;
+        let applied = versions.clone().filter(|(_, record)| record.acknowledged_at.is_some_and(is_applied));
+        let newest = applied.map(|(version, _)| version).max().unwrap_or(0);
+        let may_be_in_force = versions.filter(|(version, record)| *version >= newest && record.sent <= until);
+        may_be_in_force.map(|(_, record)| &record.command).collect()
+    }
+
+    fn check_responses(&mut self) {
+        let mut denied = 0;
+        let mut executions: HashMap<&str, usize> = HashMap::new();
+        for arrival in self.records.arrivals.iter().filter(|arrival| arrival.was_executed) {
+            *executions.entry(arrival.id.as_str()).or_default() += 1;
+        }
+        for attempt in &self.records.attempts {
+            let times = executions.get(attempt.id.as_str()).copied().unwrap_or(0);
+            let is_idempotent = self.site.request_kinds[attempt.kind].is_idempotent;
+            if (200..300).contains(&attempt.status) && !attempt.is_valid {
+                self.report("MIXED", format!("{} was answered what is not its own", attempt.id));
+            }
+            if !is_idempotent && times > 1 {
+                self.report("TWICE", format!("{} ran {times} times", attempt.id));
+            }
+            if !is_idempotent && times > 0 && matches!(attempt.status, 408 | 421 | 429 | 503) {
+                self.report("REFUSED", format!("{} ran and was answered {}", attempt.id, attempt.status));
+            }
+            if matches!(attempt.status, 401 | 404) && self.is_calm(attempt.sent) && self.is_key_known(attempt)
+            {
+                denied += 1;
+            }
+        }
+        if denied > 5 + self.records.attempts.len() / 500 {
+            self.report("DENIED", format!("{denied} of {}", self.records.attempts.len()));
+        }
+    }
+
+    /// Whether each configuration that may be in force knows an attempt's credential.
+    fn is_key_known(&self, attempt: &Attempt) -> bool {
+        let knows = |command: &&Command| matches!(command, Command::Configuration { keys, .. } if keys.contains(&attempt.key));
+        self.in_force(attempt.sent, attempt.ended.unwrap_or(attempt.sent)).iter().all(knows)
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/checker/executions.rs
@@ -0,0 +1,111 @@
+//! What may be executed where: the rules UNASKED, HOME, ROUTE, CONFIG, DRAIN and EVAC.
+
+use super::Checker;
+use crate::records::{Arrival, Attempt, Command, Incarnation, Millis};
+use crate::site::tenant;
+
+/// What a command says of an execution.
+#[derive(Clone, Copy)]
+struct Allows {
+    /// Its kind of request goes to this service.
+    service: bool,
+    /// Its credential is known.
+    key: bool,
+}
+
+impl Allows {
+    fn of(command: &Command, attempt: &Attempt, incarnation: &Incarnation) -> Allows {
+        match command {
+            Command::Configuration { services, keys, .. } => Allows {
+                service: services.get(attempt.kind) == Some(&incarnation.service),
+                key: keys.contains(&attempt.key),
+            },
+            Command::Evacuate { .. } => Allows { service: false, key: false },
+        }
+    }
+}
+
+impl Checker<'_> {
+    pub(super) fn check_executions(&mut self) {
+        for arrival in self.records.arrivals.iter().filter(|arrival| arrival.was_executed) {
+            let Some(attempt) = self.attempts.get(arrival.id.as_str()).copied() else {
+                self.report("UNASKED", format!("{} was sent by no client", arrival.id));
+                continue;
+            };
+            let incarnation = &self.records.incarnations[arrival.incarnation];
+            self.check_unchanged(arrival, attempt);
+            self.check_home(attempt, incarnation);
+            self.check_configuration(arrival, attempt, incarnation);
+            self.check_withdrawn(arrival, attempt, incarnation);
+        }
+    }
+
+    fn check_unchanged(&mut self, arrival: &Arrival, attempt: &Attempt) {
+        let kind = &self.site.request_kinds[attempt.kind];
+        let owner = attempt.key.strip_prefix("key-").map(|name| match name.parse::<usize>() {
+            Ok(number) => tenant(number),
+            Err(_) => name.to_owned(),
+        });
+        if arrival.tenant != owner || arrival.path != format!("{}{}", kind.path, attempt.id) {
+            self.report("UNASKED", format!("{} ran as {:?} {}", attempt.id, arrival.tenant, arrival.path));
+        }
+    }
+
+    fn check_home(&mut self, attempt: &Attempt, incarnation: &Incarnation) {
+        let homes = &self.site.request_kinds[attempt.kind].home_regions;
+        let region = self.site.regions[self.site.region(incarnation.zone)];
+        if !homes.is_empty() && !homes.contains(&region) {
+            self.report("HOME", format!("{} ran in {region}", attempt.id));
+        }
+    }
+
+    fn check_configuration(&mut self, arrival: &Arrival, attempt: &Attempt, incarnation: &Incarnation) {
+        let allows = |command: &Command| Allows::of(command, attempt, incarnation);
+        let commands = self.records.commands.iter().map(|record| allows(&record.command));
+        let ever = commands.fold(Allows { service: false, key: false }, |all, one| Allows {
+            service: all.service || one.service,
+            key: all.key || one.key,
+        });
+        if !ever.service || !ever.key {
+            self.report("ROUTE", format!("{} ran at service {}", attempt.id, incarnation.service));
+        }
+        let allows_both = |command: &&Command| {
+            let Allows { service, key } = allows(command);
+            service && key
+        };
+        let is_allowed = self.in_force(attempt.sent, arrival.at).iter().any(allows_both);
+        if !is_allowed && self.is_calm(attempt.sent) {
+            let detail = format!("{} sent at {} ran by an older version", attempt.id, attempt.sent);
+            self.report("CONFIG", detail);
+        }
+    }
+
+    /// Backends that drain, and zones that are evacuated.
+    fn check_withdrawn(&mut self, arrival: &Arrival, attempt: &Attempt, incarnation: &Incarnation) {
+        if !self.is_calm(arrival.at) {
+            return;
+        }
+        let drain_ms = self.site.bounds.drain_ms as Millis;
+        let detail = || format!("{} reached {} at {}", attempt.id, incarnation.id, arrival.at);
+        if incarnation.draining_since.is_some_and(|since| arrival.at > since + drain_ms) {
+            self.report("DRAIN", detail());
+        }
+        if self.is_evacuated(arrival, incarnation.zone) {
+            self.report("EVAC", detail());
+        }
+    }
+
+    /// The zone's evacuation was acknowledged long enough before, and not ended since.
+    fn is_evacuated(&self, arrival: &Arrival, at_zone: usize) -> bool {
+        let mut acknowledged = None;
+        for record in self.records.commands.iter().filter(|record| record.sent <= arrival.at) {
+            match record.command {
+                Command::Evacuate { zone, is_begin } if zone == at_zone => {
+                    acknowledged = record.acknowledged_at.filter(|_| is_begin);
+                }
+                _ => {}
+            }
+        }
+        acknowledged.is_some_and(|at| arrival.at > at + self.site.bounds.evacuate_ms as Millis)
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/clients/client.rs
@@ -0,0 +1,196 @@
+//! One client: its addresses, its connections, and the attempts of a request.
+
+use super::Workload;
+use crate::http_client::{connect, send, send_once, Connection, Response};
+use crate::records::Attempt;
+use crate::site::{RequestKind, HOST};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::Request;
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
+use serde_json::Value;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+
+const MAX_ATTEMPTS: usize = 3;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// With less time left a request is given up.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
+/// The pause after no edge was found.
+const RESOLVE_PAUSE: Duration = Duration::from_millis(100);
+/// How many registries are asked for edges, the nearest first.
+const MAX_DIRECTORIES: usize = 3;
+
+/// A client.
+#[derive(Default)]
+pub(super) struct Client {
+    /// The edges that the last answer named.
+    edges: RefCell<Vec<SocketAddr>>,
+    edges_valid_until: Cell<Option<Instant>>,
+    /// Edges that have failed since.
+    failed: RefCell<Vec<SocketAddr>>,
+    idle: RefCell<HashMap<SocketAddr, Connection>>,
+}
+
+/// One attempt, as it is sent.
+struct Outgoing<'a> {
+    to: SocketAddr,
+    kind: &'a RequestKind,
+    id: &'a str,
+    key: &'a str,
+    until: Instant,
+    /// An idle connection may be used, and kept.
+    may_reuse: bool,
+}
+
+impl Client {
+    /// Sends a request, and again as often as the protocol allows.
+    pub(super) async fn request(&self, workload: &Workload, index: usize, key: String, mut rng: Pcg64Mcg) {
+        let (kind, zone) = workload.recorder.with(|records| {
+            let request = &records.requests[index];
+            (request.kind, request.zone)
+        });
+        let about = &workload.site.request_kinds[kind];
+        let until = Instant::now() + Duration::from_millis(about.deadline_ms);
+        for number in 0..MAX_ATTEMPTS {
+            let left = until.saturating_duration_since(Instant::now());
+            if left < MIN_ATTEMPT_TIME {
+                return;
+            }
+            let Some(to) = self.choose_edge(workload, zone, &mut rng).await else {
+                sleep(RESOLVE_PAUSE.min(left)).await;
+                continue;
+            };
+            let id = format!("{:016x}", rng.random::<u64>());
+            let attempt = Attempt {
+                id: id.clone(),
+                request: index,
+                kind,
+                key: key.clone(),
+                zone,
+                sent: workload.recorder.now(),
+                ended: None,
+                status: 0,
+                is_valid: false,
+            };
+            let attempt_index = workload.recorder.with(|records| {
+                records.attempts.push(attempt);
+                records.attempts.len() - 1
+            });
+            let may_reuse = number == 0 && about.is_idempotent;
+            let outgoing = Outgoing { to, kind: about, id: &id, key: &key, until, may_reuse };
+            let response = self.send_attempt(&outgoing).await;
+            record_response(workload, attempt_index, &id, response.as_ref());
+            match response.as_ref().map_or(0, |response| response.status) {
+                200..=299 | 400 | 401 | 404 | 413 | 431 => return,
+                429 | 503 => {
+                    let retry_after = response.as_ref().and_then(retry_after).unwrap_or_default();
+                    let left = until.saturating_duration_since(Instant::now());
+                    sleep(retry_after.min(left / 3)).await;
+                }
+                _ if !about.is_idempotent => return,
+                0 => self.failed.borrow_mut().push(to),
+                _ => {}
+            }
+        }
+    }
+
+    /// A random edge of those that have not failed; edges are resolved again when they are no longer valid.
+    async fn choose_edge(&self, workload: &Workload, zone: usize, rng: &mut Pcg64Mcg) -> Option<SocketAddr> {
+        if self.edges_valid_until.get().is_none_or(|until| Instant::now() >= until) {
+            self.resolve(workload, zone).await;
+        }
+        let (edges, failed) = (self.edges.borrow(), self.failed.borrow());
+        let healthy: Vec<SocketAddr> = edges.iter().copied().filter(|edge| !failed.contains(edge)).collect();
+        let candidates = if healthy.is_empty() { &*edges } else { &healthy };
+        (!candidates.is_empty()).then(|| candidates[rng.random_range(0..candidates.len())])
+    }
+
+    async fn resolve(&self, workload: &Workload, zone: usize) {
+        let site = &workload.site;
+        let region = site.region(zone);
+        let mut nearest = workload.directories.clone();
+        nearest.sort_by_key(|directory| (directory.zone != zone, site.region(directory.zone) != region));
+        let (region, zone) = (site.regions[region], site.zones[zone].name);
+        let target = format!("/api/resolve?name={HOST}&region={region}&zone={zone}");
+        for directory in nearest.into_iter().take(MAX_DIRECTORIES) {
+            let response = send_once(directory.address, "GET", &target, String::new(), CONNECT_TIMEOUT).await;
+            let Some(response) = response.filter(|response| response.status == 200) else { continue };
+            let Ok(body) = serde_json::from_slice::<Value>(&response.body) else { continue };
+            let addresses = body["addresses"].as_array().into_iter().flatten();
+            let edges: Vec<SocketAddr> =
+                addresses.filter_map(|address| address.as_str()?.parse().ok()).collect();
+            self.idle.borrow_mut().retain(|edge, _| edges.contains(edge));
+            *self.edges.borrow_mut() = edges;
+            self.failed.borrow_mut().clear();
+            let ttl_s = body["ttl-s"].as_f64().unwrap_or(1.0).clamp(0.0, 5.0);
+            self.edges_valid_until.set(Some(Instant::now() + Duration::from_secs_f64(ttl_s)));
+            break;
+        }
+    }
+
+    async fn send_attempt(&self, attempt: &Outgoing<'_>) -> Option<Response> {
+        let idle = if attempt.may_reuse { self.idle.borrow_mut().remove(&attempt.to) } else { None };
+        let mut connection = match idle.filter(|connection| !connection.is_closed()) {
+            Some(connection) => connection,
+            None => {
+                let left = attempt.until.saturating_duration_since(Instant::now());
+                connect(attempt.to, CONNECT_TIMEOUT.min(left)).await?
+            }
+        };
+        let response = send(&mut connection, attempt.to_request()?, attempt.until).await;
+        if attempt.may_reuse && response.is_some() {
+            self.idle.borrow_mut().insert(attempt.to, connection);
+        }
+        response
+    }
+}
+
+impl Outgoing<'_> {
+    fn to_request(&self) -> Option<Request<Full<Bytes>>> {
+        let Outgoing { kind, id, .. } = self;
+        let left = self.until.saturating_duration_since(Instant::now()).as_millis();
+        let (method, body) =
+            if kind.is_idempotent { ("GET", String::new()) } else { ("POST", format!("two nights of {id}")) };
+        Request::builder()
+            .method(method)
+            .uri(format!("{}{id}", kind.path))
+            .header("host", HOST)
+            .header("x-attempt-id", *id)
+            .header("x-deadline-ms", left.to_string())
+            .header("x-credential", self.key)
+            .body(Full::new(Bytes::from(body)))
+            .ok()
+    }
+}
+
+fn record_response(workload: &Workload, attempt: usize, id: &str, response: Option<&Response>) {
+    let status = response.map_or(0, |response| response.status);
+    let is_valid =
+        response.is_some_and(|response| (200..300).contains(&response.status) && is_own(response, id));
+    let now = workload.recorder.now();
+    workload.recorder.with(|records| {
+        let attempt = &mut records.attempts[attempt];
+        (attempt.ended, attempt.status, attempt.is_valid) = (Some(now), status, is_valid);
+        let request = &mut records.requests[attempt.request];
+        if is_valid {
+            request.served_at = Some(now);
+        }
+        // A credential that was taken away owes its tenant nothing.
+        request.is_owed &= status != 401;
+    });
+}
+
+/// Whether a response is a backend's, complete, and to this attempt.
+fn is_own(response: &Response, id: &str) -> bool {
+    response.headers.contains_key("x-server-seal") && response.body.ends_with(format!(" ran {id}").as_bytes())
+}
+
+fn retry_after(response: &Response) -> Option<Duration> {
+    let seconds: f64 = response.headers.get("retry-after")?.to_str().ok()?.parse().ok()?;
+    Some(Duration::from_secs_f64(seconds.clamp(0.0, 60.0)))
+}
--- /dev/null
+++ b/crates/emulator/src/fault_injection.rs
@@ -0,0 +1,198 @@
+//! What each event of a day does to the simulation.
+
+use crate::event::EventKind;
+use crate::records::{Command, Millis};
+use crate::simulation::Simulation;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// How long the list shows backends that have crashed.
+const CRASHED_SHOWN: Millis = 2_500;
+
+async fn pause(ms: Millis) {
+    sleep(Duration::from_millis(ms)).await;
+}
+
+/// How machines go down.
+#[derive(Clone, Copy)]
+struct Loss {
+    is_power_lost: bool,
+    is_wiped: bool,
+    down: Millis,
+}
+
+impl Simulation {
+    /// Lets an event happen, and waits for its end.
+    pub(crate) async fn apply(self: &Rc<Self>, event: EventKind) {
+        if let Some(span) = event.fault_span() {
+            self.record_fault(span);
+        }
+        match event {
+            EventKind::Kill { machines, is_power_lost, down } => {
+                self.take_down(&machines, Loss { is_power_lost, is_wiped: false, down }).await;
+            }
+            EventKind::Wipe { machine, down } => {
+                self.take_down(&[machine], Loss { is_power_lost: true, is_wiped: true, down }).await;
+            }
+            EventKind::KillAcknowledger { is_wiped, down } => self.kill_acknowledger(is_wiped, down).await,
+            EventKind::Freeze { machine, span } => {
+                self.fleet.borrow().set_frozen(machine, true);
+                pause(span).await;
+                self.fleet.borrow().set_frozen(machine, false);
+            }
+            EventKind::Partition { machines, is_one_way, span } => {
+                self.set_partitioned(&machines, is_one_way, true);
+                pause(span).await;
+                self.set_partitioned(&machines, is_one_way, false);
+            }
+            EventKind::StallDisk { machine, span } => {
+                let ip = self.fleet.borrow().machines[machine].ip;
+                self.net.disk_of(ip).stall(Duration::from_millis(span));
+            }
+            EventKind::LoseZone { zone, span } => self.lose_zone(zone, span).await,
+            EventKind::ShutDown { machine } => self.fleet.borrow().shut_down(machine),
+            command => self.apply_command(command).await,
+        }
+    }
+
+    /// Events of operators and clients, and of backends.
+    async fn apply_command(&self, event: EventKind) {
+        match event {
+            EventKind::Change { moves_searches } => {
+                self.moves_searches.set(moves_searches);
+                self.send_configuration(&[]).await;
+            }
+            EventKind::ConcurrentChanges => self.send_two_versions().await,
+            EventKind::InvalidChange => self.send_invalid().await,
+            EventKind::AddTenant { name } => self.add_tenant(name).await,
+            EventKind::AddRoutes { count } => {
+                self.extra_routes.set(self.extra_routes.get() + count);
+                self.send_configuration(&[]).await;
+            }
+            EventKind::RevokeKey { tenant } => {
+                self.workload.revoked.borrow_mut().push(tenant);
+                self.send_configuration(&[]).await;
+            }
+            EventKind::Evacuate { zone, span } => {
+                self.send_command(Command::Evacuate { zone, is_begin: true }).await;
+                pause(span).await;
+                self.send_command(Command::Evacuate { zone, is_begin: false }).await;
+            }
+            EventKind::TenantBurst { tenant, factor, span } => {
+                self.workload.burst.set(Some((tenant, factor)));
+                pause(span).await;
+                self.workload.burst.set(None);
+            }
+            EventKind::CrashBackends { service, count } => self.crash_backends(service, count).await,
+            EventKind::ReplaceBackends { service, count } => self.replace_backends(service, count).await,
+            EventKind::LoseResponses { part, span } => {
+                self.backends.set_response_loss(part);
+                pause(span).await;
+                self.backends.set_response_loss(0.0);
+            }
+            // Faults of machines, which `apply` has handled.
+            _ => {}
+        }
+    }
+
+    async fn take_down(&self, machines: &[usize], loss: Loss) {
+        for machine in machines {
+            let is_torn = self.random().is_multiple_of(2);
+            let fleet = &mut *self.fleet.borrow_mut();
+            fleet.kill(*machine, loss.is_power_lost, is_torn);
+            if loss.is_wiped {
+                self.net.disk_of(fleet.machines[*machine].ip).wipe();
+            }
+        }
+        pause(loss.down).await;
+        for machine in machines {
+            pause(self.random() % 40).await;
+            self.fleet.borrow_mut().start(*machine);
+        }
+    }
+
+    async fn kill_acknowledger(&self, is_wiped: bool, down: Millis) {
+        let index = self.send_configuration(&[]).await;
+        let registry = self.recorder.with(|records| records.commands[index].acknowledged_by);
+        let machines =
+            |control| self.fleet.borrow().machines.iter().position(|machine| machine.control() == control);
+        if let Some(machine) = registry.and_then(machines) {
+            pause(self.random() % 4).await;
+            self.record_fault(down + 1_000);
+            self.take_down(&[machine], Loss { is_power_lost: true, is_wiped, down }).await;
+        }
+    }
+
+    async fn lose_zone(&self, zone: usize, span: Millis) {
+        self.backends.set_zone_power_lost(zone, true);
+        let machines = self.fleet.borrow().in_zone(zone);
+        self.take_down(&machines, Loss { is_power_lost: true, is_wiped: false, down: span }).await;
+        self.backends.set_zone_power_lost(zone, false);
+    }
+
+    fn set_partitioned(&self, machines: &[usize], is_one_way: bool, is_partitioned: bool) {
+        let fleet = self.fleet.borrow();
+        for machine in machines.iter().filter_map(|index| fleet.machines.get(*index)) {
+            for other in fleet.machines.iter().filter(|other| other.ip != machine.ip) {
+                self.net.set_partitioned(machine.ip, other.ip, is_partitioned);
+                if !is_one_way {
+                    self.net.set_partitioned(other.ip, machine.ip, is_partitioned);
+                }
+            }
+        }
+    }
+
+    /// The tenant sends requests once its configuration is acknowledged.
+    async fn add_tenant(&self, name: String) {
+        let index = self.send_configuration(std::slice::from_ref(&name)).await;
+        if self.recorder.with(|records| records.commands[index].acknowledged_at.is_some()) {
+            self.workload.joined.borrow_mut().push(name);
+        }
+    }
+
+    /// Two operators, two versions, at one moment: the higher one prevails, whichever is first.
+    async fn send_two_versions(&self) {
+        let (lower, higher) = (self.version.get() + 1, self.version.get() + 2);
+        self.version.set(higher);
+        let (low, high) = (self.configuration(lower, &[]), self.configuration(higher, &[]));
+        let (one, other) = (self.random(), self.random());
+        tokio::join!(self.operator.send_command(low, one), self.operator.send_command(high, other));
+    }
+
+    /// A configuration that names an unknown service: rejected everywhere, and never in force.
+    async fn send_invalid(&self) {
+        let version = self.version.get() + 50;
+        let Command::Configuration { text, keys, services, .. } = self.configuration(version, &[]) else {
+            return;
+        };
+        let text = text.replace("[\"ledger\",", "[\"nobody\",");
+        self.send_command(Command::Configuration { version, text, keys, services, is_valid: false }).await;
+    }
+
+    async fn crash_backends(&self, service: usize, count: usize) {
+        let ids: Vec<String> = self.backends.ids_of_service(service).into_iter().take(count).collect();
+        ids.iter().for_each(|id| self.backends.kill(id));
+        pause(CRASHED_SHOWN).await;
+        for id in &ids {
+            self.backends.remove_from_list(id);
+            self.backends.start(service, self.random() as usize % self.site.zones.len(), true);
+        }
+    }
+
+    async fn replace_backends(&self, service: usize, count: usize) {
+        for id in self.backends.ids_of_service(service).into_iter().take(count) {
+            self.backends.start(service, self.zone_of_backend(&id), true);
+            self.backends.drain(&id);
+            pause(self.site.bounds.drain_ms as Millis + 1_000).await;
+            self.backends.kill(&id);
+            self.backends.remove_from_list(&id);
+        }
+    }
+
+    fn zone_of_backend(&self, id: &str) -> usize {
+        self.recorder.with(|records| {
+            records.incarnations.iter().find(|incarnation| incarnation.id == id).map_or(0, |it| it.zone)
+        })
+    }
+}
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -4,42 +4,64 @@
 use crate::site::Site;
 use std::fmt;
 
+/// Statuses that are counted; 0 stands for no complete response.
+const STATUSES: [u16; 9] = [200, 401, 404, 429, 500, 502, 503, 504, 0];
+
+/// How often attempts ended with a status.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct StatusCount {
+    /// The status; 0: no complete response in time.
+    pub status: u16,
+    /// How many attempts.
+    pub attempts: usize,
+}
+
+/// What clients had of a day.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
+    /// How many requests were sent.
     pub requests: usize,
-    /// Parts of the requests that are owed: served at all, and within their aim.
+    /// The part of the owed requests that had a valid response.
     pub served: f64,
+    /// The part of the owed requests that had one within their latency target.
     pub in_time: f64,
-    /// Of all tries: refused with a promise, and without an answer of their own.
-    pub refused: f64,
+    /// The part of all attempts that was rejected with 429 or 503.
+    pub rejected: f64,
+    /// The part of all attempts that ended with another 5xx, or without a response.
     pub failed: f64,
-    /// Tries by the status that they were answered with; 0: none, or none in time.
-    pub statuses: [(u16, usize); 9],
+    /// Attempts by status.
+    pub statuses: [StatusCount; STATUSES.len()],
+    /// The median time of served requests (ms).
     pub p50: Millis,
+    /// The time within which 99 in 100 served requests were (ms).
     pub p99: Millis,
 }
 
 impl Figures {
+    /// The figures of a day's records.
+    #[must_use]
     pub fn of(site: &Site, records: &Records) -> Figures {
-        let owed: Vec<_> = records.requests.iter().filter(|it| it.usual).collect();
-        let served = owed.iter().filter_map(|it| Some((it.kind, it.served? - it.first)));
-        let mut times: Vec<Millis> = served.clone().map(|(_, took)| took).collect();
+        let owed: Vec<_> = records.requests.iter().filter(|request| request.is_owed).collect();
+        let served = owed.iter().filter_map(|it| Some((it.kind, it.served_at? - it.first_sent)));
+        let mut times: Vec<Millis> = served.clone().map(|(_, time)| time).collect();
         times.sort_unstable();
-        let at = |part: f64| times.get((times.len() as f64 * part) as usize).copied().unwrap_or(0);
-        let in_time = served.clone().filter(|(kind, took)| *took <= site.kinds[*kind].aim_ms).count();
-        let of = |count: usize, all: usize| count as f64 / all.max(1) as f64;
-        let tries = |so: &dyn Fn(u16) -> bool| records.tries.iter().filter(|it| so(it.status)).count();
-        let statuses =
-            [200, 401, 404, 429, 500, 502, 503, 504, 0].map(|it| (it, tries(&|status| status == it)));
+        let percentile = |part: f64| times.get((times.len() as f64 * part) as usize).copied().unwrap_or(0);
+        let in_time = served.filter(|(kind, time)| *time <= site.request_kinds[*kind].target_ms).count();
+        let part = |count: usize, all: usize| count as f64 / all.max(1) as f64;
+        let all_attempts = records.attempts.len();
+        let attempts = |is_counted: &dyn Fn(u16) -> bool| {
+            records.attempts.iter().filter(|attempt| is_counted(attempt.status)).count()
+        };
         Figures {
-            statuses,
             requests: records.requests.len(),
-            served: of(served.count(), owed.len()),
-            in_time: of(in_time, owed.len()),
-            refused: of(tries(&|status| matches!(status, 429 | 503)), records.tries.len()),
-            failed: of(tries(&|status| status == 0 || status >= 500 && status != 503), records.tries.len()),
-            p50: at(0.5),
-            p99: at(0.99),
+            served: part(times.len(), owed.len()),
+            in_time: part(in_time, owed.len()),
+            rejected: part(attempts(&|status| matches!(status, 429 | 503)), all_attempts),
+            failed: part(attempts(&|status| status == 0 || status >= 500 && status != 503), all_attempts),
+            statuses: STATUSES
+                .map(|status| StatusCount { status, attempts: attempts(&|other| other == status) }),
+            p50: percentile(0.5),
+            p99: percentile(0.99),
         }
     }
 }
@@ -49,9 +71,9 @@
         write!(
             f,
             "{} requests, served {:.3}, in time {:.3}, tries refused {:.3} and failed {:.3}, p50 {} ms, p99 {} ms",
-            self.requests, self.served, self.in_time, self.refused, self.failed, self.p50, self.p99
+            self.requests, self.served, self.in_time, self.rejected, self.failed, self.p50, self.p99
         )?;
-        let mut some = self.statuses.iter().filter(|(_, count)| *count > 0);
-        some.try_for_each(|(status, count)| write!(f, ", {status}: {count}"))
+        let mut counts = self.statuses.iter().filter(|count| count.attempts > 0);
+        counts.try_for_each(|StatusCount { status, attempts }| write!(f, ", {status}: {attempts}"))
     }
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,136 +1,133 @@
-//! The system's machines: the shipped daemons as processes, killed, frozen and started again as days want it.
+//! The system's machines: the shipped daemons as processes, killed, frozen and restarted as days want it.
 
-use crate::net::{Net, Place};
+use crate::net::{Location, Net};
 use crate::process::Process;
 use crate::site::Site;
-use serde_json::{json, Value};
+use serde_json::{json, Map, Value};
 use slog::Logger;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
 use violetyoke_api::Settings;
 use violetyoke_transport::lifecycle::{Lifecycle, LifecycleSender};
 
-const CONTROL: u16 = 8083;
-const DIRECTORY: u16 = 8084;
-const FRONT: u16 = 8089;
-const READY: u16 = 8085;
-const INNER: (u16, u16) = (7460, 7475);
-/// A process that has ended is started again after this.
-const AGAIN: Duration = Duration::from_millis(300);
+const CONTROL_PORT: u16 = 8083;
+const DIRECTORY_PORT: u16 = 8084;
+const READY_PORT: u16 = 8085;
+const FRONT_PORT: u16 = 8089;
+const INTERNAL_PORTS: [u16; 2] = [7460, 7475];
+/// A process that has ended is restarted after this.
+pub(crate) const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Daemon {
+enum Daemon {
     Proxy,
     Registry,
     Store,
 }
 
-pub struct Machine {
-    pub ip: Ipv4Addr,
-    pub zone: usize,
-    pub core: bool,
+/// A running daemon.
+struct DaemonProcess {
+    process: Process,
+    lifecycle: LifecycleSender,
+}
+
+/// One machine.
+pub(crate) struct Machine {
+    pub(crate) ip: Ipv4Addr,
+    pub(crate) zone: usize,
+    is_core: bool,
     name: String,
-    processes: Vec<(Daemon, Process, LifecycleSender)>,
-    pub up: bool,
-    lives: u64,
+    processes: Vec<DaemonProcess>,
+    is_up: bool,
+    /// How often it was started.
+    starts: u64,
 }
 
 impl Machine {
-    pub fn front(&self) -> SocketAddr {
-        (self.ip, FRONT).into()
-    }
-
-    pub fn control(&self) -> SocketAddr {
-        (self.ip, CONTROL).into()
+    pub(crate) fn control(&self) -> SocketAddr {
+        (self.ip, CONTROL_PORT).into()
     }
 
-    pub fn directory(&self) -> SocketAddr {
-        (self.ip, DIRECTORY).into()
+    pub(crate) fn directory(&self) -> SocketAddr {
+        (self.ip, DIRECTORY_PORT).into()
     }
 
-    pub fn ready(&self) -> SocketAddr {
-        (self.ip, READY).into()
+    fn has_ended(&self) -> bool {
+        self.is_up && !self.processes.is_empty() && self.processes.iter().all(|it| !it.process.is_running())
     }
 }
 
-pub struct Fleet {
-    pub net: Rc<Net>,
-    pub machines: Vec<Machine>,
+/// All machines of the system, the cores first.
+pub(crate) struct Fleet {
+    net: Rc<Net>,
+    pub(crate) machines: Vec<Machine>,
     site: Site,
-    platform: SocketAddr,
+    platform: SocketAddrV4,
     seed: u64,
     log: Logger,
-    first: bool,
+    is_first_start: bool,
 }
 
 impl Fleet {
-    pub fn new(net: Rc<Net>, site: &Site, platform: SocketAddr, seed: u64, log: Logger) -> Fleet {
-        let mut machines = Vec::new();
-        for (core, counts) in [(true, &site.cores), (false, &site.edges)] {
+    pub(crate) fn new(net: Rc<Net>, site: &Site, platform: SocketAddrV4, seed: u64, log: Logger) -> Fleet {
+        let mut machines: Vec<Machine> = Vec::new();
+        for (is_core, counts) in [(true, &site.cores), (false, &site.edges)] {
             for (zone, count) in counts.iter().enumerate() {
                 for n in 0..*count {
                     let number = machines.len() + 1;
                     let ip = Ipv4Addr::new(10, 1, (number / 200) as u8, (number % 200 + 1) as u8);
-                    net.place(ip, Place { zone, region: site.region(zone) });
-                    let class = if core { "core" } else { "edge" };
-                    let name = format!("{class}-{}-{}", site.zones[zone].0, n + 1);
+                    net.set_location(ip, Location { zone, region: site.region(zone) });
+                    let class = if is_core { "core" } else { "edge" };
+                    let name = format!("{class}-{}-{}", site.zones[zone].name, n + 1);
                     machines.push(Machine {
                         ip,
                         zone,
-                        core,
+                        is_core,
                         name,
                         processes: Vec::new(),
-                        up: false,
-                        lives: 0,
+                        is_up: false,
+                        starts: 0,
                     });
                 }
             }
         }
-        for machine in machines.iter().filter(|machine| machine.core) {
-            let platter = net.platter(machine.ip);
-            platter.takes(Duration::from_secs_f64(site.sync_ms / 1000.0));
-            platter.lies(site.disks_lie);
+        for machine in machines.iter().filter(|machine| machine.is_core) {
+            let disk = net.disk_of(machine.ip);
+            disk.set_sync_time(Duration::from_secs_f64(site.sync_ms / 1000.0));
+            disk.set_lying(site.has_lying_disks);
         }
-        Fleet { net, machines, site: site.clone(), platform, seed, log, first: true }
-    }
-
-    pub fn cores(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|n| self.machines[*n].core).collect()
+        Fleet { net, machines, site: site.clone(), platform, seed, log, is_first_start: true }
     }
 
-    pub fn edges(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|n| !self.machines[*n].core).collect()
+    /// Machines with a registry and a store.
+    pub(crate) fn cores(&self) -> impl Iterator<Item = &Machine> {
+        self.machines.iter().filter(|machine| machine.is_core)
     }
 
-    pub fn of_zone(&self, zone: usize) -> Vec<usize> {
-        (0..self.machines.len()).filter(|n| self.machines[*n].zone == zone).collect()
+    /// The indices of a zone's machines.
+    pub(crate) fn in_zone(&self, zone: usize) -> Vec<usize> {
+        (0..self.machines.len()).filter(|index| self.machines[*index].zone == zone).collect()
     }
 
     fn settings(&self, machine: &Machine) -> Value {
         let at = |port: u16| SocketAddr::from((machine.ip, port));
-        let seeds: Vec<String> = self
-            .cores()
-            .iter()
-            .take(3)
-            .map(|n| SocketAddr::from((self.machines[*n].ip, CONTROL)).to_string())
-            .collect();
-        let zones: serde_json::Map<String, Value> = self
-            .site
-            .zones
-            .iter()
-            .map(|(zone, region)| ((*zone).into(), self.site.regions[*region].into()))
-            .collect();
-        let listen = match machine.core {
-            true => json!({"control": at(CONTROL), "directory": at(DIRECTORY)}),
-            false => json!({"front": at(FRONT), "ready": at(READY)}),
+        let seeds: Vec<String> = self.cores().take(3).map(|core| core.control().to_string()).collect();
+        let region = |index: usize| self.site.regions[index];
+        let zones = self.site.zones.iter().map(|zone| (zone.name.into(), region(zone.region).into()));
+        let zones: Map<String, Value> = zones.collect();
+        let listen = if machine.is_core {
+            json!({"control": at(CONTROL_PORT), "directory": at(DIRECTORY_PORT)})
+        } else {
+            json!({"front": at(FRONT_PORT), "ready": at(READY_PORT)})
         };
+        let zone = self.site.zones[machine.zone];
         let bounds = &self.site.bounds;
         json!({
-            "self": {"node": machine.name, "ip": machine.ip, "zone": self.site.zones[machine.zone].0,
-                     "region": self.site.regions[self.site.region(machine.zone)], "bootstrap": self.first,
-                     "counted": machine.core, "data-dir": machine.core.then_some("/disk")},
-            "network": {"listen": listen, "internal-ports": [INNER.0, INNER.1], "seeds": seeds, "zones": zones},
+            "self": {"node": machine.name, "ip": machine.ip, "zone": zone.name, "region": region(zone.region),
+                     "bootstrap": self.is_first_start, "counted": machine.is_core,
+                     "data-dir": machine.is_core.then_some("/disk")},
+            "network": {"listen": listen, "internal-ports": INTERNAL_PORTS, "seeds": seeds, "zones": zones},
             "platform": {"cloud-api": {"address": self.platform, "rate-per-s": 47, "lag-ms": self.site.lag_ms}},
             "terms": {"fault-tolerance": {"machines": self.site.tolerance, "zones": 1, "regions": 0},
                       "bounds": {"retry-ratio": bounds.retry_ratio, "retry-window-s": bounds.retry_window_s,
@@ -139,91 +136,100 @@
         })
     }
 
-    /// Starts a machine's processes.
-    pub fn start(&mut self, n: usize) {
-        let Some(machine) = self.machines.get(n).filter(|machine| !machine.up) else { return };
-        let text = self.settings(machine).to_string();
-        let (ip, name, lives) = (machine.ip, machine.name.clone(), machine.lives + 1);
+    /// Starts a machine's processes, if it is down.
+    pub(crate) fn start(&mut self, index: usize) {
+        let Some(machine) = self.machines.get(index).filter(|machine| !machine.is_up) else { return };
+        let settings = self.settings(machine).to_string();
         let daemons: &[Daemon] =
-            if machine.core { &[Daemon::Store, Daemon::Registry] } else { &[Daemon::Proxy] };
-        self.net.dark(ip, false);
-        let processes = daemons.iter().map(|daemon| {
-            let log = self.log.new(slog::o!("node" => name.clone(), "daemon" => format!("{daemon:?}")));
-            let drawn = self.seed ^ (u64::from(u32::from(ip)) << 20 | lives << 2 | *daemon as u64);
-            // Each number is another's: spread as a hash spreads them.
-            let drawn =
-                drawn.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-            let (life, words) = Lifecycle::new(drawn | 1);
-            let (daemon, text) = (*daemon, text.clone());
-            let body = async move { run(daemon, &text, life, log).await };
-            (daemon, Process::start(&self.net, ip, body), words)
-        });
-        let processes = processes.collect();
-        let machine = &mut self.machines[n];
-        (machine.processes, machine.up, machine.lives) = (processes, true, lives);
+            if machine.is_core { &[Daemon::Store, Daemon::Registry] } else { &[Daemon::Proxy] };
+        let starts = machine.starts + 1;
+        self.net.set_power_lost(machine.ip, false);
+        let start = |daemon: &Daemon| self.start_daemon(machine, *daemon, starts, settings.clone());
+        let processes = daemons.iter().map(start).collect();
+        let machine = &mut self.machines[index];
+        (machine.processes, machine.is_up, machine.starts) = (processes, true, starts);
+    }
+
+    fn start_daemon(
+        &self,
+        machine: &Machine,
+        daemon: Daemon,
+        starts: u64,
+        settings: String,
+    ) -> DaemonProcess {
+        let log = self.log.new(slog::o!("node" => machine.name.clone(), "daemon" => format!("{daemon:?}")));
+        let (lifecycle, sender) = Lifecycle::new(incarnation(self.seed, machine.ip, starts, daemon));
+        let body = async move { run(daemon, &settings, lifecycle, log).await };
+        DaemonProcess { process: Process::start(&self.net, machine.ip, body), lifecycle: sender }
     }
 
     /// All machines have started once.
-    pub fn started(&mut self) {
-        self.first = false;
+    pub(crate) fn on_all_started(&mut self) {
+        self.is_first_start = false;
     }
 
     /// Ends a machine's processes; with its power, nothing more comes from it.
-    pub fn end(&mut self, n: usize, power: bool, torn: bool) {
-        let Some(machine) = self.machines.get_mut(n) else { return };
-        if power {
-            self.net.dark(machine.ip, true);
+    pub(crate) fn kill(&mut self, index: usize, is_power_lost: bool, is_torn: bool) {
+        let Some(machine) = self.machines.get_mut(index) else { return };
+        if is_power_lost {
+            self.net.set_power_lost(machine.ip, true);
         }
-        for (_, process, _) in machine.processes.drain(..) {
-            process.kill();
+        for daemon in machine.processes.drain(..) {
+            daemon.process.kill();
         }
-        machine.up = false;
-        self.net.silence(machine.ip);
-        self.net.platter(machine.ip).ended(power, torn);
+        machine.is_up = false;
+        self.net.close_listeners(machine.ip);
+        self.net.disk_of(machine.ip).on_process_ended(is_power_lost, is_torn);
     }
 
-    pub fn freeze(&mut self, n: usize, frozen: bool) {
-        for (_, process, _) in self.machines.get(n).iter().flat_map(|machine| &machine.processes) {
-            process.freeze(frozen);
-        }
+    fn processes(&self, index: usize) -> impl Iterator<Item = &DaemonProcess> {
+        self.machines.get(index).into_iter().flat_map(|machine| &machine.processes)
+    }
+
+    /// Freezes a machine's processes, or lets them go on.
+    pub(crate) fn set_frozen(&self, index: usize, is_frozen: bool) {
+        self.processes(index).for_each(|daemon| daemon.process.set_frozen(is_frozen));
     }
 
-    /// Tells a machine's processes to leave.
-    pub fn leave(&self, n: usize) {
-        for (.., words) in self.machines.get(n).iter().flat_map(|machine| &machine.processes) {
-            // One that has ended already needs no word.
-            let _ = words.shutdown.send(());
+    /// Asks a machine's processes to shut down, as SIGTERM does.
+    pub(crate) fn shut_down(&self, index: usize) {
+        for daemon in self.processes(index) {
+            #[expect(
+                clippy::let_underscore_must_use,
+                reason = "a process that has ended already needs no signal"
+            )]
+            let _ = daemon.lifecycle.shutdown.send(());
         }
     }
 
-    /// Processes that have ended by themselves, or as they were told to, are started again.
-    pub fn look_after(&mut self) -> Vec<usize> {
-        let ended = |machine: &Machine| {
-            machine.up
-                && !machine.processes.is_empty()
-                && machine.processes.iter().all(|(_, it, _)| !it.running())
-        };
-        let ended: Vec<usize> = (0..self.machines.len()).filter(|n| ended(&self.machines[*n])).collect();
-        for n in &ended {
-            self.end(*n, false, false);
+    /// Machines whose processes have ended by themselves or as they were asked to; they are down from now on.
+    pub(crate) fn take_ended(&mut self) -> Vec<usize> {
+        let ended: Vec<usize> =
+            (0..self.machines.len()).filter(|index| self.machines[*index].has_ended()).collect();
+        for index in &ended {
+            self.kill(*index, false, false);
         }
         ended
     }
+}
 
-    pub fn again_after(&self) -> Duration {
-        AGAIN
-    }
+/// A number of its own for each start of each daemon, spread as a hash spreads them; never 0.
+fn incarnation(seed: u64, ip: Ipv4Addr, starts: u64, daemon: Daemon) -> u64 {
+    let number = seed ^ (u64::from(u32::from(ip)) << 20 | starts << 2 | daemon as u64);
+    let spread =
+        number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    spread | 1
 }
 
-async fn run(daemon: Daemon, text: &str, life: Lifecycle, log: Logger) {
-    let settings = match Settings::parse(text) {
+async fn run(daemon: Daemon, settings: &str, lifecycle: Lifecycle, log: Logger) {
+    let settings = match Settings::parse(settings) {
         Ok(settings) => settings,
         Err(report) => return slog::error!(log, "no settings"; "why" => format!("{report:?}")),
     };
     let ended = match daemon {
-        Daemon::Proxy => violetyoke_proxy::daemon::run(settings, life, log.clone()).await,
-        Daemon::Registry => violetyoke_registry::daemon::run(settings, life, log.clone()).await,
-        Daemon::Store => violetyoke_store::daemon::run(settings, life, log.clone()).await,
+        Daemon::Proxy => violetyoke_proxy::daemon::run(settings, lifecycle, log.clone()).await,
+        Daemon::Registry => violetyoke_registry::daemon::run(settings, lifecycle, log.clone()).await,
+        Daemon::Store => violetyoke_store::daemon::run(settings, lifecycle, log.clone()).await,
     };
     if let Err(report) = ended {
         slog::error!(log, "ended"; "why" => format!("{report:?}"));
--- a/crates/emulator/src/calls.rs
+++ b/crates/emulator/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP call over the emulated network, within a time.
+//! HTTP over the emulated network, with time-outs.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -8,51 +8,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
-use violetyoke_transport::net::connect;
 
 /// A connection that carries one request at a time.
-pub type Connection = SendRequest<Full<Bytes>>;
+pub(crate) type Connection = SendRequest<Full<Bytes>>;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub struct Whole {
-    pub status: u16,
-    pub headers: HeaderMap,
-    pub body: Bytes,
+pub(crate) struct Response {
+    pub(crate) status: u16,
+    pub(crate) headers: HeaderMap,
+    pub(crate) body: Bytes,
 }
 
-pub async fn open(to: SocketAddr, within: Duration) -> Option<Connection> {
-    let stream = timeout(within, connect(to)).await.ok()?.ok()?;
+/// Opens a connection; `None` if it did not come up in time.
+pub(crate) async fn connect(to: SocketAddr, within: Duration) -> Option<Connection> {
+    let stream = timeout(within, violetyoke_transport::net::connect(to)).await.ok()?.ok()?;
     let (sender, connection) = handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await.ok()?;
+    // It ends with the sender; an error in it is seen there.
     tokio::task::spawn_local(async move { drop(connection.await) });
     Some(sender)
 }
 
-/// Sends a request and waits for its whole answer until then.
-pub async fn send(
+/// Sends a request; `None` if there was no complete response by then.
+pub(crate) async fn send(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
     until: Instant,
-) -> Option<Whole> {
-    let whole = async {
+) -> Option<Response> {
+    let response = async {
         connection.ready().await.ok()?;
         let (head, body) = connection.send_request(request).await.ok()?.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
-        Some(Whole { status: head.status.as_u16(), headers: head.headers, body })
+        Some(Response { status: head.status.as_u16(), headers: head.headers, body })
     };
-    timeout_at(until, whole).await.ok().flatten()
+    timeout_at(until, response).await.ok().flatten()
 }
 
-/// One call on a connection of its own.
-pub async fn call(
+/// One request on a connection of its own.
+pub(crate) async fn send_once(
     to: SocketAddr,
     method: &str,
     target: &str,
     body: String,
     within: Duration,
-) -> Option<Whole> {
+) -> Option<Response> {
     let until = Instant::now() + within;
-    let mut connection = open(to, within).await?;
+    let mut connection = connect(to, within).await?;
     let request = Request::builder().method(method).uri(target).header("host", to.to_string());
     send(&mut connection, request.body(Full::new(Bytes::from(body))).ok()?, until).await
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,37 +1,36 @@
-//! Whole systems in virtual time. `net`, `disk` and `process` are the machines; `fleet` runs the shipped daemons on them;
-//! `clients`, `backends`, `platform` and `operator` stand round them and note what they see (`records`). A `day` says
-//! what happens (`happen`), `world` plays it, `judge` holds the rules against the records, `story` shortens a day that
-//! breaks one. There is no model of processors: what a day is worth is told by delays, losses and decisions alone.
-
-#![allow(
-    clippy::allow_attributes_without_reason,
-    clippy::let_underscore_must_use,
-    clippy::rc_buffer,
-    clippy::too_many_lines,
-    clippy::unused_self,
-    missing_docs,
-    unreachable_pub,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
+//! Whole systems in virtual time: the shipped daemons on emulated machines, days of drawn faults, and the rules checked
+//! against what those outside of the system observed.
+//!
+//! - `net`, `emulated_disk` and `process` are the machines; `fleet` runs the daemons on them.
+//! - `clients`, `backends`, `platform` and `operator` surround them, and record what they observe in [`records`].
+//! - A [`day`] says which [`event`]s happen when (also as a file of the bench, [`day_file`]); `fault_injection` lets it happen in a
+//!   [`simulation`] of a [`site`].
+//! - The [`checker`] finds broken rules; [`trace`] minimizes a day that breaks one; [`figures`] and [`change_costs`] say
+//!   what a day was worth, and what changes cost.
+//!
+//! There is no model of processors: figures come from delays, losses and decisions alone.
 
 mod backends;
-mod calls;
-pub mod changes;
+pub mod change_costs;
+pub mod checker;
 mod clients;
 pub mod day;
-pub mod dayfile;
+pub mod day_file;
+mod emulated_disk;
+pub mod event;
+mod fault_injection;
 pub mod figures;
 mod fleet;
-mod happen;
-pub mod judge;
+mod http_client;
+mod log_recorder;
 mod net;
-mod noting;
 mod operator;
 mod platform;
 mod process;
 pub mod records;
+pub mod simulation;
 pub mod site;
-pub mod story;
-pub mod world;
+pub mod trace;
 
-mod disk;
+pub use emulated_disk::DiskWrites;
+pub use net::{Delays, Traffic};
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -2,13 +2,14 @@
 
 use lexopt::prelude::*;
 use slog::Logger;
-use std::path::PathBuf;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use violetyoke_emulator::changes;
+use violetyoke_emulator::change_costs;
 use violetyoke_emulator::day::Day;
-use violetyoke_emulator::dayfile;
+use violetyoke_emulator::day_file;
 use violetyoke_emulator::site::Site;
-use violetyoke_emulator::story::{shorten, tell, Told};
+use violetyoke_emulator::trace::{minimize, play_and_check, PlayedDay};
 
 const HELP: &str =
     "violetyoke-emulator VERB [--seed N] [--days N] [--routes N] [--file F] [--per-s N] [--edges N] [--five] [--log]
@@ -33,9 +34,33 @@
 
 /// How long the bench's days last (ms).
 const BENCH_LENGTH: u64 = 32_000;
+/// How many violations of a day are printed.
+const MAX_PRINTED: usize = 10;
 
-struct Wanted {
-    verb: String,
+#[derive(Clone, Copy)]
+enum Verb {
+    Quiet,
+    Day,
+    Hunt,
+    Changes,
+}
+
+impl std::str::FromStr for Verb {
+    type Err = String;
+
+    fn from_str(word: &str) -> Result<Verb, String> {
+        match word {
+            "quiet" => Ok(Verb::Quiet),
+            "day" => Ok(Verb::Day),
+            "hunt" => Ok(Verb::Hunt),
+            "changes" => Ok(Verb::Changes),
+            other => Err(format!("{other}: no such verb; see --help")),
+        }
+    }
+}
+
+struct CommandLine {
+    verb: Verb,
     seed: u64,
     days: u64,
     routes: usize,
@@ -44,16 +69,16 @@
     log: bool,
 }
 
-fn wanted() -> Result<Option<Wanted>, lexopt::Error> {
+/// Reads the command line; `None`: help is asked for.
+fn parse(mut parser: lexopt::Parser) -> Result<Option<CommandLine>, lexopt::Error> {
     let (mut verb, mut seed, mut days, mut log) = (None, 1, 20, false);
     let mut file = None;
-    let (mut per_s, mut edges, mut five, mut routes) = (40.0, 2, false, 0);
-    let mut parser = lexopt::Parser::from_env();
+    let (mut requests_per_s, mut edges, mut five, mut routes) = (40.0, 2, false, 0);
     while let Some(argument) = parser.next()? {
         match argument {
             Long("seed") => seed = parser.value()?.parse()?,
             Long("days") => days = parser.value()?.parse()?,
-            Long("per-s") => per_s = parser.value()?.parse()?,
+            Long("per-s") => requests_per_s = parser.value()?.parse()?,
             Long("edges") => edges = parser.value()?.parse()?,
             Long("file") => file = Some(PathBuf::from(parser.value()?)),
             Long("routes") => routes = parser.value()?.parse()?,
@@ -64,75 +89,78 @@
             other => return Err(other.unexpected()),
         }
     }
-    let site = Site::rooms(edges, per_s);
+    let site = Site::rooms(edges, requests_per_s);
     let site = if five { site.with_five_cores() } else { site };
-    let verb = verb.ok_or("no verb: quiet, day, hunt or changes")?;
-    Ok(Some(Wanted { verb, seed, days, routes, file, site, log }))
+    let verb = verb.ok_or("no verb: quiet, day, hunt or changes")?.parse::<Verb>()?;
+    Ok(Some(CommandLine { verb, seed, days, routes, file, site, log }))
+}
+
+fn silent() -> Logger {
+    Logger::root(slog::Discard, slog::o!())
 }
 
-fn print(told: &Told) {
-    for event in &told.day.events {
+fn print(played: &PlayedDay) {
+    for event in &played.day.events {
         println!("  {event}");
     }
-    println!("  {}", told.figures);
-    for broken in told.broken.iter().take(10) {
-        println!("  BROKEN {}: {}", broken.rule, broken.what);
+    println!("  {}", played.figures);
+    for violation in played.violations.iter().take(MAX_PRINTED) {
+        println!("  BROKEN {}: {}", violation.rule, violation.detail);
     }
 }
 
-fn run(wanted: &Wanted) -> std::io::Result<bool> {
-    let log = || match wanted.log {
-        true => violetyoke_transport::log::logger("violetyoke-emulator", "world"),
-        false => Logger::root(slog::Discard, slog::o!()),
-    };
-    let mut site = wanted.site.clone();
-    let day = match wanted.verb.as_str() {
-        "day" if wanted.file.is_some() => {
-            let path = wanted.file.clone().unwrap_or_default();
-            let text = std::fs::read_to_string(&path)?;
-            let read = dayfile::read(&text, &site, BENCH_LENGTH);
-            let read = read.map_err(|error| std::io::Error::other(format!("{}: {error}", path.display())))?;
-            for kind in &read.unknown {
-                println!("  {kind}: not known here, left out");
-            }
-            site.per_s = read.per_s.unwrap_or(site.per_s);
-            read.day
-        }
-        "quiet" => Day::quiet(wanted.seed),
-        "day" => Day::drawn(wanted.seed, &wanted.site),
-        "changes" => {
-            println!("{}", changes::measure(&wanted.site, wanted.days as usize, wanted.routes, wanted.seed)?);
+/// Carries out a verb; whether no rule was broken.
+fn run(line: &CommandLine) -> io::Result<bool> {
+    let mut site = line.site.clone();
+    let day = match (line.verb, &line.file) {
+        (Verb::Hunt, _) => return hunt(line),
+        (Verb::Changes, _) => {
+            println!("{}", change_costs::measure(&line.site, line.days as usize, line.routes, line.seed)?);
             return Ok(true);
         }
-        _ => return hunt(wanted),
+        (Verb::Quiet, _) => Day::quiet(line.seed),
+        (Verb::Day, None) => Day::drawn(line.seed, &line.site),
+        (Verb::Day, Some(file)) => read_day(file, &mut site)?,
     };
-    let told = tell(&site, day, log())?;
-    print(&told);
-    Ok(told.broken.is_empty())
+    let log =
+        if line.log { violetyoke_transport::log::logger("violetyoke-emulator", "world") } else { silent() };
+    let played = play_and_check(&site, day, &log)?;
+    print(&played);
+    Ok(played.violations.is_empty())
+}
+
+/// Reads a day in the bench's form; the site gets the traffic that it names.
+fn read_day(file: &Path, site: &mut Site) -> io::Result<Day> {
+    let text = std::fs::read_to_string(file)?;
+    let parsed = day_file::parse(&text, site, BENCH_LENGTH);
+    let parsed = parsed.map_err(|error| {
+        io::Error::new(io::ErrorKind::InvalidData, format!("{}: {error}", file.display()))
+    })?;
+    for kind in &parsed.unknown_kinds {
+        println!("  {kind}: not known here, left out");
+    }
+    site.requests_per_s = parsed.requests_per_s.unwrap_or(site.requests_per_s);
+    Ok(parsed.day)
 }
 
-fn hunt(wanted: &Wanted) -> std::io::Result<bool> {
-    let mut found = 0;
-    for seed in wanted.seed..wanted.seed + wanted.days {
-        let day = Day::drawn(seed, &wanted.site);
-        let told = tell(&wanted.site, day, Logger::root(slog::Discard, slog::o!()))?;
-        println!("seed {seed}: {} events, {}", told.day.events.len(), told.figures);
-        if !told.broken.is_empty() {
-            found += 1;
-            print(&shorten(&wanted.site, told)?);
+fn hunt(line: &CommandLine) -> io::Result<bool> {
+    let mut days_with_violations = 0;
+    for seed in line.seed..line.seed + line.days {
+        let day = Day::drawn(seed, &line.site);
+        let played = play_and_check(&line.site, day, &silent())?;
+        println!("seed {seed}: {} events, {}", played.day.events.len(), played.figures);
+        if !played.violations.is_empty() {
+            days_with_violations += 1;
+            print(&minimize(&line.site, played)?);
         }
     }
-    println!("{} days, {found} with a broken rule", wanted.days);
-    Ok(found == 0)
+    println!("{} days, {days_with_violations} with a broken rule", line.days);
+    Ok(days_with_violations == 0)
 }
 
 fn main() -> ExitCode {
-    let wanted = match wanted() {
-        Ok(Some(wanted)) if ["quiet", "day", "hunt", "changes"].contains(&wanted.verb.as_str()) => wanted,
-        Ok(Some(wanted)) => {
-            eprintln!("violetyoke-emulator: {}: no such verb; see --help", wanted.verb);
-            return ExitCode::from(2);
-        }
+    let line = match parse(lexopt::Parser::from_env()) {
+        Ok(Some(line)) => line,
         Ok(None) => {
             println!("{HELP}");
             return ExitCode::SUCCESS;
@@ -142,7 +170,7 @@
             return ExitCode::from(2);
         }
     };
-    match run(&wanted) {
+    match run(&line) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
--- a/crates/emulator/src/net/mod.rs
+++ b/crates/emulator/src/net/mod.rs
@@ -1,7 +1,8 @@
-//! The emulated network: pipes with delays between machines that can be dark, frozen or cut off, one way or both.
+//! The emulated network: connections with delays between machines that can lose power or be partitioned, one way or both.
 
-mod pipes;
+mod connections;
 
+use crate::emulated_disk::EmulatedDisk;
 use futures_util::future::{pending, LocalBoxFuture};
 use futures_util::FutureExt;
 use std::cell::{Cell, RefCell};
@@ -12,19 +13,17 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::io::DuplexStream;
-use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::Notify;
 use violetyoke_transport::environment::{Disk, Environment, Incoming};
 
-use crate::disk::Platter;
-
 thread_local! {
     /// The machine whose process is running.
     static RUNNING: Cell<Ipv4Addr> = const { Cell::new(Ipv4Addr::UNSPECIFIED) };
 }
 
-/// Runs something as a process of that machine.
-pub fn as_machine<R>(ip: Ipv4Addr, run: impl FnOnce() -> R) -> R {
+/// Runs something as a process of that machine: its connections and its disk are those of the machine.
+pub(crate) fn as_machine<R>(ip: Ipv4Addr, run: impl FnOnce() -> R) -> R {
     let before = RUNNING.replace(ip);
     let result = run();
     RUNNING.set(before);
@@ -33,131 +32,141 @@
 
 /// Where a machine stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Place {
-    pub zone: usize,
-    pub region: usize,
+pub(crate) struct Location {
+    pub(crate) zone: usize,
+    pub(crate) region: usize,
 }
 
-/// Ways between places (ms, one way).
+/// Delays of one way (ms).
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
-    pub zone: f64,
-    pub zones: f64,
-    pub regions: f64,
+    /// Between machines of one zone.
+    pub within_zone_ms: f64,
+    /// Between zones of one region.
+    pub between_zones_ms: f64,
+    /// Between regions.
+    pub between_regions_ms: f64,
 }
 
-/// Bytes that were carried between the system's machines.
+/// Bytes on the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Carried {
-    pub zone: u64,
-    pub zones: u64,
-    pub regions: u64,
+pub struct Traffic {
+    /// Between machines of one zone.
+    pub within_zones: u64,
+    /// Between zones of one region.
+    pub between_zones: u64,
+    /// Between regions.
+    pub between_regions: u64,
 }
 
-pub struct Net {
+/// Futures that belong to no process, for whoever runs the network.
+pub(crate) type OwnFutures = UnboundedReceiver<LocalBoxFuture<'static, ()>>;
+
+/// The network of a simulation, with the disks of its machines.
+pub(crate) struct Net {
     this: Weak<Net>,
     delays: Delays,
-    places: RefCell<HashMap<Ipv4Addr, Place>>,
+    locations: RefCell<HashMap<Ipv4Addr, Location>>,
     listeners: RefCell<HashMap<SocketAddr, UnboundedSender<(DuplexStream, SocketAddr)>>>,
-    dark: RefCell<HashSet<Ipv4Addr>>,
-    /// How often each machine has lost its power: bytes of connections from before are nobody's.
-    losses: RefCell<HashMap<Ipv4Addr, u64>>,
-    /// Ways that carry nothing, from and to.
-    cut: RefCell<HashSet<(Ipv4Addr, Ipv4Addr)>>,
+    without_power: RefCell<HashSet<Ipv4Addr>>,
+    /// How often each machine has lost its power: bytes of connections from before are dropped.
+    power_losses: RefCell<HashMap<Ipv4Addr, u64>>,
+    /// Pairs of machines, from and to, between which nothing is delivered.
+    partitioned: RefCell<HashSet<(Ipv4Addr, Ipv4Addr)>>,
     changed: Notify,
-    disks: RefCell<HashMap<Ipv4Addr, Rc<Platter>>>,
-    carried: Cell<Carried>,
-    opened: Cell<u64>,
-    /// Futures that belong to no machine.
-    own: UnboundedSender<LocalBoxFuture<'static, ()>>,
+    disks: RefCell<HashMap<Ipv4Addr, Rc<EmulatedDisk>>>,
+    traffic: Cell<Traffic>,
+    /// How many connections were opened: each has a port of its own.
+    connections: Cell<u64>,
+    /// Futures that belong to no process.
+    own_futures: UnboundedSender<LocalBoxFuture<'static, ()>>,
 }
 
 impl Net {
-    /// A network; its own futures have to be run by whoever makes it.
-    pub fn new(
-        delays: Delays,
-    ) -> (Rc<Net>, tokio::sync::mpsc::UnboundedReceiver<LocalBoxFuture<'static, ()>>) {
-        let (own, futures) = unbounded_channel();
+    /// A network, and its own futures, which its caller has to run.
+    pub(crate) fn new(delays: Delays) -> (Rc<Net>, OwnFutures) {
+        let (own_futures, futures) = unbounded_channel();
         let net = Rc::new_cyclic(|this| Net {
             this: this.clone(),
             delays,
-            places: RefCell::default(),
+            locations: RefCell::default(),
             listeners: RefCell::default(),
-            dark: RefCell::default(),
-            losses: RefCell::default(),
-            cut: RefCell::default(),
+            without_power: RefCell::default(),
+            power_losses: RefCell::default(),
+            partitioned: RefCell::default(),
             changed: Notify::new(),
             disks: RefCell::default(),
-            carried: Cell::default(),
-            opened: Cell::new(0),
-            own,
+            traffic: Cell::default(),
+            connections: Cell::new(0),
+            own_futures,
         });
         (net, futures)
     }
 
     /// Runs a future that belongs to no process.
-    pub fn spawn(&self, future: LocalBoxFuture<'static, ()>) {
-        // The world ends with its futures.
-        let _ = self.own.send(future);
+    pub(crate) fn spawn(&self, future: LocalBoxFuture<'static, ()>) {
+        #[expect(
+            clippy::let_underscore_must_use,
+            reason = "the receiver ends with the simulation, and so do its futures"
+        )]
+        let _ = self.own_futures.send(future);
     }
 
-    pub fn place(&self, ip: Ipv4Addr, place: Place) {
-        self.places.borrow_mut().insert(ip, place);
+    pub(crate) fn set_location(&self, ip: Ipv4Addr, location: Location) {
+        self.locations.borrow_mut().insert(ip, location);
     }
 
-    pub fn carried(&self) -> Carried {
-        self.carried.get()
+    pub(crate) fn traffic(&self) -> Traffic {
+        self.traffic.get()
     }
 
     /// The disk of a machine.
-    pub fn platter(&self, ip: Ipv4Addr) -> Rc<Platter> {
+    pub(crate) fn disk_of(&self, ip: Ipv4Addr) -> Rc<EmulatedDisk> {
         self.disks.borrow_mut().entry(ip).or_default().clone()
     }
 
-    /// A machine without power: nothing comes from it, not even an end.
-    pub fn dark(&self, ip: Ipv4Addr, dark: bool) {
-        if dark {
-            self.dark.borrow_mut().insert(ip);
-            *self.losses.borrow_mut().entry(ip).or_default() += 1;
+    /// A machine loses its power: nothing comes from it any more, not even the end of a connection. Or it has power again.
+    pub(crate) fn set_power_lost(&self, ip: Ipv4Addr, is_lost: bool) {
+        if is_lost {
+            self.without_power.borrow_mut().insert(ip);
+            *self.power_losses.borrow_mut().entry(ip).or_default() += 1;
         } else {
-            self.dark.borrow_mut().remove(&ip);
+            self.without_power.borrow_mut().remove(&ip);
         }
         self.changed.notify_waiters();
     }
 
-    /// Nothing listens there any more.
-    pub fn silence(&self, ip: Ipv4Addr) {
+    /// Nothing listens on that machine any more.
+    pub(crate) fn close_listeners(&self, ip: Ipv4Addr) {
         self.listeners.borrow_mut().retain(|at, _| at.ip() != IpAddr::V4(ip));
     }
 
-    pub fn cut(&self, from: Ipv4Addr, to: Ipv4Addr, cut: bool) {
-        if cut {
-            self.cut.borrow_mut().insert((from, to));
+    /// Nothing is delivered from one machine to another any more; or again, and what waited is.
+    pub(crate) fn set_partitioned(&self, from: Ipv4Addr, to: Ipv4Addr, is_partitioned: bool) {
+        if is_partitioned {
+            self.partitioned.borrow_mut().insert((from, to));
         } else {
-            self.cut.borrow_mut().remove(&(from, to));
+            self.partitioned.borrow_mut().remove(&(from, to));
         }
         self.changed.notify_waiters();
     }
 
-    pub fn heal(&self) {
-        self.cut.borrow_mut().clear();
-        self.changed.notify_waiters();
-    }
-
-    fn passes(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
-        let dark = self.dark.borrow();
-        !dark.contains(&from) && !dark.contains(&to) && !self.cut.borrow().contains(&(from, to))
+    fn is_reachable(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
+        let without_power = self.without_power.borrow();
+        !without_power.contains(&from)
+            && !without_power.contains(&to)
+            && !self.partitioned.borrow().contains(&(from, to))
     }
 
-    fn losses(&self, ends: [Ipv4Addr; 2]) -> u64 {
-        let losses = self.losses.borrow();
-        ends.iter().filter_map(|ip| losses.get(ip)).sum()
+    fn power_losses(&self, ends: [Ipv4Addr; 2]) -> u64 {
+        let power_losses = self.power_losses.borrow();
+        ends.iter().filter_map(|ip| power_losses.get(ip)).sum()
     }
 
-    async fn passable(&self, from: Ipv4Addr, to: Ipv4Addr) {
+    async fn wait_until_reachable(&self, from: Ipv4Addr, to: Ipv4Addr) {
         loop {
             let changed = self.changed.notified();
-            if self.passes(from, to) {
+            if self.is_reachable(from, to) {
                 return;
             }
             changed.await;
@@ -165,28 +174,30 @@
     }
 
     fn delay(&self, from: Ipv4Addr, to: Ipv4Addr) -> Duration {
-        let places = self.places.borrow();
-        let (from, to) =
-            (places.get(&from).copied().unwrap_or_default(), places.get(&to).copied().unwrap_or_default());
+        let locations = self.locations.borrow();
+        let (from, to) = (
+            locations.get(&from).copied().unwrap_or_default(),
+            locations.get(&to).copied().unwrap_or_default(),
+        );
         let ms = match (from.zone == to.zone, from.region == to.region) {
-            (true, _) => self.delays.zone,
-            (_, true) => self.delays.zones,
-            _ => self.delays.regions,
+            (true, _) => self.delays.within_zone_ms,
+            (_, true) => self.delays.between_zones_ms,
+            _ => self.delays.between_regions_ms,
         };
         Duration::from_secs_f64(ms / 1000.0)
     }
 
     fn count(&self, from: Ipv4Addr, to: Ipv4Addr, bytes: usize) {
-        let places = self.places.borrow();
-        let (Some(from), Some(to)) = (places.get(&from), places.get(&to)) else { return };
-        let mut carried = self.carried.get();
+        let locations = self.locations.borrow();
+        let (Some(from), Some(to)) = (locations.get(&from), locations.get(&to)) else { return };
+        let mut traffic = self.traffic.get();
         let figure = match (from.zone == to.zone, from.region == to.region) {
-            (true, _) => &mut carried.zone,
-            (_, true) => &mut carried.zones,
-            _ => &mut carried.regions,
+            (true, _) => &mut traffic.within_zones,
+            (_, true) => &mut traffic.between_zones,
+            _ => &mut traffic.between_regions,
         };
         *figure += bytes as u64;
-        self.carried.set(carried);
+        self.traffic.set(traffic);
     }
 }
 
@@ -200,12 +211,12 @@
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Incoming> {
-        let (opened, taken) = unbounded_channel();
-        self.listeners.borrow_mut().insert(at, opened);
-        Ok(taken)
+        let (connections, incoming) = unbounded_channel();
+        self.listeners.borrow_mut().insert(at, connections);
+        Ok(incoming)
     }
 
     fn disk(&self, _folder: &Path) -> Rc<dyn Disk> {
-        self.platter(RUNNING.get())
+        self.disk_of(RUNNING.get())
     }
 }
--- a/crates/emulator/src/operator.rs
+++ b/crates/emulator/src/operator.rs
@@ -1,7 +1,8 @@
-//! The operator: orders sent until they are acknowledged, to one core machine after the other, and read back at the end.
+//! The operator: commands repeated until they are acknowledged, at one registry after the other, and read back at the
+//! end.
 
-use crate::calls::call;
-use crate::records::{Notes, Order, What};
+use crate::http_client::send_once;
+use crate::records::{Command, CommandRecord, Recorder};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -10,83 +11,109 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-const SILENCE: Duration = Duration::from_secs(1);
-const PAUSE: Duration = Duration::from_millis(100);
-/// An order that is not acknowledged for so long is given up.
-const INSISTS: Duration = Duration::from_secs(20);
+/// An operator goes on to another registry after this, and never pauses for longer.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// A command that is not acknowledged for so long is given up.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Sends commands to the registries.
 #[derive(Clone)]
-pub struct Operator {
-    pub notes: Notes,
-    pub controls: Rc<Vec<SocketAddr>>,
-    pub zones: Rc<Vec<&'static str>>,
+pub(crate) struct Operator {
+    pub(crate) recorder: Recorder,
+    /// Where registries accept commands.
+    pub(crate) registries: Rc<[SocketAddr]>,
+    /// The names of the zones.
+    pub(crate) zones: Rc<[&'static str]>,
 }
 
 impl Operator {
-    /// Sends an order until it has a clear answer; its place among the orders.
-    pub async fn order(&self, what: What, seed: u64) -> usize {
-        let sent = self.notes.now();
-        let place = self.notes.with(|records| {
-            records.orders.push(Order { what: what.clone(), sent, acked: None, by: None, refused: false });
-            records.orders.len() - 1
-        });
-        let (target, body) = match what {
-            What::Configuration { text, .. } => ("/api/rpc?call=configuration.replace".to_owned(), text),
-            What::Evacuate { zone, empty } => {
-                let verb = if empty { "begin" } else { "finish" };
-                let zone = self.zones.get(zone).copied().unwrap_or_default();
-                (format!("/api/rpc?call=evacuation.{verb}&of={zone}"), String::new())
-            }
+    /// Sends a command until its outcome is clear, or nobody can wait longer; its index in the records.
+    pub(crate) async fn send_command(&self, command: Command, seed: u64) -> usize {
+        let sent = self.recorder.now();
+        let (target, body) = self.request_of(&command);
+        let record = CommandRecord {
+            command,
+            sent,
+            acknowledged_at: None,
+            acknowledged_by: None,
+            was_rejected: false,
         };
+        let index = self.recorder.with(|records| {
+            records.commands.push(record);
+            records.commands.len() - 1
+        });
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (until, mut pause) = (Instant::now() + INSISTS, PAUSE);
-        let mut next = rng.random_range(0..self.controls.len().max(1));
+        let (until, mut backoff) = (Instant::now() + COMMAND_TIMEOUT, MIN_BACKOFF);
+        let mut next = rng.random_range(0..self.registries.len().max(1));
         while Instant::now() < until {
-            let status = self.send(next, &target, &body).await;
+            let registry = self.registry(next);
             next += 1;
-            match status {
+            match self.send(registry, &target, &body).await {
                 200..=299 => {
-                    let (now, by) =
-                        (self.notes.now(), self.controls.get((next - 1) % self.controls.len()).copied());
-                    self.notes.with(|records| {
-                        let order = &mut records.orders[place];
-                        (order.acked, order.by) = (Some(now), by);
-                    });
-                    return place;
+                    self.record_acknowledged(index, registry);
+                    return index;
                 }
                 400 | 409 | 412 | 413 | 422 => {
-                    self.notes.with(|records| records.orders[place].refused = true);
-                    return place;
+                    self.recorder.with(|records| records.commands[index].was_rejected = true);
+                    return index;
                 }
-                _ => sleep(pause).await,
+                _ => sleep(backoff).await,
             }
-            pause = (pause * 2).min(SILENCE);
+            backoff = (backoff * 2).min(RESPONSE_TIMEOUT);
         }
-        place
+        index
+    }
+
+    /// Target and body of a command's request.
+    fn request_of(&self, command: &Command) -> (String, String) {
+        match command {
+            Command::Configuration { text, .. } => {
+                ("/api/rpc?call=configuration.replace".to_owned(), text.clone())
+            }
+            Command::Evacuate { zone, is_begin } => {
+                let verb = if *is_begin { "begin" } else { "finish" };
+                let zone = self.zones.get(*zone).copied().unwrap_or_default();
+                (format!("/api/rpc?call=evacuation.{verb}&of={zone}"), String::new())
+            }
+        }
+    }
+
+    fn record_acknowledged(&self, index: usize, registry: Option<SocketAddr>) {
+        let now = self.recorder.now();
+        self.recorder.with(|records| {
+            let record = &mut records.commands[index];
+            (record.acknowledged_at, record.acknowledged_by) = (Some(now), registry);
+        });
+    }
+
+    fn registry(&self, number: usize) -> Option<SocketAddr> {
+        self.registries.get(number % self.registries.len().max(1)).copied()
     }
 
-    async fn send(&self, n: usize, target: &str, body: &str) -> u16 {
-        let Some(to) = self.controls.get(n % self.controls.len().max(1)) else { return 0 };
-        call(*to, "POST", target, body.to_owned(), SILENCE * 3).await.map_or(0, |whole| whole.status)
+    async fn send(&self, registry: Option<SocketAddr>, target: &str, body: &str) -> u16 {
+        let Some(to) = registry else { return 0 };
+        let response = send_once(to, "POST", target, body.to_owned(), RESPONSE_TIMEOUT * 3).await;
+        response.map_or(0, |response| response.status)
     }
 
-    /// Reads the configuration back, for as long as that.
-    pub async fn read_back(&self, within: Duration) {
+    /// Reads the configuration back, and tries for as long as `within`.
+    pub(crate) async fn read_back(&self, within: Duration) {
         let until = Instant::now() + within;
-        for n in 0.. {
-            let Some(to) = self.controls.get(n % self.controls.len().max(1)) else { return };
-            let whole =
-                call(*to, "POST", "/api/rpc?call=configuration.read", String::new(), SILENCE * 3).await;
-            if let Some(whole) = whole.filter(|whole| whole.status == 200) {
-                let text = String::from_utf8_lossy(&whole.body).into_owned();
-                let held: Value = serde_json::from_str(&text).unwrap_or_default();
-                let version = held["version"].as_u64().unwrap_or(0);
-                return self.notes.with(|records| records.read_back = Some((version, text)));
+        for number in 0.. {
+            let Some(to) = self.registry(number) else { return };
+            let target = "/api/rpc?call=configuration.read";
+            let response = send_once(to, "POST", target, String::new(), RESPONSE_TIMEOUT * 3).await;
+            if let Some(response) = response.filter(|response| response.status == 200) {
+                let text = String::from_utf8_lossy(&response.body).into_owned();
+                let configuration: Value = serde_json::from_str(&text).unwrap_or_default();
+                let version = configuration["version"].as_u64().unwrap_or(0);
+                return self.recorder.with(|records| records.read_back = Some((version, text)));
             }
             if Instant::now() > until {
                 return;
             }
-            sleep(PAUSE).await;
+            sleep(MIN_BACKOFF).await;
         }
     }
 }
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -1,4 +1,4 @@
-//! A process in the world: a future with tasks of its own, which can be killed, frozen and thawed from outside.
+//! A process of an emulated machine: a future with tasks of its own that can be killed, frozen and thawed from outside.
 
 use crate::net::{as_machine, Net};
 use futures_util::FutureExt;
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct Slot {
     body: RefCell<Option<Body>>,
-    frozen: Cell<bool>,
+    is_frozen: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
@@ -29,7 +29,7 @@
 
 /// A handle to a process.
 #[derive(Clone)]
-pub struct Process {
+pub(crate) struct Process {
     ip: Ipv4Addr,
     slot: Rc<Slot>,
 }
@@ -42,24 +42,24 @@
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         let process = &self.0;
         *process.slot.waker.borrow_mut() = Some(context.waker().clone());
-        if process.slot.frozen.get() {
+        if process.slot.is_frozen.get() {
             return Poll::Pending;
         }
-        // Out of its place while it runs, so that what it does may look at the process.
+        // Out of its slot while it runs, so that it can ask for its own state.
         let Some(mut body) = process.slot.body.take() else { return Poll::Ready(()) };
-        let ended = as_machine(process.ip, || body.as_mut().poll(context));
-        if ended.is_pending() {
+        let poll = as_machine(process.ip, || body.as_mut().poll(context));
+        if poll.is_pending() {
             *process.slot.body.borrow_mut() = Some(body);
         } else {
             as_machine(process.ip, || drop(body));
         }
-        ended
+        poll
     }
 }
 
 impl Process {
-    /// Starts a process on a machine, apart from whoever starts it; `body` may spawn local tasks, which end with it.
-    pub fn start(net: &Net, ip: Ipv4Addr, body: impl Future<Output = ()> + 'static) -> Process {
+    /// Starts a process on a machine, independent of its caller; `body` may spawn local tasks, which end with it.
+    pub(crate) fn start(net: &Net, ip: Ipv4Addr, body: impl Future<Output = ()> + 'static) -> Process {
         let body = async move { LocalSet::new().run_until(body).await };
         let slot = Slot { body: RefCell::new(Some(Box::pin(body))), ..Slot::default() };
         let process = Process { ip, slot: Rc::new(slot) };
@@ -67,18 +67,20 @@
         process
     }
 
-    pub fn running(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         self.slot.body.borrow().is_some()
     }
 
-    pub fn kill(&self) {
+    /// Ends it at once, with all its tasks.
+    pub(crate) fn kill(&self) {
         let body = self.slot.body.take();
         as_machine(self.ip, || drop(body));
         self.slot.wake();
     }
 
-    pub fn freeze(&self, frozen: bool) {
-        self.slot.frozen.set(frozen);
+    /// Stops it as SIGSTOP does, or lets it go on.
+    pub(crate) fn set_frozen(&self, is_frozen: bool) {
+        self.slot.is_frozen.set(is_frozen);
         self.slot.wake();
     }
 }
--- /dev/null
+++ b/crates/emulator/src/simulation.rs
@@ -0,0 +1,239 @@
+//! Plays a day: the shipped daemons, clients, backends, the platform and the operator, in virtual time on one thread.
+
+use crate::backends::Backends;
+use crate::clients::{self, Directory, Workload};
+use crate::day::{Day, LEAD};
+use crate::emulated_disk::DiskWrites;
+use crate::event::Event;
+use crate::fleet::{Fleet, RESTART_DELAY};
+use crate::net::{Location, Net, Traffic};
+use crate::operator::Operator;
+use crate::platform;
+use crate::process::Process;
+use crate::records::{Command, Millis, Recorder, Records};
+use crate::site::{key, Site};
+use slog::Logger;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::{spawn_local, LocalSet};
+use tokio::time::{sleep, Instant};
+use violetyoke_transport::environment::install;
+
+const PLATFORM: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 201, 0, 1), 8082);
+const OPERATOR: Ipv4Addr = Ipv4Addr::new(10, 202, 0, 1);
+/// How often machines are checked for processes that have ended.
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
+/// Between the end of the traffic and the reading back.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// How long the operator tries to read back.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(10);
+/// The service that searches go to once they have moved.
+const MOVED_SEARCH_SERVICE: usize = 2;
+
+/// All that a day's events act on.
+pub(crate) struct Simulation {
+    pub(crate) site: Site,
+    pub(crate) net: Rc<Net>,
+    pub(crate) recorder: Recorder,
+    pub(crate) fleet: RefCell<Fleet>,
+    pub(crate) backends: Rc<Backends>,
+    pub(crate) workload: Rc<Workload>,
+    pub(crate) operator: Operator,
+    /// The newest version that was sent.
+    pub(crate) version: Cell<u64>,
+    /// Searches go to another service.
+    pub(crate) moves_searches: Cell<bool>,
+    /// Routes beside those of the site.
+    pub(crate) extra_routes: Cell<usize>,
+    seed: Cell<u64>,
+}
+
+/// What came of a day.
+pub struct SimulationOutcome {
+    /// When the simulation began, in virtual time.
+    pub started_at: Instant,
+    /// What was observed.
+    pub records: Records,
+    /// What the network carried.
+    pub traffic: Traffic,
+    /// What all disks wrote.
+    pub disk_writes: DiskWrites,
+}
+
+/// Plays a day.
+///
+/// # Errors
+/// When there can be no runtime for it.
+pub fn simulate(site: &Site, day: &Day, log: &Logger) -> io::Result<SimulationOutcome> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
+    let (net, mut futures) = Net::new(site.delays);
+    install(Some(net.clone()));
+    let tasks = LocalSet::new();
+    let outcome = tasks.block_on(&runtime, async move {
+        spawn_local(async move {
+            while let Some(future) = futures.recv().await {
+                spawn_local(future);
+            }
+        });
+        play(site, day, net, log).await
+    });
+    install(None);
+    Ok(outcome)
+}
+
+async fn play(site: &Site, day: &Day, net: Rc<Net>, log: &Logger) -> SimulationOutcome {
+    let simulation = start(site, day, net, log);
+    let first = simulation.clone();
+    let _first = Process::start(&simulation.net, OPERATOR, async move {
+        first.send_configuration(&[]).await;
+    });
+    spawn_local(restart_ended(simulation.clone()));
+    sleep(Duration::from_millis(LEAD)).await;
+    let clients = start_clients(&simulation, day.seed);
+    for event in day.events.clone() {
+        schedule(&simulation, event);
+    }
+    sleep(Duration::from_millis(day.length)).await;
+    simulation.workload.has_ended.set(true);
+    sleep(SETTLE_TIME).await;
+    drop(clients);
+    let operator = simulation.operator.clone();
+    let reader =
+        Process::start(&simulation.net, OPERATOR, async move { operator.read_back(READ_BACK_TIMEOUT).await });
+    while reader.is_running() {
+        sleep(Duration::from_millis(100)).await;
+    }
+    simulation.outcome()
+}
+
+/// Starts everything but the traffic.
+fn start(site: &Site, day: &Day, net: Rc<Net>, log: &Logger) -> Rc<Simulation> {
+    let recorder = Recorder::new();
+    net.set_location(OPERATOR, Location::default());
+    net.set_location(*PLATFORM.ip(), Location::default());
+    let backends = Backends::new(net.clone(), recorder.clone(), site, day.seed);
+    platform::start(&net, PLATFORM, backends.clone(), site.lag_ms, recorder.clone());
+    let mut fleet = Fleet::new(net.clone(), site, PLATFORM, day.seed, log.clone());
+    let directory =
+        |machine: &crate::fleet::Machine| Directory { address: machine.directory(), zone: machine.zone };
+    let workload = Workload {
+        site: site.clone(),
+        recorder: recorder.clone(),
+        directories: fleet.cores().map(directory).collect(),
+        burst: Cell::new(None),
+        joined: RefCell::default(),
+        revoked: RefCell::default(),
+        has_ended: Cell::new(false),
+    };
+    let operator = Operator {
+        recorder: recorder.clone(),
+        registries: fleet.cores().map(crate::fleet::Machine::control).collect(),
+        zones: site.zones.iter().map(|zone| zone.name).collect(),
+    };
+    (0..fleet.machines.len()).for_each(|machine| fleet.start(machine));
+    fleet.on_all_started();
+    Rc::new(Simulation {
+        site: site.clone(),
+        net,
+        recorder,
+        fleet: RefCell::new(fleet),
+        backends,
+        workload: Rc::new(workload),
+        operator,
+        version: Cell::new(0),
+        moves_searches: Cell::new(false),
+        extra_routes: Cell::new(0),
+        seed: Cell::new(day.seed),
+    })
+}
+
+fn start_clients(simulation: &Simulation, seed: u64) -> Vec<Process> {
+    let site = &simulation.site;
+    let zones = if site.requests_per_s > 0.0 { site.zones.len() } else { 0 };
+    let start = |zone| clients::start(&simulation.net, simulation.workload.clone(), zone, seed);
+    (0..zones).map(start).collect()
+}
+
+/// Lets an event happen at its time. Commands go out from the operator's machine.
+fn schedule(simulation: &Rc<Simulation>, Event { at, kind }: Event) {
+    let acting = simulation.clone();
+    Process::start(&simulation.net, OPERATOR, async move {
+        sleep(Duration::from_millis(at)).await;
+        acting.apply(kind).await;
+    });
+}
+
+/// Processes that have ended are restarted after a pause.
+async fn restart_ended(simulation: Rc<Simulation>) {
+    loop {
+        let ended = simulation.fleet.borrow_mut().take_ended();
+        for machine in ended {
+            let simulation = simulation.clone();
+            spawn_local(async move {
+                sleep(RESTART_DELAY).await;
+                simulation.fleet.borrow_mut().start(machine);
+            });
+        }
+        sleep(SUPERVISION_INTERVAL).await;
+    }
+}
+
+impl Simulation {
+    /// The next random number.
+    pub(crate) fn random(&self) -> u64 {
+        let next = self.seed.get().wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
+        self.seed.set(next);
+        next >> 16
+    }
+
+    /// Sends a command; its index in the records.
+    pub(crate) async fn send_command(&self, command: Command) -> usize {
+        self.operator.send_command(command, self.random()).await
+    }
+
+    /// Sends the next version, with what has changed by now and with `newcomers`; its index in the records.
+    pub(crate) async fn send_configuration(&self, newcomers: &[String]) -> usize {
+        self.version.set(self.version.get() + 1 + self.random() % 4);
+        self.send_command(self.configuration(self.version.get(), newcomers)).await
+    }
+
+    /// The configuration of a version, with what has changed by now and with `newcomers`.
+    pub(crate) fn configuration(&self, version: u64, newcomers: &[String]) -> Command {
+        let (joined, revoked) =
+            (self.workload.joined.borrow().clone(), self.workload.revoked.borrow().clone());
+        let joined: Vec<String> = joined.into_iter().chain(newcomers.iter().cloned()).collect();
+        let mut site = self.site.clone();
+        if self.moves_searches.get() {
+            site.request_kinds[0].service = MOVED_SEARCH_SERVICE;
+        }
+        let text = site.configuration(version, &joined, &revoked, self.extra_routes.get()).to_string();
+        let standing = (0..site.tenants).filter(|number| !revoked.contains(number)).map(key);
+        let keys = standing.chain(joined.iter().map(|name| format!("key-{name}"))).collect();
+        let services = site.request_kinds.iter().map(|kind| kind.service).collect();
+        Command::Configuration { version, text, keys, services, is_valid: true }
+    }
+
+    /// Machines or links are faulty from now on, for that long.
+    pub(crate) fn record_fault(&self, span: Millis) {
+        let now = self.recorder.now();
+        self.recorder.with(|records| records.fault_spans.push((now, now + span)));
+    }
+
+    fn outcome(&self) -> SimulationOutcome {
+        let fleet = self.fleet.borrow();
+        let writes = fleet.machines.iter().map(|machine| self.net.disk_of(machine.ip).writes());
+        let disk_writes = writes.fold(DiskWrites::default(), |all, one| DiskWrites {
+            syncs: all.syncs + one.syncs,
+            bytes: all.bytes + one.bytes,
+        });
+        SimulationOutcome {
+            started_at: self.recorder.started_at(),
+            records: self.recorder.take(),
+            traffic: self.net.traffic(),
+            disk_writes,
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/site/rooms.rs
@@ -0,0 +1,102 @@
+//! A small deployment in the manner of guest bookings.
+
+use super::{RequestKind, Service, Site, Zone};
+use crate::net::Delays;
+use violetyoke_api::settings::Bounds;
+
+fn service(name: &'static str, backends: [usize; 4], speeds: &[f64]) -> Service {
+    Service {
+        name,
+        backends: backends.to_vec(),
+        slots: 6,
+        slow_start_s: 3.0,
+        slow_start_rate_per_s: 21.0,
+        speeds: speeds.to_vec(),
+    }
+}
+
+fn search() -> RequestKind {
+    RequestKind {
+        name: "search",
+        service: 0,
+        path: "/search/",
+        is_idempotent: true,
+        weight: 4.7,
+        work_ms: 60.0,
+        target_ms: 400,
+        deadline_ms: 1_000,
+        home_regions: Vec::new(),
+    }
+}
+
+fn book() -> RequestKind {
+    RequestKind {
+        name: "book",
+        service: 1,
+        path: "/book/",
+        is_idempotent: false,
+        weight: 2.0,
+        work_ms: 78.0,
+        home_regions: vec!["west"],
+        ..search()
+    }
+}
+
+fn rate() -> RequestKind {
+    RequestKind {
+        name: "rate",
+        service: 2,
+        path: "/rate/",
+        weight: 2.1,
+        work_ms: 150.0,
+        target_ms: 600,
+        deadline_ms: 1_500,
+        ..search()
+    }
+}
+
+impl Site {
+    /// A small deployment in the manner of guest bookings: four zones in two regions, three core machines in two zones.
+    /// `requests_per_s` is that of each zone's clients.
+    #[must_use]
+    pub fn rooms(edges_per_zone: usize, requests_per_s: f64) -> Site {
+        let zone = |name, region| Zone { name, region };
+        Site {
+            zones: vec![zone("west-a", 0), zone("east-a", 1), zone("west-b", 0), zone("east-b", 1)],
+            regions: vec!["west", "east"],
+            edges: vec![edges_per_zone; 4],
+            cores: vec![2, 0, 1, 0],
+            tolerance: 1,
+            delays: Delays { within_zone_ms: 0.1, between_zones_ms: 1.4, between_regions_ms: 35.0 },
+            sync_ms: 0.5,
+            has_lying_disks: false,
+            services: vec![
+                service("finder", [3, 3, 2, 2], &[0.8, 1.0, 1.25]),
+                service("ledger", [3, 3, 1, 1], &[0.7, 1.0, 1.0, 1.5]),
+                service("board", [3, 3, 3, 2], &[0.8, 1.0, 1.25]),
+            ],
+            request_kinds: vec![search(), book(), rate()],
+            tenants: 8,
+            requests_per_s,
+            lag_ms: 800,
+            bounds: Bounds {
+                config_apply_ms: 3_000.0,
+                drain_ms: 3_000.0,
+                retry_ratio: 0.2,
+                retry_slack: 58.0,
+                quota_slack: 20.0,
+                cold_overshoot: 1.5,
+                cold_slack: 5.0,
+                ..Bounds::default()
+            },
+        }
+    }
+
+    /// With five core machines, of which two may be lost.
+    #[must_use]
+    pub fn with_five_cores(mut self) -> Site {
+        self.cores = vec![2, 1, 2, 0];
+        self.tolerance = 2;
+        self
+    }
+}
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,17 +1,18 @@
-//! Whole systems on drawn days: the shipped daemons keep the rules, and a world that cheats is found out.
+//! Whole systems on drawn days: the shipped daemons keep the rules, and lying disks are found out.
 
 #![cfg(test)]
 
 use slog::{o, Discard, Logger};
-use violetyoke_emulator::day::{Day, Event, What};
-use violetyoke_emulator::dayfile;
-use violetyoke_emulator::judge::judge;
+use violetyoke_emulator::checker::check;
+use violetyoke_emulator::day::Day;
+use violetyoke_emulator::day_file;
+use violetyoke_emulator::event::{Event, EventKind};
 use violetyoke_emulator::records::Records;
+use violetyoke_emulator::simulation::simulate;
 use violetyoke_emulator::site::Site;
-use violetyoke_emulator::story::{shorten, tell, Told};
-use violetyoke_emulator::world::play;
+use violetyoke_emulator::trace::{minimize, play_and_check, PlayedDay};
 
-fn quiet_log() -> Logger {
+fn silent() -> Logger {
     Logger::root(Discard, o!())
 }
 
@@ -20,93 +21,100 @@
     Site::rooms(1, 4.0)
 }
 
-fn told(site: &Site, day: Day) -> Told {
-    tell(site, day, quiet_log()).expect("a runtime")
+fn played(site: &Site, day: Day) -> PlayedDay {
+    play_and_check(site, day, &silent()).expect("a runtime")
 }
 
 #[test]
-fn a_quiet_day_is_served_and_its_newcomer_too() {
-    let told = told(&Site::rooms(1, 12.0), Day::quiet(1));
-    assert_eq!(told.broken, []);
-    assert!(told.figures.served > 0.97 && told.figures.in_time > 0.95, "{}", told.figures);
-    assert!(told.figures.requests > 250, "{}", told.figures);
+fn a_quiet_day_is_served_with_its_new_tenant() {
+    let played = played(&Site::rooms(1, 12.0), Day::quiet(1));
+    assert_eq!(played.violations, []);
+    assert!(played.figures.served > 0.97 && played.figures.in_time > 0.95, "{}", played.figures);
+    assert!(played.figures.requests > 250, "{}", played.figures);
 }
 
 #[test]
 fn drawn_days_break_no_rule() {
     for seed in 1..=3 {
-        let told = told(&site(), Day::drawn(seed, &site()));
-        assert_eq!(told.broken, [], "seed {seed}: {:?}", told.day.events);
-        assert!(told.figures.served > 0.5, "seed {seed}: {}", told.figures);
+        let played = played(&site(), Day::drawn(seed, &site()));
+        assert_eq!(played.violations, [], "seed {seed}: {:?}", played.day.events);
+        assert!(played.figures.served > 0.5, "seed {seed}: {}", played.figures);
     }
     let five = site().with_five_cores();
-    let told = told(&five, Day::drawn(5, &five));
-    assert_eq!(told.broken, [], "{:?}", told.day.events);
+    let played = played(&five, Day::drawn(5, &five));
+    assert_eq!(played.violations, [], "{:?}", played.day.events);
 }
 
 #[test]
-fn a_day_of_a_seed_is_the_same_day_each_time() {
+fn a_seed_plays_the_same_day_each_time() {
     let day = Day::drawn(6, &site());
     let seen = |records: &Records| -> Vec<(String, u64, u16)> {
-        records.tries.iter().map(|one| (one.id.clone(), one.sent, one.status)).collect()
+        records.attempts.iter().map(|one| (one.id.clone(), one.sent, one.status)).collect()
     };
-    let first = play(&site(), &day, quiet_log()).expect("a runtime");
-    let again = play(&site(), &day, quiet_log()).expect("a runtime");
+    let first = simulate(&site(), &day, &silent()).expect("a runtime");
+    let again = simulate(&site(), &day, &silent()).expect("a runtime");
     let same = seen(&first.records).iter().zip(seen(&again.records).iter()).filter(|(a, b)| a == b).count();
     let all = seen(&first.records).len().max(seen(&again.records).len());
-    assert!(same * 100 >= all * 95, "{same} of {all} tries are alike");
+    assert!(same * 100 >= all * 95, "{same} of {all} attempts are alike");
 }
 
 #[test]
-fn disks_that_lie_are_found_out_and_the_story_is_short() {
-    let mut cheats = site();
-    cheats.disks_lie = true;
+fn lying_disks_break_a_rule_and_the_day_is_minimized() {
+    let mut cheating = site();
+    cheating.has_lying_disks = true;
     let mut day = Day::quiet(3);
-    day.events.push(Event { at: 5_000, what: What::Change { moved: false } });
-    day.events.push(Event { at: 6_000, what: What::Race });
+    day.events.push(Event { at: 5_000, kind: EventKind::Change { moves_searches: false } });
+    day.events.push(Event { at: 6_000, kind: EventKind::ConcurrentChanges });
     let all = (0..7).collect();
-    day.events.push(Event { at: 20_000, what: What::Kill { machines: all, power: true, down: 1_200 } });
-    let found = told(&cheats, day.clone());
-    assert!(found.broken.iter().any(|broken| broken.rule == "LOST"), "{:?}", found.broken);
-    let story = shorten(&cheats, found).expect("a runtime");
+    day.events.push(Event {
+        at: 20_000,
+        kind: EventKind::Kill { machines: all, is_power_lost: true, down: 1_200 },
+    });
+    let found = played(&cheating, day.clone());
+    assert!(found.violations.iter().any(|violation| violation.rule == "LOST"), "{:?}", found.violations);
+    let minimized = minimize(&cheating, found).expect("a runtime");
     assert!(
-        matches!(story.day.events[..], [Event { what: What::Kill { .. }, .. }]),
+        matches!(minimized.day.events[..], [Event { kind: EventKind::Kill { .. }, .. }]),
         "{:?}",
-        story.day.events
+        minimized.day.events
     );
     // The same day with honest disks.
-    assert_eq!(told(&site(), day).broken, []);
+    assert_eq!(played(&site(), day).violations, []);
 }
 
 #[test]
-fn the_judge_goes_by_what_receivers_saw() {
+fn the_checker_finds_repeated_and_changed_executions() {
     let site = site();
-    let mut records = play(&site, &Day::quiet(2), quiet_log()).expect("a runtime").records;
-    assert_eq!(judge(&site, &records), []);
-    let booked = records.arrivals.iter().position(|it| it.path.starts_with("/book/")).expect("a booking");
+    let mut records = simulate(&site, &Day::quiet(2), &silent()).expect("a runtime").records;
+    assert_eq!(check(&site, &records), []);
+    let booked =
+        records.arrivals.iter().position(|arrival| arrival.path.starts_with("/book/")).expect("a booking");
     records.arrivals.push(records.arrivals[booked].clone());
-    let rules: Vec<&str> = judge(&site, &records).iter().map(|broken| broken.rule).collect();
+    let rules: Vec<&str> = check(&site, &records).iter().map(|violation| violation.rule).collect();
     assert_eq!(rules, ["TWICE"]);
     records.arrivals.pop();
     records.arrivals[booked].tenant = Some("another".into());
-    let rules: Vec<&str> = judge(&site, &records).iter().map(|broken| broken.rule).collect();
+    let rules: Vec<&str> = check(&site, &records).iter().map(|violation| violation.rule).collect();
     assert!(rules.contains(&"UNASKED"), "{rules:?}");
 }
 
 #[test]
-fn days_in_the_bench_s_form_are_read_and_what_is_unknown_is_told() {
+fn day_files_are_parsed_and_unknown_kinds_reported() {
     let site = site();
-    let read = |text: &str| dayfile::read(text, &site, 32_000);
+    let read = |text: &str| day_file::parse(text, &site, 32_000);
     let herd = read(include_str!("../../../docs/days/herd.toml")).expect("a day");
-    assert_eq!((herd.name.as_str(), herd.day.events.len(), herd.unknown.len()), ("own-herd", 4, 0));
+    assert_eq!((herd.name.as_str(), herd.day.events.len(), herd.unknown_kinds.len()), ("own-herd", 4, 0));
     assert!(
-        matches!(&herd.day.events[2].what, What::Kill { machines, power: true, down: 2_000 } if machines.len() == 2)
+        matches!(&herd.day.events[2].kind, EventKind::Kill { machines, is_power_lost: true, down: 2_000 } if machines.len() == 2)
     );
     let joins = read(include_str!("../../../docs/days/joins-at-the-peak.toml")).expect("a day");
-    assert_eq!(joins.day.events.iter().filter(|event| matches!(event.what, What::Join { .. })).count(), 2);
+    assert_eq!(
+        joins.day.events.iter().filter(|event| matches!(event.kind, EventKind::AddTenant { .. })).count(),
+        2
+    );
     let odd = "[[day]]\nfaults = [{ at = 2.0, kind = \"clock_step\" }]\ntraffic = [{ per_s = 90.0 }, { per_s = 110.0 }]";
     let odd = read(odd).expect("a day");
-    assert_eq!((odd.unknown, odd.per_s), (vec!["clock_step".to_owned()], Some(100.0)));
+    assert_eq!((odd.unknown_kinds, odd.requests_per_s), (vec!["clock_step".to_owned()], Some(100.0)));
     let error = read("[[day]]\nfaults = [{ kind = \"srv_crash\" }]").expect_err("no time").to_string();
     assert!(error.contains("at"), "{error}");
 }
