--- a/crates/proxy/src/backend/mod.rs
+++ b/crates/proxy/src/backend/mod.rs
@@ -58,7 +58,7 @@
         let idle = self.idle.get_mut(id)?;
         while let Some(mut one) = idle.pop() {
             let now = Instant::now();
-            if now < one.until && now - one.since < fresh && one.stream.silent() {
+            if now < one.until && now - one.since < fresh && one.stream.is_silent() {
                 return Some(one);
             }
         }
--- a/crates/registry/src/updates/progress.rs
+++ b/crates/registry/src/updates/progress.rs
@@ -2,7 +2,7 @@
 
 use super::staleness::{StalenessTimers, UpdateKinds};
 use crate::Millis;
-use violetyoke_transport::messages::{ListDigest, Revision};
+use violetyoke_transport::messages::{ListDigest, Ownership, Revision};
 
 /// The newest versions that this registry has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -13,9 +13,8 @@
     pub backend_list: ListDigest,
     /// The digest of the membership.
     pub membership: u64,
-    /// Whether the registry is in contact with the core, and the fencing token of the owners of quota shards: changes of
-    /// these are never delayed ([`violetyoke_transport::messages::Membership::ownership`]).
-    pub ownership: (bool, Revision),
+    /// The ownership in the membership: its changes are never delayed.
+    pub ownership: Ownership,
 }
 
 /// The versions that a proxy reports in a poll.
@@ -39,7 +38,7 @@
     /// What it has by its own last report.
     reported: ProxyVersions,
     /// The ownership in the last membership that it was sent.
-    sent_ownership: (bool, Revision),
+    sent_ownership: Ownership,
     timers: StalenessTimers,
 }
 
@@ -108,7 +107,7 @@
     }
 
     /// The membership of that digest, with that ownership, has been sent.
-    pub fn membership_sent(&mut self, digest: u64, ownership: (bool, Revision)) {
+    pub fn membership_sent(&mut self, digest: u64, ownership: Ownership) {
         self.sent.membership = digest;
         self.sent_ownership = ownership;
         self.timers.reset_membership();
--- a/crates/registry/tests/proxy_progress.rs
+++ b/crates/registry/tests/proxy_progress.rs
@@ -6,7 +6,7 @@
     is_installed_by_all, LatestVersions, ProxyProgress, ProxyVersions, StalenessTimers, UpdateKinds,
     FALLBACK_DELAY,
 };
-use violetyoke_transport::messages::{ListDigest, Revision};
+use violetyoke_transport::messages::{ListDigest, Ownership, Revision};
 
 const NONE: UpdateKinds = UpdateKinds { state: false, backend_list: false, membership: false };
 const ALL: UpdateKinds = UpdateKinds { state: true, backend_list: true, membership: true };
@@ -15,13 +15,17 @@
     Revision { epoch: 1, sequence }
 }
 
+fn ownership(sequence: u64) -> Ownership {
+    Ownership { in_contact: true, fencing_token: revision(sequence) }
+}
+
 /// What a registry has once it knows all.
 fn latest() -> LatestVersions {
     LatestVersions {
         state: Some(revision(5)),
         backend_list: ListDigest(50),
         membership: 500,
-        ownership: (true, revision(1)),
+        ownership: ownership(1),
     }
 }
 
@@ -117,7 +121,7 @@
     let mut known = ProxyProgress::default();
     known.membership_sent(500, latest().ownership);
     known.on_poll(up_to_date(), false);
-    let other_owners = LatestVersions { membership: 501, ownership: (true, revision(2)), ..latest() };
+    let other_owners = LatestVersions { membership: 501, ownership: ownership(2), ..latest() };
     assert_eq!(known.due_updates(1_000, &other_owners), membership);
     let other_proxies = LatestVersions { membership: 501, ..latest() };
     assert_eq!(known.due_updates(1_000, &other_proxies), NONE, "other proxies alone can wait");
--- a/crates/transport/examples/message_cost.rs
+++ b/crates/transport/examples/message_cost.rs
@@ -19,7 +19,7 @@
     (0..length).map(|_| letter()).collect()
 }
 
-fn state(routes: u64) -> ControlState {
+fn state_with(routes: u64) -> ControlState {
     let rows = (0..routes).map(|n| {
         let (route, host, path) = (name(n, 7), name(n % 40, 5), name(n + 1_000_000, 8));
         let service = name(n % 60 + 500, 6);
@@ -32,9 +32,9 @@
 }
 
 fn mean(mut run: impl FnMut()) -> Duration {
-    let begun = Instant::now();
+    let start = Instant::now();
     (0..RUNS).for_each(|_| run());
-    begun.elapsed() / RUNS
+    start.elapsed() / RUNS
 }
 
 fn main() {
@@ -43,11 +43,11 @@
         "routes", "state bytes", "sent bytes", "encode ms", "decode ms"
     );
     for routes in [50, 500, 1_700, 5_000, 17_000, 60_000] {
-        let held = state(routes);
-        let plain = held.text.len();
+        let state = state_with(routes);
+        let plain = state.text.len();
         let from = StoreNode { id: 1, ip: [10, 0, 0, 1].into(), zone: "zone-a".into() };
         let message =
-            StoreRequest::Envelope(Envelope { from, message: PeerMessage::Write { epoch: 3, state: held } });
+            StoreRequest::Envelope(Envelope { from, message: PeerMessage::Write { epoch: 3, state } });
         let bytes = encode_deflated(&message);
         let encoded = mean(|| drop(encode_deflated(&message)));
         let decoded = mean(|| assert!(decode::<StoreRequest>(&bytes).is_ok()));
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,7 +1,7 @@
 //! Connections between own processes: kept up by the side that opens them, and closed by both sides after a time without
 //! any byte received. Each byte counts as a sign of life, so that a large message on a slow link does not end one.
 
-use crate::chunks::{append_keepalive, codec, Assembler, Outgoing, SendQueue, CHUNK};
+use crate::chunks::{append_keepalive, frame_decoder, Assembler, OutgoingMessage, SendQueue, CHUNK};
 use crate::error::FrameError;
 use crate::net::{connect, Listener, Stream};
 use bytes::{Buf, Bytes, BytesMut};
@@ -29,20 +29,20 @@
 
 /// Sends on one connection. What is sent after it has ended is lost: the receiver of its events learns of the end.
 #[derive(Clone, Debug)]
-pub struct Sender(UnboundedSender<Outgoing>);
+pub struct Sender(UnboundedSender<OutgoingMessage>);
 
 impl Sender {
     /// Sends a message after those that were sent before it.
     pub fn send(&self, payload: Bytes) {
-        self.enqueue(Outgoing { payload, urgent: false });
+        self.enqueue(OutgoingMessage { payload, is_urgent: false });
     }
 
     /// Sends a message that may overtake others: a heartbeat does not wait until a large state has crossed the link.
     pub fn send_urgent(&self, payload: Bytes) {
-        self.enqueue(Outgoing { payload, urgent: true });
+        self.enqueue(OutgoingMessage { payload, is_urgent: true });
     }
 
-    fn enqueue(&self, message: Outgoing) {
+    fn enqueue(&self, message: OutgoingMessage) {
         // The message is lost if the connection has ended, which `Event::Disconnected` reports.
         drop(self.0.send(message));
     }
@@ -70,7 +70,7 @@
     let mut backoff = MIN_BACKOFF;
     loop {
         if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, connect(address.into())).await {
-            if stream.ends_after(IDLE_TIMEOUT).is_ok() {
+            if stream.set_user_timeout(IDLE_TIMEOUT).is_ok() {
                 backoff = MIN_BACKOFF;
                 run(stream, &on_event).await;
             }
@@ -91,7 +91,7 @@
             continue;
         };
         let is_v4 = matches!(from, SocketAddr::V4(_));
-        if is_v4 && stream.ends_after(IDLE_TIMEOUT).is_ok() {
+        if is_v4 && stream.set_user_timeout(IDLE_TIMEOUT).is_ok() {
             accepted += 1;
             let on_event: Rc<dyn Fn(Event)> = Rc::new(open(ConnectionId(accepted)));
             connections.spawn_local(async move { run(stream, &on_event).await });
@@ -124,12 +124,12 @@
 }
 
 async fn read(mut reader: ReadHalf<Stream>, on_event: &Rc<dyn Fn(Event)>) -> Result<(), ConnectionError> {
-    let mut codec = codec();
+    let mut decoder = frame_decoder();
     let mut assembler = Assembler::default();
     let mut received = BytesMut::new();
     loop {
-        while let Some(frame) = codec.decode(&mut received)? {
-            if let Some(message) = assembler.take(frame)? {
+        while let Some(frame) = decoder.decode(&mut received)? {
+            if let Some(message) = assembler.push(frame)? {
                 on_event(Event::Message(message));
             }
         }
@@ -141,7 +141,7 @@
 
 async fn write(
     mut writer: WriteHalf<Stream>,
-    mut queue: UnboundedReceiver<Outgoing>,
+    mut queue: UnboundedReceiver<OutgoingMessage>,
 ) -> Result<(), ConnectionError> {
     let mut waiting = SendQueue::default();
     let mut out = BytesMut::new();
--- a/crates/transport/src/environment.rs
+++ b/crates/transport/src/environment.rs
@@ -14,8 +14,11 @@
 
 /// The network and the disks of an emulated machine. Calls come from the process that runs at the moment.
 pub trait Environment {
+    /// Opens a connection.
     fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>>;
+    /// Listens at an address, until the receiver is dropped.
     fn listen(&self, at: SocketAddr) -> io::Result<Incoming>;
+    /// The disk that stands for a folder.
     fn disk(&self, folder: &Path) -> Rc<dyn Disk>;
 }
 
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,20 +1,14 @@
 //! Communication between the system's own processes: stores, registries and proxies.
 //!
-//! - [`messages`]: the typed messages; [`codec`] and [`compression`] turn them into bytes, [`chunks`] into frames.
+//! - [`messages`]: the typed messages; [`codec`] and [`compression`] turn them into bytes, [`chunks`] into frames; [`error`]
+//!   says why they could not.
 //! - [`connection`]: connections that are kept up and found dead by a time-out, over the streams of [`net`]; [`peers`]:
 //!   such connections to a set of peers that grows.
-//! - [`daemon`] and [`lifecycle`]: how each process starts, is told of new settings ([`settings_watcher`]) and shuts down;
-//!   [`log`]: its log.
+//! - [`daemon`] and [`lifecycle`]: how each process starts, gets new settings and shuts down; [`log`]: its log.
 //! - [`environment`]: what an emulation installs in place of the operating system's network and disks.
 //!
 //! Nothing is decided here: which message is sent when is up to the crates of the daemons.
 
-#![allow(
-    clippy::let_underscore_must_use,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
 pub mod chunks;
 pub mod codec;
 pub mod compression;
@@ -27,4 +21,4 @@
 pub mod messages;
 pub mod net;
 pub mod peers;
-pub mod settings_watcher;
+mod settings_watcher;
--- a/crates/transport/src/lifecycle.rs
+++ b/crates/transport/src/lifecycle.rs
@@ -1,10 +1,12 @@
 //! What reaches a process beside its connections: its incarnation, new settings, the request to shut down. They come from
 //! the operating system or from an emulation.
 
-use crate::settings_watcher;
+use crate::settings_watcher::SettingsWatcher;
+use std::io;
 use std::path::PathBuf;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::task::JoinSet;
 use violetyoke_api::Settings;
 
 /// The receiving ends of one incarnation of a process.
@@ -16,6 +18,8 @@
     pub shutdown: UnboundedReceiver<()>,
     /// A random number that identifies this incarnation.
     pub incarnation: u64,
+    /// The tasks that watch signals and the settings file; they end with this value.
+    watchers: JoinSet<()>,
 }
 
 /// The sending ends of a [`Lifecycle`].
@@ -27,29 +31,49 @@
     pub shutdown: UnboundedSender<()>,
 }
 
+/// Why a process can't begin its lifecycle.
+#[derive(Debug, thiserror::Error)]
+pub enum LifecycleError {
+    /// The system has no randomness for the incarnation.
+    #[error("no random number for this incarnation: {0}")]
+    Incarnation(getrandom::Error),
+    /// A signal handler can't be installed.
+    #[error("signals can't be handled")]
+    Signals(#[from] io::Error),
+}
+
 impl Lifecycle {
     /// Both ends for one incarnation.
     pub fn new(incarnation: u64) -> (Lifecycle, LifecycleSender) {
         let (settings_sender, settings) = unbounded_channel();
         let (shutdown_sender, shutdown) = unbounded_channel();
-        let lifecycle = Lifecycle { settings, shutdown, incarnation };
+        let lifecycle = Lifecycle { settings, shutdown, incarnation, watchers: JoinSet::new() };
         (lifecycle, LifecycleSender { settings: settings_sender, shutdown: shutdown_sender })
     }
 
-    /// The lifecycle of this process: a random incarnation, SIGTERM, and changes of the settings file.
+    /// The lifecycle of this process: a random incarnation, SIGTERM, and changes of the settings file. Has to be called
+    /// within a [`tokio::task::LocalSet`].
     ///
     /// # Errors
-    /// Where the system gives no randomness or a signal handler can't be installed.
-    pub fn of_process(file: PathBuf, settings: Settings, log: slog::Logger) -> std::io::Result<Lifecycle> {
+    ///
+    /// If the system gives no randomness, or a signal handler can't be installed.
+    pub fn of_process(
+        file: PathBuf,
+        settings: Settings,
+        log: slog::Logger,
+    ) -> Result<Lifecycle, LifecycleError> {
         let mut bytes = [0; 8];
-        getrandom::fill(&mut bytes).map_err(std::io::Error::other)?;
-        let (lifecycle, sender) = Lifecycle::new(u64::from_le_bytes(bytes));
-        let mut term = signal(SignalKind::terminate())?;
-        settings_watcher::watch(file, settings, sender.settings, log)?;
-        tokio::task::spawn_local(async move {
-            // Ends once the receiver is gone: a process that has shut down needs no further signal.
-            while term.recv().await.is_some() && sender.shutdown.send(()).is_ok() {}
-        });
+        getrandom::fill(&mut bytes).map_err(LifecycleError::Incarnation)?;
+        let (mut lifecycle, sender) = Lifecycle::new(u64::from_le_bytes(bytes));
+        let terminate = signal(SignalKind::terminate())?;
+        let watcher = SettingsWatcher::new(file, settings, sender.settings, log)?;
+        lifecycle.watchers.spawn_local(watcher.run());
+        lifecycle.watchers.spawn_local(forward(terminate, sender.shutdown));
         Ok(lifecycle)
     }
 }
+
+/// Sends a request for each signal, until the receiver is gone.
+async fn forward(mut terminate: Signal, shutdown: UnboundedSender<()>) {
+    while terminate.recv().await.is_some() && shutdown.send(()).is_ok() {}
+}
--- a/crates/transport/src/messages/stores.rs
+++ b/crates/transport/src/messages/stores.rs
@@ -7,24 +7,30 @@
 /// A store as others know it. A disk that was lost makes a new one, with another `id`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreNode {
+    /// A random number that was drawn when its disk was empty.
     pub id: u64,
+    /// The address of its machine.
     pub ip: Ipv4Addr,
+    /// The failure domain of its machine.
     pub zone: String,
 }
 
-/// The configuration of the store's own group under one epoch.
+/// The replica set of the stores in one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaConfig {
+    /// The epoch that it opens.
     pub epoch: u64,
+    /// The stores that vote.
     pub voters: Vec<StoreNode>,
-    /// The first is the primary, the others its backups; voters that hold nothing are witnesses.
+    /// The ids of the voters that have the control state: the first is the leader. The others are witnesses.
     pub data_replicas: Vec<u64>,
-    /// Lists of voters of the configurations before this one, until it is known to be installed: a majority of each has to
-    /// agree as well.
+    /// The voters of earlier replica sets, until this one is known to be installed: a majority of each has to agree as
+    /// well (joint consensus).
     pub previous_voters: Vec<Vec<StoreNode>>,
 }
 
 impl ReplicaConfig {
+    /// Whether the store with that id votes.
     pub fn has_voter(&self, id: u64) -> bool {
         self.voters.iter().any(|voter| voter.id == id)
     }
@@ -33,69 +39,101 @@
 /// What a store sends another, and from whom.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
+    /// The sender.
     pub from: StoreNode,
+    /// What it sends.
     pub message: PeerMessage,
 }
 
+/// A message from one store to another. An election has the two phases of Paxos: prepare and promise, accept and accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerMessage {
+    /// How the sender stands.
     Heartbeat(Heartbeat),
-    /// May I open this epoch? From then on nothing of a lower one is taken.
+    /// A candidate asks to open an epoch. A voter that promises it accepts nothing of a lower one from then on.
     Prepare {
+        /// The epoch to be opened.
         epoch: u64,
         /// The newest state that the sender has.
         newest: Revision,
     },
-    /// Yes; with the newest replica set that the voter has, and its state where that is newer than the asker's.
+    /// A voter promises the epoch.
     Promise {
+        /// The promised epoch.
         epoch: u64,
+        /// The newest replica set that the voter has.
         config: ReplicaConfig,
+        /// The newest state that the voter has.
         revision: Revision,
+        /// That state, if it is newer than the candidate's.
         state: Option<ControlState>,
     },
-    /// No: a higher one is promised already.
+    /// A voter refuses the epoch, because it has promised a higher one.
     Refuse {
+        /// The refused epoch.
         epoch: u64,
+        /// The promised one.
         promised: u64,
     },
-    /// An epoch's replica set; its data_replicas get the state with it.
+    /// A candidate that has the promises of a majority proposes the replica set of its epoch.
     Accept {
+        /// The replica set, with its epoch.
         config: ReplicaConfig,
+        /// The state with which the epoch begins, for a data replica.
         state: Option<InitialState>,
     },
+    /// The receiver has the replica set, and the state if it was sent one, on its disk.
     Accepted {
+        /// The epoch of the replica set.
         epoch: u64,
     },
     /// The newest committed state, for a learner (a store without a vote). Its heartbeats say when it is persisted.
     Snapshot {
+        /// The leader's epoch.
         epoch: u64,
+        /// The state.
         state: ControlState,
     },
-    /// A state under an installed epoch, for a backup.
+    /// The leader of an installed epoch replicates a state to a data replica.
     Write {
+        /// The leader's epoch.
         epoch: u64,
+        /// The state.
         state: ControlState,
     },
+    /// A data replica has a state on its disk.
     Written {
+        /// The epoch under which it was written.
         epoch: u64,
+        /// The state's revision.
         revision: Revision,
     },
-    /// Has no higher epoch been promised?
+    /// The leader asks a data replica whether it has promised no higher epoch.
     Confirm {
+        /// The leader's epoch.
         epoch: u64,
+        /// Repeated in the answer.
         nonce: u64,
     },
+    /// A data replica has promised no higher epoch.
     Confirmed {
+        /// The leader's epoch.
         epoch: u64,
+        /// That of the question.
         nonce: u64,
     },
 }
 
-/// The state with which a holder begins an epoch.
+/// The state with which a data replica begins an epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum InitialState {
     /// The one that it has promised with, under a new revision.
-    Promised { from: Revision, to: Revision },
+    Promised {
+        /// The revision in its promise.
+        from: Revision,
+        /// The new one.
+        to: Revision,
+    },
     /// The full state. (Encoded as before 0.3.)
     #[serde(rename = "Whole")]
     Full(ControlState),
@@ -104,16 +142,17 @@
 /// What each store sends all others at an interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// The newest replica set that the sender has.
     pub config: ReplicaConfig,
-    /// The sender is primary of its replica set, and that replica set is installed.
+    /// The sender is the leader of its replica set, and that replica set is installed.
     pub is_leader: bool,
-    /// The newest state known to be on all data_replicas' disks.
+    /// The newest state known to be on the disks of all data replicas.
     pub committed: Revision,
     /// The newest state that is on the sender's disk.
     pub persisted: Revision,
-    /// Its disk answers.
+    /// Its disk completes writes in time.
     pub disk_healthy: bool,
-    /// It has got a SIGTERM: it hands over what it has, and ends.
+    /// It was told to shut down (SIGTERM): it hands over what it has, and ends.
     pub is_leaving: bool,
     /// First start of the whole system, and no replica set yet.
     pub is_bootstrapping: bool,
--- a/crates/transport/src/net.rs
+++ b/crates/transport/src/net.rs
@@ -11,17 +11,23 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::Mutex;
 
-/// Connections that wait to be taken.
+/// The most connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// A connection.
+/// A stream of bytes in both directions.
 #[derive(Debug)]
 pub enum Stream {
+    /// The operating system's.
     Tcp(TcpStream),
+    /// An emulation's.
     Emulated(DuplexStream),
 }
 
-/// Opens a connection; small writes go out at once.
+/// Opens a connection. Small writes go out at once.
+///
+/// # Errors
+///
+/// Those of the operating system or the emulation.
 pub async fn connect(to: SocketAddr) -> io::Result<Stream> {
     match current() {
         Some(environment) => environment.connect(to).await.map(Stream::Emulated),
@@ -34,16 +40,22 @@
 }
 
 impl Stream {
-    /// A connection on which so long nothing is acknowledged has ended.
-    pub fn ends_after(&self, silence: Duration) -> io::Result<()> {
+    /// Ends the connection once sent bytes have not been acknowledged for this time (TCP_USER_TIMEOUT, RFC 5482). An
+    /// emulated stream has no such time.
+    ///
+    /// # Errors
+    ///
+    /// If the operating system refuses the option.
+    pub fn set_user_timeout(&self, limit: Duration) -> io::Result<()> {
         match self {
-            Stream::Tcp(stream) => socket2::SockRef::from(stream).set_tcp_user_timeout(Some(silence)),
+            Stream::Tcp(stream) => socket2::SockRef::from(stream).set_tcp_user_timeout(Some(limit)),
             Stream::Emulated(_) => Ok(()),
         }
     }
 
-    /// Nothing has come, neither bytes nor an end.
-    pub fn silent(&mut self) -> bool {
+    /// Whether nothing has been received that is not read yet, neither bytes nor the end of the stream. A byte that has been
+    /// received is lost.
+    pub fn is_silent(&mut self) -> bool {
         let mut byte = [0];
         match self {
             Stream::Tcp(stream) => {
@@ -57,14 +69,20 @@
     }
 }
 
-/// A place where connections are taken.
+/// Accepts connections at one address.
 #[derive(Debug)]
 pub enum Listener {
+    /// The operating system's.
     Tcp(tokio::net::TcpListener),
+    /// An emulation's.
     Emulated(Mutex<Incoming>),
 }
 
-/// Takes connections at an address from now on.
+/// Listens at an address.
+///
+/// # Errors
+///
+/// Those of the operating system or the emulation.
 pub fn listen(at: SocketAddr) -> io::Result<Listener> {
     if let Some(environment) = current() {
         return environment.listen(at).map(|incoming| Listener::Emulated(Mutex::new(incoming)));
@@ -79,6 +97,11 @@
 }
 
 impl Listener {
+    /// The next connection, and the address from which it was opened.
+    ///
+    /// # Errors
+    ///
+    /// Those of the operating system, or [`io::ErrorKind::NotConnected`] if the emulation has ended.
     pub async fn accept(&self) -> io::Result<(Stream, SocketAddr)> {
         match self {
             Listener::Tcp(listener) => {
--- a/crates/transport/src/settings_watcher.rs
+++ b/crates/transport/src/settings_watcher.rs
@@ -1,58 +1,84 @@
 //! New settings while a process runs. The file is read anew on SIGHUP, and when its modification time has changed.
 
-use std::path::PathBuf;
+use slog::{error, info, Logger};
+use std::io;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc::UnboundedSender;
-use tokio::time::{interval, MissedTickBehavior};
+use tokio::time::{interval, Interval, MissedTickBehavior};
 use violetyoke_api::Settings;
 
 /// How often the file's modification time is checked.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-fn modified_at(path: &PathBuf) -> Option<SystemTime> {
-    std::fs::metadata(path).and_then(|about| about.modified()).ok()
-}
-
-/// Sends the settings each time that the file holds other ones that are valid. An invalid file is logged, and the settings in
-/// force stay.
-///
-/// # Errors
-/// Where the signal handler can't be installed.
-pub fn watch(
+/// Sends the settings each time that their file has other ones which are valid. An invalid file is logged, and the settings
+/// in force stay.
+pub(crate) struct SettingsWatcher {
     path: PathBuf,
-    mut current: Settings,
+    last_modified: Option<SystemTime>,
+    current: Settings,
     sender: UnboundedSender<Settings>,
-    log: slog::Logger,
-) -> std::io::Result<()> {
-    let mut hup = signal(SignalKind::hangup())?;
-    tokio::task::spawn_local(async move {
-        let mut last_modified = modified_at(&path);
+    log: Logger,
+    hangup: Signal,
+    checks: Interval,
+}
+
+impl SettingsWatcher {
+    /// Watches the file at `path`, from which `current` was read.
+    ///
+    /// # Errors
+    ///
+    /// If the handler of SIGHUP can't be installed.
+    pub(crate) fn new(
+        path: PathBuf,
+        current: Settings,
+        sender: UnboundedSender<Settings>,
+        log: Logger,
+    ) -> io::Result<SettingsWatcher> {
+        let hangup = signal(SignalKind::hangup())?;
         let mut checks = interval(CHECK_INTERVAL);
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let last_modified = modified_at(&path);
+        Ok(SettingsWatcher { path, last_modified, current, sender, log, hangup, checks })
+    }
+
+    /// Runs until the receiver of the settings is gone.
+    pub(crate) async fn run(mut self) {
         loop {
-            tokio::select! {
-                _ = hup.recv() => {}
-                _ = checks.tick() => {
-                    let now = modified_at(&path);
-                    if now == last_modified {
-                        continue;
+            self.wait_for_change().await;
+            match Settings::read(&self.path) {
+                Ok(new) if new != self.current => {
+                    info!(self.log, "settings changed"; "seeds" => new.network.seeds.len());
+                    self.current = new.clone();
+                    if self.sender.send(new).is_err() {
+                        return;
                     }
-                    last_modified = now;
                 }
+                Ok(_) => {}
+                Err(report) => error!(self.log, "settings rejected"; "error" => format!("{report:?}")),
             }
-            match Settings::read(&path) {
-                Ok(new) if new != current => {
-                    slog::info!(log, "settings changed"; "seeds" => new.network.seeds.len());
-                    current = new.clone();
-                    if sender.send(new).is_err() {
+        }
+    }
+
+    /// Waits for SIGHUP, or until the file was modified.
+    async fn wait_for_change(&mut self) {
+        loop {
+            tokio::select! {
+                _ = self.hangup.recv() => return,
+                _ = self.checks.tick() => {
+                    let modified = modified_at(&self.path);
+                    if modified != self.last_modified {
+                        self.last_modified = modified;
                         return;
                     }
                 }
-                Ok(_) => {}
-                Err(report) => slog::error!(log, "settings rejected"; "error" => format!("{report:?}")),
             }
         }
-    });
-    Ok(())
+    }
+}
+
+/// The file's modification time; none if there is no such file.
+fn modified_at(path: &Path) -> Option<SystemTime> {
+    std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
--- a/crates/transport/tests/chunks.rs
+++ b/crates/transport/tests/chunks.rs
@@ -3,23 +3,24 @@
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 use violetyoke_transport::chunks::{
-    append_keepalive, codec, Assembler, Outgoing, SendQueue, CHUNK, MAX_MESSAGE_BYTES,
+    append_keepalive, frame_decoder, Assembler, OutgoingMessage, SendQueue, CHUNK, MAX_MESSAGE_BYTES,
 };
+use violetyoke_transport::error::FrameError;
 
-fn ordered(payload: Bytes) -> Outgoing {
-    Outgoing { payload, urgent: false }
+fn ordered(payload: Bytes) -> OutgoingMessage {
+    OutgoingMessage { payload, is_urgent: false }
 }
 
 fn received(mut bytes: BytesMut) -> Result<Vec<Bytes>, Box<dyn std::error::Error>> {
-    let (mut codec, mut assembler, mut messages) = (codec(), Assembler::default(), Vec::new());
-    while let Some(frame) = codec.decode(&mut bytes)? {
-        messages.extend(assembler.take(frame)?);
+    let (mut decoder, mut assembler, mut messages) = (frame_decoder(), Assembler::default(), Vec::new());
+    while let Some(frame) = decoder.decode(&mut bytes)? {
+        messages.extend(assembler.push(frame)?);
     }
     Ok(messages)
 }
 
 #[test]
-fn messages_of_each_size_about_a_chunk_come_back_whole() {
+fn messages_of_each_size_about_a_chunk_are_reassembled() {
     for size in [1, 2, CHUNK - 1, CHUNK, CHUNK + 1, 2 * CHUNK, 2 * CHUNK + 1, 5 * CHUNK + 17] {
         let payload = Bytes::from((0..size).map(|at| at as u8).collect::<Vec<u8>>());
         let (mut queue, mut out) = (SendQueue::default(), BytesMut::new());
@@ -34,20 +35,20 @@
 }
 
 #[test]
-fn an_urgent_message_goes_between_the_chunks_of_a_large_one() {
+fn urgent_message_is_sent_between_the_chunks_of_a_large_one() {
     let (mut queue, mut out) = (SendQueue::default(), BytesMut::new());
     let large = Bytes::from(vec![7; 3 * CHUNK]);
     queue.push(ordered(large.clone()));
     assert!(queue.append_next(&mut out));
     queue.push(ordered(Bytes::from_static(b"in order")));
-    queue.push(Outgoing { payload: Bytes::from_static(b"urgent"), urgent: true });
+    queue.push(OutgoingMessage { payload: Bytes::from_static(b"urgent"), is_urgent: true });
     while queue.append_next(&mut out) {}
     let messages = received(out).expect("frames");
     assert!(messages == [Bytes::from_static(b"urgent"), large, Bytes::from_static(b"in order")]);
 }
 
 #[test]
-fn a_message_that_no_receiver_takes_is_not_sent_and_the_others_are() {
+fn message_longer_than_the_maximum_is_dropped_and_others_are_sent() {
     let (mut queue, mut out) = (SendQueue::default(), BytesMut::new());
     queue.push(ordered(Bytes::from(vec![0; MAX_MESSAGE_BYTES + 1])));
     queue.push(ordered(Bytes::from_static(b"next")));
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn frames_of_no_known_kind_or_length_and_endless_parts_are_errors() {
+fn unknown_frames_and_endless_chunks_are_errors() {
     let frame = |kind: u8, length: usize| {
         let mut bytes = BytesMut::from((length as u32 + 1).to_be_bytes().as_slice());
         bytes.extend_from_slice(&[kind]);
@@ -66,10 +67,10 @@
     assert!(received(frame(3, 10)).is_err());
     assert!(received(frame(0, CHUNK + 1)).is_err());
     let mut assembler = Assembler::default();
-    let taken = (0..=MAX_MESSAGE_BYTES / CHUNK).try_for_each(|_| {
-        let mut part = BytesMut::from([1].as_slice());
-        part.resize(CHUNK + 1, 0);
-        assembler.take(part).map(drop)
+    let result = (0..=MAX_MESSAGE_BYTES / CHUNK).try_for_each(|_| {
+        let mut chunk = BytesMut::from([1].as_slice());
+        chunk.resize(CHUNK + 1, 0);
+        assembler.push(chunk).map(drop)
     });
-    assert!(taken.is_err(), "parts beyond the longest message");
+    assert_eq!(result, Err(FrameError::MessageTooLong), "chunks beyond the longest message");
 }
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -1,20 +1,20 @@
-//! Connections on slow links, in virtual time: a large message crosses while heartbeats go on, and silence ends them.
+//! Connections on slow links, in virtual time: a large message crosses while heartbeats go on, and a time without any byte ends them.
 
 #![cfg(test)]
 
 mod slow;
 
 use bytes::Bytes;
-use slow::SlowNetwork;
+use slow::{run_on_network, SlowNetwork};
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::{spawn_local, LocalSet};
+use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 use violetyoke_transport::connection::{accept_all, maintain, Event, Sender, IDLE_TIMEOUT};
-use violetyoke_transport::{environment, net};
+use violetyoke_transport::net;
 
 const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
 
@@ -25,21 +25,13 @@
     network: SlowNetwork,
     sender: Sender,
     received: Received,
-    downs: Rc<RefCell<u32>>,
+    disconnections: Rc<RefCell<u32>>,
 }
 
 /// A connection on a link of so many bits a second, and what `test` does with it.
 fn on_a_link<F: Future<Output = ()>>(bits: u64, test: impl FnOnce(Link) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_time()
-        .start_paused(true)
-        .build()
-        .expect("a runtime");
-    let network = SlowNetwork::default();
-    network.bits_a_second(bits);
-    environment::install(Some(Rc::new(network.clone())));
-    LocalSet::new().block_on(&runtime, async move {
-        let (received, downs) = (Received::default(), Rc::<RefCell<u32>>::default());
+    run_on_network(bits, |network| async move {
+        let (received, disconnections) = (Received::default(), Rc::<RefCell<u32>>::default());
         let into = received.clone();
         let listener = net::listen(ADDRESS.into()).expect("a listener");
         spawn_local(accept_all(listener, move |_| {
@@ -53,7 +45,7 @@
             }
         }));
         let senders: Rc<RefCell<Option<Sender>>> = Rc::default();
-        let (opened, ended) = (senders.clone(), downs.clone());
+        let (opened, ended) = (senders.clone(), disconnections.clone());
         spawn_local(maintain(ADDRESS, move |event| match event {
             Event::Connected(sender) => *opened.borrow_mut() = Some(sender),
             Event::Disconnected => *ended.borrow_mut() += 1,
@@ -61,9 +53,8 @@
         }));
         sleep(Duration::from_millis(50)).await;
         let sender = senders.borrow().clone().expect("a connection");
-        test(Link { network, sender, received, downs }).await;
+        test(Link { network, sender, received, disconnections }).await;
     });
-    environment::install(None);
 }
 
 fn state_of(bytes: usize) -> Bytes {
@@ -71,41 +62,41 @@
 }
 
 #[test]
-fn two_megabytes_cross_two_megabits_a_second_while_heartbeats_go_on() {
+fn large_message_on_a_slow_link_does_not_delay_heartbeats() {
     on_a_link(2_000_000, |link| async move {
         let (state, heartbeat) = (state_of(2 << 20), Bytes::from_static(b"heartbeat"));
-        let begun = Instant::now();
+        let started = Instant::now();
         link.sender.send(state.clone());
         for _ in 0..80 {
             sleep(Duration::from_millis(150)).await;
             link.sender.send_urgent(heartbeat.clone());
         }
         let received = link.received.borrow();
-        let whole = received.iter().filter(|(_, message)| *message == state).count();
-        assert_eq!((whole, *link.downs.borrow(), link.network.connections()), (1, 0, 1));
-        let heartbeats = received.iter().filter(|(_, it)| *it == heartbeat).map(|(at, _)| *at);
-        let beats: Vec<Instant> = [begun].into_iter().chain(heartbeats).collect();
-        assert!(beats.len() >= 80, "{} heartbeats", beats.len());
-        let longest = beats.windows(2).map(|pair| pair[1] - pair[0]).max().expect("some heartbeats");
+        let complete = received.iter().filter(|(_, message)| *message == state).count();
+        assert_eq!((complete, *link.disconnections.borrow(), link.network.connections()), (1, 0, 1));
+        let heartbeats = received.iter().filter(|(_, message)| *message == heartbeat).map(|(at, _)| *at);
+        let arrivals: Vec<Instant> = [started].into_iter().chain(heartbeats).collect();
+        assert!(arrivals.len() >= 80, "{} heartbeats", arrivals.len());
+        let longest = arrivals.windows(2).map(|pair| pair[1] - pair[0]).max().expect("some heartbeats");
         // A store is suspected after 700 ms.
         assert!(longest < Duration::from_millis(400), "{longest:?} between two heartbeats");
     });
 }
 
 #[test]
-fn a_link_that_is_slower_than_a_chunk_a_second_still_carries_one() {
-    // A whole chunk takes 4.4 s here: four times the silence that ends a connection.
+fn chunk_that_takes_longer_than_the_idle_timeout_is_received() {
+    // A chunk takes 4.4 s here: four times the idle time-out.
     on_a_link(60_000, |link| async move {
         let state = state_of(100_000);
         link.sender.send(state.clone());
         sleep(Duration::from_secs(16)).await;
         assert_eq!(link.received.borrow().iter().filter(|(_, message)| *message == state).count(), 1);
-        assert_eq!(*link.downs.borrow(), 0);
+        assert_eq!(*link.disconnections.borrow(), 0);
     });
 }
 
 #[test]
-fn messages_keep_their_order_and_a_large_one_that_waits_is_not_sent_twice() {
+fn messages_keep_their_order_and_a_waiting_large_one_is_not_sent_twice() {
     on_a_link(2_000_000, |link| async move {
         let (first, second) = (state_of(300_000), state_of(200_000));
         let small = Bytes::from_static(b"after both");
@@ -124,21 +115,21 @@
 }
 
 #[test]
-fn a_link_that_carries_nothing_ends_in_the_middle_of_a_message_and_the_next_connection_is_whole() {
+fn connection_that_carries_nothing_ends_without_delivering_part_of_a_message() {
     on_a_link(2_000_000, |link| async move {
         link.sender.send(state_of(1 << 20));
         sleep(Duration::from_millis(500)).await;
         link.network.stop();
         sleep(IDLE_TIMEOUT + Duration::from_millis(200)).await;
-        assert_eq!(*link.downs.borrow(), 1);
+        assert_eq!(*link.disconnections.borrow(), 1);
         assert!(link.received.borrow().is_empty(), "no part of a message is passed on");
     });
 }
 
 #[test]
-fn an_idle_connection_stays() {
+fn idle_connection_stays_open() {
     on_a_link(2_000_000, |link| async move {
         sleep(Duration::from_secs(30)).await;
-        assert_eq!((*link.downs.borrow(), link.network.connections()), (0, 1));
+        assert_eq!((*link.disconnections.borrow(), link.network.connections()), (0, 1));
     });
 }
--- a/crates/transport/tests/peers.rs
+++ b/crates/transport/tests/peers.rs
@@ -5,19 +5,21 @@
 mod slow;
 
 use bytes::Bytes;
-use slow::SlowNetwork;
+use slow::{run_on_network, SlowNetwork};
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::{spawn_local, LocalSet};
+use tokio::task::spawn_local;
 use tokio::time::sleep;
 use violetyoke_transport::connection::{accept_all, ConnectionId, Event, IDLE_TIMEOUT};
+use violetyoke_transport::net;
 use violetyoke_transport::peers::PeerConnections;
-use violetyoke_transport::{environment, net};
 
 const PORT: u16 = 7000;
+/// Bits a second.
+const FAST: u64 = 100_000_000;
 const FIRST: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const SECOND: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
@@ -27,15 +29,7 @@
 type Events = Rc<RefCell<Vec<(Ipv4Addr, Event)>>>;
 
 fn on_a_fast_network<F: Future<Output = ()>>(test: impl FnOnce(SlowNetwork, Accepted) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_time()
-        .start_paused(true)
-        .build()
-        .expect("a runtime");
-    let network = SlowNetwork::default();
-    network.bits_a_second(100_000_000);
-    environment::install(Some(Rc::new(network.clone())));
-    LocalSet::new().block_on(&runtime, async move {
+    run_on_network(FAST, |network| async move {
         let accepted = Accepted::default();
         let into = accepted.clone();
         let listener = net::listen((FIRST, PORT).into()).expect("a listener");
@@ -45,7 +39,6 @@
         }));
         test(network, accepted).await;
     });
-    environment::install(None);
 }
 
 /// Hands the set the events that concern its connections; returns how many there were.
@@ -108,7 +101,7 @@
         assert!(peers.sender(FIRST).is_none());
         assert_eq!(peers.generation(FIRST), 1, "responses on it may still be told apart");
 
-        network.bits_a_second(100_000_000);
+        network.bits_a_second(FAST);
         sleep(Duration::from_millis(500)).await;
         hand_back(&mut peers, &events);
         assert!(peers.sender(FIRST).is_some());
