--- a/crates/proxy/src/control_client/updates.rs
+++ b/crates/proxy/src/control_client/updates.rs
@@ -61,7 +61,8 @@
         if revision <= proxy.configuration.revision() {
             return;
         }
-        info!(proxy.log, "configuration in force"; "version" => configuration.version, "epoch" => revision.epoch,
+        // `violetyoke_emulator::change_costs` finds out by this line when each proxy has installed a change.
+        info!(proxy.log, "in force"; "version" => configuration.version, "epoch" => revision.epoch,
             "evacuated" => evacuated.len());
         proxy.backends.configure(&configuration.services, evacuated);
         let active = proxy.configuration.install(revision, configuration);
