--- a/crates/proxy/src/control_client/updates.rs
+++ b/crates/proxy/src/control_client/updates.rs
@@ -67,7 +67,7 @@
         proxy.backends.configure(&configuration.services, evacuated);
         let active = proxy.configuration.install(revision, configuration);
         proxy.quota.retain_tenants(&active.routing().tenants);
-        proxy.waiting.borrow_mut().all();
+        proxy.pending.wake_all();
         proxy.freshness.on_updated();
     }
 
@@ -90,8 +90,8 @@
 
     fn on_backends_changed(&mut self) {
         let backends = &self.proxy.backends;
-        self.proxy.pools.borrow_mut().retain(|id| backends.is_available(id));
-        self.proxy.waiting.borrow_mut().all();
+        self.proxy.connection_pool.retain(|id| backends.is_available(id));
+        self.proxy.pending.wake_all();
         self.poll();
     }
 
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -4,7 +4,7 @@
 use crate::readiness_gate::ReadinessGate;
 use crate::registries::RegistryConnections;
 use crate::state::Proxy;
-use crate::{front, readiness};
+use crate::{downstream, readiness};
 use error_stack::Report;
 use slog::{info, Logger};
 use std::rc::Rc;
@@ -95,7 +95,7 @@
 impl Servers {
     fn start(listeners: Listeners, proxy: &Rc<Proxy>) -> Servers {
         let mut tasks = JoinSet::new();
-        let front = tasks.spawn_local(front::serve(listeners.front, proxy.clone()));
+        let front = tasks.spawn_local(downstream::serve(listeners.front, proxy.clone()));
         tasks.spawn_local(readiness::serve(listeners.readiness, proxy.clone()));
         Servers { front, _tasks: tasks }
     }
--- /dev/null
+++ b/crates/proxy/src/forward/attempts.rs
@@ -0,0 +1,166 @@
+//! The attempts at one request: which backend, whether another may follow, and what all of them say together.
+
+use super::select::select_backend;
+use super::{AttemptGuard, ForwardError, ForwardRequest, ForwardResponse, StreamedRest, MIN_ATTEMPT};
+use crate::backends::BackendTarget;
+use crate::request_body::MAX_BUFFERED_BYTES;
+use crate::state::Proxy;
+use crate::upstream::{self, AttemptError, AttemptRequest, AttemptResponse};
+use bytes::{Bytes, BytesMut};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use violetyoke_api::calls::header;
+use violetyoke_api::execution::{Execution, FailureReason};
+use violetyoke_balancing::retry_policy::RETRY_AFTER_MS;
+use violetyoke_balancing::{Millis, Selection};
+
+/// The deadline that a backend is told is so much earlier than the client's, for the way back.
+const RETURN_MARGIN: Duration = Duration::from_millis(5);
+
+/// The attempts at one request so far.
+pub(super) struct Attempts<'a> {
+    proxy: &'a Rc<Proxy>,
+    request: &'a ForwardRequest,
+    /// Ids of the backends that it was sent to.
+    attempted: Vec<String>,
+    /// What is certain of all attempts together.
+    execution: Execution,
+    last_error: Option<AttemptError>,
+}
+
+impl<'a> Attempts<'a> {
+    pub(super) fn new(proxy: &'a Rc<Proxy>, request: &'a ForwardRequest) -> Attempts<'a> {
+        let execution = Execution::NotExecuted;
+        Attempts { proxy, request, attempted: Vec::new(), execution, last_error: None }
+    }
+
+    /// The id of the backend for the next attempt.
+    pub(super) async fn select_backend(&self) -> Option<String> {
+        select_backend(self.proxy, self.request, &self.attempted).await
+    }
+
+    /// Takes each attempt but the first from the retry budget; returns whether the attempt may be made.
+    pub(super) fn acquire_retry(&self) -> bool {
+        if self.attempted.is_empty() {
+            return true;
+        }
+        let proxy = self.proxy;
+        let is_allowed = proxy.retry_budgets.try_acquire(&self.request.service);
+        let metrics = &proxy.metrics;
+        let counter = if is_allowed { &metrics.retries } else { &metrics.retry_budget_exhausted };
+        counter.increment();
+        is_allowed
+    }
+
+    /// Makes one attempt. Returns `None` where another one is to follow.
+    pub(super) async fn send(&mut self, backend_id: String) -> Result<Option<ForwardResponse>, ForwardError> {
+        let (proxy, request) = (self.proxy, self.request);
+        let Some(target) = proxy.backends.target(&backend_id) else { return Ok(None) };
+        let timeout = self.attempt_timeout(&target);
+        let bytes = self.request_bytes(&backend_id);
+        self.attempted.push(backend_id.clone());
+        let mut guard = AttemptGuard::start(proxy, request, backend_id);
+        let attempt = AttemptRequest {
+            backend_id: &guard.backend_id,
+            service: &request.service,
+            address: target.address,
+            is_same_region: target.is_same_region,
+            attempt_id: &request.attempt_id,
+            bytes,
+            body: &request.body,
+            is_head: request.is_head,
+            is_replayable: request.policy.is_idempotent && !request.body.is_streamed(),
+            timeout,
+            deadline: request.deadline,
+        };
+        match upstream::send(proxy, &attempt, &|| self.can_retry_elsewhere()).await {
+            Ok(response) => {
+                guard.observation = response.observation;
+                Ok(self.on_response(response, guard))
+            }
+            Err(error) => {
+                guard.observation = error.observation();
+                drop(guard);
+                self.on_error(error).map(|()| None)
+            }
+        }
+    }
+
+    /// From when on another backend may be asked instead.
+    fn attempt_timeout(&self, target: &BackendTarget) -> Option<Instant> {
+        let left_ms = self.request.time_left().as_millis() as Millis;
+        let timeout_ms = self.request.policy.attempt_timeout_ms(left_ms, target.latency_estimate_ms)?;
+        Some(Instant::now() + Duration::from_millis(timeout_ms))
+    }
+
+    /// The head with the fields of this attempt, and the buffered part of the body.
+    fn request_bytes(&self, backend_id: &str) -> Bytes {
+        let request = self.request;
+        let deadline_ms = request.time_left().saturating_sub(RETURN_MARGIN).as_millis();
+        let body_bytes = match request.body.length() {
+            _ if request.body.is_streamed() => MAX_BUFFERED_BYTES,
+            length => length.unwrap_or(0) as usize,
+        };
+        let mut bytes = BytesMut::with_capacity(request.head.len() + body_bytes + 96);
+        bytes.extend_from_slice(&request.head);
+        let fields =
+            format!("{}: {deadline_ms}\r\n{}: {backend_id}\r\n\r\n", header::DEADLINE, header::TARGET);
+        bytes.extend_from_slice(fields.as_bytes());
+        request.body.write_beginning(&mut bytes);
+        bytes.freeze()
+    }
+
+    /// The backend's own failure of a request that may be executed again is worth another backend.
+    fn on_response(&mut self, attempt: AttemptResponse, guard: AttemptGuard) -> Option<ForwardResponse> {
+        self.execution = self.execution.combine(Execution::Unknown);
+        let AttemptResponse { response, rest, .. } = attempt;
+        if let Some(stream) = rest {
+            let rest = Some(StreamedRest { stream, attempt: guard });
+            return Some(ForwardResponse { response, rest });
+        }
+        drop(guard);
+        let is_retried = response.status >= 500
+            && self.may_retry()
+            && self.request.time_left() > MIN_ATTEMPT * 2
+            && self.can_retry_elsewhere();
+        (!is_retried).then_some(ForwardResponse { response, rest: None })
+    }
+
+    /// `Ok` where another attempt may follow.
+    fn on_error(&mut self, error: AttemptError) -> Result<(), ForwardError> {
+        self.execution = self.execution.combine(error.execution());
+        self.last_error = Some(error);
+        if self.may_retry() {
+            return Ok(());
+        }
+        let is_late = self.request.time_left() < MIN_ATTEMPT;
+        let reason = if is_late { FailureReason::DeadlineExceeded } else { FailureReason::Overloaded };
+        let retry_after_ms = (self.execution == Execution::NotExecuted).then_some(RETRY_AFTER_MS);
+        Err(self.give_up(reason, retry_after_ms))
+    }
+
+    /// Ends the request without a response.
+    pub(super) fn give_up(&mut self, reason: FailureReason, retry_after_ms: Option<Millis>) -> ForwardError {
+        let last_attempt = self.last_error.take();
+        ForwardError { execution: self.execution, reason, retry_after_ms, last_attempt }
+    }
+
+    /// Whether the request and its route allow another attempt.
+    fn may_retry(&self) -> bool {
+        self.execution.may_retry(self.request.policy.is_idempotent)
+            && self.request.policy.allows_another_attempt(self.attempted.len())
+            && !self.request.body.is_consumed()
+    }
+
+    /// Whether another attempt may and can be made now: none is broken off for one that could not be. Not by a proxy that
+    /// drains: it waits for what backends work on.
+    fn can_retry_elsewhere(&self) -> bool {
+        let (proxy, request) = (self.proxy, self.request);
+        !proxy.serving.is_draining()
+            && !request.body.is_consumed()
+            && request.policy.allows_another_attempt(self.attempted.len())
+            && proxy.retry_budgets.has_capacity(&request.service)
+            && matches!(proxy.backends.select(request.criteria(&self.attempted)), Selection::Backend(_))
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/forward/select.rs
@@ -0,0 +1,65 @@
+//! Finds a backend with capacity for an attempt; the request waits for one as long as that is worth it.
+
+use super::ForwardRequest;
+use crate::pending::PendingRequest;
+use crate::state::Proxy;
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+use violetyoke_balancing::{Millis, Selection};
+
+/// A pending request tries again after this also without being woken: reported loads decay, and slow-start shares are
+/// renewed, with time alone.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The id of a backend that is not among the `attempted`. `None` where no backend may get the request, the queue is full,
+/// or none had capacity in time.
+pub(super) async fn select_backend(
+    proxy: &Proxy,
+    request: &ForwardRequest,
+    attempted: &[String],
+) -> Option<String> {
+    // Requests that wait already go first.
+    if proxy.pending.is_empty(&request.service) {
+        match select_now(proxy, request, attempted) {
+            Selection::Backend(id) => return Some(id),
+            Selection::NoBackend => return None,
+            Selection::AtCapacity => {}
+        }
+    }
+    let max_wait = Duration::from_millis(request.policy.max_queue_wait_ms());
+    let wait_until = (request.arrived_at + max_wait).min(request.deadline);
+    let wait_ms = wait_until.saturating_duration_since(Instant::now()).as_millis() as Millis;
+    let expires_at = proxy.now() + wait_ms;
+    let mut pending = proxy.pending.enqueue(&request.service, request.priority, expires_at)?;
+    let selected = wait_for_capacity(proxy, request, attempted, &mut pending, wait_until).await;
+    proxy.pending.remove(&request.service, request.priority, &pending);
+    selected
+}
+
+fn select_now(proxy: &Proxy, request: &ForwardRequest, attempted: &[String]) -> Selection {
+    proxy.backends.select(request.criteria(attempted))
+}
+
+async fn wait_for_capacity(
+    proxy: &Proxy,
+    request: &ForwardRequest,
+    attempted: &[String],
+    pending: &mut PendingRequest,
+    wait_until: Instant,
+) -> Option<String> {
+    loop {
+        match select_now(proxy, request, attempted) {
+            Selection::Backend(id) => return Some(id),
+            Selection::NoBackend => return None,
+            Selection::AtCapacity => {}
+        }
+        let recheck_at = wait_until.min(Instant::now() + RECHECK_INTERVAL);
+        let is_woken = timeout_at(recheck_at, &mut pending.woken).await.is_ok();
+        if Instant::now() >= wait_until {
+            return None;
+        }
+        if is_woken {
+            proxy.pending.rearm(pending);
+        }
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,8 @@
 //! The proxy: carries clients' requests to backends. One process runs on each edge machine ([`daemon`]).
 //!
-//! The **data path**: `front` accepts clients' connections, `request` finds the route, the tenant and the limit of a
-//! request, `attempts` decides which backends it is sent to, `backend` makes one attempt on one connection.
+//! The **data path**: `downstream` accepts clients' connections, `request` finds the route, the tenant and the limit of
+//! a request, `forward` decides which backends it is sent to and whether it waits for one (`pending`), `upstream` makes
+//! one attempt on one connection.
 //!
 //! The **control path**: `control_client` keeps connections to all registries and applies what they send: configurations
 //! (`configuration`), backend lists (`backends`), membership (`registries`). `quota_client` asks the owner of a
@@ -21,23 +22,23 @@
     reason = "not yet revised for readers: see docs/ROADMAP.md"
 )]
 
-mod attempts;
-mod backend;
 mod backends;
-mod body;
 mod clock;
 mod configuration;
 mod control_client;
 pub mod daemon;
+mod downstream;
+mod forward;
 mod freshness;
-mod front;
 mod metrics;
+mod pending;
 mod quota_client;
 mod readiness;
 mod readiness_gate;
 mod registries;
 mod request;
+mod request_body;
 mod retry_budgets;
 mod serving;
 mod state;
-mod waiting;
+mod upstream;
--- /dev/null
+++ b/crates/proxy/src/request/error.rs
@@ -0,0 +1,65 @@
+//! Why a request is answered by the proxy itself.
+
+use super::lookup::Denial;
+use crate::forward::{ForwardError, ForwardRequest};
+use crate::metrics::Metrics;
+use crate::request_body::BodyError;
+use violetyoke_api::Execution;
+use violetyoke_balancing::Millis;
+
+/// The end of a request without a backend's response.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum RequestError {
+    /// This proxy holds no configuration yet.
+    #[error("the proxy is not ready")]
+    NotReady,
+    /// No route or no tenant is known for the request, and no registry confirms in time that this is the newest state.
+    #[error("the state of control could not be confirmed")]
+    Unconfirmed,
+    /// The newest configuration has no route or no tenant for the request.
+    #[error(transparent)]
+    Denied(#[from] Denial),
+    /// The client's body can't be taken.
+    #[error(transparent)]
+    Body(#[from] BodyError),
+    /// The tenant is over its rate limit.
+    #[error("over the tenant's limit")]
+    OverLimit {
+        /// When there may be room (ms).
+        retry_after_ms: Millis,
+    },
+    /// The route leads to no service.
+    #[error("the route leads to no service")]
+    NoService,
+    /// No backend responded.
+    #[error(transparent)]
+    Forward(ForwardError),
+}
+
+impl RequestError {
+    /// What the end of an unsuccessful `request` is to its client: a body that the client broke off is the client's fault,
+    /// whatever became of the attempts.
+    pub(super) fn from_forward(request: &ForwardRequest, error: ForwardError) -> RequestError {
+        match request.body.error() {
+            Some(body_error) => RequestError::Body(body_error),
+            None => RequestError::Forward(error),
+        }
+    }
+
+    /// Counts the request among those that ended so.
+    pub(super) fn record(&self, metrics: &Metrics) {
+        match self {
+            RequestError::Denied(Denial::NoRoute) => metrics.unknown_routes.increment(),
+            RequestError::Denied(Denial::UnknownCredential) => metrics.unknown_credentials.increment(),
+            RequestError::OverLimit { .. } => metrics.over_limit.increment(),
+            RequestError::Forward(error) => match error.execution {
+                Execution::NotExecuted => metrics.rejected.increment(),
+                Execution::Unknown => metrics.failed.increment(),
+            },
+            RequestError::NotReady
+            | RequestError::Unconfirmed
+            | RequestError::Body(_)
+            | RequestError::NoService => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/request/mod.rs
@@ -0,0 +1,130 @@
+//! A client's request, from its head to the response, as a row of steps.
+
+mod error;
+mod lookup;
+mod response;
+mod upstream_head;
+
+use crate::configuration::ActiveConfiguration;
+use crate::forward::{forward, ForwardRequest};
+use crate::freshness::Freshness;
+use crate::request_body::RequestBody;
+use crate::state::Proxy;
+use error::RequestError;
+use hyper::body::Incoming;
+use hyper::http::request::Parts;
+use hyper::{Method, Request};
+use lookup::{header_text, lookup, Match};
+pub(crate) use response::Reply;
+use response::{error_response, forward_response};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use upstream_head::upstream_head;
+use violetyoke_api::calls::header;
+use violetyoke_api::configuration::{Service, Tenant};
+use violetyoke_api::routing::{RouteEntry, RoutingTable};
+use violetyoke_balancing::retry_policy::RetryPolicy;
+use violetyoke_balancing::Millis;
+use violetyoke_quota::Admission;
+
+/// No request is held longer, whatever its route and its client say: the longest `timeout-ms` of a configuration.
+const MAX_TIMEOUT_MS: f64 = 600_000.0;
+
+/// Answers one request.
+pub(crate) async fn handle(proxy: &Rc<Proxy>, request: Request<Incoming>) -> Reply {
+    proxy.metrics.requests.increment();
+    match serve(proxy, request).await {
+        Ok(reply) => reply,
+        Err(error) => {
+            error.record(&proxy.metrics);
+            error_response(&error)
+        }
+    }
+}
+
+async fn serve(proxy: &Rc<Proxy>, request: Request<Incoming>) -> Result<Reply, RequestError> {
+    let arrived_at = Instant::now();
+    let (parts, body) = request.into_parts();
+    let configuration = admit(proxy, &parts).await?;
+    let table = configuration.routing();
+    let Match { route, tenant } = lookup(table, &parts)?;
+    let body = RequestBody::read(body, table.limits.max_body_bytes as u64).await?;
+    check_quota(proxy, tenant).await?;
+    let service = select_service(proxy, table, route)?;
+    let request = forward_request(&parts, body, route, tenant, service, arrived_at);
+    let response =
+        forward(proxy, &request).await.map_err(|error| RequestError::from_forward(&request, error))?;
+    proxy.metrics.answered.increment();
+    Ok(forward_response(proxy, response))
+}
+
+/// The configuration that the request is served by. A request is denied only by one that is known to be the newest: what a
+/// proxy that is cut off lacks may have been acknowledged to an operator.
+async fn admit(proxy: &Proxy, parts: &Parts) -> Result<Rc<ActiveConfiguration>, RequestError> {
+    let snapshot = proxy.configuration.snapshot().filter(|_| proxy.serving.is_ready());
+    let configuration = snapshot.ok_or(RequestError::NotReady)?;
+    if lookup(configuration.routing(), parts).is_ok() {
+        return Ok(configuration);
+    }
+    match proxy.freshness.check().await {
+        Freshness::Updated => Ok(proxy.configuration.snapshot().unwrap_or(configuration)),
+        Freshness::UpToDate => Ok(configuration),
+        Freshness::Unknown => Err(RequestError::Unconfirmed),
+    }
+}
+
+/// Counts the request at the owner of its tenant's count.
+async fn check_quota(proxy: &Proxy, tenant: Option<&Tenant>) -> Result<(), RequestError> {
+    let Some(tenant) = tenant else { return Ok(()) };
+    match proxy.quota.admit(tenant).await {
+        Admission::Admitted => Ok(()),
+        Admission::Denied { retry_after_ms } => Err(RequestError::OverLimit { retry_after_ms }),
+    }
+}
+
+/// The service that gets the request, drawn by the weights of the route's split.
+fn select_service<'a>(
+    proxy: &Proxy,
+    table: &'a RoutingTable,
+    route: &RouteEntry,
+) -> Result<&'a Service, RequestError> {
+    let sample = proxy.backends.sample_uniform();
+    let service = route.service(sample).and_then(|index| table.services.get(index));
+    service.ok_or(RequestError::NoService)
+}
+
+fn forward_request(
+    parts: &Parts,
+    body: RequestBody,
+    route: &RouteEntry,
+    tenant: Option<&Tenant>,
+    service: &Service,
+    arrived_at: Instant,
+) -> ForwardRequest {
+    let client_deadline_ms =
+        header_text(&parts.headers, header::DEADLINE).and_then(|ms| ms.trim().parse::<f64>().ok());
+    let timeout_ms =
+        client_deadline_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms).clamp(0.0, MAX_TIMEOUT_MS);
+    ForwardRequest {
+        service: service.name.clone(),
+        home_regions: [
+            route.home_regions.clone(),
+            tenant.map(|tenant| tenant.home_regions.clone()).unwrap_or_default(),
+        ],
+        policy: RetryPolicy {
+            is_idempotent: route.is_idempotent,
+            max_attempts: route.max_attempts,
+            latency_target_ms: route.target_ms.clamp(0.0, MAX_TIMEOUT_MS) as Millis,
+            deadline_ms: timeout_ms as Millis,
+        },
+        // The tenant's priority overrides the route's.
+        priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority),
+        is_head: parts.method == Method::HEAD,
+        attempt_id: header_text(&parts.headers, header::ATTEMPT).unwrap_or_default().to_owned(),
+        head: upstream_head(parts, tenant.map(|tenant| tenant.name.as_str()), &body),
+        body,
+        arrived_at,
+        deadline: arrived_at + Duration::from_secs_f64(timeout_ms / 1000.0),
+    }
+}
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,18 +1,17 @@
 //! What the parts of a proxy share. All of it is used on one thread, so cells do.
 
-use crate::backend::Pools;
 use crate::backends::Backends;
 use crate::clock::Clock;
 use crate::configuration::ConfigurationStore;
 use crate::freshness::FreshnessCheck;
 use crate::metrics::Metrics;
+use crate::pending::PendingRequests;
 use crate::quota_client::QuotaClient;
 use crate::registries::RegistryConnections;
 use crate::retry_budgets::RetryBudgets;
 use crate::serving::ServingState;
-use crate::waiting::Waiting;
+use crate::upstream::ConnectionPool;
 use slog::Logger;
-use std::cell::RefCell;
 use std::rc::Rc;
 use violetyoke_api::Settings;
 use violetyoke_balancing::Millis;
@@ -29,9 +28,9 @@
     pub(crate) quota: QuotaClient,
     pub(crate) freshness: FreshnessCheck,
     /// Requests that wait for a backend with capacity.
-    pub(crate) waiting: RefCell<Waiting>,
+    pub(crate) pending: PendingRequests,
     /// Idle connections to backends.
-    pub(crate) pools: RefCell<Pools>,
+    pub(crate) connection_pool: ConnectionPool,
     clock: Clock,
 }
 
@@ -48,8 +47,8 @@
             retry_budgets: RetryBudgets::new(&settings.terms.bounds, clock, registries.clone()),
             quota: QuotaClient::new(registries.clone(), metrics.clone(), clock),
             freshness: FreshnessCheck::new(registries.clone(), configuration.clone()),
-            waiting: RefCell::default(),
-            pools: RefCell::default(),
+            pending: PendingRequests::default(),
+            connection_pool: ConnectionPool::default(),
             metrics,
             registries,
             configuration,
--- /dev/null
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -0,0 +1,133 @@
+//! One attempt: a request is sent to one backend, on an idle connection or a new one, and its response is judged.
+
+use super::exchange::{exchange, ExchangeError};
+use super::pool::Connection;
+use super::{AttemptError, AttemptRequest, ResponseStream, UpstreamResponse};
+use crate::state::Proxy;
+use bytes::BytesMut;
+use std::io;
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+use violetyoke_balancing::Observation;
+use violetyoke_transport::net;
+
+/// A connection within the region comes up within this, or the backend counts as unreachable. An attempt that fails here is
+/// certain not to have been executed, so the limit is short: the time that is left goes to another backend.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// The same to another region, with room for round trips of 55 ms and more (docs/incidents/warm-too-early.md).
+const CONNECT_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(450);
+
+/// A response that can be forwarded.
+pub(crate) struct AttemptResponse {
+    pub(crate) response: UpstreamResponse,
+    /// The rest of the body, where it is too large to be buffered.
+    pub(crate) rest: Option<Box<ResponseStream>>,
+    pub(crate) observation: Observation,
+}
+
+/// Sends the request to its backend. Once the attempt has timed out it is broken off only where `can_retry_elsewhere`.
+///
+/// # Errors
+/// There is no response that can be forwarded; the error says whether the request may have been executed.
+pub(crate) async fn send(
+    proxy: &Proxy,
+    request: &AttemptRequest<'_>,
+    can_retry_elsewhere: &dyn Fn() -> bool,
+) -> Result<AttemptResponse, AttemptError> {
+    let idle = proxy.connection_pool.acquire(request.backend_id, request.is_replayable);
+    let is_reused = idle.is_some();
+    let mut connection = match idle {
+        Some(connection) => connection,
+        None => connect(proxy, request).await.map_err(AttemptError::Connect)?,
+    };
+    let started_at = Instant::now();
+    let mut result = exchange(&mut connection, request, is_reused, can_retry_elsewhere).await;
+    if is_reused && result.as_ref().is_err_and(ExchangeError::is_before_response) {
+        proxy.connection_pool.record_reset();
+        // The replay counts as a retry: the backend may have executed the request before it closed the connection.
+        if request.is_replayable && proxy.retry_budgets.try_acquire(request.service) {
+            connection = connect(proxy, request).await.map_err(AttemptError::Reconnect)?;
+            result = exchange(&mut connection, request, false, can_retry_elsewhere).await;
+        }
+    }
+    let response = result.map_err(|error| attempt_error(error, is_reused && !request.is_replayable))?;
+    finish(proxy, request, connection, response, started_at.elapsed())
+}
+
+async fn connect(proxy: &Proxy, request: &AttemptRequest<'_>) -> io::Result<Connection> {
+    proxy.metrics.backend_connections.increment();
+    let limit = if request.is_same_region { CONNECT_TIMEOUT } else { CONNECT_TIMEOUT_OTHER_REGION };
+    let until = (Instant::now() + limit).min(request.deadline);
+    let stream = timeout_at(until, net::connect(request.address.into())).await??;
+    Ok(Connection { stream, buffer: BytesMut::new() })
+}
+
+fn attempt_error(error: ExchangeError, is_unreplayable_on_reused: bool) -> AttemptError {
+    match error {
+        ExchangeError::TimedOut => AttemptError::TimedOut,
+        ExchangeError::Client(source) => AttemptError::ClientBody(source),
+        ExchangeError::Connection { source, .. } if is_unreplayable_on_reused => {
+            AttemptError::ReusedConnection(source)
+        }
+        ExchangeError::Connection { source, .. } => AttemptError::Connection(source),
+    }
+}
+
+/// Judges the response, and keeps the connection for the next request or for the rest of this response.
+fn finish(
+    proxy: &Proxy,
+    request: &AttemptRequest<'_>,
+    connection: Connection,
+    response: UpstreamResponse,
+    latency: Duration,
+) -> Result<AttemptResponse, AttemptError> {
+    // Refusals may bear no id: a second one on a kept connection would be taken for the response to the next request.
+    let is_reusable = response.is_keep_alive && !response.is_refusal();
+    let observation = Observation::Response { latency_ms: latency.as_millis() as u64, load: response.load };
+    let keep_alive = response.keep_alive_timeout;
+    let Some(reader) = response.rest else {
+        // Bytes past a complete response belong to no request: the connection is closed with them.
+        if is_reusable && connection.buffer.is_empty() {
+            release(proxy, request, connection, keep_alive);
+        }
+        return accept(response).map(|response| AttemptResponse { response, rest: None, observation });
+    };
+    let response = accept(response)?;
+    let rest = ResponseStream {
+        reader,
+        connection,
+        is_reusable,
+        keep_alive,
+        deadline: request.deadline,
+        backend_id: request.backend_id.to_owned(),
+        service: request.service.to_owned(),
+    };
+    Ok(AttemptResponse { response, rest: Some(Box::new(rest)), observation })
+}
+
+fn release(
+    proxy: &Proxy,
+    request: &AttemptRequest<'_>,
+    connection: Connection,
+    keep_alive: Option<Duration>,
+) {
+    let max_connections = proxy.backends.max_connections(request.service);
+    proxy.connection_pool.release(request.backend_id, connection, keep_alive, max_connections);
+}
+
+/// Whether a response may go to the client.
+fn accept(response: UpstreamResponse) -> Result<UpstreamResponse, AttemptError> {
+    if response.status == 421 {
+        return Err(AttemptError::WrongInstance);
+    }
+    if response.is_not_executed {
+        return Err(AttemptError::Rejected);
+    }
+    if matches!(response.status, 408 | 429 | 503) {
+        return Err(AttemptError::UnprovenRefusal(response.status));
+    }
+    if (200..300).contains(&response.status) && !response.is_sealed {
+        return Err(AttemptError::Unsealed);
+    }
+    Ok(response)
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/streaming.rs
@@ -0,0 +1,53 @@
+//! The rest of a response that is too large to be buffered, forwarded as it arrives.
+//!
+//! Backpressure: the channel to the client's connection holds one piece, so nothing more is read from the backend until
+//! the client has taken it.
+
+use super::framing::BodyReader;
+use super::pool::Connection;
+use crate::state::Proxy;
+use bytes::Bytes;
+use http_body_util::channel::Sender;
+use std::io;
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+
+/// A connection on which the rest of a response is due.
+pub(crate) struct ResponseStream {
+    pub(super) reader: BodyReader,
+    pub(super) connection: Connection,
+    pub(super) is_reusable: bool,
+    pub(super) keep_alive: Option<Duration>,
+    /// When the client waits no longer.
+    pub(super) deadline: Instant,
+    pub(super) backend_id: String,
+    pub(super) service: String,
+}
+
+impl ResponseStream {
+    /// Forwards the rest. A response that ends early is aborted at the client too, so that it does not look complete.
+    pub(crate) async fn forward(mut self, proxy: &Proxy, mut client: Sender<Bytes, io::Error>) {
+        match timeout_at(self.deadline, self.copy_to(&mut client)).await {
+            Ok(Ok(())) => self.release(proxy),
+            Ok(Err(error)) => client.abort(error),
+            Err(_) => client.abort(io::ErrorKind::TimedOut.into()),
+        }
+    }
+
+    async fn copy_to(&mut self, client: &mut Sender<Bytes, io::Error>) -> io::Result<()> {
+        let Connection { stream, buffer } = &mut self.connection;
+        while let Some(data) = self.reader.next(stream, buffer).await? {
+            client.send_data(data).await.map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))?;
+        }
+        Ok(())
+    }
+
+    /// Keeps the connection, unless bytes have come that belong to no request.
+    fn release(self, proxy: &Proxy) {
+        if self.is_reusable && self.connection.buffer.is_empty() {
+            let max_connections = proxy.backends.max_connections(&self.service);
+            let pool = &proxy.connection_pool;
+            pool.release(&self.backend_id, self.connection, self.keep_alive, max_connections);
+        }
+    }
+}
