--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,16 +12,6 @@
 //! Which backend is best, whether a retry is allowed and what a limit admits are decided in `violetyoke-balancing` and
 //! `violetyoke-quota`, without I/O. The proxy keeps nothing on disk: all it knows, registries tell it again after a restart.
 
-#![allow(
-    clippy::let_underscore_must_use,
-    clippy::manual_let_else,
-    clippy::redundant_closure_for_method_calls,
-    clippy::too_many_lines,
-    missing_docs,
-    unreachable_pub,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
 mod backends;
 mod clock;
 mod configuration;
