--- a/crates/api/src/calls.rs
+++ b/crates/api/src/calls.rs
@@ -1,5 +1,5 @@
-//! The HTTP calls of the system, in one table: what operators and clients call at its processes, and what it calls at the
-//! platform. Then the headers that requests and responses carry.
+//! The HTTP calls of the system, in one table: what operators and clients call at its processes, and what it calls at
+//! the platform. Then the headers that requests and responses carry.
 
 /// Who takes a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/api/src/change.rs
+++ b/crates/api/src/change.rs
@@ -1,5 +1,5 @@
-//! The difference between two configurations. Most changes are a few rows of many, and a proxy that holds the one before
-//! needs no more to hold the next.
+//! The difference between two configurations. Most changes are a few rows of many, and a proxy that holds the one
+//! before needs no more to hold the next.
 
 use crate::configuration::{Configuration, Limits, Route, Service, Tenant};
 use crate::digest::{digest, DigestError};
--- a/crates/api/src/configuration.rs
+++ b/crates/api/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration of the whole system: routes, services, tenants and limits. It is applied whole or refused whole.
 //!
-//! Fields have the names of the operators' document (`schema/configuration.schema.json`), in snake case. Between processes
-//! the types are encoded by the position of their fields, so that fields must not be added, removed or moved.
+//! Fields have the names of the operators' document (`schema/configuration.schema.json`), in snake case. Between
+//! processes the types are encoded by the position of their fields, so that fields must not be added, removed or moved.
 //!
 //! ```
 //! use violetyoke_api::Configuration;
--- a/crates/api/src/digest.rs
+++ b/crates/api/src/digest.rs
@@ -11,8 +11,8 @@
 #[error("a row of the configuration can't be encoded")]
 pub struct DigestError(#[from] rmp_serde::encode::Error);
 
-/// What a row is of: equal rows of two kinds differ in their digests. The numbers are part of each digest, and digests are
-/// compared across versions.
+/// What a row is of: equal rows of two kinds differ in their digests. The numbers are part of each digest, and digests
+/// are compared across versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum RowKind {
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,9 +1,9 @@
-//! What comes to the system from outside: the settings of a process, the configuration of the whole system, and the table
-//! of HTTP calls.
+//! What comes to the system from outside: the settings of a process, the configuration of the whole system, and the
+//! table of HTTP calls.
 //!
 //! Everything is checked here, once: against the schema files in `schema/`, and for what a schema can't express. Other
-//! crates take the types of this crate for valid. Nothing here does I/O but [`Settings::read`], and nothing decides about
-//! requests or stores a configuration.
+//! crates take the types of this crate for valid. Nothing here does I/O but [`Settings::read`], and nothing decides
+//! about requests or stores a configuration.
 //!
 //! - [`Settings`]: the file that the platform hands to a process.
 //! - [`Configuration`]: routes, services and tenants as operators send them; [`ValidationError`] names a wrong field.
--- a/crates/api/src/routing.rs
+++ b/crates/api/src/routing.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// The route of a request: of those for its host, the one with the longest prefix that begins the path. `host` may carry
-    /// a port. Prefixes end with a slash.
+    /// The route of a request: of those for its host, the one with the longest prefix that begins the path. `host` may
+    /// carry a port. Prefixes end with a slash.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteEntry> {
         let host = without_port(host);
--- a/crates/api/src/settings.rs
+++ b/crates/api/src/settings.rs
@@ -124,8 +124,8 @@
     pub regions: u32,
 }
 
-/// The figures of the operators' rules (RULES.md), as far as the system and its emulator use them. Times are in the unit of
-/// their name.
+/// The figures of the operators' rules (RULES.md), as far as the system and its emulator use them. Times are in the
+/// unit of their name.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Bounds {
--- a/crates/api/src/table.rs
+++ b/crates/api/src/table.rs
@@ -5,8 +5,8 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// Decodes the rows of a table of the document; none where the document has no such table. The error names the table, the
-/// row, and what is wrong with which column.
+/// Decodes the rows of a table of the document; none where the document has no such table. The error names the table,
+/// the row, and what is wrong with which column.
 pub(crate) fn decode_rows<T: DeserializeOwned>(
     document: &Value,
     table: &str,
--- a/crates/balancing/src/concurrency.rs
+++ b/crates/balancing/src/concurrency.rs
@@ -28,14 +28,15 @@
     }
 }
 
-/// Whether a backend with `slots` and an estimated `load` takes one more request, queueing it for a short while at most.
+/// Whether a backend with `slots` and an estimated `load` takes one more request, queueing it for a short while at
+/// most.
 pub(crate) fn has_capacity(slots: u32, load: f64) -> bool {
     let slots = f64::from(slots);
     load + 1.0 <= (slots * (1.0 + QUEUE_FRACTION)).max(slots + 1.0).floor()
 }
 
-/// How much longer than usual one more request takes because of the load, as a factor of at least 1: queueing, and a bias
-/// towards the emptier of free backends, as load reports are old and other proxies choose by them too.
+/// How much longer than usual one more request takes because of the load, as a factor of at least 1: queueing, and a
+/// bias towards the emptier of free backends, as load reports are old and other proxies choose by them too.
 pub(crate) fn load_factor(slots: u32, load: f64) -> f64 {
     let slots = f64::from(slots);
     let queueing = (load + 1.0 - slots).max(0.0) / slots;
--- a/crates/balancing/src/directory.rs
+++ b/crates/balancing/src/directory.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Replaces all backends by a list that was requested at `requested_at`. Returns whether it was applied: a list that
-    /// is older than an applied one changes nothing.
+    /// Replaces all backends by a list that was requested at `requested_at`. Returns whether it was applied: a list
+    /// that is older than an applied one changes nothing.
     pub fn replace_all(&mut self, now: Millis, requested_at: Millis, listed: Vec<ListedBackend>) -> bool {
         if self.is_outdated(requested_at) {
             return false;
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Applies a new configuration: limits by the name of the service, zones that get no requests, and by how much lists
-    /// may lag behind (`list_lag_ms`).
+    /// Applies a new configuration: limits by the name of the service, zones that get no requests, and by how much
+    /// lists may lag behind (`list_lag_ms`).
     pub fn configure(
         &mut self,
         now: Millis,
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -4,7 +4,8 @@
 //! Nothing here does I/O, reads a clock or holds a timer: callers pass the time and carry out what is decided. Random
 //! choices come from a generator seeded with the proxy's id, so a simulation replays them.
 //!
-//! - [`BackendDirectory`] holds the backends of all services as the platform lists them, and what attempts have shown of
+//! - [`BackendDirectory`] holds the backends of all services as the platform lists them, and what attempts have shown
+//!   of
 //!   each: latency, load, failures (outlier ejection) and recent requests (slow start).
 //! - [`BackendDirectory::select`] picks a backend for one attempt.
 //! - [`retry_policy::RetryPolicy`] bounds queueing, attempts and time-outs of one request, and
--- a/crates/balancing/src/membership.rs
+++ b/crates/balancing/src/membership.rs
@@ -36,7 +36,8 @@
         self.members = members;
     }
 
-    /// This proxy's part of a rate that holds for all proxies together (requests a second); 0 while membership is unknown.
+    /// This proxy's part of a rate that holds for all proxies together (requests a second); 0 while membership is
+    /// unknown.
     pub(crate) fn rate_share(&self, rank_seed: u64, rate_per_s: f64) -> u32 {
         slow_start::rate_share(rank_seed, rate_per_s, self.proxy_id, &self.members)
     }
--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The request that is to try next when a backend of the service may have capacity. It stays in the queue until it is
-    /// removed.
+    /// The request that is to try next when a backend of the service may have capacity. It stays in the queue until it
+    /// is removed.
     #[must_use]
     pub fn first_unexpired(&self, service: &str, now: Millis) -> Option<Ticket> {
         let pending = self.pending.get(service)?;
--- a/crates/balancing/src/report.rs
+++ b/crates/balancing/src/report.rs
@@ -7,7 +7,8 @@
 use crate::Millis;
 use std::fmt;
 
-/// Why a backend gets fewer requests than it could execute, or none. [`fmt::Display`] writes the operators' word for it.
+/// Why a backend gets fewer requests than it could execute, or none. [`fmt::Display`] writes the operators' word for
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
     /// It gets what it has capacity for.
--- a/crates/balancing/src/retry_policy.rs
+++ b/crates/balancing/src/retry_policy.rs
@@ -50,8 +50,8 @@
     }
 
     /// After how long an attempt may be given up for another one (ms). `left_ms` is the time until the deadline,
-    /// `latency_ms` the backend's usual latency where it is known. `None` where another attempt would be too late or may
-    /// not be made.
+    /// `latency_ms` the backend's usual latency where it is known. `None` where another attempt would be too late or
+    /// may not be made.
     #[must_use]
     pub fn attempt_timeout_ms(&self, left_ms: Millis, latency_ms: Option<f64>) -> Option<Millis> {
         let usual_ms = latency_ms.unwrap_or(DEFAULT_LATENCY_MS);
--- a/crates/balancing/src/rng.rs
+++ b/crates/balancing/src/rng.rs
@@ -4,8 +4,8 @@
 
 /// SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", OOPSLA 2014).
 ///
-/// Each proxy seeds it with its own id, so that proxies that see the same backends choose differently, while a replay of
-/// one proxy draws the same sequence again. It is not fit for secrets.
+/// Each proxy seeds it with its own id, so that proxies that see the same backends choose differently, while a replay
+/// of one proxy draws the same sequence again. It is not fit for secrets.
 #[derive(Debug, Default)]
 pub(crate) struct SplitMix64 {
     state: Cell<u64>,
--- a/crates/balancing/src/slow_start.rs
+++ b/crates/balancing/src/slow_start.rs
@@ -62,8 +62,8 @@
 }
 
 /// This proxy's share of what a warming backend takes a second: `rate_per_s` divided over `members` (sorted), the
-/// remainder going to the members of the highest rank. The shares of all members add up to the whole part of the rate. A
-/// proxy that is no member has no share: it has no session, and others have its share by then.
+/// remainder going to the members of the highest rank. The shares of all members add up to the whole part of the rate.
+/// A proxy that is no member has no share: it has no session, and others have its share by then.
 #[must_use]
 pub fn rate_share(rank_seed: u64, rate_per_s: f64, proxy_id: u32, members: &[u32]) -> u32 {
     if members.binary_search(&proxy_id).is_err() {
--- a/crates/proxy/src/downstream/head_timer.rs
+++ b/crates/proxy/src/downstream/head_timer.rs
@@ -42,8 +42,8 @@
         self.phase.set(Phase::Responding);
     }
 
-    /// The response is being sent, and the next head may come. The end of a response that `is_streamed` is not seen here:
-    /// from then on the idle time-out alone holds on that connection.
+    /// The response is being sent, and the next head may come. The end of a response that `is_streamed` is not seen
+    /// here: from then on the idle time-out alone holds on that connection.
     pub(super) fn response_started(&self, is_streamed: bool) {
         if !is_streamed {
             self.phase.set(Phase::Idle);
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -26,8 +26,8 @@
 
 /// What a connection may take.
 struct ConnectionLimits {
-    /// For how long it may be silent between requests. hyper's time-out of the head holds from then on, so this is no less
-    /// than `head_timeout`.
+    /// For how long it may be silent between requests. hyper's time-out of the head holds from then on, so this is no
+    /// less than `head_timeout`.
     idle_timeout: Duration,
     /// How long the head of a request may take from its first byte.
     head_timeout: Duration,
@@ -55,7 +55,8 @@
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-/// Accepts connections for as long as it is polled. Each connection has a task of its own, which ends with the connection.
+/// Accepts connections for as long as it is polled. Each connection has a task of its own, which ends with the
+/// connection.
 pub(crate) async fn serve(listener: Listener, proxy: Rc<Proxy>) {
     loop {
         match listener.accept().await {
--- a/crates/proxy/src/forward/attempts.rs
+++ b/crates/proxy/src/forward/attempts.rs
@@ -153,8 +153,8 @@
             && !self.request.body.is_consumed()
     }
 
-    /// Whether another attempt may and can be made now: none is broken off for one that could not be. Not by a proxy that
-    /// drains: it waits for what backends work on.
+    /// Whether another attempt may and can be made now: none is broken off for one that could not be. Not by a proxy
+    /// that drains: it waits for what backends work on.
     fn can_retry_elsewhere(&self) -> bool {
         let (proxy, request) = (self.proxy, self.request);
         !proxy.serving.is_draining()
--- a/crates/proxy/src/forward/guard.rs
+++ b/crates/proxy/src/forward/guard.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use violetyoke_balancing::Observation;
 
-/// An attempt that has been started. Dropping it records the end, also where the client leaves and the request's task is
-/// dropped midway.
+/// An attempt that has been started. Dropping it records the end, also where the client leaves and the request's task
+/// is dropped midway.
 #[must_use = "dropping it ends the attempt"]
 pub(crate) struct AttemptGuard {
     proxy: Rc<Proxy>,
--- a/crates/proxy/src/forward/select.rs
+++ b/crates/proxy/src/forward/select.rs
@@ -11,8 +11,8 @@
 /// renewed, with time alone.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The id of a backend that is not among the `attempted`. `None` where no backend may get the request, the queue is full,
-/// or none had capacity in time.
+/// The id of a backend that is not among the `attempted`. `None` where no backend may get the request, the queue is
+/// full, or none had capacity in time.
 pub(super) async fn select_backend(
     proxy: &Proxy,
     request: &ForwardRequest,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -10,7 +10,8 @@
 //! denied. `readiness` answers the platform.
 //!
 //! Which backend is best, whether a retry is allowed and what a limit admits are decided in `violetyoke-balancing` and
-//! `violetyoke-quota`, without I/O. The proxy keeps nothing on disk: all it knows, registries tell it again after a restart.
+//! `violetyoke-quota`, without I/O. The proxy keeps nothing on disk: all it knows, registries tell it again after a
+//! restart.
 
 mod backends;
 mod clock;
--- a/crates/proxy/src/request/error.rs
+++ b/crates/proxy/src/request/error.rs
@@ -37,8 +37,8 @@
 }
 
 impl RequestError {
-    /// What the end of an unsuccessful `request` is to its client: a body that the client broke off is the client's fault,
-    /// whatever became of the attempts.
+    /// What the end of an unsuccessful `request` is to its client: a body that the client broke off is the client's
+    /// fault, whatever became of the attempts.
     pub(super) fn from_forward(request: &ForwardRequest, error: ForwardError) -> RequestError {
         match request.body.error() {
             Some(body_error) => RequestError::Body(body_error),
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -59,8 +59,8 @@
     Ok(forward_response(proxy, response))
 }
 
-/// The configuration that the request is served by. A request is denied only by one that is known to be the newest: what a
-/// proxy that is cut off lacks may have been acknowledged to an operator.
+/// The configuration that the request is served by. A request is denied only by one that is known to be the newest:
+/// what a proxy that is cut off lacks may have been acknowledged to an operator.
 async fn admit(proxy: &Proxy, parts: &Parts) -> Result<Rc<ActiveConfiguration>, RequestError> {
     let snapshot = proxy.configuration.snapshot().filter(|_| proxy.serving.is_ready());
     let configuration = snapshot.ok_or(RequestError::NotReady)?;
--- a/crates/proxy/src/request/response.rs
+++ b/crates/proxy/src/request/response.rs
@@ -69,8 +69,8 @@
     reply
 }
 
-/// A backend's response as the client gets it. The rest of one that is too large to be buffered is forwarded by a task of
-/// its own, which ends with the response's deadline or its client.
+/// A backend's response as the client gets it. The rest of one that is too large to be buffered is forwarded by a task
+/// of its own, which ends with the response's deadline or its client.
 pub(super) fn forward_response(proxy: &Rc<Proxy>, forwarded: ForwardResponse) -> Reply {
     match forwarded.rest {
         None => buffered_response(forwarded.response),
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -65,7 +65,8 @@
 }
 
 impl RequestBody {
-    /// Reads a body from a client, up to its end or to more than [`MAX_BUFFERED_BYTES`]; it may be of `max_bytes` in all.
+    /// Reads a body from a client, up to its end or to more than [`MAX_BUFFERED_BYTES`]; it may be of `max_bytes` in
+    /// all.
     pub(crate) async fn read(incoming: Incoming, max_bytes: u64) -> Result<RequestBody, BodyError> {
         let announced = incoming.size_hint().exact();
         if announced.is_some_and(|length| length > max_bytes) {
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Sends what follows the beginning, once. Where the client breaks off, what the backend has got can't be taken for a
-    /// complete body.
+    /// Sends what follows the beginning, once. Where the client breaks off, what the backend has got can't be taken for
+    /// a complete body.
     pub(crate) async fn send_rest(&self, writer: &mut (impl AsyncWrite + Unpin)) -> Result<(), SendError> {
         let Some(mut rest) = self.rest.borrow_mut().take() else { return Ok(()) };
         loop {
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -11,8 +11,8 @@
 use violetyoke_balancing::Observation;
 use violetyoke_transport::net;
 
-/// A connection within the region comes up within this, or the backend counts as unreachable. An attempt that fails here is
-/// certain not to have been executed, so the limit is short: the time that is left goes to another backend.
+/// A connection within the region comes up within this, or the backend counts as unreachable. An attempt that fails
+/// here is certain not to have been executed, so the limit is short: the time that is left goes to another backend.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// The same to another region, with room for round trips of 55 ms and more (docs/incidents/warm-too-early.md).
 const CONNECT_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(450);
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -106,7 +106,8 @@
 }
 
 /// Reads until the response with the attempt's id. One without an id is believed only where it refuses, and only as the
-/// first on its connection: on a reused one it may be a second response to an earlier request, while this one is executed.
+/// first on its connection: on a reused one it may be a second response to an earlier request, while this one is
+/// executed.
 async fn read_matching(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -21,8 +21,8 @@
 /// The same for other requests. Where the backend closes the connection just then, nobody knows whether the request was
 /// executed, so it ends with 502.
 const MAX_IDLE: Duration = Duration::from_millis(2_500);
-/// The same while backends reset idle connections before the announced time, as they did when more connections were held
-/// to them than they take: 1,352 answers 502 on one day (rioni-rooms-grown, scale-2).
+/// The same while backends reset idle connections before the announced time, as they did when more connections were
+/// held to them than they take: 1,352 answers 502 on one day (rioni-rooms-grown, scale-2).
 const MAX_IDLE_AFTER_RESET: Duration = Duration::from_millis(60);
 /// How long after the last reset of an idle connection [`MAX_IDLE_AFTER_RESET`] holds.
 const RESET_MEMORY: Duration = Duration::from_secs(20);
@@ -48,8 +48,8 @@
 }
 
 impl ConnectionPool {
-    /// Takes out the connection that became idle last and is usable. One on which bytes or an end have arrived unasked is
-    /// not; nor is, for a request that may be executed once only, one that has been idle for long.
+    /// Takes out the connection that became idle last and is usable. One on which bytes or an end have arrived unasked
+    /// is not; nor is, for a request that may be executed once only, one that has been idle for long.
     pub(super) fn acquire(&self, backend_id: &str, is_idempotent: bool) -> Option<Connection> {
         let now = Instant::now();
         let max_idle = self.max_idle(now, is_idempotent);
@@ -78,8 +78,9 @@
         self.resets_expected_until.set(Some(Instant::now() + RESET_MEMORY));
     }
 
-    /// Keeps a connection whose last response was complete. `keep_alive`: for how long the backend keeps it, where it said
-    /// so; `max_connections`: how many this proxy may hold to the backend. The connection is closed where that is reached.
+    /// Keeps a connection whose last response was complete. `keep_alive`: for how long the backend keeps it, where it
+    /// said so; `max_connections`: how many this proxy may hold to the backend. The connection is closed where that is
+    /// reached.
     pub(super) fn release(
         &self,
         backend_id: &str,
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -138,8 +138,8 @@
     Ok(Some(ParsedHead { response, body, size }))
 }
 
-/// Takes over one header field; returns whether it says that the body is chunked. Fields that concern the connection alone are
-/// not forwarded.
+/// Takes over one header field; returns whether it says that the body is chunked. Fields that concern the connection
+/// alone are not forwarded.
 fn read_field(response: &mut UpstreamResponse, field: &httparse::Header<'_>) -> io::Result<bool> {
     let name = field.name.to_ascii_lowercase();
     let value = std::str::from_utf8(field.value).unwrap_or("").trim();
