--- a/crates/registry/src/backend_list/change.rs
+++ b/crates/registry/src/backend_list/change.rs
@@ -9,7 +9,7 @@
 /// Slow starts that end less than this (ms) after the registry's clock began are taken for ended.
 const SLOW_START_GRANULARITY: Millis = 400;
 
-/// The digest of a list that was asked for at `polled_at`: of all that it says, except how far slow starts have run down.
+/// The digest of a list that was asked for at `polled_at`: of all its content, except how far slow starts have run down.
 pub fn digest_of(backends: &[Backend], polled_at: Millis) -> ListDigest {
     let mut hasher = DefaultHasher::new();
     for backend in backends {
--- a/crates/registry/src/backend_list/mod.rs
+++ b/crates/registry/src/backend_list/mod.rs
@@ -1,8 +1,8 @@
 //! The newest list of backends that any registry has received from the platform.
 //!
 //! [`BackendListCache`] decides which registry polls the platform, how often, and which of several lists is the newest;
-//! `daemon` makes the calls and sends lists to peers. [`change_between`] says what a proxy needs to go from one list to
-//! the next.
+//! `daemon` makes the calls and sends lists to peers. [`change_between`] is what a proxy needs to go from one list to the
+//! next.
 
 mod change;
 
--- a/crates/registry/src/core_contact.rs
+++ b/crates/registry/src/core_contact.rs
@@ -1,8 +1,8 @@
-//! Whether this registry is in contact with the majority of the core, judged by the number of registries that it hears.
+//! Whether this registry is in contact with the majority of the core, judged by the number of registries that are connected.
 //!
-//! A leader that is partitioned from the core assigns all quota shards to the registries that it still hears, so the
+//! A leader that is partitioned from the core assigns all quota shards to the registries that it still reaches, so the
 //! newest assignment proves nothing by itself. The size of the core is that of the last assignment which was in force
-//! while more than half of it was heard.
+//! while more than half of it was connected.
 
 /// What a registry sees of the core at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,11 +11,11 @@
     pub seeds: usize,
     /// The number of registries that own quota shards by the newest assignment.
     pub shard_owners: usize,
-    /// The number of registries that are heard, this one among them.
-    pub heard: usize,
+    /// The number of registries that are connected, this one among them.
+    pub connected: usize,
 }
 
-/// What a registry knows of the size of the core, and whether it hears more than half of it.
+/// What a registry knows of the size of the core, and whether it is connected to more than half of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CoreContact {
     core_size: usize,
@@ -23,17 +23,17 @@
 }
 
 impl CoreContact {
-    /// Takes in what is seen now. Returns whether contact is established.
+    /// Updates the size and the contact by what is seen now. Returns whether contact is established.
     pub fn update(&mut self, view: CoreView) -> bool {
         let core_size = self.core_size.max(view.shard_owners).max(view.seeds);
-        self.is_established = view.heard * 2 > core_size;
+        self.is_established = view.connected * 2 > core_size;
         if self.is_established && view.shard_owners > 0 {
             self.core_size = view.shard_owners;
         }
         self.is_established
     }
 
-    /// Whether more than half of the core was heard at the last update.
+    /// Whether more than half of the core was connected at the last update.
     pub fn is_established(&self) -> bool {
         self.is_established
     }
--- a/crates/registry/src/daemon/backend_polling.rs
+++ b/crates/registry/src/daemon/backend_polling.rs
@@ -6,7 +6,7 @@
 use crate::Millis;
 use violetyoke_transport::messages::Backend;
 
-/// How often peers are told that the list is still current (ms).
+/// How often the list is reported to peers as still current (ms).
 const REPORT_INTERVAL: Millis = 700;
 
 impl Registry {
@@ -14,7 +14,7 @@
     pub(super) fn poll_platform(&mut self, now: Millis) {
         let Some(api) = &self.settings.platform.cloud_api else { return };
         let local = self.settings.local.ip;
-        if self.backend_lists.is_poll_due(now, local, &self.peers.heard(local)) {
+        if self.backend_lists.is_poll_due(now, local, &self.peers.connected_registries(local)) {
             self.backend_lists.poll_started();
             let (address, inputs) = (api.address, self.inputs.clone());
             // It ends by itself: `fetch_backends` has a timeout.
@@ -49,10 +49,10 @@
         }
     }
 
-    /// Tells peers that the list is still current, if this is the registry that polls for it.
-    pub(super) fn announce_backend_list(&mut self, now: Millis) {
+    /// Reports to peers that the list is still current, if this is the registry that polls for it.
+    pub(super) fn report_backend_list(&mut self, now: Millis) {
         let local = self.settings.local.ip;
-        let is_poller = self.peers.heard(local).first() == Some(&local);
+        let is_poller = self.peers.connected_registries(local).first() == Some(&local);
         if !is_poller || now <= self.peers.list_reported_at + REPORT_INTERVAL {
             return;
         }
--- a/crates/registry/src/daemon/http/directory.rs
+++ b/crates/registry/src/daemon/http/directory.rs
@@ -6,7 +6,7 @@
 use violetyoke_api::calls::query_parameter;
 
 /// The longest that clients may keep an answer (s). Each time that they ask they wait for a round trip to the core, and a
-/// proxy that has gone is passed over by whoever tries it.
+/// proxy that has shut down is skipped by a client that tries it.
 const MAX_TTL_S: f64 = 5.0;
 
 /// The addresses for a client of the region and the zone that the query names.
--- a/crates/registry/src/daemon/http/error.rs
+++ b/crates/registry/src/daemon/http/error.rs
@@ -1,4 +1,4 @@
-//! Why a call of the HTTP API fails, and how the caller is told.
+//! Why a call of the HTTP API fails, and the response to it.
 
 use hyper::StatusCode;
 use violetyoke_api::ValidationError;
--- a/crates/registry/src/daemon/http/mod.rs
+++ b/crates/registry/src/daemon/http/mod.rs
@@ -71,7 +71,7 @@
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
-    // A client that has closed its side is taken for gone: a command that has not been sent yet is dropped.
+    // A client that has closed its side waits no longer: a command that has not been sent yet is dropped.
     builder.half_close(false);
     // A client may break off at any time, and learns nothing more then.
     drop(builder.serve_connection(TokioIo::new(stream), service).await);
--- a/crates/registry/src/daemon/mod.rs
+++ b/crates/registry/src/daemon/mod.rs
@@ -48,7 +48,7 @@
     daemon::run(NAME, about, arguments, run)
 }
 
-/// Runs the registry until it is told to end.
+/// Runs the registry until it is asked to shut down.
 ///
 /// # Errors
 ///
@@ -97,7 +97,7 @@
     }
 }
 
-/// Takes in all that happens, until the registry has been told to end and has answered what it was asked.
+/// Handles inputs, until a shutdown was requested and no command is pending, or the time for that is up.
 async fn run_until_shutdown(
     registry: &RefCell<Registry>,
     mut queue: UnboundedReceiver<Input>,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Whether the process may end so long after it was told to.
+/// Whether the process may end, `elapsed` after a shutdown was requested.
 fn is_shutdown_complete(elapsed: Duration, is_idle: bool) -> bool {
     elapsed > SHUTDOWN_TIMEOUT || (is_idle && elapsed > MIN_SHUTDOWN_DELAY)
 }
--- a/crates/registry/src/daemon/peers.rs
+++ b/crates/registry/src/daemon/peers.rs
@@ -56,9 +56,9 @@
         (!has_other).then_some(peer)
     }
 
-    /// The registries that are heard, and this one, in ascending order.
-    pub(super) fn heard(&self, local: Ipv4Addr) -> Vec<Ipv4Addr> {
-        let heard: BTreeSet<Ipv4Addr> = self.inbound.values().copied().chain([local]).collect();
-        heard.into_iter().collect()
+    /// The registries that are connected, and this one, in ascending order.
+    pub(super) fn connected_registries(&self, local: Ipv4Addr) -> Vec<Ipv4Addr> {
+        let connected: BTreeSet<Ipv4Addr> = self.inbound.values().copied().chain([local]).collect();
+        connected.into_iter().collect()
     }
 }
--- a/crates/registry/src/daemon/proxy_requests.rs
+++ b/crates/registry/src/daemon/proxy_requests.rs
@@ -8,7 +8,7 @@
 use violetyoke_transport::connection::ConnectionId;
 use violetyoke_transport::messages::{ProxyReply, ProxyRequest, Revision, Session};
 
-/// The longest time after which a proxy is told to retry (ms).
+/// The longest time to a retry that is reported to a proxy (ms).
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
 impl Registry {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A proxy transfers what it admitted for a tenant whose counter is new here.
+    /// A proxy transfers what it admitted for a tenant whose counter this registry owns newly.
     fn on_transfer_count(&mut self, tenant: &str, fencing_token: Revision, usage: WindowCounts) {
         if let Err(stale) = self.quota.import(self.now(), tenant, fencing_token, usage) {
             debug!(self.log, "transferred count dropped"; "tenant" => tenant, "why" => %stale);
--- a/crates/registry/src/daemon/publishing.rs
+++ b/crates/registry/src/daemon/publishing.rs
@@ -22,14 +22,19 @@
 
     /// Makes what is known by now of proxies, registries and shard owners the membership that proxies are sent.
     fn update_membership(&mut self, now: Millis) {
-        let heard = self.peers.heard(self.settings.local.ip);
+        let connected = self.peers.connected_registries(self.settings.local.ip);
         let owners = self.stores.shard_owners.clone();
         let seeds = self.settings.seeds();
-        let view = CoreView { seeds: seeds.len(), shard_owners: owners.registries.len(), heard: heard.len() };
+        let view = CoreView {
+            seeds: seeds.len(),
+            shard_owners: owners.registries.len(),
+            connected: connected.len(),
+        };
         let in_contact = self.contact.update(view);
         self.quota.update_members(now, self.sessions.proxy_ids(), self.sessions.not_ready());
         // A registry that is partitioned names those that it can't reach as well: a proxy may reach them.
-        let known = self.stores.known().chain(seeds).chain(heard).chain(owners.registries.iter().copied());
+        let known =
+            self.stores.known().chain(seeds).chain(connected).chain(owners.registries.iter().copied());
         let registries: BTreeSet<Ipv4Addr> = known.collect();
         let membership = Membership {
             digest: 0,
--- a/crates/registry/src/daemon/registry.rs
+++ b/crates/registry/src/daemon/registry.rs
@@ -1,4 +1,4 @@
-//! The registry's state, and where inputs and ticks go from here.
+//! The registry's state, and the dispatch of inputs and ticks.
 
 use super::command_client::CommandClient;
 use super::input::{Input, InputSender};
@@ -85,7 +85,7 @@
         self.connect_to_core();
         self.dispatch_commands(now);
         self.poll_platform(now);
-        self.announce_backend_list(now);
+        self.report_backend_list(now);
         self.publish();
     }
 
--- a/crates/registry/src/operator_policy.rs
+++ b/crates/registry/src/operator_policy.rs
@@ -9,7 +9,7 @@
 /// The longest that a confirmation may take in all: an operator goes on to another registry after a second of silence.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(RESPONSE_TIMEOUT + 50);
 /// How long an evacuation is delayed. It has no version: one that was sent long ago, and has come late over a partitioned
-/// link or to a process that stood still, would undo what was ordered since. Its operator has gone on and closed the
+/// link or to a process that was suspended, would undo later commands. Its operator has gone on and closed the
 /// connection, which is known within this time of the arrival of the call; the call is dropped then.
 const EVACUATION_DELAY: Duration = Duration::from_millis(60);
 
@@ -23,8 +23,8 @@
 }
 
 /// How long the confirmation of a configuration waits for all proxies to install it, where the stores have taken
-/// `elapsed` to accept it. Whoever is told that a version is accepted finds it in force at all proxies; but one that does
-/// not answer is not waited for longer.
+/// `elapsed` to accept it. An operator whose configuration was confirmed finds it in force at all proxies; but a proxy that
+/// does not answer is not waited for any longer.
 pub fn installation_timeout(elapsed: Duration) -> Duration {
     CONFIRMATION_TIMEOUT.saturating_sub(elapsed).min(INSTALLATION_TIMEOUT)
 }
--- a/crates/registry/src/platform/mod.rs
+++ b/crates/registry/src/platform/mod.rs
@@ -54,7 +54,7 @@
     TooManyPages,
 }
 
-/// Reads the whole list of backends.
+/// Reads the complete list of backends.
 ///
 /// Each list is read on a connection of its own, and its pages are requested one after the other, so that a late response
 /// can't be taken for that of another page or list. The connection ends with the call.
--- a/crates/registry/src/updates/membership.rs
+++ b/crates/registry/src/updates/membership.rs
@@ -31,7 +31,7 @@
 }
 
 impl MembershipUpdates {
-    /// Makes `next` the current membership where it differs and its time has come; its digest is computed here.
+    /// Makes `next` the current membership if it differs and is not to be delayed; its digest is computed here.
     pub fn install(&mut self, now: Millis, mut next: Membership) -> Installation {
         next.digest = digest_of(&next);
         let has_new_owners = next.shard_owners != self.current.shard_owners;
@@ -56,7 +56,7 @@
     }
 }
 
-/// The digest of all that a membership says but the newest state. It is never 0, which is that of no membership.
+/// The digest of all fields but the newest state. It is never 0, which is that of no membership.
 fn digest_of(membership: &Membership) -> u64 {
     let Membership { digest: _, proxies, registries, in_contact, shard_owners, newest: _ } = membership;
     let mut hasher = DefaultHasher::new();
--- a/crates/registry/src/updates/progress.rs
+++ b/crates/registry/src/updates/progress.rs
@@ -76,7 +76,7 @@
         let missing = self.missing(latest);
         self.timers.update(now, missing);
         let overdue = self.timers.overdue(now);
-        // A proxy without a membership from here has just started: it waits to hear from all registries before it serves.
+        // A proxy without a membership from here has just started: it serves only once all registries have sent theirs.
         let is_membership_urgent = self.sent.membership == 0 || self.sent_ownership != latest.ownership;
         UpdateKinds {
             state: missing.state && (self.is_primary || overdue.state),
--- a/crates/registry/tests/core_contact.rs
+++ b/crates/registry/tests/core_contact.rs
@@ -4,18 +4,18 @@
 
 use violetyoke_registry::core_contact::{CoreContact, CoreView};
 
-fn view(seeds: usize, shard_owners: usize, heard: usize) -> CoreView {
-    CoreView { seeds, shard_owners, heard }
+fn view(seeds: usize, shard_owners: usize, connected: usize) -> CoreView {
+    CoreView { seeds, shard_owners, connected }
 }
 
 #[test]
-fn registry_that_hears_no_majority_has_no_contact_whatever_its_own_store_assigns() {
+fn registry_without_a_connected_majority_has_no_contact_whatever_its_own_store_assigns() {
     let mut contact = CoreContact::default();
     assert!(!contact.update(view(3, 0, 1)), "it has just started, alone");
     assert!(contact.update(view(3, 3, 3)));
     assert!(contact.update(view(3, 2, 2)), "one of three was lost");
     assert!(contact.update(view(3, 3, 3)), "and replaced");
-    // Partitioned: its own store still leads an old epoch, and assigns all shards to the one registry that it hears.
+    // Partitioned: its own store still leads an old epoch, and assigns all shards to the one registry that it reaches.
     assert!(!contact.update(view(3, 3, 1)));
     assert!(!contact.update(view(3, 1, 1)));
     assert!(contact.update(view(3, 3, 3)), "joined again");
--- a/crates/transport/src/chunks.rs
+++ b/crates/transport/src/chunks.rs
@@ -1,5 +1,5 @@
 //! Large messages in chunks, so that a connection goes on carrying heartbeats while a state of megabytes crosses a slow
-//! link. A frame holds a whole message, or one chunk of a large one; chunks of one message come in order, and other
+//! link. A frame holds a complete message, or one chunk of a large one; chunks of one message come in order, and other
 //! messages may come between them.
 
 use crate::error::FrameError;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -17,7 +17,7 @@
 
 /// An empty frame is sent after this time without another one.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(300);
-/// A connection on which nothing was received for this time is closed: three keep-alives and their way.
+/// A connection on which nothing was received for this time is closed: three keep-alives and their transmission.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(1100);
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
--- a/crates/transport/src/lifecycle.rs
+++ b/crates/transport/src/lifecycle.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Sends a request for each signal, until the receiver is gone.
+/// Sends a request for each signal, until the receiver is dropped.
 async fn forward(mut terminate: Signal, shutdown: UnboundedSender<()>) {
     while terminate.recv().await.is_some() && shutdown.send(()).is_ok() {}
 }
--- a/crates/transport/src/messages/proxies.rs
+++ b/crates/transport/src/messages/proxies.rs
@@ -141,7 +141,7 @@
     pub proxies: Vec<u32>,
     /// All registries that the sender knows of, connected or not.
     pub registries: Vec<Ipv4Addr>,
-    /// The sender hears more than half of the registries: it is not the one that is partitioned.
+    /// The sender is connected to more than half of the registries: it is not the one that is partitioned.
     pub in_contact: bool,
     /// The owners of the quota counters.
     pub shard_owners: ShardOwners,
--- a/crates/transport/src/settings_watcher.rs
+++ b/crates/transport/src/settings_watcher.rs
@@ -43,7 +43,7 @@
         Ok(SettingsWatcher { path, last_modified, current, sender, log, hangup, checks })
     }
 
-    /// Runs until the receiver of the settings is gone.
+    /// Runs until the receiver of the settings is dropped.
     pub(crate) async fn run(mut self) {
         loop {
             self.wait_for_change().await;
