--- a/crates/registry/tests/support/mod.rs
+++ b/crates/registry/tests/support/mod.rs
@@ -1,4 +1,9 @@
-//! Values that several tests of the registry use.
+//! Values and processes that several tests of the registry use.
+
+#![allow(dead_code, reason = "no test uses all of them")]
+
+pub(crate) mod network;
+pub(crate) mod registry;
 
 use violetyoke_transport::messages::Backend;
 
--- /dev/null
+++ b/crates/registry/tests/support/registry.rs
@@ -0,0 +1,224 @@
+//! A registry in virtual time, and the processes that it talks to.
+
+use super::network::Network;
+use serde_json::json;
+use std::cell::RefCell;
+use std::future::Future;
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::task::{spawn_local, LocalSet};
+use tokio::time::{sleep, Instant};
+use violetyoke_api::settings::{Process, Settings};
+use violetyoke_registry::daemon::run;
+use violetyoke_transport::codec::{decode, encode};
+use violetyoke_transport::connection::{accept_all, maintain, Event, Sender};
+use violetyoke_transport::environment::install;
+use violetyoke_transport::lifecycle::Lifecycle;
+use violetyoke_transport::messages::{
+    Command, ControlState, Outcome, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
+    ShardOwners, StoreReply, StoreRequest,
+};
+use violetyoke_transport::net::{connect, listen, Stream};
+
+const LOCAL: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
+/// Where operators call.
+pub(crate) const CONTROL: SocketAddr = SocketAddr::V4(SocketAddrV4::new(LOCAL, 8001));
+/// Where clients ask for proxies.
+pub(crate) const DIRECTORY: SocketAddr = SocketAddr::V4(SocketAddrV4::new(LOCAL, 8002));
+/// Long enough for connections to be opened and messages to be handled.
+const SETTLING: Duration = Duration::from_millis(200);
+
+fn settings() -> Settings {
+    let text = json!({
+        "self": {"node": "core-1", "ip": LOCAL, "zone": "a1", "region": "a"},
+        "network": {"listen": {"control": CONTROL, "directory": DIRECTORY}, "internal-ports": [7000, 7009],
+                    "seeds": [CONTROL], "zones": {"a1": "a"}},
+        "platform": {},
+        "terms": {"fault-tolerance": {"machines": 1, "zones": 1, "regions": 0}, "bounds": {}}
+    });
+    Settings::parse(&text.to_string()).expect("valid settings")
+}
+
+fn internal_address(process: Process) -> SocketAddrV4 {
+    SocketAddrV4::new(LOCAL, settings().internal_port(process))
+}
+
+/// Runs a registry, and `test` beside it.
+pub(crate) fn with_registry<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .expect("a runtime");
+    install(Some(Rc::new(Network::default())));
+    LocalSet::new().block_on(&runtime, async {
+        let (lifecycle, _sender) = Lifecycle::new(7);
+        let log = slog::Logger::root(slog::Discard, slog::o!());
+        spawn_local(run(settings(), lifecycle, log));
+        sleep(SETTLING).await;
+        test().await;
+    });
+    install(None);
+}
+
+/// A leading store that answers each command alike, or not at all.
+pub(crate) struct FakeStore {
+    executed: Rc<RefCell<Vec<Command>>>,
+    registry: Rc<RefCell<Option<Sender>>>,
+}
+
+impl FakeStore {
+    pub(crate) async fn start(outcome: Option<Outcome>) -> FakeStore {
+        let executed = Rc::<RefCell<Vec<Command>>>::default();
+        let listener = listen(internal_address(Process::Store).into()).expect("a listener");
+        let store = FakeStore { executed, registry: Rc::default() };
+        let (executed, connection) = (store.executed.clone(), store.registry.clone());
+        spawn_local(accept_all(listener, move |_| {
+            let (commands, registry, outcome) = (executed.clone(), connection.clone(), outcome.clone());
+            move |event| match event {
+                Event::Connected(sender) => {
+                    sender.send(encode(&leader_status()));
+                    *registry.borrow_mut() = Some(sender);
+                }
+                Event::Message(message) => {
+                    let request = decode::<StoreRequest>(&message).expect("a request");
+                    execute(request, &commands, outcome.as_ref(), registry.borrow().as_ref());
+                }
+                Event::Disconnected => {}
+            }
+        }));
+        sleep(2 * SETTLING).await;
+        store
+    }
+
+    /// Sends the registry a state with a configuration that means nothing but its version.
+    pub(crate) fn publish(&self, revision: Revision, version: u64, text: &str) {
+        let state = ControlState { revision, version, text: text.into(), ..ControlState::default() };
+        self.send(&StoreReply::State(state));
+    }
+
+    /// Assigns all quota shards to the registry.
+    pub(crate) fn assign_shards(&self, fencing_token: Revision) {
+        let shard_owners = ShardOwners { fencing_token, registries: vec![LOCAL] };
+        self.send(&StoreReply::Status { epoch: 1, is_leader: true, shard_owners, stores: vec![LOCAL] });
+    }
+
+    fn send(&self, reply: &StoreReply) {
+        self.registry.borrow().as_ref().expect("a connection").send(encode(reply));
+    }
+
+    /// The commands that it has received.
+    pub(crate) fn executed(&self) -> Vec<Command> {
+        self.executed.borrow().clone()
+    }
+}
+
+fn leader_status() -> StoreReply {
+    StoreReply::Status {
+        epoch: 1,
+        is_leader: true,
+        shard_owners: ShardOwners::default(),
+        stores: vec![LOCAL],
+    }
+}
+
+fn execute(
+    request: StoreRequest,
+    executed: &RefCell<Vec<Command>>,
+    outcome: Option<&Outcome>,
+    registry: Option<&Sender>,
+) {
+    let StoreRequest::Execute { request_id, command } = request else { return };
+    executed.borrow_mut().push(command);
+    if let (Some(outcome), Some(registry)) = (outcome.cloned(), registry) {
+        registry.send(encode(&StoreReply::Completed { request_id, outcome }));
+    }
+}
+
+/// A proxy with a session, which reports only what a test lets it report.
+pub(crate) struct FakeProxy {
+    connection: Rc<RefCell<Option<Sender>>>,
+    received: Rc<RefCell<Vec<(Instant, ProxyReply)>>>,
+}
+
+impl FakeProxy {
+    pub(crate) async fn start(front_address: SocketAddrV4, is_ready: bool) -> FakeProxy {
+        let session = Session {
+            node: front_address.to_string(),
+            front_address,
+            zone: "a1".into(),
+            region: "a".into(),
+            is_ready,
+        };
+        let (connection, received) = (Rc::<RefCell<Option<Sender>>>::default(), Rc::default());
+        let proxy = FakeProxy { connection: connection.clone(), received };
+        let received = proxy.received.clone();
+        spawn_local(maintain(internal_address(Process::Registry), move |event| match event {
+            Event::Connected(sender) => *connection.borrow_mut() = Some(sender),
+            Event::Message(message) => {
+                let reply = decode::<ProxyReply>(&message).expect("a reply");
+                received.borrow_mut().push((Instant::now(), reply));
+            }
+            Event::Disconnected => *connection.borrow_mut() = None,
+        }));
+        sleep(SETTLING).await;
+        proxy.send(ProxyRequest::Hello(session));
+        sleep(SETTLING).await;
+        proxy
+    }
+
+    pub(crate) fn send(&self, request: ProxyRequest) {
+        let connection = self.connection.borrow();
+        connection.as_ref().expect("a connection").send(encode(&RegistryRequest::Proxy(request)));
+    }
+
+    /// Waits, and returns what it has received since it was last asked, with the time since then of each.
+    pub(crate) async fn replies_within(&self, time: Duration) -> Vec<(Duration, ProxyReply)> {
+        let started = Instant::now();
+        sleep(time).await;
+        let received = self.received.borrow_mut().drain(..).collect::<Vec<_>>();
+        received.into_iter().map(|(at, reply)| (at.saturating_duration_since(started), reply)).collect()
+    }
+}
+
+/// The response to a call.
+#[derive(Debug)]
+pub(crate) struct Response {
+    head: String,
+    pub(crate) body: String,
+}
+
+impl Response {
+    pub(crate) fn status(&self) -> u16 {
+        let status = self.head.split(' ').nth(1);
+        status.and_then(|status| status.parse().ok()).expect("a status")
+    }
+
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
+        let fields = self.head.lines().filter_map(|line| line.split_once(": "));
+        fields.into_iter().find(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| value)
+    }
+}
+
+/// Opens a connection and sends a request on it.
+pub(crate) async fn send_request(to: SocketAddr, method: &str, target: &str, body: &str) -> Stream {
+    let mut stream = connect(to).await.expect("a connection");
+    let length = body.len();
+    let head = format!("{method} {target} HTTP/1.1\r\nhost: core\r\ncontent-length: {length}\r\n");
+    let request = format!("{head}connection: close\r\n\r\n{body}");
+    // A server that refuses a large body does not read all of it.
+    drop(stream.write_all(request.as_bytes()).await);
+    stream
+}
+
+/// Makes one call.
+pub(crate) async fn call(to: SocketAddr, method: &str, target: &str, body: &str) -> Response {
+    let mut stream = send_request(to, method, target, body).await;
+    let mut received = Vec::new();
+    stream.read_to_end(&mut received).await.expect("a response");
+    let received = String::from_utf8(received).expect("text");
+    let (head, body) = received.split_once("\r\n\r\n").expect("a head");
+    Response { head: head.to_owned(), body: body.to_owned() }
+}
