--- a/crates/registry/src/updates/progress.rs
+++ b/crates/registry/src/updates/progress.rs
@@ -29,6 +29,22 @@
 }
 
 /// What one proxy was sent, what it has reported, and since when it has been behind.
+///
+/// ```
+/// use violetyoke_registry::updates::{LatestVersions, ProxyProgress, ProxyVersions, FALLBACK_DELAY};
+/// use violetyoke_transport::messages::Revision;
+///
+/// let revision = Revision { epoch: 1, sequence: 2 };
+/// let latest = LatestVersions { state: Some(revision), ..LatestVersions::default() };
+/// let mut proxy = ProxyProgress::default();
+/// // It has an older state, and another registry is its primary one: that one is left time to send the update.
+/// proxy.on_poll(ProxyVersions::default(), false);
+/// assert!(!proxy.due_updates(1_000, &latest).state);
+/// assert!(proxy.due_updates(1_000 + FALLBACK_DELAY, &latest).state);
+/// // Once it was sent, it is not due again.
+/// proxy.state_sent(revision);
+/// assert!(!proxy.due_updates(2_000 + FALLBACK_DELAY, &latest).state);
+/// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProxyProgress {
     /// Whether this is the registry that the proxy wants its updates from first.
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -12,6 +12,29 @@
 /// The owner gets the events of all connections, and hands those that concern the connection itself back by
 /// [`PeerConnections::connected`] and [`PeerConnections::disconnected`]: so a process whose events go through a queue has a
 /// sender exactly from when it has handled the one event until it has handled the other.
+///
+/// ```no_run
+/// use bytes::Bytes;
+/// use std::net::Ipv4Addr;
+/// use tokio::sync::mpsc::unbounded_channel;
+/// use violetyoke_transport::connection::Event;
+/// use violetyoke_transport::peers::PeerConnections;
+///
+/// # async fn example() {
+/// let (sender, mut events) = unbounded_channel();
+/// // The events end with the process: nothing is lost that anybody could act on.
+/// let mut peers = PeerConnections::new(7000, move |peer, event| drop(sender.send((peer, event))));
+/// peers.connect_to([Ipv4Addr::new(10, 0, 0, 2), Ipv4Addr::new(10, 0, 0, 3)]);
+/// while let Some((peer, event)) = events.recv().await {
+///     match event {
+///         Event::Connected(sender) => peers.connected(peer, sender),
+///         Event::Disconnected => peers.disconnected(peer),
+///         Event::Message(message) => println!("{} bytes from {peer}", message.len()),
+///     }
+///     peers.senders().for_each(|sender| sender.send(Bytes::from_static(b"to all that are connected")));
+/// }
+/// # }
+/// ```
 pub struct PeerConnections {
     port: u16,
     on_event: Rc<dyn Fn(Ipv4Addr, Event)>,
