--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -4,14 +4,22 @@
 //! own. [`Platform`] stands in for the platform's list of backends, and [`Backend`] for what serves requests;
 //! [`client`] sends what clients and operators send.
 //!
-//! The crate checks nothing itself: its tests hold what a request or a change must find, and the program
+//! [`upgrade`] replaces the processes of a system by those of another build ([`Programs`]), one after the other, while
+//! clients and an operator use it.
+//!
+//! The crate checks nothing else itself: its tests hold what a request or a change must find, and the program
 //! `violetyoke-local` prints what to try.
 
 pub mod backend;
 pub mod client;
 mod platform;
+mod programs;
+mod replacement;
 mod system;
+pub mod upgrade;
 
 pub use backend::Backend;
 pub use platform::Platform;
+pub use programs::{Daemon, Programs};
+pub use replacement::Place;
 pub use system::{CoreMachine, EdgeMachine, Placement, System, Topology};
--- /dev/null
+++ b/crates/local/src/replacement.rs
@@ -0,0 +1,72 @@
+//! The replacement of single processes of a running system, as an upgrade does it.
+
+use crate::programs::{Daemon, Programs};
+use crate::system::System;
+use std::fmt;
+use std::io;
+use std::mem;
+use std::time::Duration;
+use violetyoke_rig::process::Process;
+use violetyoke_rig::until;
+
+/// One process of a system: which daemon, and the index of its machine among the core or the edge machines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Place {
+    /// The store of a core machine.
+    Store(usize),
+    /// The registry of a core machine.
+    Registry(usize),
+    /// The proxy of an edge machine.
+    Proxy(usize),
+}
+
+impl fmt::Display for Place {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Place::Store(core) => write!(f, "core-{} store", core + 1),
+            Place::Registry(core) => write!(f, "core-{} registry", core + 1),
+            Place::Proxy(edge) => write!(f, "edge-{} proxy", edge + 1),
+        }
+    }
+}
+
+impl System {
+    /// Ends one process by SIGTERM and starts the same daemon of these programs in its place. Returns the ended process,
+    /// whose output can still be read.
+    ///
+    /// # Errors
+    /// When the process has not ended within `grace`, or the new one can't be started.
+    pub fn replace(&mut self, place: Place, programs: &Programs, grace: Duration) -> io::Result<Process> {
+        let (daemon, settings) = match place {
+            Place::Store(core) => (Daemon::Store, self.cores[core].settings.clone()),
+            Place::Registry(core) => (Daemon::Registry, self.cores[core].settings.clone()),
+            Place::Proxy(edge) => (Daemon::Proxy, self.edges[edge].settings.clone()),
+        };
+        let process = self.process_mut(place);
+        process.terminate()?;
+        if !until(grace, || process.has_ended()) {
+            let message = format!("{place} has not ended within {grace:?} of SIGTERM");
+            return Err(io::Error::new(io::ErrorKind::TimedOut, message));
+        }
+        Ok(mem::replace(process, Process::start(programs.command(daemon, &settings))?))
+    }
+
+    /// The process at a place.
+    ///
+    /// # Panics
+    /// When the system has no such machine.
+    pub fn process_mut(&mut self, place: Place) -> &mut Process {
+        match place {
+            Place::Store(core) => &mut self.cores[core].store,
+            Place::Registry(core) => &mut self.cores[core].registry,
+            Place::Proxy(edge) => &mut self.edges[edge].proxy,
+        }
+    }
+
+    /// The places of all processes.
+    #[must_use]
+    pub fn places(&self) -> Vec<Place> {
+        let cores = (0..self.cores.len()).flat_map(|core| [Place::Store(core), Place::Registry(core)]);
+        cores.chain((0..self.edges.len()).map(Place::Proxy)).collect()
+    }
+}
--- a/crates/local/src/system.rs
+++ b/crates/local/src/system.rs
@@ -1,10 +1,10 @@
 //! A running system: each machine is a loopback address of its own, with real processes and a file of settings.
 
+use crate::programs::{Daemon, Programs};
 use serde_json::{json, Map, Value};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
-use std::process::Command;
 use std::sync::atomic::{AtomicU32, Ordering};
 use violetyoke_rig::process::Process;
 
@@ -57,6 +57,8 @@
     pub control: SocketAddr,
     /// Where its registry answers clients that look for an edge.
     pub directory: SocketAddr,
+    /// The file of its settings.
+    pub settings: PathBuf,
     /// The process of its registry.
     pub registry: Process,
     /// The process of its store.
@@ -71,6 +73,8 @@
     pub front: SocketAddr,
     /// Where its proxy says whether it is ready.
     pub ready: SocketAddr,
+    /// The file of its settings.
+    pub settings: PathBuf,
     /// The process of its proxy.
     pub proxy: Process,
 }
@@ -91,7 +95,15 @@
     /// # Errors
     /// When no ports are free, a file of settings can't be written, or a process can't be started.
     pub fn start(program: &Path, topology: &Topology<'_>) -> io::Result<System> {
-        let launcher = Launcher::new(program, topology)?;
+        System::start_from(&Programs::Single(program.to_owned()), topology)
+    }
+
+    /// Starts all processes from the programs of one build.
+    ///
+    /// # Errors
+    /// As [`System::start`].
+    pub fn start_from(programs: &Programs, topology: &Topology<'_>) -> io::Result<System> {
+        let launcher = Launcher::new(programs, topology)?;
         let (core_hosts, edge_hosts) = launcher.hosts.split_at(topology.cores.len());
         let mut system = System { folder: launcher.folder.clone(), cores: Vec::new(), edges: Vec::new() };
         for (index, (host, placement)) in core_hosts.iter().zip(topology.cores).enumerate() {
@@ -121,7 +133,7 @@
 
 /// What the start of each process needs.
 struct Launcher<'a> {
-    program: &'a Path,
+    programs: &'a Programs,
     topology: &'a Topology<'a>,
     folder: PathBuf,
     /// The address of each machine, the cores first.
@@ -131,12 +143,12 @@
 }
 
 impl<'a> Launcher<'a> {
-    fn new(program: &'a Path, topology: &'a Topology<'a>) -> io::Result<Launcher<'a>> {
+    fn new(programs: &'a Programs, topology: &'a Topology<'a>) -> io::Result<Launcher<'a>> {
         let (hosts, first_port) = free_hosts(topology.cores.len() + topology.edges.len())?;
         let name = format!("violetyoke-local-{}-{first_port}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder)?;
-        Ok(Launcher { program, topology, folder, hosts, first_port })
+        Ok(Launcher { programs, topology, folder, hosts, first_port })
     }
 
     fn address(&self, host: Ipv4Addr, port: u16) -> SocketAddr {
@@ -152,9 +164,9 @@
         });
         let settings =
             self.write_settings(name, &machine, &json!({"control": control, "directory": directory}))?;
-        let registry = self.start_process("registry", &settings)?;
-        let store = self.start_process("store", &settings)?;
-        Ok(CoreMachine { ip: host, control, directory, registry, store })
+        let registry = self.start_process(Daemon::Registry, &settings)?;
+        let store = self.start_process(Daemon::Store, &settings)?;
+        Ok(CoreMachine { ip: host, control, directory, settings, registry, store })
     }
 
     fn start_edge(&self, name: String, host: Ipv4Addr, placement: Placement<'_>) -> io::Result<EdgeMachine> {
@@ -164,8 +176,8 @@
             "counted": false, "data-dir": null,
         });
         let settings = self.write_settings(&name, &machine, &json!({"front": front, "ready": ready}))?;
-        let proxy = self.start_process("proxy", &settings)?;
-        Ok(EdgeMachine { name, front, ready, proxy })
+        let proxy = self.start_process(Daemon::Proxy, &settings)?;
+        Ok(EdgeMachine { name, front, ready, settings, proxy })
     }
 
     fn write_settings(&self, name: &str, machine: &Value, listen: &Value) -> io::Result<PathBuf> {
@@ -187,10 +199,8 @@
         Ok(file)
     }
 
-    fn start_process(&self, daemon: &str, settings: &Path) -> io::Result<Process> {
-        let mut command = Command::new(self.program);
-        command.arg(daemon).env("VIOLETYOKE_CONFIG", settings);
-        Process::start(command)
+    fn start_process(&self, daemon: Daemon, settings: &Path) -> io::Result<Process> {
+        Process::start(self.programs.command(daemon, settings))
     }
 }
 
--- /dev/null
+++ b/crates/local/src/upgrade/mod.rs
@@ -0,0 +1,197 @@
+//! A rolling upgrade of a whole system from one build to another, with orders and requests going on throughout.
+//!
+//! One process after the other is ended by SIGTERM and started again from the other build. After each step the newest
+//! acknowledged configuration has to be served by every proxy, and an evacuation that was acknowledged has to hold. Each
+//! order has to be acknowledged, and each read has to give the newest acknowledged configuration or a newer one. No process
+//! may log a warning: a message that another build sent and that can't be decoded is one, also where the same came from
+//! another process as well.
+
+mod clients;
+mod logs;
+mod operator;
+mod report;
+
+pub use report::{Report, StepReport};
+
+use crate::backend::executions_by_attempt;
+use crate::client::{resolve_edges, send_command, send_request};
+use crate::{Backend, EdgeMachine, Place, Placement, Platform, Programs, System, Topology};
+use clients::Clients;
+use logs::Logs;
+use operator::Operator;
+use std::io;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use violetyoke_rig::driven::Driven;
+use violetyoke_rig::until;
+
+/// How long a process may take to end after SIGTERM: the settings' `grace-s`, and a second for a busy machine.
+const GRACE: Duration = Duration::from_secs(7);
+/// How long a proxy may take until it serves an acknowledged configuration: the pages give 2.5 s.
+const APPLIED: Duration = Duration::from_secs(10);
+/// How long the system runs between two steps.
+const DWELL: Duration = Duration::from_secs(3);
+/// The zone that is evacuated and filled again in turn.
+const EVACUATED_ZONE: &str = "b";
+/// How long backends of an evacuated zone may still be sent requests: the pages give 5 s.
+const EVACUATED: Duration = Duration::from_secs(5);
+const CORES: [Placement<'_>; 3] =
+    [Placement::new("a", "west"), Placement::new("b", "west"), Placement::new("c", "west")];
+const EDGES: [Placement<'_>; 2] = [Placement::new("a", "west"), Placement::new("a", "west")];
+/// The service and zone of each backend. The annex is in the evacuated zone alone, so its answers tell whether that zone
+/// is used.
+const PLACED: [(&str, &str); 5] =
+    [("finder", "a"), ("finder", "b"), ("ledger", "a"), ("ledger", "b"), ("annex", EVACUATED_ZONE)];
+
+/// A system that is upgraded, and those who use it meanwhile.
+pub struct Rehearsal {
+    system: System,
+    backends: Vec<Backend>,
+    operator: Operator,
+    clients: Clients,
+    logs: Logs,
+    evacuated: bool,
+    // Last: the platform and the backends run on it.
+    _driven: Driven,
+}
+
+impl Rehearsal {
+    /// Starts three stores, three registries and two proxies of one build, and the load on them.
+    ///
+    /// # Errors
+    /// Where a process does not start, or the system does not serve within 20 s.
+    pub fn start(programs: &Programs) -> io::Result<Rehearsal> {
+        let driven = Driven::start()?;
+        let platform = Platform::start(driven.handle())?;
+        let mut backends = Vec::new();
+        for (service, zone) in PLACED {
+            let id = format!("{service}-{zone}");
+            let backend = Backend::start(driven.handle(), &id, service, zone, Duration::from_millis(5))?;
+            platform.set(&id, backend.list_entry());
+            backends.push(backend);
+        }
+        let topology = Topology {
+            cores: &CORES,
+            edges: &EDGES,
+            platform: platform.address,
+            tolerated_machine_losses: 1,
+        };
+        let system = System::start_from(programs, &topology)?;
+        let operator = Operator::start(system.control_addresses())?;
+        let directories: Vec<SocketAddr> = system.cores.iter().map(|core| core.directory).collect();
+        let listed =
+            || directories.iter().all(|it| resolve_edges(*it, "west", "a").len() == system.edges.len());
+        if !until(Duration::from_secs(20), listed) {
+            return Err(io::Error::other("the proxies are not listed"));
+        }
+        let clients = Clients::start(&directories);
+        Ok(Rehearsal {
+            system,
+            backends,
+            operator,
+            clients,
+            logs: Logs::default(),
+            evacuated: false,
+            _driven: driven,
+        })
+    }
+
+    /// Replaces one process, lets the system run for a while, and checks what has to hold.
+    ///
+    /// # Errors
+    /// Where the process does not end after SIGTERM, or the new one does not start.
+    pub fn step(&mut self, place: Place, to: &Programs, name: String) -> io::Result<StepReport> {
+        let (counts, orders) = (self.clients.counts(), self.operator.orders());
+        let begun = Instant::now();
+        let ended = self.system.replace(place, to, GRACE)?;
+        let replaced = begun.elapsed();
+        let mut faults = self.logs.warnings_of_ended(place, &ended);
+        faults.extend(self.toggle_evacuation());
+        std::thread::sleep(DWELL);
+        let applied = self.newest_is_served(&mut faults);
+        faults.extend(self.evacuation_holds());
+        faults.extend(self.ended_processes());
+        faults.extend(self.logs.new_warnings(&mut self.system));
+        Ok(StepReport {
+            name,
+            replaced,
+            applied,
+            orders: self.operator.orders().since(&orders),
+            counts: self.clients.counts().since(&counts),
+            faults,
+        })
+    }
+
+    /// Orders the evacuation of a zone, or its end.
+    fn toggle_evacuation(&mut self) -> Vec<String> {
+        self.evacuated = !self.evacuated;
+        let verb = if self.evacuated { "begin" } else { "finish" };
+        let target = format!("/api/rpc?call=evacuation.{verb}&of={EVACUATED_ZONE}");
+        let status =
+            send_command(&self.system.control_addresses(), &target, b"").map(|answer| answer.status());
+        let fault = (status != Some(200)).then(|| format!("evacuation.{verb} was answered {status:?}"));
+        fault.into_iter().collect()
+    }
+
+    /// Proxies use the zone's backends where it is not evacuated, and only there.
+    fn evacuation_holds(&self) -> Vec<String> {
+        let mut faults = Vec::new();
+        for edge in &self.system.edges {
+            let is_used = || probe(edge, operator::ANNEX) == 200;
+            if !until(EVACUATED, || is_used() != self.evacuated) {
+                let state = if self.evacuated { "evacuated" } else { "filled again" };
+                faults
+                    .push(format!("zone {EVACUATED_ZONE} is {state}, and {} does not act on it", edge.name));
+            }
+        }
+        faults
+    }
+
+    /// How long it takes until every proxy serves the newest acknowledged configuration.
+    fn newest_is_served(&mut self, faults: &mut Vec<String>) -> Duration {
+        let version = self.operator.orders().newest;
+        let begun = Instant::now();
+        let path = operator::path_of(version);
+        for edge in &self.system.edges {
+            // The routes of the versions before are in force as well: another order may come meanwhile.
+            if !until(APPLIED, || probe(edge, &path) == 200) {
+                faults.push(format!("{} does not serve version {version}", edge.name));
+            }
+        }
+        begun.elapsed()
+    }
+
+    fn ended_processes(&mut self) -> Vec<String> {
+        let mut faults = Vec::new();
+        for place in self.system.places() {
+            let process = self.system.process_mut(place);
+            if process.has_ended() {
+                faults.push(format!("{place} has ended: {:?}", process.lines().last()));
+            }
+        }
+        faults
+    }
+
+    /// Ends the load and says what was lost.
+    pub fn finish(self) -> Report {
+        let orders = self.operator.finish();
+        let counts = self.clients.finish();
+        let executions = executions_by_attempt(&self.backends);
+        let repeated =
+            counts.bookings.iter().filter(|id| executions.get(*id).is_some_and(|times| *times > 1)).count();
+        let missing = counts.confirmed.iter().filter(|id| !executions.contains_key(*id)).count();
+        Report::new(orders, &counts, repeated, missing)
+    }
+}
+
+/// The status of one more request to a proxy; 0: there is no answer.
+fn probe(edge: &EdgeMachine, path: &str) -> u16 {
+    let id = clients::new_id("probe");
+    let fields = [
+        ("host", "rooms.example"),
+        ("x-attempt-id", id.as_str()),
+        ("x-deadline-ms", "1000"),
+        ("x-credential", "key-1"),
+    ];
+    send_request(edge.front, "GET", path, &fields, b"").map_or(0, |answer| answer.status())
+}
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -28,6 +28,7 @@
 mod prove_owners;
 mod prove_ratelimit;
 mod prove_routes;
+mod prove_system_upgrade;
 mod prove_tenants;
 mod prove_upgrade;
 mod replay;
@@ -61,6 +62,12 @@
         /// Of `owners --long`: what the faults are drawn from.
         #[arg(long)]
         seed: Option<u64>,
+        /// Of `system-upgrade`: the folder with the programs of the build before.
+        #[arg(long, required_if_eq("name", "system-upgrade"))]
+        before: Option<PathBuf>,
+        /// Of `system-upgrade`: the folder with those of the other build; without it, this tree is built.
+        #[arg(long)]
+        after: Option<PathBuf>,
     },
     /// Prints what a tier's logs say was lost, by which rule, where and when.
     Account {
@@ -128,6 +135,8 @@
     Owners,
     /// Processes take over from one another under load, with nodes out by hand: nothing is lost or forgotten.
     Upgrade,
+    /// A whole system goes from one build to another and back under load: no order is lost, requests are served.
+    SystemUpgrade,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -180,6 +189,9 @@
         What::Measure { name: Measure::Structure, tree, .. } => {
             return ended(measure_structure::run(&tree).map(|()| true))
         }
+        What::Prove { name: Proof::SystemUpgrade, before, after, .. } => {
+            prove_system_upgrade::run(&before.unwrap_or_default(), after.as_deref())
+        }
         What::Measure { name: Measure::Tenants, .. } => measure_tenants::run(),
         What::Measure { name: Measure::Owners, .. } => measure_owners::run(),
         What::Measure { name: Measure::Lab, .. } => measure_lab::run(),
--- a/xtask/src/process.rs
+++ b/xtask/src/process.rs
@@ -26,6 +26,15 @@
     build_in(&root(), "violetyoke", "proof")
 }
 
+/// Builds the three programs of the whole system as `deploy/system.toml` says; the folder they are in.
+pub fn build_system() -> Result<PathBuf> {
+    let packages = ["violetyoke-proxy", "violetyoke-registry", "violetyoke-store"];
+    for package in packages {
+        build_in(&root(), package, "system")?;
+    }
+    Ok(root().join("target/system"))
+}
+
 /// Builds the program with the faults that tests inject, in a folder of its own.
 pub fn build_with_test_faults() -> Result<PathBuf> {
     let folder = root().join("target/test-faults");
