--- a/crates/transport/tests/golden/main.rs
+++ b/crates/transport/tests/golden/main.rs
@@ -9,6 +9,7 @@
 
 mod control;
 mod files;
+mod frames;
 mod older;
 mod payloads;
 mod proxies;
