--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,27 +1,29 @@
-//! Scale runs: real registries, stores and a few real proxies as processes on loopback addresses, before them any number
-//! of *hollow* ingresses: the protocol of a proxy on real sockets, without its data plane. A run measures what each role
-//! spends at several sizes ([`run`]), fits how each figure grows ([`fit`]), and writes what `docs/CAPACITY.md` quotes
-//! ([`record`], [`page`]).
+//! Scale runs: what each role costs at several sizes of a system.
+//!
+//! A [`testbed`] has real registries, stores and a few real proxies as processes on loopback addresses, and before them
+//! any number of *simulated proxies*: the [`protocol`] of a proxy on real sockets, without its data plane ([`load`]). The
+//! [`phases`] of a step measure what each role spends; [`record`] keeps it, [`fit`] says how each figure grows, and
+//! [`page`] writes the tables that `docs/CAPACITY.md` quotes.
+//!
+//! Times of a simulated proxy are those of its messages: it decodes no configuration and serves no request.
 
-#![allow(
-    clippy::let_underscore_must_use,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
-pub mod crowd;
 pub mod documents;
-pub mod figures;
+mod figures;
 pub mod fit;
-pub mod hollow;
-pub mod ingress;
+pub mod installations;
+pub mod load;
+mod number_format;
+mod observations;
 pub mod page;
-pub mod probe;
-pub mod reckon;
+pub mod phases;
+pub mod protocol;
 pub mod record;
-pub mod run;
-pub mod seen;
-pub mod stage;
-pub mod state;
-pub mod traffic;
-pub mod troubles;
+mod role_costs;
+mod row_costs;
+mod simulated_proxy;
+pub mod testbed;
+mod traffic;
+pub mod usage;
+
+pub use number_format::format_number;
+pub use row_costs::{row_cost_table, slope};
--- a/crates/scale/src/state.rs
+++ b/crates/scale/src/row_costs.rs
@@ -1,9 +1,8 @@
 //! What each row of the tables costs, as slopes over the runs that scale one table alone, and what that comes to at the
 //! target.
 
-use crate::page::number;
+use crate::number_format::format_number;
 use crate::record::Record;
-use std::fmt::Write;
 
 /// Routes, tenants and backends of the target.
 const TARGET: [f64; 3] = [120_000.0, 630_000.0, 100_000.0];
@@ -55,6 +54,7 @@
 ];
 
 /// The growth of a figure for each row, from the smallest to the largest size that was measured.
+#[must_use]
 pub fn slope(record: &Record, figure: &str) -> Option<f64> {
     let points: Vec<(f64, f64)> = record
         .sizes()
@@ -65,8 +65,10 @@
     (x2 > x1).then(|| (y2 - y1) / (x2 - x1))
 }
 
-/// Bytes for each route, tenant and backend, and at the target; the records are of the runs of these three.
-pub fn state_table(records: &[Record; 3]) -> String {
+/// The table of bytes for each route, tenant and backend, and at the target; the records are of the runs that scale
+/// these three.
+#[must_use]
+pub fn row_cost_table(records: &[Record; 3]) -> String {
     let mut out = String::from(
         "| bytes | a route | a tenant | a backend | at the target (reckoned) | bound |\n| --- | --- | --- | --- | --- | --- |",
     );
@@ -74,12 +76,12 @@
         let slopes =
             records.each_ref().map(|record| slope(record, line.figure).map_or(0.0, |it| it * line.bytes));
         let target: f64 = slopes.iter().zip(TARGET).map(|(slope, rows)| slope.max(0.0) * rows).sum();
-        let _ = write!(out, "\n| {} |", line.what);
+        out += &format!("\n| {} |", line.what);
         for slope in slopes {
-            let _ = write!(out, " {} |", if slope.abs() < 0.5 { "0".to_owned() } else { number(slope) });
+            out += &format!(" {} |", if slope.abs() < 0.5 { "0".to_owned() } else { format_number(slope) });
         }
-        let bound = line.bound.map_or("-".to_owned(), number);
-        let _ = write!(out, " ~{} | {bound} |", number(target));
+        let bound = line.bound.map_or("-".to_owned(), format_number);
+        out += &format!(" ~{} | {bound} |", format_number(target));
     }
     out
 }
--- a/crates/scale/src/traffic.rs
+++ b/crates/scale/src/traffic.rs
@@ -1,78 +1,133 @@
-//! Messages and bytes between hollow ingresses and registries, by kind, counted at the ingresses.
+//! Messages and bytes between simulated proxies and registries, by kind, counted at the proxies.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use violetyoke_transport::messages::{ProxyReply, ProxyRequest};
 
-/// A frame's length goes before its message.
-const LENGTH: u64 = 4;
+/// A frame's length goes before its message (bytes).
+const LENGTH_PREFIX: u64 = 4;
 
-const KINDS: [&str; 12] = [
-    "hello",
-    "poll",
-    "add",
-    "other-out",
-    "whole",
-    "change",
-    "list",
-    "list-change",
-    "members",
-    "counted",
-    "not-mine",
-    "newest",
-];
+/// A kind of message, as records name it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum MessageKind {
+    Hello,
+    Poll,
+    Increment,
+    OtherRequest,
+    FullState,
+    StateChange,
+    BackendList,
+    BackendListChange,
+    Membership,
+    Counted,
+    NotOwner,
+    Freshness,
+}
+
+impl MessageKind {
+    pub(crate) const ALL: [MessageKind; 12] = [
+        MessageKind::Hello,
+        MessageKind::Poll,
+        MessageKind::Increment,
+        MessageKind::OtherRequest,
+        MessageKind::FullState,
+        MessageKind::StateChange,
+        MessageKind::BackendList,
+        MessageKind::BackendListChange,
+        MessageKind::Membership,
+        MessageKind::Counted,
+        MessageKind::NotOwner,
+        MessageKind::Freshness,
+    ];
+
+    /// The name in figures; records of earlier builds have the same.
+    pub(crate) fn figure_name(self) -> &'static str {
+        match self {
+            MessageKind::Hello => "hello",
+            MessageKind::Poll => "poll",
+            MessageKind::Increment => "add",
+            MessageKind::OtherRequest => "other-out",
+            MessageKind::FullState => "whole",
+            MessageKind::StateChange => "change",
+            MessageKind::BackendList => "list",
+            MessageKind::BackendListChange => "list-change",
+            MessageKind::Membership => "members",
+            MessageKind::Counted => "counted",
+            MessageKind::NotOwner => "not-mine",
+            MessageKind::Freshness => "newest",
+        }
+    }
 
-/// The kind of a message to a registry, as an index into the counters.
-pub fn kind_of_request(request: &ProxyRequest) -> usize {
-    match request {
-        ProxyRequest::Hello(_) => 0,
-        ProxyRequest::Poll { .. } => 1,
-        ProxyRequest::Increment { .. } => 2,
-        ProxyRequest::CheckFreshness { .. } | ProxyRequest::TransferCount { .. } => 3,
+    /// Whether it goes from a proxy to a registry.
+    pub(crate) fn is_request(self) -> bool {
+        self <= MessageKind::OtherRequest
     }
 }
 
-/// The kind of a message from a registry.
-pub fn kind_of_reply(reply: &ProxyReply) -> usize {
-    match reply {
-        ProxyReply::FullState { .. } => 4,
-        ProxyReply::StateChange { .. } => 5,
-        ProxyReply::BackendList(_) => 6,
-        ProxyReply::BackendListChange(_) => 7,
-        ProxyReply::Membership(_) => 8,
-        ProxyReply::Counted { .. } => 9,
-        ProxyReply::NotOwner { .. } => 10,
-        ProxyReply::Freshness { .. } => 11,
+impl From<&ProxyRequest> for MessageKind {
+    fn from(request: &ProxyRequest) -> MessageKind {
+        match request {
+            ProxyRequest::Hello(_) => MessageKind::Hello,
+            ProxyRequest::Poll { .. } => MessageKind::Poll,
+            ProxyRequest::Increment { .. } => MessageKind::Increment,
+            ProxyRequest::CheckFreshness { .. } | ProxyRequest::TransferCount { .. } => {
+                MessageKind::OtherRequest
+            }
+        }
+    }
+}
+
+impl From<&ProxyReply> for MessageKind {
+    fn from(reply: &ProxyReply) -> MessageKind {
+        match reply {
+            ProxyReply::FullState { .. } => MessageKind::FullState,
+            ProxyReply::StateChange { .. } => MessageKind::StateChange,
+            ProxyReply::BackendList(_) => MessageKind::BackendList,
+            ProxyReply::BackendListChange(_) => MessageKind::BackendListChange,
+            ProxyReply::Membership(_) => MessageKind::Membership,
+            ProxyReply::Counted { .. } => MessageKind::Counted,
+            ProxyReply::NotOwner { .. } => MessageKind::NotOwner,
+            ProxyReply::Freshness { .. } => MessageKind::Freshness,
+        }
     }
 }
 
-/// Counters of all hollow ingresses together.
+/// Messages of one kind.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct Volume {
+    pub(crate) messages: u64,
+    pub(crate) bytes: u64,
+}
+
+impl Volume {
+    pub(crate) fn since(self, earlier: Volume) -> Volume {
+        Volume {
+            messages: self.messages.saturating_sub(earlier.messages),
+            bytes: self.bytes.saturating_sub(earlier.bytes),
+        }
+    }
+}
+
+/// Counters of all simulated proxies together.
 #[derive(Debug, Default)]
-pub struct Traffic {
-    messages: [AtomicU64; KINDS.len()],
-    bytes: [AtomicU64; KINDS.len()],
+pub(crate) struct Traffic {
+    messages: [AtomicU64; MessageKind::ALL.len()],
+    bytes: [AtomicU64; MessageKind::ALL.len()],
 }
 
 impl Traffic {
-    /// One message of that kind, with so many bytes in its frame.
-    pub fn count(&self, kind: usize, payload: usize) {
-        if let (Some(messages), Some(bytes)) = (self.messages.get(kind), self.bytes.get(kind)) {
-            messages.fetch_add(1, Ordering::Relaxed);
-            bytes.fetch_add(payload as u64 + LENGTH, Ordering::Relaxed);
-        }
+    /// Counts one message with so many bytes in its frame.
+    pub(crate) fn count(&self, kind: MessageKind, payload: usize) {
+        self.messages[kind as usize].fetch_add(1, Ordering::Relaxed);
+        self.bytes[kind as usize].fetch_add(payload as u64 + LENGTH_PREFIX, Ordering::Relaxed);
     }
 
-    /// Messages and bytes so far, by kind.
-    pub fn totals(&self) -> BTreeMap<&'static str, (u64, u64)> {
-        let counters = self.messages.iter().zip(&self.bytes);
-        let read = |(messages, bytes): (&AtomicU64, &AtomicU64)| {
-            (messages.load(Ordering::Relaxed), bytes.load(Ordering::Relaxed))
+    /// What was counted so far.
+    pub(crate) fn totals(&self) -> BTreeMap<MessageKind, Volume> {
+        let volume = |kind: MessageKind| Volume {
+            messages: self.messages[kind as usize].load(Ordering::Relaxed),
+            bytes: self.bytes[kind as usize].load(Ordering::Relaxed),
         };
-        KINDS.into_iter().zip(counters.map(read)).collect()
+        MessageKind::ALL.into_iter().map(|kind| (kind, volume(kind))).collect()
     }
 }
-
-/// Whether messages of that kind go to registries.
-pub fn goes_out(kind: &str) -> bool {
-    KINDS.iter().position(|known| *known == kind).is_some_and(|index| index < 4)
-}
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -1,9 +1,11 @@
 //! `docs/CAPACITY.md` quotes the records of the last runs, and nothing else.
 
+#![cfg(test)]
+
 use std::path::{Path, PathBuf};
-use violetyoke_scale::page::renewed;
+use violetyoke_scale::page::with_tables;
 use violetyoke_scale::record::Record;
-use violetyoke_scale::state::{slope, state_table};
+use violetyoke_scale::{row_cost_table, slope};
 
 fn docs() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
@@ -13,11 +15,11 @@
 fn each_table_of_the_page_is_what_its_record_gives() {
     let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
     assert!(page.contains("<!-- table run ingresses -->"), "the page quotes the scale run");
-    let renewed = renewed(&page, &docs().join("capacity")).unwrap();
-    for (line, (stands, gives)) in page.lines().zip(renewed.lines()).enumerate() {
+    let updated = with_tables(&page, &docs().join("capacity")).unwrap();
+    for (line, (stands, gives)) in page.lines().zip(updated.lines()).enumerate() {
         assert_eq!(stands, gives, "line {}: `violetyoke-scale page` writes the tables anew", line + 1);
     }
-    assert_eq!(page.lines().count(), renewed.lines().count());
+    assert_eq!(page.lines().count(), updated.lines().count());
 }
 
 #[test]
@@ -32,11 +34,11 @@
 }
 
 #[test]
-fn a_table_that_was_changed_by_hand_is_put_right() {
+fn a_table_that_was_changed_by_hand_is_corrected() {
     let page = "before\n<!-- table run ingresses -->\n| wrong |\n<!-- end of table -->\nafter\n";
-    let renewed = renewed(page, &docs().join("capacity")).unwrap();
-    assert!(renewed.starts_with("before\n<!-- table run ingresses -->\n| ingresses |"));
-    assert!(renewed.ends_with("\n<!-- end of table -->\nafter\n") && !renewed.contains("wrong"));
+    let updated = with_tables(page, &docs().join("capacity")).unwrap();
+    assert!(updated.starts_with("before\n<!-- table run ingresses -->\n| ingresses |"));
+    assert!(updated.ends_with("\n<!-- end of table -->\nafter\n") && !updated.contains("wrong"));
 }
 
 #[test]
@@ -44,6 +46,6 @@
     let record = |axis: &str| Record::read(&docs().join(format!("capacity/{axis}.json"))).unwrap();
     let bytes = slope(&record("routes"), "configuration.bytes").unwrap();
     assert!((80.0..95.0).contains(&bytes), "an order has {bytes} bytes for each route");
-    let table = state_table(&["routes", "tenants", "backends"].map(record));
+    let table = row_cost_table(&["routes", "tenants", "backends"].map(record));
     assert!(table.lines().skip(2).all(|line| line.matches('|').count() == 7), "{table}");
 }
--- a/crates/scale/tests/work.rs
+++ b/crates/scale/tests/work.rs
@@ -3,29 +3,25 @@
 #![cfg(test)]
 
 use std::path::Path;
-use std::sync::atomic::Ordering;
 use std::time::Duration;
 use violetyoke_rig::until;
-use violetyoke_scale::documents::Tables;
-use violetyoke_scale::stage::{Size, Stage};
+use violetyoke_scale::documents::TableSizes;
+use violetyoke_scale::testbed::{Role, Size, Testbed};
 
-const INGRESSES: usize = 30;
+const PROXIES: usize = 30;
 const LONG: Duration = Duration::from_secs(60);
 
 /// Processor time of the registries until all ingresses are settled and know each other (s).
 fn work_of_a_wave(backends: usize) -> f64 {
-    let tables = Tables { routes: 20, tenants: 4, backends };
-    let size = Size { ingresses: INGRESSES, proxies: 0, tables, threads: 2 };
-    let stage = Stage::start(Path::new(env!("CARGO_BIN_EXE_violetyoke-scale")), size).expect("a system");
-    let before = stage.look();
-    (0..INGRESSES).for_each(|number| stage.crowd.begin(number));
-    let report = &stage.crowd.report;
-    let all = || {
-        report.settled.load(Ordering::Relaxed) == INGRESSES
-            && report.complete.load(Ordering::Relaxed) == INGRESSES
-    };
-    assert!(until(LONG, all), "{} of {INGRESSES} settled", report.settled.load(Ordering::Relaxed));
-    stage.look().cpu_since(&before, "registry")
+    let tables = TableSizes { routes: 20, tenants: 4, backends };
+    let size = Size { simulated_proxies: PROXIES, proxies: 0, tables, threads: 2 };
+    let testbed = Testbed::start(Path::new(env!("CARGO_BIN_EXE_violetyoke-scale")), size).expect("a system");
+    let before = testbed.snapshot();
+    (0..PROXIES).for_each(|number| testbed.load().start_proxy(number));
+    let observations = testbed.load().observations();
+    let all = || observations.settled() == PROXIES && observations.complete() == PROXIES;
+    assert!(until(LONG, all), "{} of {PROXIES} settled", observations.settled());
+    testbed.snapshot().cpu_since(&before, Role::Registry)
 }
 
 #[test]
