--- a/crates/rig/src/cause/acts.rs
+++ b/crates/rig/src/cause/acts.rs
@@ -58,7 +58,7 @@
         let went_on_after = self.goes_on(&lease, epoch, since);
         let patience = self.patience();
         self.fleet.noted(patience, |history| newer(history, &lease, epoch) >= 3);
-        let line = format!("a write is refused by its fence lease={lease} epoch={epoch}");
+        let line = format!("a write is rejected by fencing lease={lease} epoch={epoch}");
         link.heal();
         let refused = self.fleet.control.wait_for(&line, 0, patience).is_some();
         Outcome { landed, refused: Some(refused), went_on_after, provoked: [epoch].into(), missed: None }
