--- a/crates/violetyoke/tests/control.rs
+++ b/crates/violetyoke/tests/control.rs
@@ -11,7 +11,7 @@
 use std::thread;
 
 #[test]
-fn things_are_made_read_listed_changed_and_deleted() {
+fn resources_are_created_read_listed_changed_and_deleted() {
     let file = StoreFile::new();
     let control = start(&file);
     let api = control.operator();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn bad_calls_are_told_with_their_fields() {
+fn invalid_requests_are_rejected_by_field() {
     let file = StoreFile::new();
     let control = start(&file);
     let api = control.operator();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn of_two_administrators_the_second_is_told_and_no_change_is_lost() {
+fn concurrent_administrators_get_a_conflict_and_lose_no_change() {
     let file = StoreFile::new();
     let first = start(&file);
     let second = start(&file);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_creation_that_is_sent_again_is_done_once() {
+fn repeated_creation_with_one_idempotency_key_creates_once() {
     let file = StoreFile::new();
     let control = start(&file);
     let api = control.operator();
--- a/crates/violetyoke/tests/control_access.rs
+++ b/crates/violetyoke/tests/control_access.rs
@@ -70,7 +70,7 @@
 ];
 
 #[test]
-fn every_endpoint_is_for_those_that_the_table_says() {
+fn every_endpoint_admits_exactly_the_roles_of_the_table() {
     let there: BTreeSet<String> =
         ENDPOINTS.iter().map(|endpoint| format!("{} {}", endpoint.method, endpoint.path)).collect();
     let expected: BTreeMap<String, [u16; 5]> =
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn keys_expire_rotate_and_are_withdrawn_while_connections_stay_open() {
+fn keys_expire_rotate_and_are_withdrawn_on_open_connections() {
     let file = StoreFile::new();
     let control = start(&file);
     let operator = control.operator();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn calls_are_limited_for_each_key() {
+fn calls_are_rate_limited_by_key() {
     let file = StoreFile::new();
     let control = Control::start(&file, &["--rate", "0.5", "--burst", "5"]);
     let api = control.operator();
--- a/crates/violetyoke/tests/control_commands.rs
+++ b/crates/violetyoke/tests/control_commands.rs
@@ -10,7 +10,7 @@
 use violetyoke_control::api::ENDPOINTS;
 
 #[test]
-fn the_openapi_page_has_every_endpoint_and_every_schema_that_it_names() {
+fn openapi_page_has_every_endpoint_and_every_referenced_schema() {
     let page = violetyoke_control::api::openapi().unwrap();
     for endpoint in ENDPOINTS {
         let operation = &page["paths"][endpoint.path][endpoint.method.to_lowercase()];
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_command_line_does_what_the_api_does() {
+fn command_line_covers_the_api() {
     let file = StoreFile::new();
     let control = start(&file);
     let key = control.key.clone().unwrap();
--- a/crates/violetyoke/tests/control_lasting.rs
+++ b/crates/violetyoke/tests/control_lasting.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn deletion_drains_and_can_be_watched_and_undone_and_nothing_is_inherited() {
+fn deleted_tenant_drains_can_be_restored_and_leaves_nothing_to_its_successor() {
     let file = StoreFile::new();
     let control = Control::start(&file, &[FREE, &["--drain-ms", "1500"]].concat());
     let api = control.operator();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_survives_kills_at_any_point() {
+fn acknowledged_changes_survive_kills_at_any_point() {
     let file = StoreFile::new();
     let mut control = start(&file);
     let key = control.key.clone().unwrap();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn snapshots_come_whole_in_parts_and_when_something_changes() {
+fn ingresses_get_full_and_incremental_snapshots_as_the_store_changes() {
     use violetyoke_tenants::snapshot::{Held, Snapshot};
     let file = StoreFile::new();
     let control = start(&file);
--- a/crates/violetyoke/tests/duties.rs
+++ b/crates/violetyoke/tests/duties.rs
@@ -1,12 +1,7 @@
-//! Duties at the control plane: who may have a lease, what is refused and by which field, and upkeep by one of two
+//! Singleton roles at the control plane: who is granted a lease, which requests are rejected, and upkeep by one of two
 //! control planes on one store.
 
 #![cfg(test)]
-#![allow(
-    clippy::let_underscore_must_use,
-    clippy::too_many_lines,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
 
 mod common;
 
@@ -26,14 +21,16 @@
 length_ms = 3000
 "#;
 
-/// A file that goes with the test.
-struct Declared(PathBuf);
+const SHARDS: usize = 8;
 
-impl Declared {
-    fn new(file: &StoreFile, text: &str) -> Declared {
+/// A file of declarations, which is deleted at the end of the test.
+struct Declarations(PathBuf);
+
+impl Declarations {
+    fn new(file: &StoreFile, text: &str) -> Declarations {
         let path = PathBuf::from(format!("{}.duties", file.0.display()));
         fs::write(&path, text).unwrap();
-        Declared(path)
+        Declarations(path)
     }
 
     fn start(&self, file: &StoreFile) -> Control {
@@ -53,14 +50,14 @@
     }
 }
 
-impl Drop for Declared {
+impl Drop for Declarations {
     fn drop(&mut self) {
-        let _ = fs::remove_file(&self.0);
+        fs::remove_file(&self.0).unwrap();
     }
 }
 
-/// One call of a holder, which sends back what its last answer brought.
-fn ask(api: &Api, mut body: Value) -> Value {
+/// One request of a holder, which echoes the token of its last response.
+fn renew(api: &Api, mut body: Value) -> Value {
     static ECHOES: Mutex<BTreeMap<String, Value>> = Mutex::new(BTreeMap::new());
     let holder = format!("{} {}", api.address, body["holder"]);
     if let Some(token) = ECHOES.lock().unwrap().get(&holder) {
@@ -72,24 +69,31 @@
     told.body
 }
 
-/// All shards of the report, once the desk has got around to them.
-fn all(api: &Api, holder: &str) -> Vec<Value> {
-    let mut given = Vec::new();
-    until("all shards are given", || {
-        let answer = ask(api, json!({ "holder": holder, "duties": ["report"] }));
-        given.extend(answer["given"].as_array().unwrap().clone());
-        given.len() == 8
+fn grants(response: &Value) -> &Vec<Value> {
+    response["given"].as_array().unwrap()
+}
+
+/// The grants of all shards of the report.
+fn gain_all(api: &Api, holder: &str) -> Vec<Value> {
+    let mut granted = Vec::new();
+    until("all shards are granted", || {
+        let response = renew(api, json!({ "holder": holder, "duties": ["report"] }));
+        granted.extend(grants(&response).clone());
+        granted.len() == SHARDS
     });
-    given
+    granted
+}
+
+fn ingress_key(operator: &Api) -> Api {
+    key(operator, "/v1/keys", json!({"role": "ingress"}))
 }
 
 #[test]
-fn what_is_wrong_with_a_call_is_told_by_its_field_and_the_rest_is_done() {
+fn invalid_renew_requests_are_rejected_by_field() {
     let file = StoreFile::new();
-    let declared = Declared::new(&file, DUTIES);
+    let declared = Declarations::new(&file, DUTIES);
     let control = declared.start(&file);
-    let operator = control.operator();
-    let api = key(&operator, "/v1/keys", json!({"role": "ingress"}));
+    let api = ingress_key(&control.operator());
     for (body, status, field) in [
         (json!({"duties": ["report"]}), 400, "holder"),
         (json!({"holder": "a b"}), 422, "holder"),
@@ -109,25 +113,42 @@
         assert_eq!(told.status, status, "{body}: {told:?}");
         assert_eq!(told.body["errors"][0]["field"], field, "{body}: {told:?}");
     }
-    // A whole call with parts that are no good: those are left out, and the rest stands.
-    let far = u64::MAX / 2;
-    let mut given = 0;
-    until("what is good of it is done", || {
-        let answer = ask(
+}
+
+#[test]
+fn invalid_parts_of_a_renew_request_are_reported_and_the_rest_is_processed() {
+    let file = StoreFile::new();
+    let declared = Declarations::new(&file, DUTIES);
+    let control = declared.start(&file);
+    let api = ingress_key(&control.operator());
+    let implausible = u64::MAX / 2;
+    let mut granted = 0;
+    until("the valid part is processed", || {
+        let response = renew(
             &api,
             json!({
                 "holder": "a", "duties": ["nothing", "report", "upkeep"],
-                "renew": [{"duty": "report", "shard": 0, "epoch": far}],
+                "renew": [{"duty": "report", "shard": 0, "epoch": implausible}],
             }),
         );
-        given += answer["given"].as_array().unwrap().len();
-        let faults: Vec<&str> =
-            answer["faults"].as_array().unwrap().iter().map(|fault| fault[0].as_str().unwrap()).collect();
-        assert_eq!(faults, ["duties[0]", "duties[2]", "renew[0].epoch"]);
-        assert!(answer["newest"].as_u64().unwrap() < far / 2, "it is not believed either");
-        given == 8
+        granted += grants(&response).len();
+        let faults = response["faults"].as_array().unwrap();
+        let fields: Vec<&str> = faults.iter().map(|fault| fault[0].as_str().unwrap()).collect();
+        assert_eq!(fields, ["duties[0]", "duties[2]", "renew[0].epoch"]);
+        assert!(response["newest"].as_u64().unwrap() < implausible / 2, "it is not believed either");
+        granted == SHARDS
     });
-    let mark = |epoch: u64, mark: u64| {
+}
+
+#[test]
+fn watermark_is_recorded_by_the_newest_holder_only_and_never_decreases() {
+    let file = StoreFile::new();
+    let declared = Declarations::new(&file, DUTIES);
+    let control = declared.start(&file);
+    let operator = control.operator();
+    let api = ingress_key(&operator);
+    gain_all(&api, "a");
+    let record = |epoch: u64, mark: u64| {
         api.post(
             "/v1/leases/mark",
             json!({"holder": "a", "duty": "report", "shard": 3, "epoch": epoch, "mark": mark}),
@@ -135,16 +156,26 @@
     };
     let shard = operator.get("/v1/duties/report/shards/3");
     let epoch = shard.body["epoch"].as_u64().unwrap();
-    // What is noted of a shard is no news for ingresses: none would ever hold a revision that counted it.
-    let told = || operator.get("/v1/ingresses").body["revision"].clone();
-    let before = told();
-    assert_eq!(mark(epoch, 7).status, 204);
-    assert_eq!(told(), before);
-    assert_eq!(mark(epoch, 6).body["errors"][0]["field"], "mark");
-    let old = mark(epoch - 1, 9);
-    assert_eq!((old.status, old.body["newest"].as_u64()), (409, Some(epoch)), "{old:?}");
-    let use_of = |path: &str| api.get(path).status;
-    assert_eq!((use_of("/v1/use/nothing/0?after=0"), use_of("/v1/use/report/8?after=0")), (404, 422));
+    // A watermark is no change for ingresses: none would ever run a revision that counted it.
+    let announced = || operator.get("/v1/ingresses").body["revision"].clone();
+    let before = announced();
+    assert_eq!(record(epoch, 7).status, 204);
+    assert_eq!(announced(), before);
+    assert_eq!(record(epoch, 6).body["errors"][0]["field"], "mark");
+    let stale = record(epoch - 1, 9);
+    assert_eq!((stale.status, stale.body["newest"].as_u64()), (409, Some(epoch)), "{stale:?}");
+}
+
+#[test]
+fn unknown_roles_shards_and_processes_are_rejected() {
+    let file = StoreFile::new();
+    let declared = Declarations::new(&file, DUTIES);
+    let control = declared.start(&file);
+    let operator = control.operator();
+    let api = ingress_key(&operator);
+    gain_all(&api, "a");
+    let usage = |path: &str| api.get(path).status;
+    assert_eq!((usage("/v1/use/nothing/0?after=0"), usage("/v1/use/report/8?after=0")), (404, 422));
     for (path, body, field) in [
         ("/v1/duties/report/shards/8", json!({}), "shard"),
         ("/v1/duties/report/shards/1", json!({"next": "nobody"}), "next"),
@@ -155,75 +186,75 @@
 }
 
 #[test]
-fn of_two_operators_that_give_one_shard_away_the_second_is_told() {
+fn second_of_two_operators_overriding_one_shard_gets_a_conflict() {
     let file = StoreFile::new();
-    let declared = Declared::new(&file, DUTIES);
+    let declared = Declarations::new(&file, DUTIES);
     let control = declared.start(&file);
     let operator = control.operator();
-    let api = key(&operator, "/v1/keys", json!({"role": "ingress"}));
-    let given = all(&api, "a#1");
-    // The first call tells it what to send back; it is a candidate from the second on.
-    ask(&api, json!({"holder": "b#1", "duties": ["report"]}));
-    ask(&api, json!({"holder": "b#1", "duties": ["report"]}));
+    let api = ingress_key(&operator);
+    let granted = gain_all(&api, "a#1");
+    // The first response has the token to echo: it is a candidate from the second request on.
+    renew(&api, json!({"holder": "b#1", "duties": ["report"]}));
+    renew(&api, json!({"holder": "b#1", "duties": ["report"]}));
     let path = "/v1/duties/report/shards/5";
     let version = operator.get(path).version.unwrap();
-    let give = |to: &str| {
+    let prefer = |process: &str| {
         operator
-            .call("PUT", path, &json!({"next": to}).to_string(), &format!("If-Match: {version}\r\n"))
+            .call("PUT", path, &json!({"next": process}).to_string(), &format!("If-Match: {version}\r\n"))
             .status
     };
-    assert_eq!((give("b"), give("a")), (200, 412));
-    // The owner is told, and the other gets it once the owner has let go, under a newer epoch.
-    let of = given.iter().find(|given| given["shard"] == 5).unwrap();
-    let renew = json!([{"duty": "report", "shard": 5, "epoch": of["epoch"], "acts": 1}]);
-    let answer = ask(&api, json!({"holder": "a#1", "duties": ["report"], "renew": renew}));
-    assert_eq!(answer["given"][0]["hand_over"], true, "{answer}");
-    let none = ask(&api, json!({"holder": "b#1", "duties": ["report"]}));
-    assert!(none["given"].as_array().unwrap().iter().all(|given| given["shard"] != 5), "{none}");
-    let release = json!([{"duty": "report", "shard": 5, "epoch": of["epoch"]}]);
-    ask(&api, json!({"holder": "a#1", "duties": ["report"], "release": release}));
-    let got = ask(&api, json!({"holder": "b#1", "duties": ["report"]}));
-    let got = got["given"].as_array().unwrap().iter().find(|given| given["shard"] == 5).unwrap().clone();
-    assert!(got["epoch"].as_u64() > of["epoch"].as_u64(), "{got}");
-    // Both words are in the audit log.
+    assert_eq!((prefer("b"), prefer("a")), (200, 412));
+    // The owner is asked to hand over, and the other is granted the shard once it is released, under a newer epoch.
+    let owned = granted.iter().find(|grant| grant["shard"] == 5).unwrap();
+    let renewals = json!([{"duty": "report", "shard": 5, "epoch": owned["epoch"], "acts": 1}]);
+    let response = renew(&api, json!({"holder": "a#1", "duties": ["report"], "renew": renewals}));
+    assert_eq!(response["given"][0]["hand_over"], true, "{response}");
+    let none = renew(&api, json!({"holder": "b#1", "duties": ["report"]}));
+    assert!(grants(&none).iter().all(|grant| grant["shard"] != 5), "{none}");
+    let release = json!([{"duty": "report", "shard": 5, "epoch": owned["epoch"]}]);
+    renew(&api, json!({"holder": "a#1", "duties": ["report"], "release": release}));
+    let response = renew(&api, json!({"holder": "b#1", "duties": ["report"]}));
+    let gained = grants(&response).iter().find(|grant| grant["shard"] == 5).unwrap();
+    assert!(gained["epoch"].as_u64() > owned["epoch"].as_u64(), "{gained}");
+    // The override is in the audit log.
     let audit = operator.get("/v1/audit?limit=1000").body.to_string();
     assert!(audit.contains("duties/report/00005"), "{audit}");
 }
 
 #[test]
-fn shards_stay_as_many_as_they_are_while_one_is_owned() {
+fn number_of_shards_cannot_change_while_one_has_an_owner() {
     let file = StoreFile::new();
-    let declared = Declared::new(&file, DUTIES);
+    let declared = Declarations::new(&file, DUTIES);
     let mut control = declared.start(&file);
     let operator = control.operator();
-    let api = key(&operator, "/v1/keys", json!({"role": "ingress"}));
-    all(&api, "a#1");
+    let api = ingress_key(&operator);
+    gain_all(&api, "a#1");
     control.kill();
     let other = "[[duty]]\nname = \"second\"\nkind = \"report\"\nlength_ms = 0\n";
     fs::write(&declared.0, DUTIES.replace("shards = 8", "shards = 12") + other).unwrap();
     let control = declared.start(&file);
     let operator = control.api(&operator.key);
-    let duties = operator.get("/v1/duties").body;
-    let names: Vec<(&str, u64)> = (duties["items"].as_array().unwrap().iter())
-        .map(|duty| (duty["name"].as_str().unwrap(), duty["shards"].as_u64().unwrap()))
+    let roles = operator.get("/v1/duties").body;
+    let names: Vec<(&str, u64)> = (roles["items"].as_array().unwrap().iter())
+        .map(|role| (role["name"].as_str().unwrap(), role["shards"].as_u64().unwrap()))
         .collect();
     assert_eq!(
         names,
         [("report", 8), ("upkeep", 1)],
-        "neither the twelve nor the length of nothing is in force"
+        "neither the twelve shards nor the lease of no duration is in force"
     );
 }
 
-/// How many control planes say that they have the upkeep, and which epoch is the newest.
+/// The holder of the upkeep's lease, and its epoch.
 fn upkeep(operator: &Api) -> Option<(String, u64)> {
     let shard = operator.get("/v1/duties/upkeep/shards/0").body;
     Some((shard["holder"].as_str()?.to_string(), shard["epoch"].as_u64()?))
 }
 
 #[test]
-fn of_two_control_planes_one_has_the_upkeep_and_the_other_takes_it_over() {
+fn second_control_plane_takes_over_upkeep_when_the_first_dies() {
     let file = StoreFile::new();
-    let declared = Declared::new(&file, DUTIES);
+    let declared = Declarations::new(&file, DUTIES);
     let mut first = declared.start(&file);
     let operator = first.operator();
     until("the first has the upkeep", || upkeep(&operator).is_some());
@@ -234,8 +265,8 @@
     first.kill();
     until("the second has it", || upkeep(&operator).is_some_and(|(holder, _)| holder != owner));
     assert!(upkeep(&operator).unwrap().1 > epoch);
-    // And does it: a tenant that drains goes.
+    // And it works: a tenant that has drained is deleted.
     tenant(&operator, "acme");
     assert_eq!(operator.force("DELETE", "/v1/tenants/acme", "").status, 202);
-    until("the tenant goes", || operator.get("/v1/tenants/acme").status == 404);
+    until("the tenant is deleted", || operator.get("/v1/tenants/acme").status == 404);
 }
