--- a/crates/store/src/daemon/disk_writer.rs
+++ b/crates/store/src/daemon/disk_writer.rs
@@ -38,7 +38,7 @@
 
 /// Takes writes for the disk, and watches how long they take.
 ///
-/// A worker thread ends after its present write once the writer is dropped; a worker task ends at once.
+/// Once the event loop has ended, a worker thread ends after its present write, and a worker task ends at once.
 pub(super) struct DiskWriter {
     requests: RequestSender,
     unfinished: VecDeque<Unfinished>,
@@ -103,6 +103,9 @@
             std::thread::sleep(RETRY_DELAY);
         }
         inputs.send(Input::Persisted(number));
+        if inputs.is_closed() {
+            return;
+        }
     }
 }
 
@@ -119,6 +122,9 @@
         }
         cursor.advance();
         inputs.send(Input::Persisted(number));
+        if inputs.is_closed() {
+            return;
+        }
     }
 }
 
--- a/crates/store/src/daemon/input.rs
+++ b/crates/store/src/daemon/input.rs
@@ -24,4 +24,9 @@
     pub(super) fn send(&self, input: Input) {
         drop(self.0.send(input));
     }
+
+    /// The event loop has ended.
+    pub(super) fn is_closed(&self) -> bool {
+        self.0.is_closed()
+    }
 }
