--- a/crates/violetyoke/src/admin.rs
+++ b/crates/violetyoke/src/admin.rs
@@ -1,7 +1,7 @@
 //! `violetyoke tenant`, `plan`, `account`, `route` and `key`: calls of the administration API, printed as a table or
 //! as JSON.
 
-use crate::client::{segment, Access};
+use crate::client::{segment, Access, ClientError};
 use clap::{Args, Subcommand};
 use hyper::Method;
 use serde_json::{json, Map, Value};
@@ -51,14 +51,15 @@
     },
 }
 
-pub async fn run(collection: &'static str, arguments: Arguments) -> Result<(), String> {
+/// Calls the administration API for resources of one collection, and prints the response.
+pub async fn run(collection: &'static str, arguments: Arguments) -> Result<(), ClientError> {
     let Arguments { access, tenant, action } = arguments;
     let client = access.client()?;
     let base = match (collection, &tenant) {
         ("tenants", None) => "/v1/tenants".to_string(),
-        ("tenants", Some(_)) => return Err("--tenant is for what a tenant has".into()),
+        ("tenants", Some(_)) => return Err(ClientError::UnexpectedTenant),
         ("keys", None) => "/v1/keys".to_string(),
-        (_, None) => return Err("--tenant is missing".into()),
+        (_, None) => return Err(ClientError::MissingTenant),
         (_, Some(tenant)) => format!("/v1/tenants/{}/{collection}", segment(tenant)),
     };
     let one = |name: &str| format!("{base}/{}", segment(name));
@@ -66,7 +67,7 @@
         Action::List => client.list(&base).await?,
         Action::Show { name } => client.call(Method::GET, &one(name), None, None).await?.body,
         Action::Create { name, fields } => {
-            let mut body = parsed(fields)?;
+            let mut body = parse_fields(fields)?;
             let key = if collection == "keys" { "role" } else { "name" };
             body.insert(key.into(), name.as_str().into());
             if let (true, Some(tenant)) = (collection == "keys", &tenant) {
@@ -75,17 +76,17 @@
             client.call(Method::POST, &base, Some(Value::Object(body)), None).await?.body
         }
         Action::Set { name, fields } => {
-            let now = client.call(Method::GET, &one(name), None, None).await?;
-            let body = Value::Object(parsed(fields)?);
-            client.call(Method::PATCH, &one(name), Some(body), now.version).await?.body
+            let current = client.call(Method::GET, &one(name), None, None).await?;
+            let body = Value::Object(parse_fields(fields)?);
+            client.call(Method::PATCH, &one(name), Some(body), current.version).await?.body
         }
         Action::Delete { name } => {
-            let now = client.call(Method::GET, &one(name), None, None).await?;
-            client.call(Method::DELETE, &one(name), None, now.version).await?.body
+            let current = client.call(Method::GET, &one(name), None, None).await?;
+            client.call(Method::DELETE, &one(name), None, current.version).await?.body
         }
         Action::Restore { name } => {
-            let now = client.call(Method::GET, &one(name), None, None).await?;
-            client.call(Method::POST, &format!("{}/restore", one(name)), None, now.version).await?.body
+            let current = client.call(Method::GET, &one(name), None, None).await?;
+            client.call(Method::POST, &format!("{}/restore", one(name)), None, current.version).await?.body
         }
         Action::Rotate { name, overlap_seconds } => {
             let body = json!({ "overlap_seconds": overlap_seconds });
@@ -96,10 +97,10 @@
     Ok(())
 }
 
-/// FIELD=VALUE, where the value is JSON or else a text.
-fn parsed(fields: &[String]) -> Result<Map<String, Value>, String> {
+/// Parses FIELD=VALUE, where the value is JSON or else a text.
+fn parse_fields(fields: &[String]) -> Result<Map<String, Value>, ClientError> {
     let field = |field: &String| {
-        let (name, value) = field.split_once('=').ok_or_else(|| format!("{field:?} is not FIELD=VALUE"))?;
+        let (name, value) = field.split_once('=').ok_or_else(|| ClientError::InvalidField(field.clone()))?;
         let value = serde_json::from_str(value).unwrap_or_else(|_| Value::from(value));
         Ok((name.to_string(), value))
     };
--- a/crates/violetyoke/src/client.rs
+++ b/crates/violetyoke/src/client.rs
@@ -1,18 +1,19 @@
-//! A caller of the administration API, and how it is told where the API is and which key to use.
+//! A client of the administration API, and the options that say where the API is and which key to use.
 
 use clap::Args;
 use hyper::body::Bytes;
 use hyper::header::{AUTHORIZATION, ETAG, IF_MATCH};
-use hyper::{Method, Request};
+use hyper::{Method, Request, StatusCode};
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use serde_json::Value;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use violetyoke_duties::http_client::{call, Response};
+use violetyoke_duties::http_client::{call, HttpError, Response};
 
-/// For how long an answer is waited for.
-const WAIT: Duration = Duration::from_secs(30);
+/// How long connecting, and a response, may take each.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Taken before and after the verb.
 #[derive(Args)]
@@ -29,24 +30,22 @@
 }
 
 impl Access {
-    pub fn client(&self) -> Result<Client, String> {
+    /// The client that these options and the environment ask for.
+    pub fn client(&self) -> Result<Client, ClientError> {
         let server = match (self.server, std::env::var("VIOLETYOKE_CONTROL")) {
             (Some(server), _) => server,
-            (None, Ok(text)) => {
-                text.parse().map_err(|_| format!("VIOLETYOKE_CONTROL: {text:?} is not an address"))?
-            }
+            (None, Ok(text)) => text.parse().map_err(|_| ClientError::InvalidServer(text))?,
             (None, Err(_)) => SocketAddr::from(([127, 0, 0, 1], 8070)),
         };
         let key = match &self.key_file {
-            Some(path) => {
-                std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?
-            }
-            None => std::env::var("VIOLETYOKE_KEY")
-                .map_err(|_| "no key: --key-file or VIOLETYOKE_KEY".to_string())?,
+            Some(path) => std::fs::read_to_string(path)
+                .map_err(|source| ClientError::KeyFile { path: path.clone(), source })?,
+            None => std::env::var("VIOLETYOKE_KEY").map_err(|_| ClientError::MissingKey)?,
         };
         Ok(Client { server, key: key.trim().to_string() })
     }
 
+    /// Prints a response as a table, or as JSON if that is asked for.
     pub fn print(&self, answer: &Value) {
         if self.json {
             println!("{answer}");
@@ -56,56 +55,114 @@
     }
 }
 
+/// A name as a segment of a path.
 pub fn segment(name: &str) -> String {
     utf8_percent_encode(name, NON_ALPHANUMERIC).to_string()
 }
 
+/// Why a call of the administration API failed. The messages are what the command line prints.
+#[derive(Debug, thiserror::Error)]
+pub enum ClientError {
+    /// The environment names a control plane that is not an address.
+    #[error("VIOLETYOKE_CONTROL: {0:?} is not an address")]
+    InvalidServer(String),
+    /// Neither a file nor the environment has a key.
+    #[error("no key: --key-file or VIOLETYOKE_KEY")]
+    MissingKey,
+    /// The key cannot be read.
+    #[error("{}: {source}", path.display())]
+    KeyFile {
+        /// Where it should be.
+        path: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
+    /// `--tenant` is given for what belongs to no tenant.
+    #[error("--tenant is for what a tenant has")]
+    UnexpectedTenant,
+    /// `--tenant` is not given for what belongs to a tenant.
+    #[error("--tenant is missing")]
+    MissingTenant,
+    /// An argument is not a field and its value.
+    #[error("{0:?} is not FIELD=VALUE")]
+    InvalidField(String),
+    /// The request cannot be expressed in HTTP.
+    #[error("{0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    /// There was no response.
+    #[error(transparent)]
+    Http(#[from] HttpError),
+    /// The response is not JSON.
+    #[error("{server}: {source}")]
+    Json {
+        /// The control plane.
+        server: SocketAddr,
+        /// The cause.
+        source: serde_json::Error,
+    },
+    /// The control plane rejected the call.
+    #[error("{}: {title}{}", status.as_u16(), lines(errors))]
+    Rejected {
+        /// The HTTP status.
+        status: StatusCode,
+        /// What went wrong.
+        title: String,
+        /// The fields that are not valid, each with the reason.
+        errors: Vec<(String, String)>,
+    },
+}
+
+fn lines(errors: &[(String, String)]) -> String {
+    errors.iter().map(|(field, reason)| format!("\n  {field}: {reason}")).collect()
+}
+
+/// A control plane's address, and the key to use.
 pub struct Client {
     pub server: SocketAddr,
     pub key: String,
 }
 
-pub struct Told {
+/// A successful response.
+pub struct Reply {
     pub body: Value,
+    /// The version, for `If-Match`.
     pub version: Option<String>,
 }
 
 impl Client {
-    /// One call on a connection of its own: nothing is ever sent twice.
+    /// Makes one call on a connection of its own: nothing is ever sent twice.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<Value>,
         version: Option<String>,
-    ) -> Result<Told, String> {
+    ) -> Result<Reply, ClientError> {
         let mut request =
             Request::builder().method(method).uri(path).header(AUTHORIZATION, format!("Bearer {}", self.key));
         if let Some(version) = version {
             request = request.header(IF_MATCH, version);
         }
         let body = body.map_or(Bytes::new(), |body| Bytes::from(body.to_string()));
-        let request = request.body(body).map_err(|error| error.to_string())?;
-        let response = call(self.server, request, WAIT).await;
-        let Response { status, headers, body } = response.map_err(|error| error.to_string())?;
+        let Response { status, headers, body } = call(self.server, request.body(body)?, TIMEOUT).await?;
         let version = headers.get(ETAG).and_then(|value| value.to_str().ok()).map(String::from);
-        let body: Value = match body.is_empty() {
-            true => Value::Null,
-            false => serde_json::from_slice(&body).map_err(|error| format!("{}: {error}", self.server))?,
+        let body: Value = if body.is_empty() {
+            Value::Null
+        } else {
+            let parsed = serde_json::from_slice(&body);
+            parsed.map_err(|source| ClientError::Json { server: self.server, source })?
         };
         if status.is_success() {
-            return Ok(Told { body, version });
-        }
-        let mut text = format!("{}: {}", status.as_u16(), body["title"].as_str().unwrap_or_default());
-        for error in body["errors"].as_array().into_iter().flatten() {
-            let (field, reason) = (error["field"].as_str(), error["reason"].as_str());
-            text += &format!("\n  {}: {}", field.unwrap_or_default(), reason.unwrap_or_default());
+            return Ok(Reply { body, version });
         }
-        Err(text)
+        let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
+        let errors = body["errors"].as_array().into_iter().flatten();
+        let errors = errors.map(|error| (text(&error["field"]), text(&error["reason"]))).collect();
+        Err(ClientError::Rejected { status, title: text(&body["title"]), errors })
     }
 
-    /// All pages of a list.
-    pub async fn list(&self, base: &str) -> Result<Value, String> {
+    /// Reads all pages of a list.
+    pub async fn list(&self, base: &str) -> Result<Value, ClientError> {
         let (mut items, mut after) = (Vec::new(), String::new());
         loop {
             let path = format!("{base}?limit=1000&after={}", segment(&after));
--- a/crates/violetyoke/src/demo_tenants.rs
+++ b/crates/violetyoke/src/demo_tenants.rs
@@ -114,7 +114,10 @@
     let client = Client { server, key: key.to_string() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|error| error.to_string())?.block_on(async {
-        let make = async |path: &str, body: Value| client.call(Method::POST, path, Some(body), None).await;
+        let make = async |path: &str, body: Value| {
+            let reply = client.call(Method::POST, path, Some(body), None).await;
+            reply.map_err(|error| error.to_string())
+        };
         for name in ["loud", "quiet"] {
             let host = format!("{name}.example.org");
             make("/v1/tenants", json!({"name": name, "hosts": [host], "pools": ["reservations"]})).await?;
--- a/crates/violetyoke/src/duties.rs
+++ b/crates/violetyoke/src/duties.rs
@@ -1,6 +1,6 @@
-//! `violetyoke duties`: what the fleet does on its own behalf, and who does it.
+//! `violetyoke duties`: the fleet's singleton roles, and who runs them.
 
-use crate::client::{segment, Access, Client};
+use crate::client::{segment, Access, Client, ClientError};
 use clap::{Args, Subcommand};
 use hyper::Method;
 use serde_json::{json, Value};
@@ -32,26 +32,34 @@
     LetGo { duty: String, shard: u32 },
 }
 
-pub async fn run(arguments: Arguments) -> Result<(), String> {
+/// Calls the administration API, and prints the response.
+pub async fn run(arguments: Arguments) -> Result<(), ClientError> {
     let Arguments { access, action } = arguments;
     let client = access.client()?;
     let answer = match action {
         Action::List => client.call(Method::GET, "/v1/duties", None, None).await?.body["items"].take(),
         Action::Show { duty } => client.list(&format!("/v1/duties/{}/shards", segment(&duty))).await?,
-        Action::HandOver { duty, shard, to } => say(&client, &duty, shard, json!({ "next": to })).await?,
+        Action::HandOver { duty, shard, to } => {
+            override_shard(&client, &duty, shard, json!({ "next": to })).await?
+        }
         Action::Hold { duty, shard, reason } => {
-            say(&client, &duty, shard, json!({ "held_back": reason })).await?
+            override_shard(&client, &duty, shard, json!({ "held_back": reason })).await?
         }
-        Action::LetGo { duty, shard } => say(&client, &duty, shard, json!({})).await?,
+        Action::LetGo { duty, shard } => override_shard(&client, &duty, shard, json!({})).await?,
     };
     access.print(&answer);
     Ok(())
 }
 
-/// Says it of the shard as it is now: whoever else has said something meanwhile is not overwritten.
-async fn say(client: &Client, duty: &str, shard: u32, word: Value) -> Result<Value, String> {
+/// Overrides the assignment of a shard, unless another operator does so meanwhile; returns the shard after it.
+async fn override_shard(
+    client: &Client,
+    duty: &str,
+    shard: u32,
+    decision: Value,
+) -> Result<Value, ClientError> {
     let path = format!("/v1/duties/{}/shards/{shard}", segment(duty));
-    let now = client.call(Method::GET, &path, None, None).await?;
-    client.call(Method::PUT, &path, Some(word), now.version).await?;
+    let current = client.call(Method::GET, &path, None, None).await?;
+    client.call(Method::PUT, &path, Some(decision), current.version).await?;
     Ok(client.call(Method::GET, &path, None, None).await?.body)
 }
