--- a/crates/api/src/configuration.rs
+++ b/crates/api/src/configuration.rs
@@ -18,6 +18,9 @@
 
 use serde::{Deserialize, Serialize};
 
+/// The largest [`Route::timeout_ms`]: ten minutes.
+pub const MAX_TIMEOUT_MS: f64 = 600_000.0;
+
 /// A configuration; [`Configuration::parse`] reads and checks one.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Configuration {
@@ -55,7 +58,7 @@
     pub path_prefix: String,
     /// Whether its requests may be executed more than once.
     pub route_kind: RouteKind,
-    /// How long a request may take (ms): above 0, ten minutes at most.
+    /// How long a request may take (ms): above 0, and [`MAX_TIMEOUT_MS`] at most.
     pub timeout_ms: f64,
     /// A response within this time has its full value (ms); left out: `timeout_ms`.
     #[serde(default)]
--- a/crates/api/src/validation.rs
+++ b/crates/api/src/validation.rs
@@ -1,12 +1,9 @@
 //! What no schema can check in a configuration: references between tables, keys that must be unique, and ranges.
 
-use crate::configuration::{Configuration, Route, Tenant, WeightedService};
+use crate::configuration::{Configuration, Route, Tenant, WeightedService, MAX_TIMEOUT_MS};
 use crate::error::ValidationError;
 use std::collections::{HashMap, HashSet};
 
-/// The largest `timeout-ms` of a route: ten minutes.
-const MAX_TIMEOUT_MS: f64 = 600_000.0;
-
 /// Checks a whole configuration; the error names the first field that is wrong.
 pub(crate) fn validate(configuration: &Configuration) -> Result<(), ValidationError> {
     let services: HashSet<&str> =
--- a/crates/balancing/src/concurrency.rs
+++ b/crates/balancing/src/concurrency.rs
@@ -2,8 +2,8 @@
 
 use crate::Millis;
 
-/// Requests beyond its slots that a backend may have queued, as a fraction of its slots. They are executed within a
-/// fraction of one response time, which hides the network delay to the next request.
+/// Requests beyond its slots that a backend may have queued, as a fraction of its slots: one that waits there waits for a
+/// short while at most.
 const QUEUE_FRACTION: f64 = 0.34;
 
 /// What the operators configured for the backends of one service.
--- a/crates/balancing/src/load.rs
+++ b/crates/balancing/src/load.rs
@@ -6,6 +6,8 @@
 /// Reported load of other proxies decays with this time constant (ms): it is as old as the last response, and their
 /// requests end.
 const DECAY_MS: f64 = 600.0;
+/// Assumed latency of a backend that has not responded yet (ms).
+pub(crate) const DEFAULT_LATENCY_MS: f64 = 100.0;
 /// Weight of the newest sample in the moving average of the latency.
 const LATENCY_WEIGHT: f64 = 0.1;
 
--- a/crates/balancing/src/retry_policy.rs
+++ b/crates/balancing/src/retry_policy.rs
@@ -13,6 +13,7 @@
 //! assert_eq!(booking.attempt_timeout_ms(1_000, Some(50.0)), None);
 //! ```
 
+use crate::load::DEFAULT_LATENCY_MS;
 use crate::Millis;
 
 /// With less time than this until the deadline no attempt is made (ms).
@@ -26,8 +27,6 @@
 /// latency target.
 const TIMEOUT_LATENCY_FACTOR: f64 = 6.0;
 const TIMEOUT_TARGET_FRACTION: f64 = 0.9;
-/// Assumed latency of a backend that has not responded yet (ms).
-const DEFAULT_LATENCY_MS: f64 = 100.0;
 
 /// What bounds the attempts of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -3,13 +3,12 @@
 use crate::backend::Backend;
 use crate::concurrency::{has_capacity, load_factor};
 use crate::directory::BackendDirectory;
+use crate::load::DEFAULT_LATENCY_MS;
 use crate::Millis;
 
 /// What a network path costs, as milliseconds of waiting: traffic between zones and between regions is paid for.
 const OTHER_ZONE_COST_MS: f64 = 25.0;
 const OTHER_REGION_COST_MS: f64 = 350.0;
-/// Assumed latency of a backend that has not responded yet.
-const DEFAULT_LATENCY_MS: f64 = 100.0;
 /// A backend that warms up is slower by about this factor.
 const SLOW_START_FACTOR: f64 = 2.0;
 /// Costs that differ by less than this fraction count as equal: all proxies see the same list, and must not all choose
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -22,15 +22,12 @@
 use tokio::time::Instant;
 use upstream_head::upstream_head;
 use violetyoke_api::calls::header;
-use violetyoke_api::configuration::{Service, Tenant};
+use violetyoke_api::configuration::{Service, Tenant, MAX_TIMEOUT_MS};
 use violetyoke_api::routing::{RouteEntry, RoutingTable};
 use violetyoke_balancing::retry_policy::RetryPolicy;
 use violetyoke_balancing::Millis;
 use violetyoke_quota::Admission;
 
-/// No request is held longer, whatever its route and its client say: the longest `timeout-ms` of a configuration.
-const MAX_TIMEOUT_MS: f64 = 600_000.0;
-
 /// Answers one request.
 pub(crate) async fn handle(proxy: &Rc<Proxy>, request: Request<Incoming>) -> Reply {
     proxy.metrics.requests.increment();
