--- a/crates/api/src/execution.rs
+++ b/crates/api/src/execution.rs
@@ -23,13 +23,16 @@
 }
 
 /// Why a request ends without a backend's response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FailureReason {
     /// Its tenant is over the rate limit.
+    #[error("over the tenant's rate limit")]
     OverLimit,
     /// No backend had capacity in time, or none is known.
+    #[error("no backend with capacity")]
     Overloaded,
     /// Its deadline has passed.
+    #[error("the deadline has passed")]
     DeadlineExceeded,
 }
 
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -75,12 +75,12 @@
         let (proxy, timer) = (proxy.clone(), timer.clone());
         timer.head_completed();
         async move {
-            let mut reply = handle(&proxy, request).await;
-            timer.response_started(matches!(reply.body(), Either::Right(_)));
+            let mut response = handle(&proxy, request).await;
+            timer.response_started(matches!(response.body(), Either::Right(_)));
             if proxy.serving.is_draining() {
-                reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok::<_, Infallible>(reply)
+            Ok::<_, Infallible>(response)
         }
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
--- a/crates/proxy/src/forward/mod.rs
+++ b/crates/proxy/src/forward/mod.rs
@@ -69,7 +69,7 @@
 
 /// The request was given up.
 #[derive(Debug, thiserror::Error)]
-#[error("no response of a backend: {reason:?}")]
+#[error("no response of a backend: {reason}")]
 pub(crate) struct ForwardError {
     /// Whether a backend may have executed it.
     pub(crate) execution: Execution,
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -15,7 +15,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request};
 use lookup::{header_text, lookup, Match};
-pub(crate) use response::Reply;
+pub(crate) use response::ClientResponse;
 use response::{error_response, forward_response};
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,10 +29,10 @@
 use violetyoke_quota::Admission;
 
 /// Answers one request.
-pub(crate) async fn handle(proxy: &Rc<Proxy>, request: Request<Incoming>) -> Reply {
+pub(crate) async fn handle(proxy: &Rc<Proxy>, request: Request<Incoming>) -> ClientResponse {
     proxy.metrics.requests.increment();
     match serve(proxy, request).await {
-        Ok(reply) => reply,
+        Ok(response) => response,
         Err(error) => {
             error.record(&proxy.metrics);
             error_response(&error)
@@ -40,7 +40,7 @@
     }
 }
 
-async fn serve(proxy: &Rc<Proxy>, request: Request<Incoming>) -> Result<Reply, RequestError> {
+async fn serve(proxy: &Rc<Proxy>, request: Request<Incoming>) -> Result<ClientResponse, RequestError> {
     let arrived_at = Instant::now();
     let (parts, body) = request.into_parts();
     let configuration = admit(proxy, &parts).await?;
--- a/crates/proxy/src/request/response.rs
+++ b/crates/proxy/src/request/response.rs
@@ -16,7 +16,7 @@
 use violetyoke_balancing::Millis;
 
 /// A response with a buffered body, or with one that is streamed.
-pub(crate) type Reply = Response<Either<Full<Bytes>, Channel<Bytes, std::io::Error>>>;
+pub(crate) type ClientResponse = Response<Either<Full<Bytes>, Channel<Bytes, std::io::Error>>>;
 
 /// When a client may try again whose request could not be served or denied yet (ms).
 const RETRY_AFTER_NOT_READY_MS: Millis = 200;
@@ -24,7 +24,7 @@
 const STREAM_BUFFER: usize = 1;
 
 /// The proxy's own response.
-pub(super) fn error_response(error: &RequestError) -> Reply {
+pub(super) fn error_response(error: &RequestError) -> ClientResponse {
     match error {
         RequestError::NotReady | RequestError::Unconfirmed => failure_response(
             Execution::NotExecuted,
@@ -46,50 +46,54 @@
 }
 
 /// A status that promises that the request was not executed, or one that does not, as `execution` says.
-fn failure_response(execution: Execution, reason: FailureReason, retry_after_ms: Option<Millis>) -> Reply {
+fn failure_response(
+    execution: Execution,
+    reason: FailureReason,
+    retry_after_ms: Option<Millis>,
+) -> ClientResponse {
     let text = match reason {
         FailureReason::OverLimit => "past the tenant's limit",
         FailureReason::Overloaded => "no backend could take it",
         FailureReason::DeadlineExceeded => "no answer in time",
     };
-    let mut reply = text_response(execution.status(reason), text);
+    let mut client_response = text_response(execution.status(reason), text);
     if let (Execution::NotExecuted, Some(ms)) = (execution, retry_after_ms) {
         let seconds = format!("{:.3}", ms as f64 / 1000.0);
         // Digits and a point are a valid value.
         if let Ok(value) = HeaderValue::from_str(&seconds) {
-            reply.headers_mut().insert(RETRY_AFTER, value);
+            client_response.headers_mut().insert(RETRY_AFTER, value);
         }
     }
-    reply
+    client_response
 }
 
-fn text_response(status: u16, text: &'static str) -> Reply {
-    let mut reply = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
-    *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    reply
+fn text_response(status: u16, text: &'static str) -> ClientResponse {
+    let mut client_response = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
+    *client_response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    client_response
 }
 
 /// A backend's response as the client gets it. The rest of one that is too large to be buffered is forwarded by a task
 /// of its own, which ends with the response's deadline or its client.
-pub(super) fn forward_response(proxy: &Rc<Proxy>, forwarded: ForwardResponse) -> Reply {
+pub(super) fn forward_response(proxy: &Rc<Proxy>, forwarded: ForwardResponse) -> ClientResponse {
     match forwarded.rest {
         None => buffered_response(forwarded.response),
         Some(rest) => streamed_response(proxy, forwarded.response, rest),
     }
 }
 
-fn buffered_response(response: UpstreamResponse) -> Reply {
-    let mut reply = Response::new(Either::Left(Full::new(response.body)));
-    *reply.status_mut() = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
+fn buffered_response(response: UpstreamResponse) -> ClientResponse {
+    let mut client_response = Response::new(Either::Left(Full::new(response.body)));
+    *client_response.status_mut() = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in response.headers {
         if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::from_maybe_shared(value)) {
-            reply.headers_mut().append(name, value);
+            client_response.headers_mut().append(name, value);
         }
     }
-    reply
+    client_response
 }
 
-fn streamed_response(proxy: &Rc<Proxy>, response: UpstreamResponse, rest: StreamedRest) -> Reply {
+fn streamed_response(proxy: &Rc<Proxy>, response: UpstreamResponse, rest: StreamedRest) -> ClientResponse {
     let (mut sender, channel) = Channel::new(STREAM_BUFFER);
     let (content_length, beginning) = (response.content_length, response.body.clone());
     let proxy = proxy.clone();
@@ -99,9 +103,9 @@
         rest.stream.forward(&proxy, sender).await;
         drop(rest.attempt);
     });
-    let mut reply = buffered_response(response).map(|_| Either::Right(channel));
+    let mut client_response = buffered_response(response).map(|_| Either::Right(channel));
     if let Some(length) = content_length {
-        reply.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(length));
+        client_response.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(length));
     }
-    reply
+    client_response
 }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -19,17 +19,20 @@
 const MAX_STALE_RESPONSES: usize = 4;
 
 /// Why no response was read.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
     /// The client broke off its body.
-    Client(BodyError),
+    #[error("the request's body is not complete")]
+    Client(#[source] BodyError),
     /// The connection broke, or what came was no response to this request.
+    #[error("the connection broke, or the response is invalid")]
     Connection {
         /// Bytes of a response had arrived before.
         has_responded: bool,
         source: io::Error,
     },
     /// The deadline has passed, or the attempt timed out and another backend can be asked.
+    #[error("no response in time")]
     TimedOut,
 }
 
@@ -49,10 +52,7 @@
     can_retry_elsewhere: &dyn Fn() -> bool,
 ) -> Result<UpstreamResponse, ExchangeError> {
     let response = write_and_read(connection, request, is_reused);
-    match with_timeouts(response, request, can_retry_elsewhere).await {
-        Some(result) => result,
-        None => Err(ExchangeError::TimedOut),
-    }
+    with_timeouts(response, request, can_retry_elsewhere).await.unwrap_or(Err(ExchangeError::TimedOut))
 }
 
 /// `None` once the attempt has timed out.
