--- a/xtask/tests/structure.rs
+++ b/xtask/tests/structure.rs
@@ -57,6 +57,19 @@
     assert!(inline.is_empty(), "{inline:?}");
 }
 
+#[test]
+fn the_roadmap_lists_every_crate_that_is_exempt() {
+    let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/ROADMAP.md");
+    let page = std::fs::read_to_string(page).expect("the roadmap can be read");
+    let is_listed = |folder: &Path| {
+        let name = folder.file_name().expect("each crate has a folder").to_string_lossy();
+        page.contains(&format!("\n| `{name}` |"))
+    };
+    let exempt = shapes().into_iter().filter(|shape| !shape.has_all_lints);
+    let missing: Vec<_> = exempt.map(|shape| shape.folder).filter(|folder| !is_listed(folder)).collect();
+    assert!(missing.is_empty(), "{missing:?}");
+}
+
 #[test]
 fn files_that_use_one_another_are_a_circle() {
     let shape = survey_of(&[
