--- a/crates/registry/src/daemon/backend_polling.rs
+++ b/crates/registry/src/daemon/backend_polling.rs
@@ -45,7 +45,7 @@
 
     fn on_poll_failed(&mut self, now: Millis, error: &PlatformError) {
         if self.backend_lists.poll_failed(now) {
-            slog::warn!(self.log, "the platform's list can't be read"; "why" => %error);
+            slog::warn!(self.log, "backend list unavailable"; "error" => %error);
         }
     }
 
--- a/crates/registry/src/daemon/http/control.rs
+++ b/crates/registry/src/daemon/http/control.rs
@@ -32,7 +32,7 @@
             Ok(json("{}"))
         }
         Outcome::VersionTaken => {
-            info!(registry.borrow().log, "rejected: the version has another text"; "version" => version);
+            info!(registry.borrow().log, "version conflict"; "version" => version);
             Err(ApiError::VersionConflict { version })
         }
         Outcome::Read(_) | Outcome::NotLeader => Err(ApiError::OutcomeUnknown),
--- a/crates/registry/src/daemon/inbound.rs
+++ b/crates/registry/src/daemon/inbound.rs
@@ -14,7 +14,7 @@
             Event::Message(message) => match decode(&message) {
                 Ok(RegistryRequest::Proxy(request)) => self.on_proxy_request(connection, request),
                 Ok(RegistryRequest::Registry(gossip)) => self.on_gossip(self.now(), connection, gossip),
-                Err(error) => warn!(self.log, "unreadable message"; "why" => %error),
+                Err(error) => warn!(self.log, "undecodable message"; "error" => %error),
             },
         }
     }
--- a/crates/registry/src/daemon/mod.rs
+++ b/crates/registry/src/daemon/mod.rs
@@ -62,7 +62,7 @@
     let _servers = listeners.serve(&registry, &inputs);
     info!(registry.borrow().log, "started");
     run_until_shutdown(&registry, queue, lifecycle).await;
-    info!(registry.borrow().log, "ended");
+    info!(registry.borrow().log, "stopped");
     Ok(())
 }
 
--- a/crates/registry/src/daemon/proxy_requests.rs
+++ b/crates/registry/src/daemon/proxy_requests.rs
@@ -92,7 +92,7 @@
     /// A proxy transfers what it admitted for a tenant whose counter this registry owns newly.
     fn on_transfer_count(&mut self, tenant: &str, fencing_token: Revision, usage: WindowCounts) {
         if let Err(stale) = self.quota.import(self.now(), tenant, fencing_token, usage) {
-            debug!(self.log, "transferred count dropped"; "tenant" => tenant, "why" => %stale);
+            debug!(self.log, "transferred count dropped"; "tenant" => tenant, "error" => %stale);
         }
     }
 
--- a/crates/registry/src/daemon/store_replies.rs
+++ b/crates/registry/src/daemon/store_replies.rs
@@ -22,7 +22,7 @@
             }
             Event::Message(message) => match decode(&message) {
                 Ok(reply) => self.on_store_reply(now, store, reply),
-                Err(error) => warn!(self.log, "unreadable message"; "store" => %store, "why" => %error),
+                Err(error) => warn!(self.log, "undecodable message"; "store" => %store, "error" => %error),
             },
         }
         self.dispatch_commands(now);
--- a/crates/store/src/daemon/event_loop.rs
+++ b/crates/store/src/daemon/event_loop.rs
@@ -82,7 +82,7 @@
                 _ = ticks.tick() => {
                     self.on_tick();
                     if self.is_shutdown_complete() {
-                        info!(self.log, "ends");
+                        info!(self.log, "stopped");
                         return;
                     }
                 }
@@ -91,7 +91,7 @@
     }
 
     fn on_shutdown(&mut self) {
-        info!(self.log, "leaves"; "leader" => self.replica.is_leader());
+        info!(self.log, "shutting down"; "leader" => self.replica.is_leader());
         self.shutdown_at = Some(Instant::now());
         self.step(Event::Shutdown);
     }
@@ -131,7 +131,7 @@
                 Ok(StoreRequest::Envelope(envelope)) => self.step(Event::Message(envelope)),
                 // Other requests belong on connections that their senders have opened.
                 Ok(StoreRequest::Watch { .. } | StoreRequest::Execute { .. }) => {}
-                Err(error) => warn!(self.log, "unread message"; "why" => error.to_string()),
+                Err(error) => warn!(self.log, "undecodable message"; "error" => %error),
             },
         }
     }
@@ -145,7 +145,7 @@
             }
             connection::Event::Message(message) => match decode(&message) {
                 Ok(request) => self.on_request(id, request),
-                Err(error) => warn!(self.log, "unread message"; "why" => error.to_string()),
+                Err(error) => warn!(self.log, "undecodable message"; "error" => %error),
             },
         }
     }
@@ -195,7 +195,7 @@
     fn publish(&mut self) {
         let standing = Standing { epoch: self.replica.epoch(), is_leader: self.replica.is_leader() };
         if standing != self.logged {
-            info!(self.log, "standing"; "epoch" => standing.epoch, "leader" => standing.is_leader);
+            info!(self.log, "leadership"; "epoch" => standing.epoch, "leader" => standing.is_leader);
             self.logged = standing;
         }
         self.publisher.publish(&self.replica, &mut self.connections, &mut self.encoder);
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -40,7 +40,7 @@
     let (storage, durable) = open_storage(&settings)?;
     let address = (settings.local.ip, settings.internal_port(Process::Store)).into();
     let listener = bind(PROGRAM, Some(address), "network.internal-ports")?;
-    info!(log, "begins"; "epoch" => durable.config.epoch, "version" => durable.state.version);
+    info!(log, "started"; "epoch" => durable.config.epoch, "version" => durable.state.version);
     // Unbounded, because connections report by callbacks that can't wait. The loop below does nothing that blocks, and
     // what a connection reads is bounded by the speed of its link.
     let (inputs, queue) = unbounded_channel();
