--- a/crates/proxy/src/registries.rs
+++ b/crates/proxy/src/registries.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use violetyoke_transport::connection::{Event, Sender};
-use violetyoke_transport::messages::{Membership, Revision, ShardOwners};
+use violetyoke_transport::messages::{Membership, MembershipDigest, Revision, ShardOwners};
 use violetyoke_transport::peers::PeerConnections;
 
 /// One connection to a registry: after a reconnect, the same registry has another one.
@@ -137,7 +137,8 @@
     pub(crate) fn majority_confirms(&self, known: Revision) -> bool {
         let state = self.state.borrow();
         let connected = state.connected();
-        let confirms = |report: &Membership| report.digest != 0 && report.newest <= known;
+        let confirms =
+            |report: &Membership| report.digest != MembershipDigest::NONE && report.newest <= known;
         connected.clone().any(|(_, report)| report.in_contact)
             && connected.clone().all(|(_, report)| confirms(report))
             && connected.count() * 2 > state.reports.len()
--- a/crates/proxy/tests/proxy/support/registries.rs
+++ b/crates/proxy/tests/proxy/support/registries.rs
@@ -11,8 +11,8 @@
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::connection::{self, ConnectionId, Event, Sender};
 use violetyoke_transport::messages::{
-    proxy_id, BackendList, ListDigest, Membership, ProxyReply, ProxyRequest, RegistryRequest, Revision,
-    ShardOwners,
+    proxy_id, BackendList, ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest,
+    RegistryRequest, Revision, ShardOwners,
 };
 use violetyoke_transport::net::listen;
 
@@ -121,7 +121,7 @@
         let newest = self.revision();
         let script = &mut *self.script.borrow_mut();
         script.membership = Membership {
-            digest: script.membership.digest + 1,
+            digest: MembershipDigest(script.membership.digest.0 + 1),
             proxies,
             shard_owners: ShardOwners { fencing_token, registries: registries.clone() },
             registries,
@@ -223,7 +223,7 @@
         &self,
         revision: Revision,
         backend_list: ListDigest,
-        membership: u64,
+        membership: MembershipDigest,
     ) -> Vec<ProxyReply> {
         let mut updates: Vec<ProxyReply> = self.full_state_since(revision).into_iter().collect();
         if backend_list != self.backends.digest {
--- a/crates/registry/src/daemon/publishing.rs
+++ b/crates/registry/src/daemon/publishing.rs
@@ -7,7 +7,7 @@
 use crate::Millis;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{Membership, Revision};
+use violetyoke_transport::messages::{Membership, MembershipDigest, Revision};
 
 impl Registry {
     /// Sends each proxy what it lacks: at once where this is its primary registry, and a little later otherwise.
@@ -37,7 +37,7 @@
             self.stores.known().chain(seeds).chain(connected).chain(owners.registries.iter().copied());
         let registries: BTreeSet<Ipv4Addr> = known.collect();
         let membership = Membership {
-            digest: 0,
+            digest: MembershipDigest::NONE,
             proxies: self.sessions.proxy_ids().to_vec(),
             registries: registries.into_iter().collect(),
             in_contact,
--- a/crates/registry/src/updates/membership.rs
+++ b/crates/registry/src/updates/membership.rs
@@ -5,7 +5,7 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 use violetyoke_transport::codec::encode;
-use violetyoke_transport::messages::{Membership, ProxyReply, Revision};
+use violetyoke_transport::messages::{Membership, MembershipDigest, ProxyReply, Revision};
 
 /// A membership is replaced no more often than this (ms), because many proxies join and leave at once. Changes of who owns
 /// the quota shards, or of contact with the core, are not delayed.
@@ -56,10 +56,10 @@
     }
 }
 
-/// The digest of all fields but the newest state. It is never 0, which is that of no membership.
-fn digest_of(membership: &Membership) -> u64 {
+/// The digest of all fields but the newest state. It is never [`MembershipDigest::NONE`].
+fn digest_of(membership: &Membership) -> MembershipDigest {
     let Membership { digest: _, proxies, registries, in_contact, shard_owners, newest: _ } = membership;
     let mut hasher = DefaultHasher::new();
     (proxies, registries, *in_contact, shard_owners.fencing_token).hash(&mut hasher);
-    hasher.finish() | 1
+    MembershipDigest(hasher.finish() | 1)
 }
--- a/crates/registry/src/updates/progress.rs
+++ b/crates/registry/src/updates/progress.rs
@@ -2,7 +2,7 @@
 
 use super::staleness::{StalenessTimers, UpdateKinds};
 use crate::Millis;
-use violetyoke_transport::messages::{ListDigest, Ownership, Revision};
+use violetyoke_transport::messages::{ListDigest, MembershipDigest, Ownership, Revision};
 
 /// The newest versions that this registry has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -11,8 +11,8 @@
     pub state: Option<Revision>,
     /// The backend list, or that of no list.
     pub backend_list: ListDigest,
-    /// The digest of the membership.
-    pub membership: u64,
+    /// The membership.
+    pub membership: MembershipDigest,
     /// The ownership in the membership: its changes are never delayed.
     pub ownership: Ownership,
 }
@@ -24,8 +24,8 @@
     pub state: Revision,
     /// Its backend list.
     pub backend_list: ListDigest,
-    /// The digest of the membership that it received from this registry, or 0.
-    pub membership: u64,
+    /// The membership that it received from this registry.
+    pub membership: MembershipDigest,
 }
 
 /// What one proxy was sent, what it has reported, and since when it has been behind.
@@ -93,7 +93,8 @@
         self.timers.update(now, missing);
         let overdue = self.timers.overdue(now);
         // A proxy without a membership from here has just started: it serves only once all registries have sent theirs.
-        let is_membership_urgent = self.sent.membership == 0 || self.sent_ownership != latest.ownership;
+        let is_membership_urgent =
+            self.sent.membership == MembershipDigest::NONE || self.sent_ownership != latest.ownership;
         UpdateKinds {
             state: missing.state && (self.is_primary || overdue.state),
             backend_list: missing.backend_list && (self.is_primary || overdue.backend_list),
@@ -123,7 +124,7 @@
     }
 
     /// The membership of that digest, with that ownership, has been sent.
-    pub fn membership_sent(&mut self, digest: u64, ownership: Ownership) {
+    pub fn membership_sent(&mut self, digest: MembershipDigest, ownership: Ownership) {
         self.sent.membership = digest;
         self.sent_ownership = ownership;
         self.timers.reset_membership();
--- a/crates/registry/tests/http_api.rs
+++ b/crates/registry/tests/http_api.rs
@@ -10,7 +10,9 @@
     call, send_request, with_registry, FakeProxy, FakeStore, Response, CONTROL, DIRECTORY,
 };
 use tokio::time::{sleep, Instant};
-use violetyoke_transport::messages::{Command, ControlState, ListDigest, Outcome, ProxyRequest, Revision};
+use violetyoke_transport::messages::{
+    Command, ControlState, ListDigest, MembershipDigest, Outcome, ProxyRequest, Revision,
+};
 
 const REPLACE: &str = "/api/rpc?call=configuration.replace";
 const READ: &str = "/api/rpc?call=configuration.read";
@@ -121,7 +123,7 @@
         proxy.send(ProxyRequest::Poll {
             revision,
             backend_list: ListDigest::NONE,
-            membership: 0,
+            membership: MembershipDigest::NONE,
             is_primary: true,
         });
         sleep(Duration::from_millis(50)).await;
--- a/crates/registry/tests/proxy_progress.rs
+++ b/crates/registry/tests/proxy_progress.rs
@@ -6,7 +6,7 @@
     is_installed_by_all, LatestVersions, ProxyProgress, ProxyVersions, StalenessTimers, UpdateKinds,
     FALLBACK_DELAY,
 };
-use violetyoke_transport::messages::{ListDigest, Ownership, Revision};
+use violetyoke_transport::messages::{ListDigest, MembershipDigest, Ownership, Revision};
 
 const NONE: UpdateKinds = UpdateKinds { state: false, backend_list: false, membership: false };
 const ALL: UpdateKinds = UpdateKinds { state: true, backend_list: true, membership: true };
@@ -24,21 +24,22 @@
     LatestVersions {
         state: Some(revision(5)),
         backend_list: ListDigest(50),
-        membership: 500,
+        membership: MembershipDigest(500),
         ownership: ownership(1),
     }
 }
 
 /// What a proxy has once it was sent all of [`latest`].
 fn up_to_date() -> ProxyVersions {
-    ProxyVersions { state: revision(5), backend_list: ListDigest(50), membership: 500 }
+    ProxyVersions { state: revision(5), backend_list: ListDigest(50), membership: MembershipDigest(500) }
 }
 
 /// A proxy that has some older version of everything, sent from here.
 fn outdated_proxy(is_primary: bool) -> ProxyProgress {
     let mut proxy = ProxyProgress::default();
-    proxy.membership_sent(400, latest().ownership);
-    let versions = ProxyVersions { state: revision(4), backend_list: ListDigest(40), membership: 400 };
+    proxy.membership_sent(MembershipDigest(400), latest().ownership);
+    let versions =
+        ProxyVersions { state: revision(4), backend_list: ListDigest(40), membership: MembershipDigest(400) };
     proxy.on_poll(versions, is_primary);
     proxy
 }
@@ -87,7 +88,7 @@
 
     proxy.state_sent(revision(5));
     proxy.backend_list_sent(ListDigest(50));
-    proxy.membership_sent(500, latest().ownership);
+    proxy.membership_sent(MembershipDigest(500), latest().ownership);
     assert_eq!(proxy.sent(), up_to_date());
     assert_eq!(proxy.due_updates(1_001, &latest()), NONE, "sent once");
 }
@@ -115,15 +116,16 @@
 fn new_proxy_and_new_shard_owners_are_not_delayed() {
     let membership = UpdateKinds { membership: true, ..NONE };
     let mut started = ProxyProgress::default();
-    started.on_poll(ProxyVersions { membership: 0, ..up_to_date() }, false);
+    started.on_poll(ProxyVersions { membership: MembershipDigest::NONE, ..up_to_date() }, false);
     assert_eq!(started.due_updates(1_000, &latest()), membership, "it has no membership from here");
 
     let mut known = ProxyProgress::default();
-    known.membership_sent(500, latest().ownership);
+    known.membership_sent(MembershipDigest(500), latest().ownership);
     known.on_poll(up_to_date(), false);
-    let other_owners = LatestVersions { membership: 501, ownership: ownership(2), ..latest() };
+    let other_owners =
+        LatestVersions { membership: MembershipDigest(501), ownership: ownership(2), ..latest() };
     assert_eq!(known.due_updates(1_000, &other_owners), membership);
-    let other_proxies = LatestVersions { membership: 501, ..latest() };
+    let other_proxies = LatestVersions { membership: MembershipDigest(501), ..latest() };
     assert_eq!(known.due_updates(1_000, &other_proxies), NONE, "other proxies alone can wait");
 }
 
--- a/crates/registry/tests/proxy_requests.rs
+++ b/crates/registry/tests/proxy_requests.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 use support::registry::{with_registry, FakeProxy, FakeStore};
 use violetyoke_registry::updates::FALLBACK_DELAY;
-use violetyoke_transport::messages::{ListDigest, Membership, ProxyReply, ProxyRequest, Revision};
+use violetyoke_transport::messages::{
+    ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest, Revision,
+};
 
 const FRONT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 8080);
 const SOON: Duration = Duration::from_millis(100);
@@ -28,7 +30,7 @@
     )
 }
 
-fn poll(known: Revision, membership: u64, is_primary: bool) -> ProxyRequest {
+fn poll(known: Revision, membership: MembershipDigest, is_primary: bool) -> ProxyRequest {
     ProxyRequest::Poll { revision: known, backend_list: ListDigest::NONE, membership, is_primary }
 }
 
@@ -44,7 +46,7 @@
 async fn up_to_date_proxy(store: &FakeStore, is_primary: bool) -> FakeProxy {
     store.publish(revision(1), 1, &configuration(1));
     let proxy = FakeProxy::start(FRONT, true).await;
-    proxy.send(poll(Revision::default(), 0, true));
+    proxy.send(poll(Revision::default(), MembershipDigest::NONE, true));
     let replies = proxy.replies_within(LATER).await;
     let membership = memberships(&replies).last().expect("a membership").digest;
     proxy.send(poll(revision(1), membership, is_primary));
@@ -59,7 +61,7 @@
         store.publish(revision(1), 1, &configuration(1));
         let proxy = FakeProxy::start(FRONT, true).await;
         drop(proxy.replies_within(LATER).await);
-        proxy.send(poll(Revision::default(), 0, true));
+        proxy.send(poll(Revision::default(), MembershipDigest::NONE, true));
 
         let replies = proxy.replies_within(SOON).await;
 
--- a/crates/registry/tests/updates.rs
+++ b/crates/registry/tests/updates.rs
@@ -12,7 +12,7 @@
 };
 use violetyoke_transport::codec::decode;
 use violetyoke_transport::messages::{
-    BackendList, ControlState, ListDigest, Membership, ProxyReply, Revision, ShardOwners,
+    BackendList, ControlState, ListDigest, Membership, MembershipDigest, ProxyReply, Revision, ShardOwners,
 };
 
 fn revision(sequence: u64) -> Revision {
@@ -109,7 +109,7 @@
     let first = updates.install(start, membership(&[1], 1));
     assert_eq!(first, Installation::Installed { has_new_owners: true });
     let digest = updates.current().digest;
-    assert_ne!(digest, 0);
+    assert_ne!(digest, MembershipDigest::NONE);
 
     assert_eq!(updates.install(start + 1, membership(&[1, 2], 1)), Installation::Skipped, "too early");
     assert_eq!(
--- a/crates/scale/src/protocol.rs
+++ b/crates/scale/src/protocol.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{ListDigest, ProxyReply, ProxyRequest, Revision, Session};
+use violetyoke_transport::messages::{
+    ListDigest, MembershipDigest, ProxyReply, ProxyRequest, Revision, Session,
+};
 
 /// Requests to be sent, each to a registry.
 pub type Requests = Vec<(Ipv4Addr, ProxyRequest)>;
@@ -12,7 +14,7 @@
 #[derive(Clone, Debug, Default)]
 struct RegistryView {
     is_connected: bool,
-    membership: u64,
+    membership: MembershipDigest,
     member_count: usize,
     newest: Revision,
 }
@@ -57,8 +59,9 @@
     /// It has a session with each registry, each has sent its membership, and none has a newer state than this proxy.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        let is_up_to_date =
-            |view: &RegistryView| view.is_connected && view.membership != 0 && view.newest <= self.revision;
+        let is_up_to_date = |view: &RegistryView| {
+            view.is_connected && view.membership != MembershipDigest::NONE && view.newest <= self.revision
+        };
         self.backend_list != ListDigest::NONE
             && self.revision != Revision::default()
             && self.registries.values().all(is_up_to_date)
@@ -132,7 +135,7 @@
         self.to_all(|ip| ProxyRequest::Poll {
             revision: self.revision,
             backend_list: self.backend_list,
-            membership: self.registries.get(&ip).map_or(0, |view| view.membership),
+            membership: self.registries.get(&ip).map_or(MembershipDigest::NONE, |view| view.membership),
             is_primary: primary == Some(ip),
         })
     }
--- a/crates/scale/tests/protocol.rs
+++ b/crates/scale/tests/protocol.rs
@@ -6,7 +6,8 @@
 use violetyoke_scale::protocol::{ProxyProtocol, Requests};
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
-    BackendList, BackendListChange, ListDigest, Membership, ProxyReply, ProxyRequest, Revision, Session,
+    BackendList, BackendListChange, ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest,
+    Revision, Session,
 };
 
 const FIRST: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
@@ -48,7 +49,7 @@
 fn members(count: u32, newest: u64) -> ProxyReply {
     let proxies = (0..count).collect();
     ProxyReply::Membership(Membership {
-        digest: 5,
+        digest: MembershipDigest(5),
         proxies,
         newest: revision(newest),
         ..Membership::default()
--- a/crates/transport/src/messages/mod.rs
+++ b/crates/transport/src/messages/mod.rs
@@ -14,7 +14,7 @@
 
 pub use backends::{Backend, BackendList, BackendListChange, ListDigest};
 pub use control::{StoreReply, StoreRequest};
-pub use proxies::{proxy_id, Membership, Ownership, ProxyReply, ProxyRequest, Session};
+pub use proxies::{proxy_id, Membership, MembershipDigest, Ownership, ProxyReply, ProxyRequest, Session};
 pub use registries::{Gossip, RegistryRequest};
 pub use state::{Acceptance, AcceptedVersions, Command, ControlState, Outcome, Revision, ShardOwners};
 pub use stores::{Envelope, Heartbeat, InitialState, PeerMessage, ReplicaConfig, StoreNode};
--- a/crates/transport/src/messages/proxies.rs
+++ b/crates/transport/src/messages/proxies.rs
@@ -36,8 +36,8 @@
         revision: Revision,
         /// Its backend list.
         backend_list: ListDigest,
-        /// The digest of its membership from this registry, or 0.
-        membership: u64,
+        /// Its membership from this registry.
+        membership: MembershipDigest,
         /// This registry is to send updates at once; the others follow later, and only if it has not.
         is_primary: bool,
     },
@@ -132,11 +132,21 @@
     },
 }
 
+/// Identifies the content of a membership, among those of one registry. Encoded as the number alone.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct MembershipDigest(pub u64);
+
+impl MembershipDigest {
+    /// Stands for having no membership.
+    pub const NONE: MembershipDigest = MembershipDigest(0);
+}
+
 /// The proxies, the registries, and the owners of the quota counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Identifies the content; 0 stands for none.
-    pub digest: u64,
+    /// Identifies the content.
+    pub digest: MembershipDigest,
     /// The ids of all proxies ([`proxy_id`]), in ascending order.
     pub proxies: Vec<u32>,
     /// All registries that the sender knows of, connected or not.
--- a/crates/transport/tests/golden/proxies.rs
+++ b/crates/transport/tests/golden/proxies.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddrV4;
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
-    Backend, BackendList, BackendListChange, Gossip, ListDigest, Membership, ProxyReply, ProxyRequest,
-    RegistryRequest, Revision, Session, ShardOwners,
+    Backend, BackendList, BackendListChange, Gossip, ListDigest, Membership, MembershipDigest, ProxyReply,
+    ProxyRequest, RegistryRequest, Revision, Session, ShardOwners,
 };
 
 variants!(ProxyRequest {
@@ -67,7 +67,7 @@
     let poll = |lead| ProxyRequest::Poll {
         revision: revision(300),
         backend_list: ListDigest(u64::MAX),
-        membership: 70_000,
+        membership: MembershipDigest(70_000),
         is_primary: lead,
     };
     vec![
@@ -113,7 +113,7 @@
 
 fn members() -> Membership {
     Membership {
-        digest: u64::MAX - 1,
+        digest: MembershipDigest(u64::MAX - 1),
         proxies: vec![1, 70_000, u32::MAX],
         registries: vec![address(1), address(2)],
         in_contact: true,
