--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -4,7 +4,7 @@
 use serde_json::{json, Value};
 use std::io;
 use std::path::Path;
-use violetyoke_store::consensus::DurableState;
+use violetyoke_store::consensus::{DurableState, StoreId};
 use violetyoke_store::disk::{inspect, SlotContents};
 
 /// What a store's folder contains.
@@ -71,13 +71,16 @@
 }
 
 fn state_lines(durable: &DurableState) -> Vec<String> {
-    let voter_ids = durable.config.voters.iter().map(|voter| &voter.id);
+    let voter_ids = durable.config.voters.iter().map(|voter| voter.id);
     let (state, revision) = (&durable.state, durable.state.revision);
     let mut lines = vec![
-        format!("this store: {}, disk {:x}", store_name(durable, &durable.id), durable.id),
+        format!("this store: {}, disk {}", store_name(durable, durable.id), durable.id),
         format!("promised: epoch {}", durable.promised),
         format!("voters: {}", store_names(durable, voter_ids)),
-        format!("holders, the primary first: {}", store_names(durable, &durable.config.data_replicas)),
+        format!(
+            "holders, the primary first: {}",
+            store_names(durable, durable.config.data_replicas.iter().copied())
+        ),
         format!(
             "held: version {}, {} bytes, stamp {}.{}",
             state.version,
@@ -94,12 +97,12 @@
 }
 
 /// Address and zone of a voter, or the id of a store that is none.
-fn store_name(durable: &DurableState, id: &u64) -> String {
-    let voter = durable.config.voters.iter().find(|voter| voter.id == *id);
-    voter.map_or_else(|| format!("{id:x}"), |voter| format!("{} ({})", voter.ip, voter.zone))
+fn store_name(durable: &DurableState, id: StoreId) -> String {
+    let voter = durable.config.voters.iter().find(|voter| voter.id == id);
+    voter.map_or_else(|| id.to_string(), |voter| format!("{} ({})", voter.ip, voter.zone))
 }
 
-fn store_names<'a>(durable: &DurableState, ids: impl IntoIterator<Item = &'a u64>) -> String {
+fn store_names(durable: &DurableState, ids: impl IntoIterator<Item = StoreId>) -> String {
     ids.into_iter().map(|id| store_name(durable, id)).collect::<Vec<_>>().join(", ")
 }
 
--- a/crates/ctl/tests/store.rs
+++ b/crates/ctl/tests/store.rs
@@ -9,7 +9,9 @@
 use violetyoke_ctl::CommandError;
 use violetyoke_store::consensus::DurableState;
 use violetyoke_store::disk::SlotStorage;
-use violetyoke_transport::messages::{AcceptedVersions, ControlState, ReplicaConfig, Revision, StoreNode};
+use violetyoke_transport::messages::{
+    AcceptedVersions, ControlState, Epoch, ReplicaConfig, Revision, StoreId, StoreNode,
+};
 
 struct Folder(PathBuf);
 
@@ -21,22 +23,22 @@
 }
 
 fn state(version: u64) -> DurableState {
-    let voter = |n: u8| StoreNode { id: u64::from(n), ip: [10, 0, 0, n].into(), zone: "a".into() };
+    let voter = |n: u8| StoreNode { id: StoreId(u64::from(n)), ip: [10, 0, 0, n].into(), zone: "a".into() };
     let config = ReplicaConfig {
-        epoch: 3,
+        epoch: Epoch(3),
         voters: (1..=3).map(voter).collect(),
-        data_replicas: vec![2, 1],
+        data_replicas: vec![StoreId(2), StoreId(1)],
         previous_voters: Vec::new(),
     };
     let text = format!("{{\"version\":{version}}}");
     let state = ControlState {
-        revision: Revision { epoch: 3, sequence: version },
+        revision: Revision { epoch: Epoch(3), sequence: version },
         version,
         text,
         evacuated: ["b".to_owned()].into(),
         accepted: AcceptedVersions::default(),
     };
-    DurableState { id: 2, is_bootstrapping: false, promised: 3, config, state }
+    DurableState { id: StoreId(2), is_bootstrapping: false, promised: Epoch(3), config, state }
 }
 
 /// A folder with two states in it.
--- a/crates/proxy/tests/proxy/control_updates.rs
+++ b/crates/proxy/tests/proxy/control_updates.rs
@@ -12,12 +12,14 @@
 use violetyoke_api::change::ConfigurationChange;
 use violetyoke_api::Configuration;
 use violetyoke_transport::compression::Compressed;
-use violetyoke_transport::messages::{BackendListChange, ListDigest, ProxyReply, ProxyRequest, Revision};
+use violetyoke_transport::messages::{
+    BackendListChange, Epoch, ListDigest, ProxyReply, ProxyRequest, Revision,
+};
 
 const SOON: Duration = Duration::from_secs(1);
 
 fn revision(sequence: u64) -> Revision {
-    Revision { epoch: 1, sequence }
+    Revision { epoch: Epoch(1), sequence }
 }
 
 fn parse(configuration: &Value) -> Configuration {
--- a/crates/proxy/tests/proxy/support/registries.rs
+++ b/crates/proxy/tests/proxy/support/registries.rs
@@ -11,7 +11,7 @@
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::connection::{self, ConnectionId, Event, Sender};
 use violetyoke_transport::messages::{
-    proxy_id, BackendList, ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest,
+    proxy_id, BackendList, Epoch, ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest,
     RegistryRequest, Revision, ShardOwners,
 };
 use violetyoke_transport::net::listen;
@@ -80,7 +80,7 @@
     pub(crate) fn set_state(&self, sequence: u64, configuration: &Value, backends: &[&Backend]) {
         let configuration = Configuration::parse(configuration.to_string().as_bytes()).expect("valid");
         let script = &mut *self.script.borrow_mut();
-        script.state = Some((Revision { epoch: 1, sequence }, configuration));
+        script.state = Some((Revision { epoch: Epoch(1), sequence }, configuration));
         let backends = backends.iter().map(|backend| backend.list_entry()).collect();
         script.backends = BackendList { digest: ListDigest(77), age_ms: 10, backends };
     }
@@ -117,7 +117,7 @@
         let registries: Vec<Ipv4Addr> = registries.iter().map(|registry| registry.ip).collect();
         let mut proxies: Vec<u32> = (1..proxies).chain([proxy_id("edge-1")]).collect();
         proxies.sort_unstable();
-        let fencing_token = Revision { epoch: fencing_epoch, sequence: 0 };
+        let fencing_token = Revision { epoch: Epoch(fencing_epoch), sequence: 0 };
         let newest = self.revision();
         let script = &mut *self.script.borrow_mut();
         script.membership = Membership {
--- a/crates/registry/src/daemon/stores.rs
+++ b/crates/registry/src/daemon/stores.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use violetyoke_transport::connection::Sender;
-use violetyoke_transport::messages::ShardOwners;
+use violetyoke_transport::messages::{Epoch, ShardOwners};
 use violetyoke_transport::peers::PeerConnections;
 
 /// What a store has reported on its present connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StoreStatus {
     /// The epoch that it is in.
-    pub(super) epoch: u64,
+    pub(super) epoch: Epoch,
     /// It leads that epoch, and is in contact with all data replicas.
     pub(super) is_leader: bool,
 }
--- a/crates/registry/src/updates/progress.rs
+++ b/crates/registry/src/updates/progress.rs
@@ -32,9 +32,9 @@
 ///
 /// ```
 /// use violetyoke_registry::updates::{LatestVersions, ProxyProgress, ProxyVersions, FALLBACK_DELAY};
-/// use violetyoke_transport::messages::Revision;
+/// use violetyoke_transport::messages::{Epoch, Revision};
 ///
-/// let revision = Revision { epoch: 1, sequence: 2 };
+/// let revision = Revision { epoch: Epoch(1), sequence: 2 };
 /// let latest = LatestVersions { state: Some(revision), ..LatestVersions::default() };
 /// let mut proxy = ProxyProgress::default();
 /// // It has an older state, and another registry is its primary one: that one is left time to send the update.
--- a/crates/registry/tests/http_api.rs
+++ b/crates/registry/tests/http_api.rs
@@ -11,7 +11,7 @@
 };
 use tokio::time::{sleep, Instant};
 use violetyoke_transport::messages::{
-    Command, ControlState, ListDigest, MembershipDigest, Outcome, ProxyRequest, Revision,
+    Command, ControlState, Epoch, ListDigest, MembershipDigest, Outcome, ProxyRequest, Revision,
 };
 
 const REPLACE: &str = "/api/rpc?call=configuration.replace";
@@ -117,7 +117,7 @@
     with_registry(|| async {
         let store = FakeStore::start(Some(Outcome::Acknowledged)).await;
         let proxy = FakeProxy::start(FRONT, true).await;
-        let revision = Revision { epoch: 1, sequence: 1 };
+        let revision = Revision { epoch: Epoch(1), sequence: 1 };
         store.publish(revision, 3, CONFIGURATION);
         sleep(Duration::from_millis(50)).await;
         proxy.send(ProxyRequest::Poll {
--- a/crates/registry/tests/proxy_progress.rs
+++ b/crates/registry/tests/proxy_progress.rs
@@ -6,13 +6,13 @@
     is_installed_by_all, LatestVersions, ProxyProgress, ProxyVersions, StalenessTimers, UpdateKinds,
     FALLBACK_DELAY,
 };
-use violetyoke_transport::messages::{ListDigest, MembershipDigest, Ownership, Revision};
+use violetyoke_transport::messages::{Epoch, ListDigest, MembershipDigest, Ownership, Revision};
 
 const NONE: UpdateKinds = UpdateKinds { state: false, backend_list: false, membership: false };
 const ALL: UpdateKinds = UpdateKinds { state: true, backend_list: true, membership: true };
 
 fn revision(sequence: u64) -> Revision {
-    Revision { epoch: 1, sequence }
+    Revision { epoch: Epoch(1), sequence }
 }
 
 fn ownership(sequence: u64) -> Ownership {
--- a/crates/registry/tests/proxy_requests.rs
+++ b/crates/registry/tests/proxy_requests.rs
@@ -9,16 +9,16 @@
 use support::registry::{with_registry, FakeProxy, FakeStore};
 use violetyoke_registry::updates::FALLBACK_DELAY;
 use violetyoke_transport::messages::{
-    ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest, Revision,
+    Epoch, ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest, Revision,
 };
 
 const FRONT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 8080);
 const SOON: Duration = Duration::from_millis(100);
 const LATER: Duration = Duration::from_secs(1);
-const FENCE: Revision = Revision { epoch: 1, sequence: 0 };
+const FENCE: Revision = Revision { epoch: Epoch(1), sequence: 0 };
 
 fn revision(sequence: u64) -> Revision {
-    Revision { epoch: 1, sequence }
+    Revision { epoch: Epoch(1), sequence }
 }
 
 /// A configuration with a tenant of 5 requests a second.
--- a/crates/registry/tests/quota_shards.rs
+++ b/crates/registry/tests/quota_shards.rs
@@ -6,7 +6,7 @@
 use violetyoke_api::Configuration;
 use violetyoke_quota::{Admission, WindowCounts};
 use violetyoke_registry::quota_shards::{CountingTerms, NotOwner, QuotaShards};
-use violetyoke_transport::messages::{Revision, ShardOwners};
+use violetyoke_transport::messages::{Epoch, Revision, ShardOwners};
 
 const LOCAL: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const OTHER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
@@ -14,7 +14,7 @@
 const NOW: u64 = 10_000;
 
 fn fencing_token(epoch: u64) -> Revision {
-    Revision { epoch, sequence: 0 }
+    Revision { epoch: Epoch(epoch), sequence: 0 }
 }
 
 /// A registry to which all shards are assigned, with a tenant of 10 requests a second, and one without a limit.
--- a/crates/registry/tests/support/registry.rs
+++ b/crates/registry/tests/support/registry.rs
@@ -17,7 +17,7 @@
 use violetyoke_transport::environment::install;
 use violetyoke_transport::lifecycle::Lifecycle;
 use violetyoke_transport::messages::{
-    Command, ControlState, Outcome, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
+    Command, ControlState, Epoch, Outcome, ProxyReply, ProxyRequest, RegistryRequest, Revision, Session,
     ShardOwners, StoreReply, StoreRequest,
 };
 use violetyoke_transport::net::{connect, listen, Stream};
@@ -102,7 +102,12 @@
     /// Assigns all quota shards to the registry.
     pub(crate) fn assign_shards(&self, fencing_token: Revision) {
         let shard_owners = ShardOwners { fencing_token, registries: vec![LOCAL] };
-        self.send(&StoreReply::Status { epoch: 1, is_leader: true, shard_owners, stores: vec![LOCAL] });
+        self.send(&StoreReply::Status {
+            epoch: Epoch(1),
+            is_leader: true,
+            shard_owners,
+            stores: vec![LOCAL],
+        });
     }
 
     fn send(&self, reply: &StoreReply) {
@@ -117,7 +122,7 @@
 
 fn leader_status() -> StoreReply {
     StoreReply::Status {
-        epoch: 1,
+        epoch: Epoch(1),
         is_leader: true,
         shard_owners: ShardOwners::default(),
         stores: vec![LOCAL],
--- a/crates/registry/tests/updates.rs
+++ b/crates/registry/tests/updates.rs
@@ -12,11 +12,12 @@
 };
 use violetyoke_transport::codec::decode;
 use violetyoke_transport::messages::{
-    BackendList, ControlState, ListDigest, Membership, MembershipDigest, ProxyReply, Revision, ShardOwners,
+    BackendList, ControlState, Epoch, ListDigest, Membership, MembershipDigest, ProxyReply, Revision,
+    ShardOwners,
 };
 
 fn revision(sequence: u64) -> Revision {
-    Revision { epoch: 1, sequence }
+    Revision { epoch: Epoch(1), sequence }
 }
 
 fn configuration(version: u64, hosts: usize) -> Configuration {
--- a/crates/scale/tests/protocol.rs
+++ b/crates/scale/tests/protocol.rs
@@ -6,8 +6,8 @@
 use violetyoke_scale::protocol::{ProxyProtocol, Requests};
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
-    BackendList, BackendListChange, ListDigest, Membership, MembershipDigest, ProxyReply, ProxyRequest,
-    Revision, Session,
+    BackendList, BackendListChange, Epoch, ListDigest, Membership, MembershipDigest, ProxyReply,
+    ProxyRequest, Revision, Session,
 };
 
 const FIRST: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
@@ -25,7 +25,7 @@
 }
 
 fn revision(sequence: u64) -> Revision {
-    Revision { epoch: 1, sequence }
+    Revision { epoch: Epoch(1), sequence }
 }
 
 fn full_state(sequence: u64) -> ProxyReply {
--- a/crates/store/src/consensus/commands.rs
+++ b/crates/store/src/consensus/commands.rs
@@ -2,7 +2,7 @@
 
 use super::event::{ClientId, Millis, WriteNumber};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use violetyoke_transport::messages::{Command, Outcome};
+use violetyoke_transport::messages::{Command, Outcome, StoreId};
 
 /// A state that a data replica has not reported as written is sent again after this time.
 const RESEND_AFTER: Millis = 250;
@@ -33,7 +33,7 @@
     /// The write that makes it durable on this store's own disk.
     pub(super) write: WriteNumber,
     /// Ids of the data replicas that have it on their disks.
-    written: BTreeSet<u64>,
+    written: BTreeSet<StoreId>,
     sent_at: Millis,
 }
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 struct Confirmation {
     replies: Vec<PreparedReply>,
-    confirmed: BTreeSet<u64>,
+    confirmed: BTreeSet<StoreId>,
     since: Millis,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl PendingWrite {
-    pub(super) fn is_written_by(&self, id: u64) -> bool {
+    pub(super) fn is_written_by(&self, id: StoreId) -> bool {
         self.written.contains(&id)
     }
 }
@@ -94,7 +94,7 @@
     }
 
     /// A data replica has the pending write on its disk.
-    pub(super) fn on_written(&mut self, id: u64) {
+    pub(super) fn on_written(&mut self, id: StoreId) {
         if let Some(pending) = &mut self.pending {
             pending.written.insert(id);
         }
@@ -102,7 +102,7 @@
 
     /// Ends the pending write where all data replicas have it; its replies.
     #[must_use]
-    pub(super) fn take_committed(&mut self, data_replicas: &[u64]) -> Option<Vec<PreparedReply>> {
+    pub(super) fn take_committed(&mut self, data_replicas: &[StoreId]) -> Option<Vec<PreparedReply>> {
         let is_committed =
             |pending: &mut PendingWrite| data_replicas.iter().all(|id| pending.written.contains(id));
         self.pending.take_if(is_committed).map(|pending| pending.replies)
@@ -120,9 +120,9 @@
     #[must_use]
     pub(super) fn on_confirmed(
         &mut self,
-        id: u64,
+        id: StoreId,
         nonce: u64,
-        data_replicas: &[u64],
+        data_replicas: &[StoreId],
     ) -> Option<Vec<PreparedReply>> {
         let confirmed = &mut self.confirming.get_mut(&nonce)?.confirmed;
         confirmed.insert(id);
--- a/crates/store/src/consensus/durable.rs
+++ b/crates/store/src/consensus/durable.rs
@@ -1,7 +1,7 @@
 //! What survives a restart.
 
 use serde::{Deserialize, Serialize};
-use violetyoke_transport::messages::{ControlState, ReplicaConfig};
+use violetyoke_transport::messages::{ControlState, Epoch, ReplicaConfig, StoreId};
 
 /// What a store must never forget once another store or a client may depend on it. It is written as a whole each time.
 ///
@@ -9,11 +9,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
     /// Identifies the disk; 0 where it is empty.
-    pub id: u64,
+    pub id: StoreId,
     /// First start of the whole system, and no configuration has been accepted since.
     pub is_bootstrapping: bool,
     /// The highest epoch promised: nothing of a lower one is accepted. Never decreases.
-    pub promised: u64,
+    pub promised: Epoch,
     /// The newest configuration accepted. Its epoch never decreases.
     pub config: ReplicaConfig,
     /// The newest replicated state accepted. Its revision never decreases.
--- a/crates/store/src/consensus/event.rs
+++ b/crates/store/src/consensus/event.rs
@@ -2,7 +2,7 @@
 
 use super::durable::DurableState;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{Command, Envelope, Outcome, PeerMessage};
+use violetyoke_transport::messages::{Command, Envelope, Outcome, PeerMessage, StoreId};
 
 /// Milliseconds of a monotonic clock with an arbitrary origin.
 pub type Millis = u64;
@@ -82,7 +82,7 @@
     /// What an earlier run persisted; the default on an empty disk.
     pub durable: DurableState,
     /// A random number that identifies the disk where it is empty.
-    pub new_disk_id: u64,
+    pub new_disk_id: StoreId,
     /// Whether an empty disk may belong to the very first start of the system.
     pub is_bootstrap: bool,
 }
--- a/crates/store/src/consensus/mod.rs
+++ b/crates/store/src/consensus/mod.rs
@@ -38,3 +38,5 @@
 pub use replica::Replica;
 #[doc(hidden)]
 pub use safety_checks::SafetyChecks;
+
+pub use violetyoke_transport::messages::{Epoch, StoreId};
--- a/crates/store/src/consensus/peers.rs
+++ b/crates/store/src/consensus/peers.rs
@@ -3,7 +3,7 @@
 use super::event::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{Heartbeat, ReplicaConfig, StoreNode};
+use violetyoke_transport::messages::{Epoch, Heartbeat, ReplicaConfig, StoreId, StoreNode};
 
 /// Silence after which a store is suspected to be down.
 const SUSPICION_TIMEOUT: Millis = 700;
@@ -63,12 +63,12 @@
     }
 
     /// Alive under this very id: an address may have got another disk.
-    pub(super) fn is_reachable(&self, id: u64, now: Millis) -> bool {
+    pub(super) fn is_reachable(&self, id: StoreId, now: Millis) -> bool {
         self.alive(now).any(|peer| peer.node.id == id)
     }
 
     /// Reachable, and it is to stay: it may become a data replica.
-    pub(super) fn is_eligible(&self, id: u64, now: Millis) -> bool {
+    pub(super) fn is_eligible(&self, id: StoreId, now: Millis) -> bool {
         self.alive(now).any(|peer| peer.node.id == id && !peer.heartbeat.is_leaving)
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// The configuration of a live leader that is to stay, of that epoch or a newer one.
-    pub(super) fn leader_config(&self, least_epoch: u64, now: Millis) -> Option<&ReplicaConfig> {
+    pub(super) fn leader_config(&self, least_epoch: Epoch, now: Millis) -> Option<&ReplicaConfig> {
         let is_leader = |peer: &&Peer| {
             peer.heartbeat.is_leader
                 && !peer.heartbeat.is_leaving
--- a/crates/store/src/consensus/replica/acceptor.rs
+++ b/crates/store/src/consensus/replica/acceptor.rs
@@ -4,17 +4,17 @@
 use super::{Replica, Role};
 use crate::consensus::role::PHASE_TIMEOUT;
 use violetyoke_transport::messages::{
-    ControlState, InitialState, PeerMessage, ReplicaConfig, Revision, StoreNode,
+    ControlState, Epoch, InitialState, PeerMessage, ReplicaConfig, Revision, StoreNode,
 };
 
 impl Replica {
-    fn refuse(&mut self, to: &StoreNode, epoch: u64) {
+    fn refuse(&mut self, to: &StoreNode, epoch: Epoch) {
         let promised = self.durable.promised;
         self.outbox.send_after_fsync(to.ip, PeerMessage::Refuse { epoch, promised });
     }
 
     /// Raises the promise; a store that leads or is a candidate under a lower epoch is so no more.
-    fn raise_promise(&mut self, epoch: u64) {
+    fn raise_promise(&mut self, epoch: Epoch) {
         self.durable.promised = epoch;
         self.highest_epoch = self.highest_epoch.max(epoch);
         if !matches!(self.role, Role::Follower) {
@@ -32,7 +32,7 @@
     /// Phase 1 of Paxos: promises to accept nothing below `epoch`, and reports what was accepted.
     ///
     /// Invariant: each epoch is promised once, and the promise is on the disk before it is sent.
-    pub(super) fn on_prepare(&mut self, from: &StoreNode, epoch: u64, newest: Revision) {
+    pub(super) fn on_prepare(&mut self, from: &StoreNode, epoch: Epoch, newest: Revision) {
         if epoch <= self.durable.promised {
             return self.refuse(from, epoch);
         }
@@ -79,7 +79,7 @@
     ///
     /// Invariant: only under the very epoch that was accepted, and while no higher one is promised: a leader that was
     /// superseded gets no acknowledgement.
-    pub(super) fn on_write(&mut self, from: &StoreNode, epoch: u64, state: ControlState) {
+    pub(super) fn on_write(&mut self, from: &StoreNode, epoch: Epoch, state: ControlState) {
         if !self.is_current_epoch(epoch) {
             return self.refuse(from, epoch);
         }
@@ -92,14 +92,14 @@
     }
 
     /// Confirms to a leader that no higher epoch was promised, so that it may answer a read.
-    pub(super) fn on_confirm(&mut self, from: &StoreNode, epoch: u64, nonce: u64) {
+    pub(super) fn on_confirm(&mut self, from: &StoreNode, epoch: Epoch, nonce: u64) {
         if !self.is_current_epoch(epoch) {
             return self.refuse(from, epoch);
         }
         self.outbox.send_after_fsync(from.ip, PeerMessage::Confirmed { epoch, nonce });
     }
 
-    fn is_current_epoch(&self, epoch: u64) -> bool {
+    fn is_current_epoch(&self, epoch: Epoch) -> bool {
         epoch == self.durable.config.epoch && epoch == self.durable.promised
     }
 }
--- a/crates/store/src/consensus/replica/candidate.rs
+++ b/crates/store/src/consensus/replica/candidate.rs
@@ -5,7 +5,7 @@
 use crate::consensus::quorum::{all_voters, jitter};
 use crate::consensus::role::{Preparing, Promise, PHASE_TIMEOUT};
 use std::collections::{BTreeMap, BTreeSet};
-use violetyoke_transport::messages::{PeerMessage, StoreNode};
+use violetyoke_transport::messages::{Epoch, PeerMessage, StoreNode};
 
 /// After a failed attempt a store waits this long at least, and up to `MAX_BACKOFF_JITTER` longer.
 const MIN_BACKOFF: Millis = 100;
@@ -17,7 +17,7 @@
     /// Invariant: an epoch is prepared by one store once. It is higher than any that this store has promised, and the
     /// requests leave only when the own promise is on the disk.
     pub(super) fn start_prepare(&mut self, new_voters: Option<Vec<StoreNode>>) {
-        let epoch = self.highest_epoch.max(self.durable.promised) + 1;
+        let epoch = self.highest_epoch.max(self.durable.promised).next();
         self.highest_epoch = epoch;
         self.durable.promised = epoch;
         self.persist();
@@ -40,7 +40,7 @@
         self.maybe_propose();
     }
 
-    pub(super) fn on_promise(&mut self, epoch: u64, promise: Promise) {
+    pub(super) fn on_promise(&mut self, epoch: Epoch, promise: Promise) {
         if let Role::Preparing(preparing) = &mut self.role {
             if preparing.epoch == epoch {
                 preparing.promises.insert(promise.from.id, promise);
@@ -50,7 +50,7 @@
     }
 
     /// Another store has promised a higher epoch: what this one does under a lower one can't succeed any more.
-    pub(super) fn on_refuse(&mut self, epoch: u64, promised: u64) {
+    pub(super) fn on_refuse(&mut self, epoch: Epoch, promised: Epoch) {
         self.highest_epoch = self.highest_epoch.max(promised);
         let own_epoch = match &self.role {
             Role::Preparing(preparing) => Some(preparing.epoch),
--- a/crates/store/src/consensus/replica/election.rs
+++ b/crates/store/src/consensus/replica/election.rs
@@ -3,7 +3,7 @@
 use super::{Replica, Role};
 use crate::consensus::event::Millis;
 use crate::consensus::quorum::{is_joint_majority, jitter};
-use violetyoke_transport::messages::StoreNode;
+use violetyoke_transport::messages::{Epoch, StoreNode};
 
 /// Each backup leaves the first attempt to those before it.
 const BACKUP_DELAY: Millis = 150;
@@ -19,7 +19,7 @@
 
     /// Elections decide about availability alone: any store may prepare an epoch at any time without harm.
     pub(super) fn maybe_start_election(&mut self) {
-        if self.newest_config().epoch == 0 {
+        if self.newest_config().epoch == Epoch::default() {
             return self.maybe_bootstrap();
         }
         let checked = self.settings.checks.data_replicas_vote;
--- a/crates/store/src/consensus/replica/leader.rs
+++ b/crates/store/src/consensus/replica/leader.rs
@@ -5,7 +5,7 @@
 use crate::consensus::commands::PreparedReply;
 use crate::consensus::event::ClientId;
 use crate::consensus::state_machine::apply;
-use violetyoke_transport::messages::{Command, ControlState, PeerMessage, Revision};
+use violetyoke_transport::messages::{Command, ControlState, Epoch, PeerMessage, Revision, StoreId};
 
 impl Replica {
     /// Queues a command; a candidate does too, because it may lead in a moment.
@@ -74,7 +74,7 @@
     ///
     /// Invariant: a state is committed, and its commands are acknowledged, only when all data replicas of the installed
     /// configuration have it on their disks.
-    pub(super) fn on_written(&mut self, id: u64, epoch: u64, revision: Revision) {
+    pub(super) fn on_written(&mut self, id: StoreId, epoch: Epoch, revision: Revision) {
         let is_current =
             epoch == self.durable.config.epoch && revision == self.durable.state.revision && self.is_leader();
         if !is_current {
@@ -110,7 +110,7 @@
     ///
     /// Invariant: a read is answered only when all data replicas have confirmed the epoch after the read came. Any newer
     /// leader needs the promise of one of them.
-    pub(super) fn on_confirmed(&mut self, id: u64, epoch: u64, nonce: u64) {
+    pub(super) fn on_confirmed(&mut self, id: StoreId, epoch: Epoch, nonce: u64) {
         if epoch != self.durable.config.epoch || !self.is_leader() {
             return;
         }
--- a/crates/store/src/consensus/replica/learner.rs
+++ b/crates/store/src/consensus/replica/learner.rs
@@ -2,7 +2,7 @@
 
 use super::Replica;
 use crate::consensus::peers::Peer;
-use violetyoke_transport::messages::{ControlState, PeerMessage, StoreNode};
+use violetyoke_transport::messages::{ControlState, Epoch, PeerMessage, StoreNode};
 
 /// A learner that lacks no more writes than these has caught up: it gets the rest with the configuration that names it.
 const MAX_LEARNER_LAG: u64 = 8;
@@ -51,7 +51,7 @@
     ///
     /// Invariants: the accepted revision never decreases, and a data replica changes its state only by `on_accept` and
     /// `on_write`.
-    pub(super) fn on_snapshot(&mut self, epoch: u64, state: ControlState) {
+    pub(super) fn on_snapshot(&mut self, epoch: Epoch, state: ControlState) {
         let config = &self.durable.config;
         let is_free = !config.has_voter(self.settings.node.id) || epoch == self.durable.promised;
         let is_newer = state.revision > self.durable.state.revision;
--- a/crates/store/src/consensus/replica/mod.rs
+++ b/crates/store/src/consensus/replica/mod.rs
@@ -24,7 +24,7 @@
 use super::snapshots::SentSnapshots;
 use super::timers::Timers;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{Envelope, Outcome, PeerMessage, Revision, StoreNode};
+use violetyoke_transport::messages::{Envelope, Epoch, Outcome, PeerMessage, Revision, StoreId, StoreNode};
 
 /// What stays the same while a replica runs.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     /// The revision of the newest state that is known to be on the disks of all data replicas.
     committed: Revision,
     /// The highest epoch heard of.
-    highest_epoch: u64,
+    highest_epoch: Epoch,
     /// Whether watchers were last notified that this store leads in contact with the other data replicas.
     notified_contact: bool,
 }
@@ -75,9 +75,9 @@
     #[must_use]
     pub fn new(options: ReplicaOptions, now: Millis) -> Replica {
         let mut durable = options.durable;
-        let is_empty = durable.id == 0;
+        let is_empty = durable.id == StoreId::default();
         if is_empty {
-            durable.id = options.new_disk_id.max(1);
+            durable.id = options.new_disk_id.max(StoreId(1));
             durable.is_bootstrapping = options.is_bootstrap;
         }
         let node = StoreNode { id: durable.id, ip: options.ip, zone: options.zone };
@@ -214,15 +214,15 @@
         others.filter_map(|id| config.voters.iter().find(|voter| voter.id == *id)).cloned().collect()
     }
 
-    fn is_reachable(&self, id: u64) -> bool {
+    fn is_reachable(&self, id: StoreId) -> bool {
         self.peers.is_reachable(id, self.now)
     }
 
-    fn is_eligible(&self, id: u64) -> bool {
+    fn is_eligible(&self, id: StoreId) -> bool {
         self.peers.is_eligible(id, self.now)
     }
 
-    fn is_local(&self, id: u64) -> bool {
+    fn is_local(&self, id: StoreId) -> bool {
         id == self.settings.node.id
     }
 
--- a/crates/store/src/consensus/replica/proposal.rs
+++ b/crates/store/src/consensus/replica/proposal.rs
@@ -6,7 +6,7 @@
 use crate::consensus::role::{Preparing, Proposing};
 use std::collections::BTreeSet;
 use violetyoke_transport::messages::{
-    ControlState, InitialState, PeerMessage, ReplicaConfig, Revision, StoreNode,
+    ControlState, Epoch, InitialState, PeerMessage, ReplicaConfig, Revision, StoreId, StoreNode,
 };
 
 /// A configuration with the state that its data replicas start from.
@@ -17,7 +17,7 @@
     /// The revision of that state before.
     promised_revision: Revision,
     /// Ids of the voters that have promised with that very state.
-    has_state: BTreeSet<u64>,
+    has_state: BTreeSet<StoreId>,
 }
 
 impl Replica {
@@ -42,7 +42,7 @@
     /// The configuration that the new one follows, once enough of its voters have promised.
     fn promised_base(&self, preparing: &Preparing) -> Option<ReplicaConfig> {
         let newest = preparing.newest_config()?;
-        let base = if newest.epoch == 0 { &self.durable.config } else { newest };
+        let base = if newest.epoch == Epoch::default() { &self.durable.config } else { newest };
         let is_promised = is_joint_majority(base, |id| preparing.has_promise(id));
         (is_promised && preparing.has_waited_enough(&base.voters, self.now)).then(|| base.clone())
     }
@@ -74,7 +74,7 @@
         preparing: &Preparing,
         base: &ReplicaConfig,
         voters: &[StoreNode],
-    ) -> Option<Vec<u64>> {
+    ) -> Option<Vec<StoreId>> {
         let local = &self.settings.node;
         let is_able = |voter: &&StoreNode| {
             let is_ready = preparing.has_promise(voter.id) || !base.has_voter(voter.id);
@@ -83,7 +83,7 @@
         let mut others: Vec<&StoreNode> = voters.iter().filter(is_able).collect();
         others.sort_by_key(|voter| (!self.is_eligible(voter.id), voter.zone == local.zone));
         let count = data_replica_count(voters);
-        let ids: Vec<u64> =
+        let ids: Vec<StoreId> =
             [local.id].into_iter().chain(others.iter().map(|voter| voter.id)).take(count).collect();
         (ids.len() == count).then_some(ids)
     }
@@ -97,7 +97,8 @@
         self.durable.state = state.clone();
         self.persist();
         let write = self.outbox.last_requested();
-        let initial_state = |id: u64| match (config.data_replicas.contains(&id), has_state.contains(&id)) {
+        let initial_state = |id: StoreId| match (config.data_replicas.contains(&id), has_state.contains(&id))
+        {
             (false, _) => None,
             (true, true) => Some(InitialState::Promised { from, to: state.revision }),
             (true, false) => Some(InitialState::Full(state.clone())),
@@ -116,7 +117,7 @@
     ///
     /// Invariant: a configuration is installed only when a joint majority has accepted it and all its data replicas have
     /// the state on their disks. One store at most leads under an epoch.
-    pub(super) fn on_accepted(&mut self, id: u64, epoch: u64) {
+    pub(super) fn on_accepted(&mut self, id: StoreId, epoch: Epoch) {
         let Role::Proposing(proposing) = &mut self.role else { return };
         let config = &proposing.config;
         if config.epoch != epoch {
--- a/crates/store/src/consensus/replica/reconfiguration.rs
+++ b/crates/store/src/consensus/replica/reconfiguration.rs
@@ -7,7 +7,7 @@
 use super::Replica;
 use crate::consensus::event::Millis;
 use crate::consensus::quorum::{data_replica_count, is_majority};
-use violetyoke_transport::messages::StoreNode;
+use violetyoke_transport::messages::{StoreId, StoreNode};
 
 /// A voter that was not heard for this long may be replaced; more than what makes it suspected.
 const REPLACE_AFTER: Millis = 1_300;
@@ -76,13 +76,13 @@
     }
 
     /// Has announced that it leaves, and is still there.
-    fn is_known_to_leave(&self, id: u64) -> bool {
+    fn is_known_to_leave(&self, id: StoreId) -> bool {
         self.is_reachable(id) && !self.is_eligible(id)
     }
 
     /// A backup is down or leaves, and enough other voters could hold data.
     fn can_replace_backup(&self, voters: &[StoreNode]) -> bool {
-        let suffices = |is_able: &dyn Fn(u64) -> bool| {
+        let suffices = |is_able: &dyn Fn(StoreId) -> bool| {
             let able = voters.iter().filter(|voter| self.is_local(voter.id) || is_able(voter.id));
             able.count() >= data_replica_count(voters)
         };
--- a/crates/store/src/consensus/replica/status.rs
+++ b/crates/store/src/consensus/replica/status.rs
@@ -3,13 +3,14 @@
 use super::{Replica, Role};
 use crate::consensus::safety_checks::SafetyChecks;
 use std::net::Ipv4Addr;
-use violetyoke_transport::messages::{ControlState, StoreNode};
+use violetyoke_transport::messages::{ControlState, Epoch, StoreNode};
 
 impl Replica {
     /// The state that is on the disks of all data replicas, as far as this store knows.
     #[must_use]
     pub fn committed_state(&self) -> Option<&ControlState> {
-        let is_committed = self.committed == self.durable.state.revision && self.committed.epoch > 0;
+        let is_committed =
+            self.committed == self.durable.state.revision && self.committed.epoch > Epoch::default();
         is_committed.then_some(&self.durable.state)
     }
 
@@ -26,7 +27,7 @@
 
     /// The epoch of the newest configuration accepted here.
     #[must_use]
-    pub fn epoch(&self) -> u64 {
+    pub fn epoch(&self) -> Epoch {
         self.durable.config.epoch
     }
 
--- a/crates/store/src/consensus/role.rs
+++ b/crates/store/src/consensus/role.rs
@@ -3,7 +3,7 @@
 use super::event::{Millis, WriteNumber};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
-use violetyoke_transport::messages::{ControlState, ReplicaConfig, Revision, StoreNode};
+use violetyoke_transport::messages::{ControlState, Epoch, ReplicaConfig, Revision, StoreId, StoreNode};
 
 /// How long a candidate waits for promises, and then for acceptances.
 pub(super) const PHASE_TIMEOUT: Millis = 600;
@@ -26,12 +26,12 @@
 /// The first phase of a candidate.
 #[derive(Clone, Debug)]
 pub(super) struct Preparing {
-    pub(super) epoch: u64,
+    pub(super) epoch: Epoch,
     pub(super) since: Millis,
     /// The voters that a leader wants to have; `None` where the voters are to stay as they are.
     pub(super) new_voters: Option<Vec<StoreNode>>,
     /// By the id of the voter that gave it.
-    pub(super) promises: BTreeMap<u64, Promise>,
+    pub(super) promises: BTreeMap<StoreId, Promise>,
 }
 
 /// What a voter had accepted when it promised.
@@ -52,7 +52,7 @@
     pub(super) write: WriteNumber,
     pub(super) since: Millis,
     /// Ids of the voters that have accepted.
-    pub(super) accepted: BTreeSet<u64>,
+    pub(super) accepted: BTreeSet<StoreId>,
 }
 
 impl Role {
@@ -67,7 +67,7 @@
 }
 
 impl Preparing {
-    pub(super) fn has_promise(&self, id: u64) -> bool {
+    pub(super) fn has_promise(&self, id: StoreId) -> bool {
         self.promises.contains_key(&id)
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Ids of the voters that promised with a state of this revision.
-    pub(super) fn ids_with(&self, revision: Revision) -> BTreeSet<u64> {
+    pub(super) fn ids_with(&self, revision: Revision) -> BTreeSet<StoreId> {
         let with_revision = self.promises.values().filter(|promise| promise.revision == revision);
         with_revision.map(|promise| promise.from.id).collect()
     }
--- a/crates/store/src/consensus/snapshots.rs
+++ b/crates/store/src/consensus/snapshots.rs
@@ -2,7 +2,7 @@
 
 use super::event::Millis;
 use std::collections::BTreeMap;
-use violetyoke_transport::messages::Revision;
+use violetyoke_transport::messages::{Revision, StoreId};
 
 /// A snapshot that a learner has not persisted is sent again after this time.
 const SNAPSHOT_RETRY: Millis = 1_000;
@@ -15,17 +15,17 @@
 
 /// The last snapshot that was sent to each learner, by the id of its disk.
 #[derive(Clone, Debug, Default)]
-pub(super) struct SentSnapshots(BTreeMap<u64, SentSnapshot>);
+pub(super) struct SentSnapshots(BTreeMap<StoreId, SentSnapshot>);
 
 impl SentSnapshots {
     /// A state newer than `persisted`, the newest that the learner reports, was sent to it a short while ago.
-    pub(super) fn is_in_flight(&self, learner: u64, persisted: Revision, now: Millis) -> bool {
+    pub(super) fn is_in_flight(&self, learner: StoreId, persisted: Revision, now: Millis) -> bool {
         self.0
             .get(&learner)
             .is_some_and(|sent| persisted < sent.revision && now < sent.sent_at + SNAPSHOT_RETRY)
     }
 
-    pub(super) fn record(&mut self, learner: u64, revision: Revision, now: Millis) {
+    pub(super) fn record(&mut self, learner: StoreId, revision: Revision, now: Millis) {
         self.0.insert(learner, SentSnapshot { revision, sent_at: now });
     }
 
--- a/crates/store/src/daemon/event_loop.rs
+++ b/crates/store/src/daemon/event_loop.rs
@@ -16,7 +16,7 @@
 use violetyoke_transport::codec::decode;
 use violetyoke_transport::connection::{self, ConnectionId};
 use violetyoke_transport::lifecycle::Lifecycle;
-use violetyoke_transport::messages::{PeerMessage, StoreRequest};
+use violetyoke_transport::messages::{Epoch, PeerMessage, StoreRequest};
 use violetyoke_transport::peers::PeerConnections;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -26,7 +26,7 @@
 /// What was last logged of a store's part.
 #[derive(Default, PartialEq)]
 struct Standing {
-    epoch: u64,
+    epoch: Epoch,
     is_leader: bool,
 }
 
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -20,6 +20,7 @@
 use violetyoke_transport::connection;
 use violetyoke_transport::daemon::{bind, StartError};
 use violetyoke_transport::lifecycle::Lifecycle;
+use violetyoke_transport::messages::StoreId;
 
 const PROGRAM: &str = "store";
 
@@ -72,7 +73,7 @@
         seeds: settings.seeds(),
         fault_tolerance: settings.terms.fault_tolerance.machines,
         durable,
-        new_disk_id: lifecycle.incarnation,
+        new_disk_id: StoreId(lifecycle.incarnation),
         is_bootstrap: settings.local.bootstrap,
     }
 }
--- a/crates/store/src/daemon/publisher.rs
+++ b/crates/store/src/daemon/publisher.rs
@@ -5,7 +5,7 @@
 use crate::consensus::Replica;
 use std::net::Ipv4Addr;
 use violetyoke_transport::codec::encode;
-use violetyoke_transport::messages::{Revision, ShardOwners, StoreReply};
+use violetyoke_transport::messages::{Epoch, Revision, ShardOwners, StoreReply};
 
 /// Sends updates to watchers, and appoints the registries that own the quota shards while this store leads.
 #[derive(Default)]
@@ -52,7 +52,7 @@
 
     /// Appoints the connected registries. Each change of them gets a higher fencing token, within an epoch by its
     /// sequence, so that what earlier owners send is recognized as stale.
-    fn appoint(&mut self, epoch: u64, registries: Vec<Ipv4Addr>) {
+    fn appoint(&mut self, epoch: Epoch, registries: Vec<Ipv4Addr>) {
         let last = self.shard_owners.fencing_token;
         if registries == self.shard_owners.registries && last.epoch == epoch {
             return;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -12,6 +12,7 @@
 //!
 //! ```
 //! use violetyoke_store::consensus::{DurableState, Effect, Event, Replica, ReplicaOptions};
+//! use violetyoke_transport::messages::StoreId;
 //!
 //! let ip = [127, 0, 0, 1].into();
 //! let options = ReplicaOptions {
@@ -20,7 +21,7 @@
 //!     seeds: vec![ip],
 //!     fault_tolerance: 0,
 //!     durable: DurableState::default(),
-//!     new_disk_id: 7,
+//!     new_disk_id: StoreId(7),
 //!     is_bootstrap: true,
 //! };
 //! let mut replica = Replica::new(options, 1);
--- a/crates/store/tests/golden/main.rs
+++ b/crates/store/tests/golden/main.rs
@@ -18,7 +18,9 @@
 use std::path::PathBuf;
 use violetyoke_store::consensus::DurableState;
 use violetyoke_store::disk::{inspect, SlotContents, SlotStorage};
-use violetyoke_transport::messages::{AcceptedVersions, ControlState, ReplicaConfig, Revision, StoreNode};
+use violetyoke_transport::messages::{
+    AcceptedVersions, ControlState, Epoch, ReplicaConfig, Revision, StoreId, StoreNode,
+};
 
 fn golden(name: &str, current: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
     GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin").read(name, current)
@@ -51,7 +53,7 @@
 
 fn store(number: u8) -> StoreNode {
     StoreNode {
-        id: u64::MAX - u64::from(number),
+        id: StoreId(u64::MAX - u64::from(number)),
         ip: Ipv4Addr::new(127, 10, 3, number),
         zone: format!("zone-{number}"),
     }
@@ -63,14 +65,14 @@
     let mut accepted = AcceptedVersions::default();
     assert!(accepted.insert(version - 1, "{}"));
     assert!(accepted.insert(version, &text));
-    let revision = Revision { epoch: 70_000, sequence: version };
+    let revision = Revision { epoch: Epoch(70_000), sequence: version };
     let evacuated = BTreeSet::from(["zone-1".to_owned(), "zone-2".to_owned()]);
     DurableState {
         id: store(1).id,
         is_bootstrapping: true,
-        promised: 70_001,
+        promised: Epoch(70_001),
         config: ReplicaConfig {
-            epoch: 70_000,
+            epoch: Epoch(70_000),
             voters: vec![store(1), store(2), store(3)],
             data_replicas: vec![store(1).id, store(2).id],
             previous_voters: vec![vec![store(1), store(4)], vec![store(4)]],
@@ -132,9 +134,9 @@
 /// What builds before the history of accepted versions kept.
 #[derive(Serialize)]
 struct OlderDurable {
-    id: u64,
+    id: StoreId,
     is_bootstrapping: bool,
-    promised: u64,
+    promised: Epoch,
     config: ReplicaConfig,
     state: OlderControlState,
 }
--- a/crates/store/tests/model/message_sizes.rs
+++ b/crates/store/tests/model/message_sizes.rs
@@ -2,7 +2,7 @@
 
 use crate::system::{address, Heartbeats, System};
 use violetyoke_store::consensus::{Replica, ReplicaOptions};
-use violetyoke_transport::messages::{InitialState, PeerMessage};
+use violetyoke_transport::messages::{InitialState, PeerMessage, StoreId};
 
 /// Three stores with an acknowledged command.
 struct Stores {
@@ -108,7 +108,7 @@
             seeds: (0..3).map(address).collect(),
             fault_tolerance: 1,
             durable,
-            new_disk_id: 99,
+            new_disk_id: StoreId(99),
             is_bootstrap: false,
         };
         system.stores[moved].replica = Replica::new(options, system.now);
--- a/crates/store/tests/model/reconfiguration.rs
+++ b/crates/store/tests/model/reconfiguration.rs
@@ -5,7 +5,7 @@
 use crate::system::{address, Heartbeats, InFlight, System};
 use stateright::{Model, Property};
 use violetyoke_store::consensus::{DurableState, Event, Millis, SafetyChecks};
-use violetyoke_transport::messages::PeerMessage;
+use violetyoke_transport::messages::{Epoch, PeerMessage, StoreId};
 
 const LEADER: usize = 0;
 const SILENT: usize = 1;
@@ -134,7 +134,7 @@
             system.elect(SILENT, OTHER);
             let sent = std::mem::take(&mut system.in_flight);
             let Some(last) = sent.into_iter().rfind(|message| message.to == OTHER) else { continue };
-            if matches!(last.envelope.message, PeerMessage::Prepare { epoch, .. } if epoch > 3) {
+            if matches!(last.envelope.message, PeerMessage::Prepare { epoch, .. } if epoch > Epoch(3)) {
                 break last;
             }
             // Refused: the answer tells the returned voter of the newer epoch.
@@ -203,7 +203,8 @@
             }
             Step::Restart(n) => self.restart(&mut system, n),
             Step::Wipe(n) => {
-                system.stores[n].durable = DurableState { id: n as u64 + 11, ..DurableState::default() };
+                system.stores[n].durable =
+                    DurableState { id: StoreId(n as u64 + 11), ..DurableState::default() };
                 self.restart(&mut system, n);
             }
         }
--- a/crates/store/tests/model/replication.rs
+++ b/crates/store/tests/model/replication.rs
@@ -5,7 +5,7 @@
 use crate::system::{address, Heartbeats, InFlight, System};
 use stateright::{Model, Property};
 use violetyoke_store::consensus::{Event, Millis};
-use violetyoke_transport::messages::{Envelope, PeerMessage};
+use violetyoke_transport::messages::{Envelope, Epoch, PeerMessage};
 
 pub const LEADER_HAS_ACKNOWLEDGED: &str = "the leader has what was acknowledged";
 pub const ACKNOWLEDGED: &str = "a version is acknowledged";
@@ -155,7 +155,7 @@
             Property::always(LEADER_HAS_ACKNOWLEDGED, |_, system: &System| system.leader_has_acknowledged()),
             Property::sometimes(ACKNOWLEDGED, |_, system: &System| system.acknowledged_version > 0),
             Property::sometimes(SECOND_EPOCH, |_, system: &System| {
-                system.leader().is_some_and(|leader| system.stores[leader].replica.epoch() > 1)
+                system.leader().is_some_and(|leader| system.stores[leader].replica.epoch() > Epoch(1))
             }),
         ]
     }
--- a/crates/store/tests/model/system.rs
+++ b/crates/store/tests/model/system.rs
@@ -5,7 +5,7 @@
 use violetyoke_store::consensus::{
     ClientId, DurableState, Effect, Event, Millis, Replica, ReplicaOptions, WriteNumber,
 };
-use violetyoke_transport::messages::{Command, Envelope, Outcome, PeerMessage};
+use violetyoke_transport::messages::{Command, Envelope, Epoch, Outcome, PeerMessage, StoreId};
 
 const TICK_INTERVAL: Millis = 50;
 /// Ticks until the first configuration is installed.
@@ -79,7 +79,7 @@
         seeds: (0..3).map(address).collect(),
         fault_tolerance: 1,
         durable,
-        new_disk_id: n as u64 + 1,
+        new_disk_id: StoreId(n as u64 + 1),
         is_bootstrap: true,
     };
     Replica::new(options, now)
@@ -234,7 +234,7 @@
     /// No two stores lead under the same epoch.
     pub fn has_one_leader_per_epoch(&self) -> bool {
         let leaders = self.stores.iter().map(|store| &store.replica).filter(|replica| replica.is_leader());
-        let mut epochs: Vec<u64> = leaders.map(Replica::epoch).collect();
+        let mut epochs: Vec<Epoch> = leaders.map(Replica::epoch).collect();
         let count = epochs.len();
         epochs.sort_unstable();
         epochs.dedup();
--- a/crates/store/tests/power_loss/main.rs
+++ b/crates/store/tests/power_loss/main.rs
@@ -9,9 +9,10 @@
 use files::{FaultyFiles, Unsynced};
 use violetyoke_store::consensus::DurableState;
 use violetyoke_store::disk::{encode_slot, SlotFiles, SlotStorage};
+use violetyoke_transport::messages::{Epoch, StoreId};
 
 fn state(promised: u64) -> DurableState {
-    DurableState { id: 7, promised, ..DurableState::default() }
+    DurableState { id: StoreId(7), promised: Epoch(promised), ..DurableState::default() }
 }
 
 fn slot(write_number: u64, state: &DurableState) -> Vec<u8> {
@@ -26,7 +27,7 @@
 /// The promise of the newest state that a process finds which starts now; 0 where there is none.
 fn newest(files: &FaultyFiles) -> u64 {
     let (_, found) = SlotStorage::recover(files.clone()).expect("a disk without a limit");
-    found.map_or(0, |state| state.promised)
+    found.map_or(0, |state| state.promised.0)
 }
 
 /// A process starts and writes a state to a disk that fails after so many steps; whether the write counted.
--- a/crates/store/tests/recovery.rs
+++ b/crates/store/tests/recovery.rs
@@ -24,7 +24,7 @@
 fn check_leader(cluster: &Cluster, run: &str) {
     let running = cluster.machines.iter().filter(|machine| machine.frozen_until <= cluster.now);
     let replicas: Vec<_> = running.filter_map(|machine| machine.replica.as_ref()).collect();
-    let newest = replicas.iter().map(|replica| replica.epoch()).max().unwrap_or(0);
+    let newest = replicas.iter().map(|replica| replica.epoch()).max().unwrap_or_default();
     let leaders = replicas.iter().filter(|replica| replica.is_leader() && replica.epoch() == newest);
     for state in leaders.filter_map(|replica| replica.committed_state()) {
         let (has, acknowledged) = (state.version, cluster.acknowledged_version);
--- a/crates/store/tests/schedules/injection.rs
+++ b/crates/store/tests/schedules/injection.rs
@@ -6,6 +6,7 @@
 use crate::simulation::network::{MessageLoss, SlowLinks};
 use crate::simulation::Millis;
 use violetyoke_store::consensus::Replica;
+use violetyoke_transport::messages::{Epoch, StoreId};
 
 /// A machine that was removed counts as lost until its successor is there.
 const NEVER: Millis = Millis::MAX;
@@ -18,7 +19,7 @@
     pub fn resolve(&self, target: Target) -> Option<usize> {
         let config = &self.cluster.newest_config;
         let machines = &self.cluster.machines;
-        let by_id = |id: u64| {
+        let by_id = |id: StoreId| {
             let voter = config.voters.iter().find(|voter| voter.id == id)?;
             machines.iter().position(|machine| machine.ip == voter.ip)
         };
@@ -39,7 +40,8 @@
 
     pub fn is_under_way(&self, activity: Activity) -> bool {
         let (cluster, now) = (&self.cluster, self.cluster.now);
-        let epoch_of = |n: usize| cluster.machines[n].replica.as_ref().map_or(0, Replica::epoch);
+        let epoch_of =
+            |n: usize| cluster.machines[n].replica.as_ref().map_or(Epoch::default(), Replica::epoch);
         match activity {
             Activity::CommandInFlight => cluster.has_command_in_flight(),
             Activity::JustAcknowledged => cluster.last_acknowledged_at.is_some_and(|at| now <= at + 4),
--- a/crates/store/tests/schedules/operators.rs
+++ b/crates/store/tests/schedules/operators.rs
@@ -5,7 +5,7 @@
 use crate::simulation::Millis;
 use std::cmp::Reverse;
 use violetyoke_store::consensus::{ClientId, Replica};
-use violetyoke_transport::messages::{Command, Outcome};
+use violetyoke_transport::messages::{Command, Epoch, Outcome};
 
 /// How often an operator looks for its answer.
 const POLL_INTERVAL: Millis = 20;
@@ -182,7 +182,8 @@
         let machines = &self.cluster.machines;
         let is_leader = |n: &usize| machines[*n].replica.as_ref().is_some_and(Replica::is_leader);
         let mut leaders: Vec<usize> = (0..machines.len()).filter(is_leader).collect();
-        leaders.sort_by_key(|n| Reverse(machines[*n].replica.as_ref().map_or(0, Replica::epoch)));
+        leaders
+            .sort_by_key(|n| Reverse(machines[*n].replica.as_ref().map_or(Epoch::default(), Replica::epoch)));
         let count = machines.len();
         let drawn = self.cluster.random.below(count as u64) as usize;
         let other = if Some(drawn) == last_machine { (drawn + 1) % count } else { drawn };
--- a/crates/store/tests/simulation/machine.rs
+++ b/crates/store/tests/simulation/machine.rs
@@ -5,6 +5,7 @@
 use super::{Cluster, Millis};
 use std::net::Ipv4Addr;
 use violetyoke_store::consensus::{DurableState, Event, Replica, ReplicaOptions, WriteNumber};
+use violetyoke_transport::messages::StoreId;
 
 /// A simulated machine.
 pub struct Machine {
@@ -76,7 +77,7 @@
     }
 
     fn start(&mut self, n: usize, is_bootstrap: bool) {
-        let new_disk_id = self.random.below(u64::MAX - 1) + 1;
+        let new_disk_id = StoreId(self.random.below(u64::MAX - 1) + 1);
         let (now, fault_tolerance) = (self.now, self.fault_tolerance);
         let machine = &mut self.machines[n];
         let options = ReplicaOptions {
--- a/crates/store/tests/simulation/operators.rs
+++ b/crates/store/tests/simulation/operators.rs
@@ -2,7 +2,7 @@
 
 use super::{Cluster, Millis};
 use violetyoke_store::consensus::{ClientId, Replica};
-use violetyoke_transport::messages::Command;
+use violetyoke_transport::messages::{Command, Epoch};
 
 /// How often an operator who insists sends to all stores.
 const RETRY_INTERVAL: Millis = 100;
@@ -47,7 +47,7 @@
     /// The machine whose store leads under the highest epoch.
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |n: &usize| self.machines[*n].replica.as_ref().is_some_and(Replica::is_leader);
-        let epoch = |n: &usize| self.machines[*n].replica.as_ref().map_or(0, Replica::epoch);
+        let epoch = |n: &usize| self.machines[*n].replica.as_ref().map_or(Epoch::default(), Replica::epoch);
         (0..self.machines.len()).filter(is_leader).max_by_key(epoch)
     }
 }
--- a/crates/store/tests/slots.rs
+++ b/crates/store/tests/slots.rs
@@ -5,9 +5,10 @@
 use std::path::{Path, PathBuf};
 use violetyoke_store::consensus::DurableState;
 use violetyoke_store::disk::{decode_slot, encode_slot, inspect_slot, SlotContents, SlotStorage};
+use violetyoke_transport::messages::{Epoch, StoreId};
 
 fn state(promised: u64) -> DurableState {
-    DurableState { id: 7, promised, ..DurableState::default() }
+    DurableState { id: StoreId(7), promised: Epoch(promised), ..DurableState::default() }
 }
 
 fn slot(write_number: u64, state: &DurableState) -> Vec<u8> {
--- a/crates/transport/examples/message_cost.rs
+++ b/crates/transport/examples/message_cost.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 use violetyoke_transport::codec::{decode, encode_deflated};
 use violetyoke_transport::messages::{
-    ControlState, Envelope, PeerMessage, Revision, StoreNode, StoreRequest,
+    ControlState, Envelope, Epoch, PeerMessage, Revision, StoreId, StoreNode, StoreRequest,
 };
 
 const RUNS: u32 = 20;
@@ -28,7 +28,12 @@
         )
     });
     let text = format!(r#"{{"version":7,"routes":{{"rows":[{}]}}}}"#, rows.collect::<Vec<_>>().join(","));
-    ControlState { revision: Revision { epoch: 3, sequence: 9 }, version: 7, text, ..ControlState::default() }
+    ControlState {
+        revision: Revision { epoch: Epoch(3), sequence: 9 },
+        version: 7,
+        text,
+        ..ControlState::default()
+    }
 }
 
 fn mean(mut run: impl FnMut()) -> Duration {
@@ -45,9 +50,9 @@
     for routes in [50, 500, 1_700, 5_000, 17_000, 60_000] {
         let state = state_with(routes);
         let plain = state.text.len();
-        let from = StoreNode { id: 1, ip: [10, 0, 0, 1].into(), zone: "zone-a".into() };
+        let from = StoreNode { id: StoreId(1), ip: [10, 0, 0, 1].into(), zone: "zone-a".into() };
         let message =
-            StoreRequest::Envelope(Envelope { from, message: PeerMessage::Write { epoch: 3, state } });
+            StoreRequest::Envelope(Envelope { from, message: PeerMessage::Write { epoch: Epoch(3), state } });
         let bytes = encode_deflated(&message);
         let encoded = mean(|| drop(encode_deflated(&message)));
         let decoded = mean(|| assert!(decode::<StoreRequest>(&bytes).is_ok()));
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -3,9 +3,9 @@
 //!
 //! ```
 //! use violetyoke_transport::codec::{decode, encode};
-//! use violetyoke_transport::messages::{ProxyReply, Revision};
+//! use violetyoke_transport::messages::{Epoch, ProxyReply, Revision};
 //!
-//! let reply = ProxyReply::Freshness { request_id: 7, newest: Revision { epoch: 3, sequence: 9 } };
+//! let reply = ProxyReply::Freshness { request_id: 7, newest: Revision { epoch: Epoch(3), sequence: 9 } };
 //! assert_eq!(decode::<ProxyReply>(&encode(&reply))?, reply);
 //! # Ok::<(), violetyoke_transport::error::DecodeError>(())
 //! ```
--- a/crates/transport/src/messages/control.rs
+++ b/crates/transport/src/messages/control.rs
@@ -1,6 +1,6 @@
 //! Messages between registries and stores.
 
-use super::{Command, ControlState, Envelope, Outcome, Revision, ShardOwners};
+use super::{Command, ControlState, Envelope, Epoch, Outcome, Revision, ShardOwners};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
@@ -36,7 +36,7 @@
     /// How the store stands; sent at each change.
     Status {
         /// The epoch that it is in.
-        epoch: u64,
+        epoch: Epoch,
         /// It is the leader of that epoch, and in contact with all data replicas.
         is_leader: bool,
         /// The newest owners of quota counters that it knows.
--- a/crates/transport/src/messages/mod.rs
+++ b/crates/transport/src/messages/mod.rs
@@ -16,5 +16,5 @@
 pub use control::{StoreReply, StoreRequest};
 pub use proxies::{proxy_id, Membership, MembershipDigest, Ownership, ProxyReply, ProxyRequest, Session};
 pub use registries::{Gossip, RegistryRequest};
-pub use state::{Acceptance, AcceptedVersions, Command, ControlState, Outcome, Revision, ShardOwners};
-pub use stores::{Envelope, Heartbeat, InitialState, PeerMessage, ReplicaConfig, StoreNode};
+pub use state::{Acceptance, AcceptedVersions, Command, ControlState, Epoch, Outcome, Revision, ShardOwners};
+pub use stores::{Envelope, Heartbeat, InitialState, PeerMessage, ReplicaConfig, StoreId, StoreNode};
--- a/crates/transport/src/messages/state.rs
+++ b/crates/transport/src/messages/state.rs
@@ -3,15 +3,45 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
 
+/// Numbers the replica sets of the stores, and thereby the times in which one store leads. 0 is before the first.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Epoch(pub u64);
+
+impl Epoch {
+    /// The epoch after this one.
+    #[must_use]
+    pub fn next(self) -> Epoch {
+        Epoch(self.0 + 1)
+    }
+}
+
+impl fmt::Display for Epoch {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}", self.0)
+    }
+}
+
+impl slog::Value for Epoch {
+    fn serialize(
+        &self,
+        _: &slog::Record<'_>,
+        key: slog::Key,
+        serializer: &mut dyn slog::Serializer,
+    ) -> slog::Result {
+        serializer.emit_u64(key, self.0)
+    }
+}
+
 /// The version of the replicated control state, in its total order: the leader of a higher epoch knows all that a lower
 /// epoch acknowledged, and counts its writes by `sequence`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision {
     /// The epoch of the leader that wrote the state.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The number of the write within the epoch.
     pub sequence: u64,
 }
--- a/crates/transport/src/messages/stores.rs
+++ b/crates/transport/src/messages/stores.rs
@@ -1,14 +1,25 @@
 //! Messages between stores.
 
-use super::{ControlState, Revision};
+use super::{ControlState, Epoch, Revision};
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::net::Ipv4Addr;
 
+/// Identifies a store: its disk, not its machine. A random number that is drawn when the disk is empty; 0 is none.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct StoreId(pub u64);
+
+impl fmt::Display for StoreId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:x}", self.0)
+    }
+}
+
 /// A store as others know it. A disk that was lost makes a new one, with another `id`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreNode {
-    /// A random number that was drawn when its disk was empty.
-    pub id: u64,
+    /// The id of its disk.
+    pub id: StoreId,
     /// The address of its machine.
     pub ip: Ipv4Addr,
     /// The failure domain of its machine.
@@ -19,11 +30,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaConfig {
     /// The epoch that it opens.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The stores that vote.
     pub voters: Vec<StoreNode>,
     /// The ids of the voters that have the control state: the first is the leader. The others are witnesses.
-    pub data_replicas: Vec<u64>,
+    pub data_replicas: Vec<StoreId>,
     /// The voters of earlier replica sets, until this one is known to be installed: a majority of each has to agree as
     /// well (joint consensus).
     pub previous_voters: Vec<Vec<StoreNode>>,
@@ -31,7 +42,7 @@
 
 impl ReplicaConfig {
     /// Whether the store with that id votes.
-    pub fn has_voter(&self, id: u64) -> bool {
+    pub fn has_voter(&self, id: StoreId) -> bool {
         self.voters.iter().any(|voter| voter.id == id)
     }
 }
@@ -53,14 +64,14 @@
     /// A candidate asks to open an epoch. A voter that promises it accepts nothing of a lower one from then on.
     Prepare {
         /// The epoch to be opened.
-        epoch: u64,
+        epoch: Epoch,
         /// The newest state that the sender has.
         newest: Revision,
     },
     /// A voter promises the epoch.
     Promise {
         /// The promised epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// The newest replica set that the voter has.
         config: ReplicaConfig,
         /// The newest state that the voter has.
@@ -71,9 +82,9 @@
     /// A voter refuses the epoch, because it has promised a higher one.
     Refuse {
         /// The refused epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// The promised one.
-        promised: u64,
+        promised: Epoch,
     },
     /// A candidate that has the promises of a majority proposes the replica set of its epoch.
     Accept {
@@ -85,40 +96,40 @@
     /// The receiver has the replica set, and the state if it was sent one, on its disk.
     Accepted {
         /// The epoch of the replica set.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// The newest committed state, for a learner (a store without a vote). Its heartbeats say when it is persisted.
     Snapshot {
         /// The leader's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// The state.
         state: ControlState,
     },
     /// The leader of an installed epoch replicates a state to a data replica.
     Write {
         /// The leader's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// The state.
         state: ControlState,
     },
     /// A data replica has a state on its disk.
     Written {
         /// The epoch under which it was written.
-        epoch: u64,
+        epoch: Epoch,
         /// The state's revision.
         revision: Revision,
     },
     /// The leader asks a data replica whether it has promised no higher epoch.
     Confirm {
         /// The leader's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// Repeated in the answer.
         nonce: u64,
     },
     /// A data replica has promised no higher epoch.
     Confirmed {
         /// The leader's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// That of the question.
         nonce: u64,
     },
--- a/crates/transport/tests/codec.rs
+++ b/crates/transport/tests/codec.rs
@@ -6,7 +6,7 @@
 use violetyoke_transport::codec::{decode, encode, encode_deflated, try_encode, Message};
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::error::{DecodeError, EncodeError};
-use violetyoke_transport::messages::{ProxyReply, Revision};
+use violetyoke_transport::messages::{Epoch, ProxyReply, Revision};
 
 /// A message of any size.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
 
 #[test]
 fn bytes_that_are_no_message_say_why() {
-    let reply = ProxyReply::Freshness { request_id: 7, newest: Revision { epoch: 3, sequence: 9 } };
+    let reply = ProxyReply::Freshness { request_id: 7, newest: Revision { epoch: Epoch(3), sequence: 9 } };
     let bytes = encode(&reply);
     assert!(matches!(decode::<ProxyReply>(&bytes[..bytes.len() - 1]), Err(DecodeError::Format(_))));
     assert!(matches!(decode::<Routes>(&bytes), Err(DecodeError::Format(_))), "another type");
--- a/crates/transport/tests/golden/control.rs
+++ b/crates/transport/tests/golden/control.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use violetyoke_transport::messages::{
-    AcceptedVersions, Command, ControlState, Outcome, Revision, ShardOwners, StoreReply, StoreRequest,
+    AcceptedVersions, Command, ControlState, Epoch, Outcome, Revision, ShardOwners, StoreReply, StoreRequest,
 };
 
 variants!(StoreRequest {
@@ -32,7 +32,7 @@
 
 /// A revision. Its numbers take several bytes.
 pub(crate) fn revision(sequence: u64) -> Revision {
-    Revision { epoch: 0x0102_0304_0506_0708, sequence }
+    Revision { epoch: Epoch(0x0102_0304_0506_0708), sequence }
 }
 
 pub(crate) fn address(last: u8) -> Ipv4Addr {
@@ -96,7 +96,7 @@
         sample(
             "store-reply-status",
             StoreReply::Status {
-                epoch: 70_000,
+                epoch: Epoch(70_000),
                 is_leader: true,
                 shard_owners: owners(),
                 stores: vec![address(1), address(2), address(3)],
@@ -105,7 +105,7 @@
         sample(
             "store-reply-status-inactive",
             StoreReply::Status {
-                epoch: 0,
+                epoch: Epoch(0),
                 is_leader: false,
                 shard_owners: ShardOwners::default(),
                 stores: Vec::new(),
--- a/crates/transport/tests/golden/proxies.rs
+++ b/crates/transport/tests/golden/proxies.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddrV4;
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::messages::{
-    Backend, BackendList, BackendListChange, Gossip, ListDigest, Membership, MembershipDigest, ProxyReply,
-    ProxyRequest, RegistryRequest, Revision, Session, ShardOwners,
+    Backend, BackendList, BackendListChange, Epoch, Gossip, ListDigest, Membership, MembershipDigest,
+    ProxyReply, ProxyRequest, RegistryRequest, Revision, Session, ShardOwners,
 };
 
 variants!(ProxyRequest {
@@ -141,7 +141,7 @@
         sample(
             "proxy-reply-change",
             ProxyReply::StateChange {
-                from: Revision { epoch: 1, sequence: 2 },
+                from: Revision { epoch: Epoch(1), sequence: 2 },
                 revision: revision(300),
                 evacuated: zones(&["zone-a", "zone-b"]),
                 change,
--- a/crates/transport/tests/golden/stores.rs
+++ b/crates/transport/tests/golden/stores.rs
@@ -4,7 +4,8 @@
 use crate::samples::{sample, Sample};
 use crate::variants;
 use violetyoke_transport::messages::{
-    Envelope, Heartbeat, InitialState, PeerMessage, ReplicaConfig, Revision, StoreNode, StoreRequest,
+    Envelope, Epoch, Heartbeat, InitialState, PeerMessage, ReplicaConfig, Revision, StoreId, StoreNode,
+    StoreRequest,
 };
 
 variants!(PeerMessage {
@@ -26,13 +27,17 @@
 });
 
 fn store(number: u8) -> StoreNode {
-    StoreNode { id: u64::MAX - u64::from(number), ip: address(number), zone: format!("zone-{number}") }
+    StoreNode {
+        id: StoreId(u64::MAX - u64::from(number)),
+        ip: address(number),
+        zone: format!("zone-{number}"),
+    }
 }
 
 /// A record with a value in each field.
 pub(crate) fn full_config() -> ReplicaConfig {
     ReplicaConfig {
-        epoch: 70_000,
+        epoch: Epoch(70_000),
         voters: vec![store(1), store(2), store(3)],
         data_replicas: vec![store(1).id, store(2).id],
         previous_voters: vec![vec![store(1), store(2), store(4)], vec![store(4)]],
@@ -63,9 +68,9 @@
 }
 
 pub(crate) fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
-    let epoch = 70_000;
+    let epoch = Epoch(70_000);
     let promised_state =
-        InitialState::Promised { from: revision(300), to: Revision { epoch: 70_001, sequence: 0 } };
+        InitialState::Promised { from: revision(300), to: Revision { epoch: Epoch(70_001), sequence: 0 } };
     let promise = |revision, state| PeerMessage::Promise { epoch, config: full_config(), revision, state };
     let accept = |state| PeerMessage::Accept { config: full_config(), state };
     let mut messages = vec![
@@ -74,7 +79,7 @@
         ("envelope-prepare", PeerMessage::Prepare { epoch, newest: revision(300) }),
         ("envelope-promise-with-state", promise(revision(300), Some(full_state()))),
         ("envelope-promise-without-state", promise(revision(1), None)),
-        ("envelope-refuse", PeerMessage::Refuse { epoch, promised: 70_002 }),
+        ("envelope-refuse", PeerMessage::Refuse { epoch, promised: Epoch(70_002) }),
         ("envelope-accept-promised", accept(Some(promised_state))),
         ("envelope-accept-whole", accept(Some(InitialState::Full(full_state())))),
         ("envelope-accept-witness", accept(None)),
