--- a/crates/ingress/src/backend.rs
+++ b/crates/ingress/src/backend.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Sleep};
 use violetyoke_decision::interface::{Event, Micros, Outcome, Report, ReportField};
-use violetyoke_shares::{Member, Stock};
+use violetyoke_shares::{CapacityPool, Member};
 
 /// Idle connections kept to one backend.
 const MOST_IDLE: usize = 16;
@@ -54,7 +54,7 @@
 
 /// Connections to all backends together: their part of what there is of descriptors.
 pub struct Budget {
-    stock: Shared,
+    capacity: Shared,
     member: Member,
     backends: RefCell<Vec<Weak<Backend>>>,
 }
@@ -62,19 +62,19 @@
 impl Budget {
     /// Of a process that has nothing else to share with.
     pub fn alone(most: usize) -> Rc<Budget> {
-        let mut stock = Stock::new(most as u64);
-        stock.set(0, 0, most as u64);
-        Budget::new(Rc::new(RefCell::new(stock)), 0)
+        let mut capacity = CapacityPool::new(most as u64);
+        capacity.set_limits(0, 0, most as u64);
+        Budget::new(Rc::new(RefCell::new(capacity)), 0)
     }
 
-    pub fn new(stock: Shared, member: Member) -> Rc<Budget> {
-        Rc::new(Budget { stock, member, backends: RefCell::default() })
+    pub fn new(capacity: Shared, member: Member) -> Rc<Budget> {
+        Rc::new(Budget { capacity, member, backends: RefCell::default() })
     }
 
     /// A place for one more connection. Where there is none, the longest idle connection to any backend has to
     /// go: it is of less use than the request at hand.
     fn place(self: &Rc<Budget>) -> Option<Slot> {
-        if self.stock.borrow().left(self.member) == 0 {
+        if self.capacity.borrow().available(self.member) == 0 {
             let backends = self.backends.borrow();
             let oldest = backends.iter().filter_map(Weak::upgrade).filter_map(|backend| {
                 let since = backend.idle.borrow().first()?.since;
@@ -83,7 +83,7 @@
             let (_, backend) = oldest.min_by_key(|(since, _)| *since)?;
             drop(backend.idle.borrow_mut().remove(0));
         }
-        self.stock.borrow_mut().take(self.member, 1).then(|| Slot(self.clone()))
+        self.capacity.borrow_mut().try_acquire(self.member, 1).then(|| Slot(self.clone()))
     }
 }
 
@@ -434,6 +434,6 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.stock.borrow_mut().give(self.0.member, 1);
+        self.0.capacity.borrow_mut().release(self.0.member, 1);
     }
 }
--- a/crates/ingress/src/clients.rs
+++ b/crates/ingress/src/clients.rs
@@ -130,8 +130,8 @@
     }
 
     /// Of a process whose pools share its descriptors.
-    pub fn shared(stock: Shared) -> Rc<Clients> {
-        Clients::new(Some(stock), usize::MAX, usize::MAX)
+    pub fn shared(capacity: Shared) -> Rc<Clients> {
+        Clients::new(Some(capacity), usize::MAX, usize::MAX)
     }
 
     fn new(shared: Option<Shared>, easy: usize, most: usize) -> Rc<Clients> {
@@ -140,15 +140,15 @@
     }
 
     fn give(&self, place: &Place) {
-        if let (Some(stock), Some(home)) = (&self.shared, place.home.take()) {
-            stock.borrow_mut().give(home, 1);
+        if let (Some(capacity), Some(home)) = (&self.shared, place.home.take()) {
+            capacity.borrow_mut().release(home, 1);
         }
     }
 
     /// Takes a descriptor for a member, if need be from the connection of its own that has been idle the
     /// longest. That one's descriptor is closed a moment later, when its task is dropped.
-    fn take(&self, stock: &Shared, member: Member) -> bool {
-        if stock.borrow_mut().take(member, 1) {
+    fn take(&self, capacity: &Shared, member: Member) -> bool {
+        if capacity.borrow_mut().try_acquire(member, 1) {
             return true;
         }
         let places = self.places.borrow();
@@ -156,17 +156,17 @@
         let Some(longest) = own.min_by_key(|place| place.since.get()) else { return false };
         self.give(longest);
         longest.close();
-        stock.borrow_mut().take(member, 1)
+        capacity.borrow_mut().try_acquire(member, 1)
     }
 
     /// Counts a connection against the one whose request it carries now, a pool or a tenant, and lets its task go
     /// there. False: that one has all the connections that it may have.
     pub fn settle(&self, place: &Place, member: Member, set: impl FnOnce() -> Option<Rc<Set>>) -> bool {
-        let Some(stock) = &self.shared else { return true };
+        let Some(capacity) = &self.shared else { return true };
         if place.home.get() == Some(member) {
             return true;
         }
-        if !self.take(stock, member) {
+        if !self.take(capacity, member) {
             return false;
         }
         self.give(place);
@@ -177,10 +177,10 @@
 
     /// Takes the connections of a pool that goes back to the door.
     pub fn leave(&self, member: Member, door: &Rc<Set>) {
-        let Some(stock) = &self.shared else { return };
+        let Some(capacity) = &self.shared else { return };
         for place in self.places.borrow().values().filter(|place| place.home.get() == Some(member)) {
             self.give(place);
-            stock.borrow_mut().force(DOOR, 1);
+            capacity.borrow_mut().acquire_unchecked(DOOR, 1);
             place.home.set(Some(DOOR));
             place.move_to(Some(door));
             if let Some(waker) = place.waker.borrow().as_ref() {
@@ -191,7 +191,7 @@
 
     /// A place for a new connection; none: there are too many already.
     pub fn enter(self: &Rc<Clients>, socket: Socket) -> Option<(Rc<Place>, Ticket)> {
-        if self.shared.as_ref().is_some_and(|stock| !self.take(stock, DOOR)) {
+        if self.shared.as_ref().is_some_and(|capacity| !self.take(capacity, DOOR)) {
             return None;
         }
         let place = Rc::new(Place {
--- a/crates/ingress/src/consult.rs
+++ b/crates/ingress/src/consult.rs
@@ -176,7 +176,7 @@
         if let Some(client) = self.usable() {
             return Ok(client);
         }
-        if !self.descriptors.borrow_mut().take(self.member, 1) {
+        if !self.descriptors.borrow_mut().try_acquire(self.member, 1) {
             return Err(io::ErrorKind::QuotaExceeded.into());
         }
         let place = Place { descriptors: self.descriptors.clone(), member: self.member };
@@ -311,6 +311,6 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.descriptors.borrow_mut().give(self.member, 1);
+        self.descriptors.borrow_mut().release(self.member, 1);
     }
 }
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -16,10 +16,10 @@
 use std::task::{Context, Poll};
 use violetyoke_config::Fields;
 use violetyoke_decision::interface::RequestId;
-use violetyoke_shares::{Member, Stock};
+use violetyoke_shares::{CapacityPool, Member};
 
 /// Something there is only so much of, shared by all pools.
-pub type Shared = Rc<RefCell<Stock>>;
+pub type Shared = Rc<RefCell<CapacityPool>>;
 
 pub struct Pool {
     pub name: String,
@@ -145,17 +145,17 @@
 
     /// Bytes of a body that is about to be read, of the pool's or of a tenant's; none: there is no room for it.
     pub fn hold(&self, member: Member, amount: u64) -> Option<Held> {
-        let Some(bytes) = &self.bytes else { return Some(Held { stock: None, member: 0, amount: 0 }) };
-        let fits = bytes.borrow_mut().take(member, amount);
-        fits.then(|| Held { stock: Some(bytes.clone()), member, amount })
+        let Some(bytes) = &self.bytes else { return Some(Held { capacity: None, member: 0, amount: 0 }) };
+        let fits = bytes.borrow_mut().try_acquire(member, amount);
+        fits.then(|| Held { capacity: Some(bytes.clone()), member, amount })
     }
 
     /// Bytes of an answer that is there already: it is passed on, and what comes next finds less room.
     pub fn hold_anyway(&self, member: Member, amount: u64) -> Held {
         if let Some(bytes) = &self.bytes {
-            bytes.borrow_mut().force(member, amount);
+            bytes.borrow_mut().acquire_unchecked(member, amount);
         }
-        Held { stock: self.bytes.clone(), member, amount }
+        Held { capacity: self.bytes.clone(), member, amount }
     }
 }
 
@@ -192,15 +192,15 @@
 
 /// Bytes that are held, given back when dropped.
 pub struct Held {
-    stock: Option<Shared>,
+    capacity: Option<Shared>,
     member: Member,
     amount: u64,
 }
 
 impl Drop for Held {
     fn drop(&mut self) {
-        if let Some(stock) = &self.stock {
-            stock.borrow_mut().give(self.member, self.amount);
+        if let Some(capacity) = &self.capacity {
+            capacity.borrow_mut().release(self.member, self.amount);
         }
     }
 }
--- a/crates/ingress/src/questions.rs
+++ b/crates/ingress/src/questions.rs
@@ -100,7 +100,7 @@
 impl Questions {
     pub fn new(asking: Asking, clock: Clock, descriptors: Shared, member: Member) -> Rc<Questions> {
         let most = asking.file.connections;
-        descriptors.borrow_mut().set(member, 0, most);
+        descriptors.borrow_mut().set_limits(member, 0, most);
         Rc::new(Questions {
             asking: RefCell::new(Rc::new(asking)),
             clock,
@@ -113,7 +113,7 @@
 
     /// Answers by a new file from now on; its listener stays.
     pub fn replace(&self, asking: Asking) {
-        self.descriptors.borrow_mut().set(self.member, 0, asking.file.connections);
+        self.descriptors.borrow_mut().set_limits(self.member, 0, asking.file.connections);
         *self.asking.borrow_mut() = Rc::new(asking);
     }
 
@@ -148,7 +148,7 @@
         let routes = routes(handed, self.asking.borrow().file.message_bytes)?;
         let (closing, _) = watch::channel(());
         loop {
-            let has_room = self.descriptors.borrow().left(self.member) > 0;
+            let has_room = self.descriptors.borrow().available(self.member) > 0;
             tokio::select! {
                 accepted = listener.accept(), if has_room => match accepted {
                     Ok((stream, _)) => self.open(Socket::new(stream), routes.clone(), closing.subscribe()),
@@ -173,7 +173,7 @@
     }
 
     fn open(self: &Rc<Questions>, socket: Socket, routes: Routes, mut closing: watch::Receiver<()>) {
-        if !self.descriptors.borrow_mut().take(self.member, 1) {
+        if !self.descriptors.borrow_mut().try_acquire(self.member, 1) {
             return;
         }
         self.open.set(self.open.get() + 1);
@@ -230,7 +230,7 @@
     fn drop(&mut self) {
         let questions = &self.questions;
         questions.open.set(questions.open.get() - 1);
-        questions.descriptors.borrow_mut().give(questions.member, 1);
+        questions.descriptors.borrow_mut().release(questions.member, 1);
         questions.freed.notify_one();
     }
 }
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -19,7 +19,7 @@
 use violetyoke_config as file;
 use violetyoke_decision::interface::Plan;
 use violetyoke_duties::usage::UsageCounters;
-use violetyoke_shares::{Member, Stock};
+use violetyoke_shares::{CapacityPool, Member};
 use violetyoke_tenants::snapshot::Held;
 
 /// The rate limit service's number among those that share the process.
@@ -55,8 +55,8 @@
 
 impl Pools {
     pub fn new(config: &file::Service, sets: Rc<Sets>, door: Rc<Set>, uses: UsageCounters) -> Pools {
-        let stock = |total| Rc::new(RefCell::new(Stock::new(total)));
-        let (descriptors, bytes) = (stock(config.descriptors), stock(config.buffered_bytes));
+        let capacity = |total| Rc::new(RefCell::new(CapacityPool::new(total)));
+        let (descriptors, bytes) = (capacity(config.descriptors), capacity(config.buffered_bytes));
         let open = config.control.as_ref().map_or(0, |control| control.open_requests);
         let turns = config.turns.then(|| sets.clone());
         Pools {
@@ -82,7 +82,7 @@
     ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<Held>)) {
         let door = config.descriptors / DOOR_PART;
         self.descriptors.borrow_mut().resize(config.descriptors);
-        self.descriptors.borrow_mut().set(DOOR, door.min(self.spare(config)), config.descriptors);
+        self.descriptors.borrow_mut().set_limits(DOOR, door.min(self.spare(config)), config.descriptors);
         self.bytes.borrow_mut().resize(config.buffered_bytes);
         let mut pools = Vec::new();
         for pool in &config.pools {
@@ -138,8 +138,8 @@
     }
 
     pub fn share(&self, config: &file::Service, member: Member, pool: &file::Pool) {
-        self.descriptors.borrow_mut().set(member, pool.descriptors, config.descriptors);
-        self.bytes.borrow_mut().set(member, pool.buffered_bytes, config.buffered_bytes);
+        self.descriptors.borrow_mut().set_limits(member, pool.descriptors, config.descriptors);
+        self.bytes.borrow_mut().set_limits(member, pool.buffered_bytes, config.buffered_bytes);
     }
 
     /// Ends the pools that the file no longer has, once nothing of theirs is open.
@@ -152,8 +152,8 @@
             }
             clients.leave(run.pool.member, &self.door);
             // Nothing is guaranteed to it any more, but what is open still needs a connection to a node.
-            self.descriptors.borrow_mut().set(run.pool.member, 0, config.descriptors);
-            self.bytes.borrow_mut().set(run.pool.member, 0, config.buffered_bytes);
+            self.descriptors.borrow_mut().set_limits(run.pool.member, 0, config.descriptors);
+            self.bytes.borrow_mut().set_limits(run.pool.member, 0, config.buffered_bytes);
             run.pool.retire();
         }
     }
--- a/crates/ingress/src/sets.rs
+++ b/crates/ingress/src/sets.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
-use violetyoke_shares::{Member, Turns};
+use violetyoke_shares::{FairScheduler, Member};
 
 /// What a pool of weight 1 may use in a turn, in microseconds: several polls of a task, so that a turn rarely
 /// leaves a debt.
@@ -99,7 +99,7 @@
 /// Runs all sets until one of their tasks ends the whole.
 pub struct Running {
     sets: Rc<Sets>,
-    turns: Turns,
+    scheduler: FairScheduler,
     runs: BTreeMap<Member, Rc<Set>>,
     over: Rc<Cell<bool>>,
 }
@@ -109,20 +109,20 @@
     pub fn new(sets: Rc<Sets>, over: Rc<Cell<bool>>) -> Running {
         ANY.set(true);
         WOKEN.set(Some(sets.woken.clone()));
-        Running { sets, turns: Turns::new(QUANTUM), runs: BTreeMap::new(), over }
+        Running { sets, scheduler: FairScheduler::new(QUANTUM), runs: BTreeMap::new(), over }
     }
 
     fn take_changes(&mut self) {
         for change in self.sets.pending.take() {
             match change {
-                Change::Weight(member, weight) => self.turns.set(member, weight),
+                Change::Weight(member, weight) => self.scheduler.set_weight(member, weight),
                 Change::Add(weight, set) => {
-                    self.turns.set(set.member(), weight);
-                    self.turns.ready(set.member());
+                    self.scheduler.set_weight(set.member(), weight);
+                    self.scheduler.mark_ready(set.member());
                     self.runs.insert(set.member(), set);
                 }
                 Change::Remove(member) => {
-                    self.turns.remove(member);
+                    self.scheduler.remove(member);
                     self.runs.remove(&member);
                 }
             }
@@ -132,7 +132,7 @@
     fn take_woken(&mut self) {
         let woken =
             std::mem::take(&mut self.sets.woken.state.lock().unwrap_or_else(PoisonError::into_inner).0);
-        woken.into_iter().for_each(|member| self.turns.ready(member));
+        woken.into_iter().for_each(|member| self.scheduler.mark_ready(member));
     }
 
     /// Charges members for what was done for them in another's turn; the sum, which is not that one's cost. Were it
@@ -141,7 +141,7 @@
         let mut charges = self.sets.woken.charges.lock().unwrap_or_else(PoisonError::into_inner);
         let mut sum = 0;
         for (member, cost) in charges.drain(..) {
-            self.turns.charge(member, cost);
+            self.scheduler.charge(member, cost);
             sum += cost;
         }
         sum
@@ -162,9 +162,9 @@
             if this.over.get() {
                 return Poll::Ready(());
             }
-            let Some(member) = this.turns.whose() else { return Poll::Pending };
+            let Some(member) = this.scheduler.next_turn() else { return Poll::Pending };
             let Some(set) = this.runs.get(&member) else {
-                this.turns.remove(member);
+                this.scheduler.remove(member);
                 continue;
             };
             if began - slice >= SLICE {
@@ -175,7 +175,7 @@
             let ended = Instant::now();
             let for_others = this.take_charges();
             let own = ((ended - began).as_micros() as u64).saturating_sub(for_others);
-            this.turns.used(member, own + 1, more);
+            this.scheduler.end_turn(member, own + 1, more);
             began = ended;
         }
     }
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use violetyoke_config as file;
 use violetyoke_duties::usage::UsageCounters;
-use violetyoke_shares::{Member, Stock};
+use violetyoke_shares::{CapacityPool, Member};
 use violetyoke_tenants::account_number;
 use violetyoke_tenants::model::{self, Part};
 use violetyoke_tenants::snapshot::{Held, TenantView};
@@ -39,7 +39,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let tenant = &self.0;
-        tenant.requests.borrow_mut().give(tenant.member, 1);
+        tenant.requests.borrow_mut().release(tenant.member, 1);
     }
 }
 
@@ -79,7 +79,7 @@
             .get(&pool)
             .and_then(|plans| plans.get(plan))
             .ok_or(bad("x-account: its plan is not here"))?;
-        if !tenant.requests.borrow_mut().take(tenant.member, 1) {
+        if !tenant.requests.borrow_mut().try_acquire(tenant.member, 1) {
             return Err(FULL);
         }
         tenant.used.fetch_add(1, Ordering::Relaxed);
@@ -110,7 +110,7 @@
         sets: Option<Rc<Sets>>,
         uses: UsageCounters,
     ) -> Tenancy {
-        let requests = Rc::new(RefCell::new(Stock::new(open_requests)));
+        let requests = Rc::new(RefCell::new(CapacityPool::new(open_requests)));
         Tenancy { running: BTreeMap::new(), held: Arc::default(), requests, descriptors, bytes, sets, uses }
     }
 
@@ -183,12 +183,12 @@
         let most = |part: Part, all: u64| if part.most == 0 { all } else { part.most.min(all) };
         let limits = view.limits;
         let open = config.control.as_ref().map_or(u64::MAX, |control| control.open_requests);
-        for (stock, part, all) in [
+        for (capacity, part, all) in [
             (&self.requests, limits.open_requests, open),
             (&self.descriptors, limits.descriptors, config.descriptors),
             (&self.bytes, limits.buffered_bytes, config.buffered_bytes),
         ] {
-            stock.borrow_mut().set(tenant.member, part.guaranteed, most(part, all));
+            capacity.borrow_mut().set_limits(tenant.member, part.guaranteed, most(part, all));
         }
     }
 
--- a/crates/shares/tests/turns.rs
+++ b/crates/shares/tests/fair_scheduler.rs
@@ -4,80 +4,80 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use violetyoke_shares::Turns;
+use violetyoke_shares::FairScheduler;
 
 /// Plays `rounds` turns of members that always have more to do.
-fn play(turns: &mut Turns, cost: impl Fn(usize) -> u64, rounds: usize) -> BTreeMap<usize, u64> {
+fn play(scheduler: &mut FairScheduler, cost: impl Fn(usize) -> u64, rounds: usize) -> BTreeMap<usize, u64> {
     let mut used = BTreeMap::new();
     for _ in 0..rounds {
-        let member = turns.whose().unwrap();
-        turns.used(member, cost(member), true);
+        let member = scheduler.next_turn().unwrap();
+        scheduler.end_turn(member, cost(member), true);
         *used.entry(member).or_default() += cost(member);
     }
     used
 }
 
 #[test]
-fn parts_follow_the_weights_and_not_the_cost_of_a_turn() {
-    let mut turns = Turns::new(100);
-    turns.set(1, 1);
-    turns.set(2, 3);
-    turns.ready(1);
-    turns.ready(2);
+fn shares_follow_weights_and_not_the_cost_of_a_turn() {
+    let mut scheduler = FairScheduler::new(100);
+    scheduler.set_weight(1, 1);
+    scheduler.set_weight(2, 3);
+    scheduler.mark_ready(1);
+    scheduler.mark_ready(2);
     // The one of less weight has turns that cost ten times as much.
-    let used = play(&mut turns, |member| if member == 1 { 100 } else { 10 }, 20_000);
+    let used = play(&mut scheduler, |member| if member == 1 { 100 } else { 10 }, 20_000);
     let ratio = used[&2] as f64 / used[&1] as f64;
     assert!((2.95..3.05).contains(&ratio), "{ratio}");
 }
 
 #[test]
-fn nobody_is_next_when_nobody_is_ready() {
-    let mut turns = Turns::new(100);
-    turns.set(1, 1);
-    assert_eq!(turns.whose(), None);
-    turns.ready(1);
-    turns.ready(1);
-    assert_eq!(turns.whose(), Some(1));
-    turns.used(1, 5, false);
-    assert_eq!(turns.whose(), None);
-    turns.ready(1);
-    turns.remove(1);
-    assert_eq!(turns.whose(), None);
+fn no_member_is_next_when_none_is_ready() {
+    let mut scheduler = FairScheduler::new(100);
+    scheduler.set_weight(1, 1);
+    assert_eq!(scheduler.next_turn(), None);
+    scheduler.mark_ready(1);
+    scheduler.mark_ready(1);
+    assert_eq!(scheduler.next_turn(), Some(1));
+    scheduler.end_turn(1, 5, false);
+    assert_eq!(scheduler.next_turn(), None);
+    scheduler.mark_ready(1);
+    scheduler.remove(1);
+    assert_eq!(scheduler.next_turn(), None);
 }
 
 #[test]
-fn what_nobody_else_uses_one_may_have() {
-    let mut turns = Turns::new(100);
-    turns.set(1, 1);
-    turns.set(2, 1);
-    turns.ready(1);
-    let used = play(&mut turns, |_| 70, 1_000);
+fn a_single_ready_member_uses_what_others_do_not() {
+    let mut scheduler = FairScheduler::new(100);
+    scheduler.set_weight(1, 1);
+    scheduler.set_weight(2, 1);
+    scheduler.mark_ready(1);
+    let used = play(&mut scheduler, |_| 70, 1_000);
     assert_eq!(used, BTreeMap::from([(1, 70_000)]));
     // And what it had alone is not held against it when the other comes, nor for it.
-    turns.ready(2);
-    let used = play(&mut turns, |_| 70, 2_000);
+    scheduler.mark_ready(2);
+    let used = play(&mut scheduler, |_| 70, 2_000);
     assert!(used[&1].abs_diff(used[&2]) <= 2 * 170, "{used:?}");
 }
 
 #[test]
-fn one_that_comes_and_goes_sheds_no_debt() {
-    let mut turns = Turns::new(100);
-    turns.set(1, 1);
-    turns.set(2, 1);
-    turns.ready(1);
-    turns.ready(2);
+fn becoming_ready_again_clears_no_debt() {
+    let mut scheduler = FairScheduler::new(100);
+    scheduler.set_weight(1, 1);
+    scheduler.set_weight(2, 1);
+    scheduler.mark_ready(1);
+    scheduler.mark_ready(2);
     let (mut coming, mut steady) = (0, 0);
     for _ in 0..10_000 {
-        match turns.whose().unwrap() {
+        match scheduler.next_turn().unwrap() {
             // Far more than its credit, and then it has nothing to do for a moment.
             1 => {
                 coming += 900;
-                turns.used(1, 900, false);
-                turns.ready(1);
+                scheduler.end_turn(1, 900, false);
+                scheduler.mark_ready(1);
             }
             _ => {
                 steady += 50;
-                turns.used(2, 50, true);
+                scheduler.end_turn(2, 50, true);
             }
         }
     }
@@ -95,28 +95,28 @@
     ) {
         const QUANTUM: u64 = 200;
         const MOST: u64 = 400;
-        let mut turns = Turns::new(QUANTUM);
+        let mut scheduler = FairScheduler::new(QUANTUM);
         for (member, weight) in weights.iter().enumerate() {
-            turns.set(member, *weight);
+            scheduler.set_weight(member, *weight);
         }
         for member in 1..weights.len() {
-            turns.ready(member);
+            scheduler.mark_ready(member);
         }
         let mut costs = costs.iter().cycle();
         for _ in 0..before {
-            let member = turns.whose().unwrap();
-            turns.used(member, *costs.next().unwrap(), true);
+            let member = scheduler.next_turn().unwrap();
+            scheduler.end_turn(member, *costs.next().unwrap(), true);
         }
-        turns.ready(0);
+        scheduler.mark_ready(0);
         let mut waited = 0;
         loop {
-            let member = turns.whose().unwrap();
+            let member = scheduler.next_turn().unwrap();
             if member == 0 {
                 break;
             }
             let cost = *costs.next().unwrap();
             waited += cost;
-            turns.used(member, cost, true);
+            scheduler.end_turn(member, cost, true);
         }
         let bound: u64 = weights[1..].iter().map(|weight| QUANTUM * weight + MOST).sum();
         prop_assert!(waited <= bound, "{} > {}", waited, bound);
@@ -124,14 +124,14 @@
 
     /// Parts of members that are always ready, to within the stated difference.
     #[test]
-    fn parts_follow_the_weights(weights in prop::collection::vec(1u64..8, 2..8), costs in prop::collection::vec(1u64..200, 8)) {
+    fn shares_follow_weights(weights in prop::collection::vec(1u64..8, 2..8), costs in prop::collection::vec(1u64..200, 8)) {
         const QUANTUM: u64 = 200;
-        let mut turns = Turns::new(QUANTUM);
+        let mut scheduler = FairScheduler::new(QUANTUM);
         for (member, weight) in weights.iter().enumerate() {
-            turns.set(member, *weight);
-            turns.ready(member);
+            scheduler.set_weight(member, *weight);
+            scheduler.mark_ready(member);
         }
-        let used = play(&mut turns, |member| costs[member % costs.len()], 5_000);
+        let used = play(&mut scheduler, |member| costs[member % costs.len()], 5_000);
         let parts: Vec<f64> = weights.iter().enumerate().map(|(member, weight)| {
             used.get(&member).copied().unwrap_or(0) as f64 / *weight as f64
         }).collect();
