--- a/crates/violetyoke/tests/control_lasting.rs
+++ b/crates/violetyoke/tests/control_lasting.rs
@@ -1,159 +1,89 @@
-//! What outlives a tenant, a process, and a change.
+//! Deletion of tenants at the control plane, and the snapshots that ingresses get of changes.
 
 #![cfg(test)]
-#![allow(clippy::too_many_lines, reason = "not yet revised for readers: see docs/ROADMAP.md")]
 
 mod common;
 
 use common::control::*;
 use common::*;
-use serde_json::{json, Value};
-use std::collections::BTreeMap;
-use std::process::Command;
+use serde_json::json;
 use std::thread;
 use std::time::{Duration, Instant};
 
+const ACME: &str = "/v1/tenants/acme";
+const PLANS: &str = "/v1/tenants/acme/plans";
+
+/// A control plane with tenant `acme`, whose draining takes 1.5 s.
+fn start_draining_quickly(file: &StoreFile) -> Control {
+    let control = Control::start(file, &[FREE, &["--drain-ms", "1500"]].concat());
+    tenant(&control.operator(), "acme");
+    control
+}
+
+fn administrator_of_acme(api: &Api) -> Api {
+    key(api, "/v1/tenants/acme/keys", json!({"role": "tenant_admin", "tenant": "acme"}))
+}
+
 #[test]
-fn deleted_tenant_drains_can_be_restored_and_leaves_nothing_to_its_successor() {
+fn draining_tenant_cannot_change_and_can_be_restored() {
     let file = StoreFile::new();
-    let control = Control::start(&file, &[FREE, &["--drain-ms", "1500"]].concat());
+    let control = start_draining_quickly(&file);
     let api = control.operator();
-    tenant(&api, "acme");
-    tenant(&api, "acme-2");
-    api.make("/v1/tenants/acme/plans", PLAN);
-    api.make("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
-    let admin = key(&api, "/v1/tenants/acme/keys", json!({"role": "tenant_admin", "tenant": "acme"}));
-    let path = "/v1/tenants/acme";
-    let before = api.get(path);
-    let drained = api.force("DELETE", path, "");
+    let admin = administrator_of_acme(&api);
+    let before = api.get(ACME);
+
+    let drained = api.force("DELETE", ACME, "");
     assert_eq!((drained.status, &drained.body["state"]), (202, &json!("draining")));
-    assert_eq!(api.force("DELETE", path, "").status, 409);
-    // Nothing of it changes meanwhile, and it can be taken back.
-    assert_eq!(admin.post("/v1/tenants/acme/plans", r#"{"name": "p", "rate": 0}"#).status, 409);
+    assert_eq!(api.force("DELETE", ACME, "").status, 409);
+    assert_eq!(admin.post(PLANS, r#"{"name": "p", "rate": 0}"#).status, 409);
     let restored = api.force("POST", "/v1/tenants/acme/restore", "");
     assert_eq!(
         (restored.status, &restored.body["state"], &restored.body["epoch"]),
         (200, &json!("active"), &before.body["epoch"])
     );
-    assert_eq!(admin.post("/v1/tenants/acme/plans", r#"{"name": "p", "rate": 0}"#).status, 201);
-    // Again, and watched until it is gone.
-    let drained = api.force("DELETE", path, "");
-    let more = format!("If-None-Match: {}\r\nPrefer: wait=30\r\n", drained.version.unwrap());
-    let began = Instant::now();
-    let gone = api.call("GET", path, "", &more);
-    assert_eq!(gone.status, 404);
-    assert!(began.elapsed() < Duration::from_secs(15));
-    assert_eq!((api.get("/v1/tenants/acme/plans").status, admin.get(path).status), (404, 401));
+    assert_eq!(admin.post(PLANS, r#"{"name": "p", "rate": 0}"#).status, 201);
+}
+
+#[test]
+fn end_of_a_tenants_draining_can_be_waited_for_and_is_final() {
+    let file = StoreFile::new();
+    let control = start_draining_quickly(&file);
+    let api = control.operator();
+    let admin = administrator_of_acme(&api);
+
+    let drained = api.force("DELETE", ACME, "");
+    let wait = format!("If-None-Match: {}\r\nPrefer: wait=30\r\n", drained.version.unwrap());
+    let started = Instant::now();
+    let deleted = api.call("GET", ACME, "", &wait);
+
+    assert_eq!(deleted.status, 404);
+    assert!(started.elapsed() < Duration::from_secs(15));
+    assert_eq!((api.get(PLANS).status, admin.get(ACME).status), (404, 401));
     assert_eq!(api.force("POST", "/v1/tenants/acme/restore", "").status, 404);
-    // Its host is free, and one made anew has nothing of the old one's.
-    tenant(&api, "acme");
-    let anew = api.get(path);
-    assert!(anew.body["epoch"].as_u64() > before.body["epoch"].as_u64());
-    for kind in ["plans", "accounts", "routes", "keys"] {
-        assert_eq!(api.get(&format!("/v1/tenants/acme/{kind}")).body["items"], json!([]));
-    }
-    assert_eq!(admin.get(path).status, 401);
-    assert_eq!(api.get("/v1/tenants/acme-2").status, 200);
 }
 
 #[test]
-fn acknowledged_changes_survive_kills_at_any_point() {
+fn new_tenant_of_a_deleted_ones_name_inherits_nothing() {
     let file = StoreFile::new();
-    let mut control = start(&file);
-    let key = control.key.clone().unwrap();
-    tenant(&control.operator(), "acme");
-    control.operator().make("/v1/tenants/acme/plans", PLAN);
-    let mut acknowledged: BTreeMap<String, f64> = BTreeMap::new();
-    // Of a change that was not answered nobody knows whether it was done: both are right.
-    let mut unsure: BTreeMap<String, f64> = BTreeMap::new();
-    let mut random: u64 = 11;
-    let mut changes = 0;
-    while changes < 200 {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let pause = Duration::from_micros((random >> 33) % 40_000);
-        let api = control.api(&key);
-        let mut child = std::mem::replace(&mut control.child, Command::new("true").spawn().unwrap());
-        let killer = thread::spawn(move || {
-            thread::sleep(pause);
-            child.kill().unwrap();
-            child.wait().unwrap();
-        });
-        // Changes one after another until it is dead.
-        loop {
-            let (name, rate) = (format!("p{}", changes % 7), f64::from(changes + 1));
-            let body = json!({"name": name, "rate": rate, "burst": rate});
-            let known = acknowledged.contains_key(&name) || unsure.contains_key(&name);
-            let path = "/v1/tenants/acme/plans";
-            changes += 1;
-            let told = match known {
-                false => api.try_call("POST", path, &body.to_string(), ""),
-                true => api.try_call("PUT", &format!("{path}/{name}"), &body.to_string(), "If-Match: *\r\n"),
-            };
-            match told.map(|told| told.status) {
-                Some(200 | 201) => {
-                    unsure.remove(&name);
-                    acknowledged.insert(name, rate);
-                }
-                // It was not there after all: its creation had not been done.
-                Some(404) if unsure.contains_key(&name) && !acknowledged.contains_key(&name) => {
-                    unsure.remove(&name);
-                }
-                Some(other) => panic!("{other}"),
-                None => {
-                    unsure.insert(name, rate);
-                    break;
-                }
-            }
-        }
-        killer.join().unwrap();
-        control = start(&file);
-        let api = control.api(&key);
-        let list = api.get("/v1/tenants/acme/plans?limit=1000").body;
-        let plans: BTreeMap<&str, &Value> = list["items"]
-            .as_array()
-            .unwrap()
-            .iter()
-            .map(|plan| (plan["name"].as_str().unwrap(), plan))
-            .collect();
-        for (name, rate) in &acknowledged {
-            let now = plans[name.as_str()]["rate"].as_f64().unwrap();
-            assert!(now == *rate || unsure.get(name) == Some(&now), "{name}: {now}, acknowledged {rate}");
-        }
-        // No half change, and the audit log tells the same.
-        let mut told: BTreeMap<String, Value> = BTreeMap::new();
-        let mut after = 0;
-        loop {
-            let page = api.get(&format!("/v1/tenants/acme/audit?limit=1000&after={after}")).body;
-            for entry in page["items"].as_array().unwrap() {
-                let path = entry["path"].as_str().unwrap().to_string();
-                assert_eq!(told.get(&path).unwrap_or(&Value::Null), &entry["before"], "{path}");
-                told.insert(path, entry["after"].clone());
-            }
-            match page["next"].as_u64() {
-                Some(next) => after = next,
-                None => break,
-            }
-        }
-        for (name, plan) in &plans {
-            assert_eq!(
-                plan["rate"],
-                plan["burst"].as_f64().filter(|_| *name != "basic").map_or(json!(2.0), |rate| json!(rate))
-            );
-            let mut audited = told[&format!("tenants/acme/plans/{name}")].clone();
-            audited["version"] = plan["version"].clone();
-            assert_eq!(&&audited, plan);
-        }
-        // What is there now is what the next round begins with.
-        for (name, rate) in std::mem::take(&mut unsure) {
-            match plans.get(name.as_str()).and_then(|plan| plan["rate"].as_f64()) {
-                Some(now) => {
-                    assert!(now == rate || acknowledged.get(&name) == Some(&now));
-                    acknowledged.insert(name, now);
-                }
-                None => assert!(!acknowledged.contains_key(&name)),
-            }
-        }
+    let control = start_draining_quickly(&file);
+    let api = control.operator();
+    tenant(&api, "acme-2");
+    api.make(PLANS, PLAN);
+    api.make("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
+    let admin = administrator_of_acme(&api);
+    let before = api.get(ACME);
+    assert_eq!(api.force("DELETE", ACME, "").status, 202);
+    until("the tenant is deleted", || api.get(ACME).status == 404);
+
+    // Its host is free too.
+    tenant(&api, "acme");
+
+    assert!(api.get(ACME).body["epoch"].as_u64() > before.body["epoch"].as_u64());
+    for kind in ["plans", "accounts", "routes", "keys"] {
+        assert_eq!(api.get(&format!("/v1/tenants/acme/{kind}")).body["items"], json!([]));
     }
+    assert_eq!(admin.get(ACME).status, 401);
+    assert_eq!(api.get("/v1/tenants/acme-2").status, 200);
 }
 
 #[test]
