--- a/crates/store/src/consensus/durable.rs
+++ b/crates/store/src/consensus/durable.rs
@@ -10,11 +10,11 @@
 pub struct DurableState {
     /// Identifies the disk; 0 where it is empty.
     pub id: StoreId,
-    /// First start of the whole system, and no configuration has been accepted since.
+    /// First start of the whole system, and no replica set has been accepted since.
     pub is_bootstrapping: bool,
     /// The highest epoch promised: nothing of a lower one is accepted. Never decreases.
     pub promised: Epoch,
-    /// The newest configuration accepted. Its epoch never decreases.
+    /// The newest replica set accepted. Its epoch never decreases.
     pub config: ReplicaConfig,
     /// The newest replicated state accepted. Its revision never decreases.
     pub state: ControlState,
--- a/crates/store/src/consensus/mod.rs
+++ b/crates/store/src/consensus/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! [`Replica`] is a pure engine: [`Event`]s go in, [`Effect`]s come out, and it touches neither sockets nor clocks nor
 //! disks. There is no log: the state is small and is replicated as a whole, by primary-backup replication under
-//! configurations that are chosen as in Vertical Paxos (Lamport, Malkhi and Zhou, "Vertical Paxos and Primary-Backup
-//! Replication", 2009); the voters themselves agree on a configuration by the two phases of Paxos (Lamport, "Paxos Made
+//! replica sets that are chosen as in Vertical Paxos (Lamport, Malkhi and Zhou, "Vertical Paxos and Primary-Backup
+//! Replication", 2009); the voters themselves agree on a replica set by the two phases of Paxos (Lamport, "Paxos Made
 //! Simple", 2001).
 //!
-//! - A configuration (`ReplicaConfig`) names an epoch, the voters, and the data replicas, the leader first. Voters that
+//! - A replica set (`ReplicaConfig`) names an epoch, the voters, and the data replicas, the leader first. Voters that
 //!   hold no data are witnesses, and data replicas other than the leader are its backups. Stores without a vote are
 //!   learners.
-//! - A configuration is installed once a majority of its own voters and of those of each configuration before it that
+//! - A replica set is installed once a majority of its own voters and of those of each replica set before it that
 //!   may not be installed have accepted it, and all its data replicas have the state on their disks. Data replicas are
 //!   more than half of the voters, so that every majority contains one.
 //! - A voter that has promised an epoch accepts nothing of a lower one. Receivers check this, whatever senders believe.
--- a/crates/store/src/consensus/peers.rs
+++ b/crates/store/src/consensus/peers.rs
@@ -72,12 +72,12 @@
         self.alive(now).any(|peer| peer.node.id == id && !peer.heartbeat.is_leaving)
     }
 
-    /// The newest configuration that a live store has accepted.
+    /// The newest replica set that a live store has accepted.
     pub(super) fn newest_config(&self, now: Millis) -> Option<&ReplicaConfig> {
         self.alive(now).map(|peer| &peer.heartbeat.config).max_by_key(|config| config.epoch)
     }
 
-    /// The configuration of a live leader that is to stay, of that epoch or a newer one.
+    /// The replica set of a live leader that is to stay, of that epoch or a newer one.
     pub(super) fn leader_config(&self, least_epoch: Epoch, now: Millis) -> Option<&ReplicaConfig> {
         let is_leader = |peer: &&Peer| {
             peer.heartbeat.is_leader
--- a/crates/store/src/consensus/quorum.rs
+++ b/crates/store/src/consensus/quorum.rs
@@ -2,7 +2,7 @@
 
 use violetyoke_transport::messages::{Epoch, ReplicaConfig, StoreId, StoreNode};
 
-/// Whether a majority of the configuration's voters, and of those of each configuration before it that may not be
+/// Whether a majority of the replica set's voters, and of those of each replica set before it that may not be
 /// installed, is in a set (joint consensus).
 pub(super) fn is_joint_majority(config: &ReplicaConfig, contains: impl Fn(StoreId) -> bool + Copy) -> bool {
     is_majority(&config.voters, contains)
@@ -19,7 +19,7 @@
     voters.len() / 2 + 1
 }
 
-/// All nodes that a configuration names as voters, of its own and of the configurations before it.
+/// All nodes that a replica set names as voters, of its own and of the replica sets before it.
 pub(super) fn all_voters(config: &ReplicaConfig) -> impl Iterator<Item = &StoreNode> {
     config.previous_voters.iter().flatten().chain(&config.voters)
 }
--- a/crates/store/src/consensus/replica/acceptor.rs
+++ b/crates/store/src/consensus/replica/acceptor.rs
@@ -45,7 +45,7 @@
         self.defer_to_candidate();
     }
 
-    /// Phase 2 of Paxos: accepts a configuration, and as a data replica the state with it.
+    /// Phase 2 of Paxos: accepts a replica set, and as a data replica the state with it.
     ///
     /// Invariants: nothing below the promise is accepted; the accepted revision never decreases; a data replica accepts
     /// only with exactly the state that the candidate means.
--- a/crates/store/src/consensus/replica/heartbeat.rs
+++ b/crates/store/src/consensus/replica/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who can be reached, who leads, which configuration is the newest, and what is committed.
+//! Heartbeats: who can be reached, who leads, which replica set is the newest, and what is committed.
 
 use super::Replica;
 use crate::consensus::event::Millis;
@@ -13,7 +13,7 @@
 
     /// Sends a heartbeat to each known address when one is due.
     ///
-    /// Heartbeats don't wait for the disk: receivers conclude nothing binding from a configuration before its leader
+    /// Heartbeats don't wait for the disk: receivers conclude nothing binding from a replica set before its leader
     /// reports that it is installed, which it is only after it was persisted.
     pub(super) fn send_due_heartbeats(&mut self) {
         if !self.timers.is_heartbeat_due(self.now) {
@@ -45,17 +45,17 @@
         self.peers.update(from, heartbeat, self.now);
     }
 
-    /// A leader's heartbeat says that its configuration is installed. A voter that has accepted it drops the voters
+    /// A leader's heartbeat says that its replica set is installed. A voter that has accepted it drops the voters
     /// before it; a store that missed it learns it, and thereby whether it is still a voter.
     ///
-    /// Invariant: the epoch of the accepted configuration and the promise never decrease. A configuration may be learnt
+    /// Invariant: the epoch of the accepted replica set and the promise never decrease. A replica set may be learnt
     /// under a higher promise: once installed it is no vote any more, and a candidate finds it at any majority.
     fn learn_installed_config(&mut self, config: &ReplicaConfig) {
         let accepted = &self.durable.config;
         if config.epoch == accepted.epoch {
             return self.clear_previous_voters();
         }
-        // A data replica has accepted the configuration, with the state, before it could be installed.
+        // A data replica has accepted the replica set, with the state, before it could be installed.
         let is_data_replica = config.data_replicas.contains(&self.settings.node.id);
         if is_data_replica || config.epoch < accepted.epoch || !config.previous_voters.is_empty() {
             return;
@@ -70,7 +70,7 @@
         self.persist();
     }
 
-    /// The accepted configuration is installed: the voters before it have no say any more.
+    /// The accepted replica set is installed: the voters before it have no say any more.
     pub(super) fn clear_previous_voters(&mut self) {
         if !self.durable.config.previous_voters.is_empty() {
             self.durable.config.previous_voters.clear();
@@ -89,18 +89,18 @@
         }
     }
 
-    /// The newest configuration that this store or a live one has accepted.
+    /// The newest replica set that this store or a live one has accepted.
     pub(super) fn newest_config(&self) -> &ReplicaConfig {
         let newest = self.peers.newest_config(self.now);
         newest.filter(|config| config.epoch > self.durable.config.epoch).unwrap_or(&self.durable.config)
     }
 
-    /// The configuration of a live leader that is to stay, where none newer is accepted here.
+    /// The replica set of a live leader that is to stay, where none newer is accepted here.
     pub(super) fn live_leader_config(&self) -> Option<&ReplicaConfig> {
         self.peers.leader_config(self.durable.config.epoch, self.now)
     }
 
-    /// The time since the store at an address was last heard, or since the configuration was installed where it never was.
+    /// The time since the store at an address was last heard, or since the replica set was installed where it never was.
     pub(super) fn time_since_heard(&self, ip: Ipv4Addr) -> Millis {
         let since = self.peers.at(ip).map_or(self.timers.installed_at(), |peer| peer.last_heard);
         self.now - since
--- a/crates/store/src/consensus/replica/leader.rs
+++ b/crates/store/src/consensus/replica/leader.rs
@@ -73,7 +73,7 @@
     /// A data replica, perhaps this store, has a state on its disk.
     ///
     /// Invariant: a state is committed, and its commands are acknowledged, only when all data replicas of the installed
-    /// configuration have it on their disks.
+    /// replica set have it on their disks.
     pub(super) fn on_written(&mut self, id: StoreId, epoch: Epoch, revision: Revision) {
         let is_current =
             epoch == self.durable.config.epoch && revision == self.durable.state.revision && self.is_leader();
--- a/crates/store/src/consensus/replica/learner.rs
+++ b/crates/store/src/consensus/replica/learner.rs
@@ -4,7 +4,7 @@
 use crate::consensus::peers::Peer;
 use violetyoke_transport::messages::{ControlState, Epoch, PeerMessage, StoreNode};
 
-/// A learner that lacks no more writes than these has caught up: it gets the rest with the configuration that names it.
+/// A learner that lacks no more writes than these has caught up: it gets the rest with the replica set that names it.
 const MAX_LEARNER_LAG: u64 = 8;
 
 impl Replica {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A learner takes the committed state of the configuration that it knows. So does a witness that has promised no
+    /// A learner takes the committed state of the replica set that it knows. So does a witness that has promised no
     /// higher epoch: the leader takes it for a learner where its address or zone is another by now.
     ///
     /// Invariants: the accepted revision never decreases, and a data replica changes its state only by `on_accept` and
--- a/crates/store/src/consensus/replica/mod.rs
+++ b/crates/store/src/consensus/replica/mod.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The data replicas of the configuration in force, but for this store.
+    /// The data replicas of the replica set in force, but for this store.
     fn backups(&self) -> Vec<StoreNode> {
         let config = &self.durable.config;
         let others = config.data_replicas.iter().filter(|id| **id != self.settings.node.id);
@@ -226,7 +226,7 @@
         id == self.settings.node.id
     }
 
-    /// Whether this store holds data under the configuration that it has accepted.
+    /// Whether this store holds data under the replica set that it has accepted.
     fn is_data_replica(&self) -> bool {
         self.durable.config.data_replicas.contains(&self.settings.node.id)
     }
--- a/crates/store/src/consensus/replica/proposal.rs
+++ b/crates/store/src/consensus/replica/proposal.rs
@@ -1,4 +1,4 @@
-//! The second phase of a candidate: a configuration is chosen from the promises, proposed and installed (phase 2 of
+//! The second phase of a candidate: a replica set is chosen from the promises, proposed and installed (phase 2 of
 //! Paxos, and the activation of a configuration in Vertical Paxos).
 
 use super::{Replica, Role};
@@ -9,7 +9,7 @@
     ControlState, Epoch, InitialState, PeerMessage, ReplicaConfig, Revision, StoreId, StoreNode,
 };
 
-/// A configuration with the state that its data replicas start from.
+/// A replica set with the state that its data replicas start from.
 struct Proposal {
     config: ReplicaConfig,
     /// The newest state among the promises, under the first revision of the new epoch.
@@ -21,16 +21,16 @@
 }
 
 impl Replica {
-    /// Proposes a configuration once enough promises are there.
+    /// Proposes a replica set once enough promises are there.
     ///
-    /// Invariants: the newest configuration among the promises decides whose majority has to promise; the newest state
+    /// Invariants: the newest replica set among the promises decides whose majority has to promise; the newest state
     /// among them is the one that the new epoch starts from. Every acknowledged command is in it, because a majority
     /// contains a data replica.
     pub(super) fn maybe_propose(&mut self) {
         let Role::Preparing(preparing) = &self.role else { return };
         let Some(base) = self.promised_base(preparing) else { return };
         // Data replicas have to be voters, or a majority might contain none of them. This is known once a majority has
-        // promised: before that, the configuration here may be older than the one that made this store a voter.
+        // promised: before that, the replica set here may be older than the one that made this store a voter.
         if self.settings.checks.data_replicas_vote && !base.has_voter(self.settings.node.id) {
             return self.abandon_epoch();
         }
@@ -39,7 +39,7 @@
         self.propose(proposal);
     }
 
-    /// The configuration that the new one follows, once enough of its voters have promised.
+    /// The replica set that the new one follows, once enough of its voters have promised.
     fn promised_base(&self, preparing: &Preparing) -> Option<ReplicaConfig> {
         let newest = preparing.newest_config()?;
         let base = if newest.epoch == Epoch::default() { &self.durable.config } else { newest };
@@ -48,7 +48,7 @@
     }
 
     fn choose_proposal(&self, preparing: &Preparing, base: &ReplicaConfig) -> Option<Proposal> {
-        // Only the leader of an installed configuration changes its voters: one change at a time.
+        // Only the leader of an installed replica set changes its voters: one change at a time.
         let is_own = base.epoch == self.durable.config.epoch && base.previous_voters.is_empty();
         let voters = preparing.new_voters.as_ref().filter(|_| is_own).unwrap_or(&base.voters).clone();
         let data_replicas = self.choose_data_replicas(preparing, base, &voters)?;
@@ -68,7 +68,7 @@
     }
 
     /// This store first, then those that stay, in other zones where there are any: more than half of the voters. A voter
-    /// of the configuration before has to have promised; one that is new gets the state with the configuration.
+    /// of the replica set before has to have promised; one that is new gets the state with the replica set.
     fn choose_data_replicas(
         &self,
         preparing: &Preparing,
@@ -115,7 +115,7 @@
 
     /// A voter has accepted the proposal, or this store's own acceptance is on its disk.
     ///
-    /// Invariant: a configuration is installed only when a joint majority has accepted it and all its data replicas have
+    /// Invariant: a replica set is installed only when a joint majority has accepted it and all its data replicas have
     /// the state on their disks. One store at most leads under an epoch.
     pub(super) fn on_accepted(&mut self, id: StoreId, epoch: Epoch) {
         let Role::Proposing(proposing) = &mut self.role else { return };
@@ -141,7 +141,7 @@
         self.committed = self.durable.state.revision;
         self.snapshots.clear();
         self.clear_previous_voters();
-        // All stores learn from the heartbeats, which repeat it, that the configuration is installed.
+        // All stores learn from the heartbeats, which repeat it, that the replica set is installed.
         self.request_heartbeat();
         self.reply_to_committed();
         self.outbox.notify_watchers_after_fsync();
--- a/crates/store/src/consensus/replica/reconfiguration.rs
+++ b/crates/store/src/consensus/replica/reconfiguration.rs
@@ -1,7 +1,7 @@
 //! Reconfiguration by the leader: which stores vote and which hold data. A learner that has caught up replaces a voter
 //! that is silent, leaves, or has lost its disk.
 //!
-//! Invariant: a leader changes the voters of its installed configuration only, one change at a time, and the change
+//! Invariant: a leader changes the voters of its installed replica set only, one change at a time, and the change
 //! needs majorities of the voters before and after it (`Proposal`, joint consensus).
 
 use super::Replica;
@@ -11,7 +11,7 @@
 
 /// A voter that was not heard for this long may be replaced; more than what makes it suspected.
 const REPLACE_AFTER: Millis = 1_300;
-/// A configuration is installed for this long before its voters change.
+/// A replica set is installed for this long before its voters change.
 const CHANGE_INTERVAL: Millis = 300;
 /// The same for a change of data replicas that only spreads them over zones.
 const ZONE_CHANGE_INTERVAL: Millis = 1_500;
@@ -19,7 +19,7 @@
 const ATTEMPT_INTERVAL: Millis = 500;
 
 impl Replica {
-    /// Starts a new epoch where a better configuration is possible.
+    /// Starts a new epoch where a better replica set is possible.
     pub(super) fn maybe_reconfigure(&mut self) {
         let is_waiting = self.timers.is_backing_off(self.now);
         if !self.status.is_disk_healthy || self.status.is_leaving || is_waiting {
--- a/crates/store/src/consensus/replica/status.rs
+++ b/crates/store/src/consensus/replica/status.rs
@@ -25,13 +25,13 @@
         &self.settings.node
     }
 
-    /// The epoch of the newest configuration accepted here.
+    /// The epoch of the newest replica set accepted here.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.durable.config.epoch
     }
 
-    /// Whether this store leads under an installed configuration, as far as it knows.
+    /// Whether this store leads under an installed replica set, as far as it knows.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader)
--- a/crates/store/src/consensus/role.rs
+++ b/crates/store/src/consensus/role.rs
@@ -17,9 +17,9 @@
     Follower,
     /// Candidate in the first phase: collects promises for an epoch.
     Preparing(Preparing),
-    /// Candidate in the second phase: collects acceptances of its configuration.
+    /// Candidate in the second phase: collects acceptances of its replica set.
     Proposing(Proposing),
-    /// Leader of an installed configuration.
+    /// Leader of an installed replica set.
     Leader,
 }
 
@@ -71,7 +71,7 @@
         self.promises.contains_key(&id)
     }
 
-    /// The newest configuration among the promises; of two that are equal but for that, the one that is installed.
+    /// The newest replica set among the promises; of two of one epoch, the one that is known to be installed.
     pub(super) fn newest_config(&self) -> Option<&ReplicaConfig> {
         let configs = self.promises.values().map(|promise| &promise.config);
         configs.max_by_key(|config| (config.epoch, Reverse(config.previous_voters.len())))
--- a/crates/store/src/consensus/safety_checks.rs
+++ b/crates/store/src/consensus/safety_checks.rs
@@ -8,9 +8,9 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyChecks {
-    /// A configuration also needs a majority of the voters of the configurations before it.
+    /// A replica set also needs a majority of the voters of the replica sets before it.
     pub previous_majorities: bool,
-    /// Only a voter of the newest configuration may lead and hold data.
+    /// Only a voter of the newest replica set may lead and hold data.
     pub data_replicas_vote: bool,
     /// Only a learner that has the state gets a vote. For availability alone.
     pub learners_catch_up: bool,
--- a/crates/store/src/consensus/timers.rs
+++ b/crates/store/src/consensus/timers.rs
@@ -11,7 +11,7 @@
     leaderless_since: Option<Millis>,
     /// No attempt begins before this.
     election_backoff_until: Millis,
-    /// When this store last installed a configuration as its leader, or started.
+    /// When this store last installed a replica set as its leader, or started.
     installed_at: Millis,
     /// `None` where the next heartbeat is due at once.
     heartbeat_sent_at: Option<Millis>,
--- a/crates/store/tests/model/reconfiguration.rs
+++ b/crates/store/tests/model/reconfiguration.rs
@@ -51,7 +51,7 @@
 /// From where all orders are explored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartPoint {
-    /// The configuration that names the learner has just been proposed.
+    /// The replica set that names the learner has just been proposed.
     Proposed,
     /// The learner and the third voter have accepted it.
     Accepted,
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Steps {
     All,
-    /// Deliveries and, where the configuration has just been proposed, one election. What a check prevents is found by
+    /// Deliveries and, where the replica set has just been proposed, one election. What a check prevents is found by
     /// them.
     DeliveriesOnly,
 }
@@ -75,7 +75,7 @@
     pub steps: Steps,
 }
 
-/// Whether a configuration that names the learner is on its way.
+/// Whether a replica set that names the learner is on its way.
 fn is_proposed(system: &System) -> bool {
     let names_learner = |message: &PeerMessage| match message {
         PeerMessage::Accept { config, .. } => config.voters.iter().any(|voter| voter.ip == address(LEARNER)),
@@ -84,7 +84,7 @@
     system.in_flight.iter().any(|message| names_learner(&message.envelope.message))
 }
 
-/// A tick of all but the silent voter, and all messages among them, until the configuration is proposed.
+/// A tick of all but the silent voter, and all messages among them, until the replica set is proposed.
 fn advance(system: &mut System) {
     const CONNECTED: [usize; 3] = [LEADER, OTHER, LEARNER];
     system.now += TICK_INTERVAL;
@@ -97,7 +97,7 @@
 }
 
 impl Reconfiguration {
-    /// From the first start to the moment in which the configuration is proposed, and a command waits.
+    /// From the first start to the moment in which the replica set is proposed, and a command waits.
     fn proposed(&self) -> System {
         let mut system = System::new(STORES);
         for store in &mut system.stores {
--- a/crates/store/tests/model/replication.rs
+++ b/crates/store/tests/model/replication.rs
@@ -1,5 +1,5 @@
 //! Three stores in every order in which messages, syncs, silence, deaths and commands can come, from an installed
-//! configuration on.
+//! replica set on.
 
 use crate::explore::Action;
 use crate::system::{address, Heartbeats, InFlight, System};
--- a/crates/store/tests/model/system.rs
+++ b/crates/store/tests/model/system.rs
@@ -8,7 +8,7 @@
 use violetyoke_transport::messages::{Command, Envelope, Epoch, Outcome, PeerMessage, StoreId};
 
 const TICK_INTERVAL: Millis = 50;
-/// Ticks until the first configuration is installed.
+/// Ticks until the first replica set is installed.
 const START_TICKS: usize = 60;
 
 /// A state that a store has asked its disk to persist.
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Everything that happens without a fault, until a configuration is installed.
+    /// Everything that happens without a fault, until a replica set is installed.
     pub fn settle(&mut self) {
         for _ in 0..START_TICKS {
             self.now += TICK_INTERVAL;
--- a/crates/store/tests/reconfiguration.rs
+++ b/crates/store/tests/reconfiguration.rs
@@ -21,7 +21,7 @@
     cluster
 }
 
-/// The configuration that a store reports in its heartbeats.
+/// The replica set that a store reports in its heartbeats.
 fn config_of(cluster: &Cluster, n: usize) -> ReplicaConfig {
     let mut copy = cluster.machines[n].replica.clone().expect("it runs");
     copy.request_heartbeat();
--- a/crates/store/tests/schedules/runner.rs
+++ b/crates/store/tests/schedules/runner.rs
@@ -15,7 +15,7 @@
 /// A step waits this long for its activity, and for a moment in which one more machine may be lost.
 const ACTIVITY_TIMEOUT: Millis = 1_500;
 const LOSS_TIMEOUT: Millis = 30_000;
-/// The first configuration is installed by then, and newcomers could be taken in.
+/// The first replica set is installed by then, and newcomers could be taken in.
 const START_TIME: Millis = 5_000;
 const READ_TIMEOUT: Millis = 20_000;
 
--- a/crates/store/tests/simulation/clients.rs
+++ b/crates/store/tests/simulation/clients.rs
@@ -57,7 +57,7 @@
         self.open_commands.values().rev().take(20).any(is_in_flight)
     }
 
-    /// The newest configuration has other voters than the one before it, and is not known to be installed.
+    /// The newest replica set has other voters than the one before it, and is not known to be installed.
     pub fn is_reconfiguring(&self) -> bool {
         !self.newest_config.previous_voters.is_empty()
     }
--- a/crates/store/tests/simulation/mod.rs
+++ b/crates/store/tests/simulation/mod.rs
@@ -59,7 +59,7 @@
     sent_texts: BTreeMap<u64, Vec<String>>,
     /// Rules that were violated, in the order in which that was seen.
     pub violations: Vec<String>,
-    /// The newest configuration that any store has asked its disk to persist.
+    /// The newest replica set that any store has asked its disk to persist.
     pub newest_config: ReplicaConfig,
     /// Each sync takes exactly this long, instead of a drawn time.
     pub fixed_sync_time: Option<Millis>,
@@ -96,7 +96,7 @@
         cluster
     }
 
-    /// Three stores without delays on their links, whose syncs take 1 ms each, and with an installed configuration.
+    /// Three stores without delays on their links, whose syncs take 1 ms each, and with an installed replica set.
     pub fn without_delays() -> Cluster {
         let mut cluster = Cluster::new(0, 3, 1);
         cluster.network = Network::without_delay();
