--- a/crates/ingress/src/console.rs
+++ b/crates/ingress/src/console.rs
@@ -22,7 +22,7 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
-use violetyoke_operations::Duty;
+use violetyoke_operations::ServingState;
 
 /// A caller's whole time.
 const CALL_TIME: Duration = Duration::from_secs(5);
@@ -106,8 +106,8 @@
             return StatusCode::METHOD_NOT_ALLOWED;
         }
         match (path, node) {
-            ("/-/drain", _) => self.shared.turn(Duty::drain),
-            ("/-/resume", _) => self.shared.turn(|duty, _| duty.resume()),
+            ("/-/drain", _) => self.shared.turn(ServingState::drain),
+            ("/-/resume", _) => self.shared.turn(|state, _| state.resume()),
             (_, Some((node, call))) => return self.by_hand(node, call == "disable").await,
             _ if self.shared.ready() => {}
             _ => return StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -19,7 +19,7 @@
 use violetyoke_exchange::nodes::Numbers;
 use violetyoke_exchange::port::AttemptId;
 use violetyoke_exchange::{Exchange, Taken};
-use violetyoke_operations::Hand;
+use violetyoke_operations::ManualEjections;
 
 /// Messages taken up in one go.
 const BATCH: usize = 256;
@@ -35,7 +35,7 @@
     pub counter: Option<Link>,
     pub peers: Option<Peers>,
     /// Nodes that are out by hand.
-    pub hand: Hand,
+    pub ejections: ManualEjections,
     /// Whether this one takes the place of a process that still lives, and what that has handed down.
     pub beside: bool,
     pub inherited: Option<Box<Inheritance>>,
@@ -48,13 +48,14 @@
     pool: Rc<Pool>,
     /// No new requests come.
     retiring: bool,
-    hand: Hand,
+    ejections: ManualEjections,
     budget: Rc<Budget>,
 }
 
 impl Driver {
     pub fn new(setup: Setup, clock: Clock, messages: Messages, pool: Rc<Pool>) -> Driver {
-        let Setup { settings, names, seed, budget, known, counter, peers, hand, beside, inherited } = setup;
+        let Setup { settings, names, seed, budget, known, counter, peers, ejections, beside, inherited } =
+            setup;
         let timeout = settings.counter.map_or(0, |counter| counter.timeout);
         let mut sockets = Sockets {
             clock,
@@ -71,7 +72,7 @@
         };
         sockets.counter = counter.map(|link| sockets.open(link, timeout));
         let exchange = Exchange::new(clock.now(), settings, seed, sockets);
-        let mut driver = Driver { clock, exchange, names, pool, retiring: false, hand, budget };
+        let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.targets(TargetList { cached: true, complete: true, ..known });
         driver.exchange.settle(clock.now());
         driver.exchange.gateway_mut().beside(beside);
@@ -142,7 +143,7 @@
                 let _ = reply.send(self.by_hand(&node, out));
             }
             Message::Out(written) => {
-                let moved = self.hand.follow(&written, now);
+                let moved = self.ejections.update_from(&written, now);
                 moved.iter().for_each(|node| self.tell_again(node));
             }
             Message::HandDown(reply) => {
@@ -163,14 +164,14 @@
     fn hand_down(&mut self) -> Box<Inheritance> {
         let belief = self.exchange.gateway_mut().hand_down(self.clock.now());
         let sockets = &self.exchange.port;
-        let (nodes, back) = (sockets.listed.values().cloned().collect(), self.hand.back().clone());
+        let (nodes, back) = (sockets.listed.values().cloned().collect(), self.ejections.restored().clone());
         Box::new(Inheritance::new(nodes, sockets.numbers.as_map(), &self.names, back, belief))
     }
 
     /// Begins with what an older process knew. Its list of nodes is newer than the configuration's.
     #[cold]
     fn inherit(&mut self, mut inherited: Inheritance) {
-        self.hand.take_over(std::mem::take(&mut inherited.back));
+        self.ejections.inherit_restored(std::mem::take(&mut inherited.back));
         if let Some(list) = inherited.list() {
             self.targets(list);
             self.exchange.settle(self.clock.now());
@@ -250,10 +251,10 @@
     /// Whether there is such a node; it is out, or back, from then on.
     fn by_hand(&mut self, node: &str, out: bool) -> bool {
         let now = self.clock.now();
-        if self.exchange.port.numbers.get(node).is_none() && !self.hand.is_out(node) {
+        if self.exchange.port.numbers.get(node).is_none() && !self.ejections.is_ejected(node) {
             return false;
         }
-        let moved = if out { self.hand.take_out(node, now) } else { self.hand.put_back(node, now) };
+        let moved = if out { self.ejections.eject(node, now) } else { self.ejections.restore(node, now) };
         if moved {
             eprintln!("by hand: {node} is {}", if out { "out" } else { "back" });
             self.tell_again(node);
@@ -272,7 +273,7 @@
     }
 
     fn target(&mut self, target: &Target) -> BackendEntry {
-        let out = self.hand.is_out(&target.id);
+        let out = self.ejections.is_ejected(&target.id);
         let sockets = &mut self.exchange.port;
         let id = sockets.numbers.number(&target.id);
         let budget = &self.budget;
@@ -297,7 +298,7 @@
             },
             share: target.size,
             // Unix time, as is the driver's clock; 0, for long ago, stays 0.
-            born: self.hand.started(&target.id, target.up_since_ms.saturating_mul(1000)),
+            born: self.ejections.assumed_start(&target.id, target.up_since_ms.saturating_mul(1000)),
         }
     }
 }
--- a/crates/ingress/src/platform.rs
+++ b/crates/ingress/src/platform.rs
@@ -24,7 +24,7 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use violetyoke_decision::interface::Settings;
-use violetyoke_operations::Hand;
+use violetyoke_operations::ManualEjections;
 use violetyoke_settings::changes::Numbers;
 
 /// Serves until told to end; returns once everything taken has been answered.
@@ -69,7 +69,7 @@
         known: config.known.unwrap_or_default(),
         counter,
         peers,
-        hand: Hand::new(handover.iter().flat_map(|handover| handover.out())),
+        ejections: ManualEjections::new(handover.iter().flat_map(|handover| handover.out())),
         beside: older.is_some(),
         inherited,
     };
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -30,7 +30,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 use violetyoke_decision::interface::Micros;
-use violetyoke_operations::{Duty, Idle};
+use violetyoke_operations::{IdlePolicy, ServingState};
 use violetyoke_ratelimit::claim::Way;
 use violetyoke_shares::Member;
 
@@ -56,7 +56,7 @@
     /// Ids for requests whose clients gave them none.
     next_name: Cell<u64>,
     /// How this process stands to its clients.
-    pub duty: Cell<Duty>,
+    pub serving_state: Cell<ServingState>,
     /// Set until an older process that serves the same clients has been told to leave them to this one.
     pub held_back: Cell<bool>,
     /// Told to connections that are to end with what they have.
@@ -73,24 +73,24 @@
             clients,
             door,
             next_name,
-            duty: Cell::default(),
+            serving_state: Cell::default(),
             held_back: Cell::new(false),
             closing,
         }
     }
 
     /// Changes how this process stands to its clients.
-    pub fn turn(&self, change: impl FnOnce(&mut Duty, Micros)) {
-        let mut duty = self.duty.get();
-        change(&mut duty, self.clock.now());
-        if duty != self.duty.replace(duty) {
-            eprintln!("clients: {duty:?}");
+    pub fn turn(&self, change: impl FnOnce(&mut ServingState, Micros)) {
+        let mut state = self.serving_state.get();
+        change(&mut state, self.clock.now());
+        if state != self.serving_state.replace(state) {
+            eprintln!("clients: {state:?}");
         }
     }
 
     /// Whether it takes clients, as whoever deals them out asks.
     pub fn ready(&self) -> bool {
-        self.duty.get().ready() && self.front.ready() && !self.held_back.get()
+        self.serving_state.get().is_ready() && self.front.ready() && !self.held_back.get()
     }
 }
 
@@ -117,12 +117,12 @@
     let mut tidy = interval(TIDY);
     tidy.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let (room, duty) = (shared.clients.has_room(), shared.duty.get());
-        let takes = duty.accepts(shared.clock.now()) && !shared.held_back.get();
-        let closes_at = duty.closes_at().map(|at| Instant::from_std(shared.clock.instant(at)));
+        let (room, state) = (shared.clients.has_room(), shared.serving_state.get());
+        let takes = state.accepts_connections(shared.clock.now()) && !shared.held_back.get();
+        let closes_at = state.closes_at().map(|at| Instant::from_std(shared.clock.instant(at)));
         tokio::select! {
             accepted = listener.accept(), if room && takes => match accepted {
-                Ok((stream, _)) => open(stream, &shared, duty.ending()),
+                Ok((stream, _)) => open(stream, &shared, state.is_shutting_down()),
                 // Out of descriptors, or a client gone already: neither ends the service.
                 Err(error) => {
                     eprintln!("accept: {error}");
@@ -132,17 +132,17 @@
             () = shared.clients.freed.notified(), if !room => {}
             _ = tidy.tick() => {
                 shared.clients.tidy();
-                if shared.duty.get().idle(shared.clock.now()) == Idle::CloseQuiet {
+                if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseQuiet {
                     shared.clients.close_quiet();
                 }
             }
-            _ = terminate.recv(), if !duty.ending() => {
+            _ = terminate.recv(), if !state.is_shutting_down() => {
                 if passed.is_some_and(|taken_over| taken_over()) {
-                    shared.turn(|duty, _| duty.taken_over());
+                    shared.turn(|state, _| state.on_taken_over());
                 }
-                shared.turn(Duty::end);
+                shared.turn(ServingState::shut_down);
                 // Idle connections close now, while a request that crosses this still finds a listener.
-                if shared.duty.get().idle(shared.clock.now()) == Idle::CloseAll {
+                if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseAll {
                     shared.closing.send_replace(());
                 }
             }
@@ -192,7 +192,10 @@
                     // ask: a table full of those that haven't keeps everybody else waiting. Guards against any
                     // crowd of clients with little to ask each; costs those with much a handshake a request.
                     let answer = match answer {
-                        Ok(response) if shared.clients.crowded() || !shared.duty.get().keeps() => {
+                        Ok(response)
+                            if shared.clients.crowded()
+                                || !shared.serving_state.get().keeps_connections() =>
+                        {
                             Ok(close(response))
                         }
                         answer => answer,
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use violetyoke_config as file;
 use violetyoke_decision::interface::Plan;
-use violetyoke_operations::Hand;
+use violetyoke_operations::ManualEjections;
 
 impl Pools {
     fn link(&self, pool: &file::Pool) -> Link {
@@ -57,7 +57,7 @@
             known: list(&file.nodes, 1),
             counter: Some(self.link(file)),
             peers: None,
-            hand: Hand::default(),
+            ejections: ManualEjections::default(),
         };
         let turns = config.turns;
         let (clock, driven) = (self.clock, pool.clone());
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::sleep;
-use violetyoke_operations::Duty;
+use violetyoke_operations::ServingState;
 use violetyoke_succession::{Header, Lending, Overlap, Step, HANDED_WITHIN};
 
 /// How often a process that shares its listening socket looks what others of its ingress have left.
@@ -121,13 +121,13 @@
     loop {
         let taken_over = announced.is_ok() && handover.taken_over();
         if taken_over {
-            shared.turn(|duty, _| duty.taken_over());
-        } else if shared.duty.get() == Duty::TakenOver {
+            shared.turn(|state, _| state.on_taken_over());
+        } else if shared.serving_state.get() == ServingState::TakenOver {
             // Whoever comes next is to ask this process again.
             if let Err(error) = handover.announce() {
                 eprintln!("handover: {error}");
             }
-            shared.turn(|duty, _| duty.returned());
+            shared.turn(|state, _| state.on_successor_lost());
         }
         lender.look(taken_over, &mut lent).await;
         let alone = |overlap: &mut Overlap| overlap.is_over(lender.clock.now(), handover.ended().as_deref());
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -1,13 +1,13 @@
-//! What operators' calls mean, free of I/O and without a clock: which nodes are out by hand, and how an ingress
-//! that drains, is taken over by its successor, or ends treats its clients' connections.
+//! What operators' calls mean for an ingress, without I/O and without a clock.
+//!
+//! [`ManualEjections`] are the nodes that operators have taken out of use. [`ServingState`] says how an ingress that
+//! drains, is taken over by its successor (hot restart), or shuts down treats its clients' connections.
 
-#![allow(missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
+mod manual_ejections;
+mod serving_state;
 
-mod duty;
-mod hand;
-
-pub use duty::{Duty, Idle};
-pub use hand::Hand;
+pub use manual_ejections::ManualEjections;
+pub use serving_state::{IdlePolicy, ServingState};
 
 /// Microseconds, a time or a span.
 pub type Micros = u64;
