--- a/crates/violetyoke/tests/common/mod.rs
+++ b/crates/violetyoke/tests/common/mod.rs
@@ -12,6 +12,7 @@
 pub mod control;
 pub mod grpc;
 pub mod held;
+pub mod hosted;
 
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
