--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 use violetyoke_operations::ServingState;
-use violetyoke_succession::{Header, Lending, Overlap, Step, HANDED_WITHIN};
+use violetyoke_succession::{HandoverAction, Header, Predecessor, StateHandover, HANDOVER_TIMEOUT};
 
 /// How often a process that shares its listening socket looks what others of its ingress have left.
 const LOOK: Duration = Duration::from_millis(100);
@@ -40,9 +40,9 @@
         match handover.handed() {
             Ok(Some(sealed)) => match violetyoke_succession::open::<Inheritance>(&sealed, &expected) {
                 Ok(inheritance) => break Some(Box::new(inheritance)),
-                Err(unfit) => break nothing(&unfit),
+                Err(error) => break nothing(&error),
             },
-            Ok(None) if clock.now() < began + HANDED_WITHIN => sleep(SOON).await,
+            Ok(None) if clock.now() < began + HANDOVER_TIMEOUT => sleep(SOON).await,
             Ok(None) => break nothing(&"the process that serves has not answered"),
             Err(error) => break nothing(&error),
         }
@@ -57,7 +57,7 @@
     fingerprint: Rc<Cell<u64>>,
     clock: Clock,
     messages: Messages,
-    lending: Lending,
+    state: StateHandover,
 }
 
 impl Lender {
@@ -68,31 +68,31 @@
         clock: Clock,
         messages: Messages,
     ) -> Lender {
-        let lending = Lending::new(handover.asked());
-        Lender { handover, name, fingerprint, clock, messages, lending }
+        let state = StateHandover::new(handover.asked());
+        Lender { handover, name, fingerprint, clock, messages, state }
     }
 
     /// `lent` is what is another's just now.
     async fn look(&mut self, taken_over: bool, lent: &mut Option<Box<Inheritance>>) {
         let asked = self.handover.asked();
-        match self.lending.look(self.clock.now(), asked.as_deref(), taken_over) {
-            Step::Nothing => {}
-            Step::TakeBack => {
+        match self.state.next_action(self.clock.now(), asked.as_deref(), taken_over) {
+            HandoverAction::None => {}
+            HandoverAction::TakeBack => {
                 if let Some(lent) = lent.take() {
                     eprintln!("handover: nobody has come for what was handed down: it is taken back");
                     let _ = self.messages.send(Message::TakeBack(lent));
                 }
             }
-            Step::HandDown(to) => {
+            HandoverAction::HandOver(to) => {
                 let (reply, handed) = oneshot::channel();
                 let _ = self.messages.send(Message::HandDown(reply));
                 let Ok(inheritance) = handed.await else { return };
                 let (ingress, settings) = (self.name.clone(), self.fingerprint.get());
                 let sealed = violetyoke_succession::seal(&Header { ingress, settings, to }, &inheritance);
-                let left =
-                    sealed.and_then(|sealed| self.handover.hand(&sealed).map_err(|error| error.to_string()));
-                if let Err(error) = left {
-                    eprintln!("handover: {error}");
+                match sealed.map(|sealed| self.handover.hand(&sealed)) {
+                    Ok(Ok(())) => {}
+                    Ok(Err(error)) => eprintln!("handover: {error}"),
+                    Err(error) => eprintln!("handover: {error}"),
                 }
                 *lent = Some(inheritance);
             }
@@ -116,7 +116,7 @@
         eprintln!("handover: {error}");
     }
     let (mut out, mut lent) = (handover.out(), None);
-    let mut overlap = older.map(|older| Overlap::new(older, lender.clock.now()));
+    let mut predecessor = older.map(|older| Predecessor::new(older, lender.clock.now()));
     let _ = messages.send(Message::Out(out.clone()));
     loop {
         let taken_over = announced.is_ok() && handover.taken_over();
@@ -130,8 +130,9 @@
             shared.turn(|state, _| state.on_successor_lost());
         }
         lender.look(taken_over, &mut lent).await;
-        let alone = |overlap: &mut Overlap| overlap.is_over(lender.clock.now(), handover.ended().as_deref());
-        if overlap.take_if(alone).is_some() {
+        let has_ended =
+            |older: &mut Predecessor| older.has_ended(lender.clock.now(), handover.ended().as_deref());
+        if predecessor.take_if(has_ended).is_some() {
             let _ = messages.send(Message::Alone);
         }
         let written = handover.out();
--- a/crates/succession/src/lib.rs
+++ b/crates/succession/src/lib.rs
@@ -1,22 +1,24 @@
-//! A process of an ingress takes the place of another: what it is handed, in a form that shows whether it is whole and
-//! meant for it ([`seal`], [`open`]), and when the older one lends what it has and takes it back ([`Lending`]). Free
-//! of I/O and without a clock.
+//! Hot restart: one process of an ingress takes the place of another, without I/O and without a clock.
+//!
+//! [`seal`] and [`open`] encode the state that is handed over, in a form that shows whether it is complete and meant for
+//! this process. [`StateHandover`] decides when the older process hands its state over and takes it back, and
+//! [`Predecessor`] when the newer one is alone.
 //!
 //! ```text
-//!   new: asks ------------------> old: hands down; both share
-//!   new: believes or does not
-//!   new: serves ----------------> old: gone over, ends what it has
-//!   new: alone <----------------- old: says that it ends
+//!   new: requests --------------> old: hands its state over; both use it
+//!   new: accepts it or does not
+//!   new: serves ----------------> old: was taken over, completes what it has
+//!   new: alone <----------------- old: reports its end
 //!   (new: never serves) --------> old: takes back, goes on
 //! ```
 
-#![allow(missing_docs, reason = "not yet revised for readers: see docs/ROADMAP.md")]
-
-mod lending;
-mod seal;
+mod handover;
+mod sealed;
 
-pub use lending::{Lending, Overlap, Step, GONE_AFTER, HANDED_WITHIN, TAKEN_BACK_AFTER};
-pub use seal::{open, seal, Header, Unfit, VERSION};
+pub use handover::{
+    HandoverAction, Predecessor, StateHandover, HANDOVER_TIMEOUT, PREDECESSOR_TIMEOUT, TAKE_BACK_AFTER,
+};
+pub use sealed::{open, seal, Header, OpenError, SealError, VERSION};
 
 /// Microseconds of Unix time, or a span.
 pub type Micros = u64;
--- a/crates/succession/tests/golden/main.rs
+++ b/crates/succession/tests/golden/main.rs
@@ -9,7 +9,7 @@
 use files::GoldenFolder;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use violetyoke_succession::{open, seal, Header, Unfit, VERSION};
+use violetyoke_succession::{open, seal, Header, OpenError, VERSION};
 
 /// Each kind of value that Postcard encodes in its own way.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
@@ -87,5 +87,5 @@
 
     let other = Header { to: "process-8".into(), ..header() };
 
-    assert_eq!(open::<Body>(&golden, &other), Err(Unfit::Other("to")));
+    assert_eq!(open::<Body>(&golden, &other), Err(OpenError::Mismatch("to")));
 }
