--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 use violetyoke_decision::interface::Settings;
-use violetyoke_settings::changes::missing;
+use violetyoke_settings::missing_key;
 
 #[derive(Debug)]
 pub struct Config {
@@ -80,7 +80,7 @@
 pub fn reload(before: &Value) -> Result<Reloaded, String> {
     let (path, file) = read()?;
     let discovery = file.discovery.ok_or_else(|| in_file(&path, "discovery is missing"))?;
-    if let Some(key) = missing(before, &file.settings) {
+    if let Some(key) = missing_key(before, &file.settings) {
         return Err(in_file(&path, format!("settings: {key} is missing")));
     }
     let (settings, names) = settings(&path, &file.settings)?;
@@ -97,7 +97,7 @@
 /// The settings, and the names in them; each class and each plan must have one of its own.
 fn settings(path: &str, written: &Value) -> Result<(Settings, Names), String> {
     let text = serde_json::to_vec(written).map_err(|error| in_file(path, error))?;
-    let settings = violetyoke_settings::settings(&text).map_err(|error| in_file(path, error))?;
+    let settings = violetyoke_settings::parse_settings(&text).map_err(|error| in_file(path, error))?;
     let names = Names {
         classes: names(&written["categories"]),
         plans: names(&written["tariffs"]),
--- a/crates/ingress/src/platform.rs
+++ b/crates/ingress/src/platform.rs
@@ -25,7 +25,7 @@
 use tokio::task::JoinHandle;
 use violetyoke_decision::interface::Settings;
 use violetyoke_operations::ManualEjections;
-use violetyoke_settings::changes::Numbers;
+use violetyoke_settings::StableIndices;
 
 /// Serves until told to end; returns once everything taken has been answered.
 pub async fn serve(config: Config) -> io::Result<()> {
@@ -56,8 +56,8 @@
     };
     let counter = config.counter.zip(config.settings.counter);
     let counter = counter.map(|(address, _)| Link::Remote { address, space: None });
-    let mut numbers = Numbers::default();
-    let (settings, names) = number(&mut numbers, config.settings, config.names);
+    let mut indices = StableIndices::default();
+    let (settings, names) = assign_indices(&mut indices, config.settings, config.names);
     let longest = Rc::new(Cell::new(longest(&settings)));
     let rules = Rules::new(&settings, names.classes.clone(), names.plans.clone(), Form::Platform);
     let pool = Pool::alone(rules, messages.clone());
@@ -82,7 +82,7 @@
     let watch = Watch::new(version, gateways, config.seed);
     let watch = discovery::keep(watch, config.discovery, messages.clone());
     let reloads = Reloads {
-        numbers,
+        indices,
         written: config.written,
         counter: config.counter,
         discovery: config.discovery,
@@ -125,10 +125,10 @@
     end
 }
 
-/// The settings under the numbers that their classes and plans have, and the names that go with those.
-fn number(numbers: &mut Numbers, settings: Settings, names: Names) -> (Settings, Names) {
-    let numbered = numbers.take(settings, &names.classes, &names.plans);
-    (numbered.settings, Names { classes: numbered.classes, plans: numbered.plans, ..names })
+/// The settings with stable indices of classes and plans, and the names by these indices.
+fn assign_indices(indices: &mut StableIndices, settings: Settings, names: Names) -> (Settings, Names) {
+    let indexed = indices.assign(settings, &names.classes, &names.plans);
+    (indexed.settings, Names { classes: indexed.class_names, plans: indexed.plan_names, ..names })
 }
 
 fn longest(settings: &Settings) -> Duration {
@@ -137,7 +137,7 @@
 
 /// Takes up a replaced configuration, whole or not at all.
 struct Reloads {
-    numbers: Numbers,
+    indices: StableIndices,
     /// The settings in force, as they were written.
     written: serde_json::Value,
     counter: Option<SocketAddr>,
@@ -165,7 +165,7 @@
         eprintln!("SIGHUP: discovery {}, counter {:?}", new.discovery, new.counter);
         let gateways = new.settings.gateways;
         if new.written != self.written {
-            let (settings, names) = number(&mut self.numbers, new.settings, new.names);
+            let (settings, names) = assign_indices(&mut self.indices, new.settings, new.names);
             self.longest.set(longest(&settings));
             let rules = Rules::new(&settings, names.classes.clone(), names.plans.clone(), Form::Platform);
             // The driver first: a request that names a new class must not reach it before it knows the class.
--- /dev/null
+++ b/crates/settings/src/validation.rs
@@ -0,0 +1,48 @@
+//! Rules between the values of settings, each of which is good on its own.
+
+use crate::error::{Problem, SettingsError};
+use violetyoke_decision::interface::{Class, Plan, Settings};
+
+/// Checks what no single value shows.
+///
+/// # Errors
+/// Names the first key that contradicts another.
+pub(crate) fn check_consistency(settings: &Settings) -> Result<(), SettingsError> {
+    if settings.classes.is_empty() || settings.plans.is_empty() {
+        return Err(SettingsError::NoClassesOrPlans);
+    }
+    if settings.gateways == 0 || settings.index >= settings.gateways {
+        return Err(key("self-index", Problem::IndexOutOfRange));
+    }
+    if settings.limits.attempts == 0 {
+        return Err(key("bounds.attempts-cap", Problem::Zero));
+    }
+    for (i, class) in settings.classes.iter().enumerate() {
+        check_class(class).map_err(|problem| key(format!("categories[{i}]"), problem))?;
+    }
+    for (i, plan) in settings.plans.iter().enumerate() {
+        check_plan(plan).map_err(|problem| key(format!("tariffs[{i}]"), problem))?;
+    }
+    Ok(())
+}
+
+fn key(path: impl Into<String>, problem: Problem) -> SettingsError {
+    SettingsError::Key { path: path.into(), problem }
+}
+
+fn check_class(class: &Class) -> Result<(), Problem> {
+    if class.aim == 0 || class.deadline < class.aim {
+        return Err(Problem::NoAimWithinDeadline);
+    }
+    Ok(())
+}
+
+fn check_plan(plan: &Plan) -> Result<(), Problem> {
+    if plan.rate > 0.0 && plan.burst <= 0.0 {
+        return Err(Problem::RateWithoutBurst);
+    }
+    if plan.ceiling_rate > 0.0 && plan.ceiling_burst <= 0.0 {
+        return Err(Problem::CeilingWithoutBurst);
+    }
+    Ok(())
+}
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/parsing.rs
@@ -1,7 +1,7 @@
-//! What the platform may say in its settings, and what makes no sense there.
+//! Which settings are accepted, and how they are read.
 
-use violetyoke_decision::interface::*;
-use violetyoke_settings::settings;
+use violetyoke_decision::interface::{Counter, Discovery, Effect, Group, ReportField, ReportVia};
+use violetyoke_settings::parse_settings;
 
 const SETTINGS: &str = r#"{"areas": ["a", "b"], "balancers": 3, "self-index": 2, "zone": 1,
  "unknown-key": {"x": []},
@@ -14,8 +14,8 @@
  "tariffs": [{"quota-rate": 1.6, "peak-units": 12.0, "ceiling-rate": 20, "ceiling-burst": 46, "open": 3}]}"#;
 
 #[test]
-fn settings_are_read_and_unknown_keys_ignored() {
-    let read = settings(SETTINGS.as_bytes()).unwrap();
+fn known_keys_are_read_and_unknown_ones_ignored() {
+    let read = parse_settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!((read.gateways, read.index, read.zone, read.tick), (3, 2, 1, 4000));
     let class = &read.classes[0];
     assert_eq!((class.effect, class.group, class.repeat_window), (Effect::Keyed, Group::Zone, 4_000_000));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused() {
+fn invalid_settings_are_rejected() {
     let cases = [
         ("\"balancers\": 3", "\"balancers\": 2"),
         ("\"balancers\": 3", "\"balancers\": \"three\""),
@@ -42,7 +42,7 @@
     for (from, to) in cases {
         let text = SETTINGS.replacen(from, to, 1);
         assert_ne!(text, SETTINGS);
-        let error = settings(text.as_bytes()).unwrap_err();
+        let error = parse_settings(text.as_bytes()).unwrap_err();
         assert!(error.to_string().starts_with("settings: "), "{error}");
     }
 }
--- a/crates/settings/tests/changes.rs
+++ b/crates/settings/tests/replacement.rs
@@ -1,13 +1,8 @@
-//! Settings that are replaced.
-
-#![allow(
-    clippy::redundant_closure_for_method_calls,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
+//! Settings that are replaced while requests are open.
 
 use serde_json::json;
 use violetyoke_decision::interface::{Class, Effect, Group, Plan, Settings};
-use violetyoke_settings::changes::{missing, Numbers};
+use violetyoke_settings::{missing_key, StableIndices};
 
 fn class(effect: Effect) -> Class {
     Class {
@@ -29,38 +24,38 @@
     Settings { gateways: 1, classes: classes.to_vec(), plans: vec![plan], ..Settings::default() }
 }
 
-fn words(text: &[&str]) -> Vec<String> {
-    text.iter().map(|word| word.to_string()).collect()
+fn names(names: &[&str]) -> Vec<String> {
+    names.iter().copied().map(String::from).collect()
 }
 
 #[test]
-fn a_class_that_changes_has_a_new_number_and_keeps_the_old_one_for_what_is_open() {
-    let mut numbers = Numbers::default();
+fn changed_class_gets_a_new_index_and_open_requests_keep_the_old_one() {
+    let mut indices = StableIndices::default();
     let (read, book) = (class(Effect::Safe), class(Effect::Unsafe));
     let first =
-        numbers.take(settings(&[read.clone(), book.clone()]), &words(&["read", "book"]), &words(&["p"]));
-    assert_eq!(first.classes, ["read", "book"]);
+        indices.assign(settings(&[read.clone(), book.clone()]), &names(&["read", "book"]), &names(&["p"]));
+    assert_eq!(first.class_names, ["read", "book"]);
     // `book` becomes safe, `read` goes, `look` comes.
-    let names = words(&["book", "look"]);
-    let second = numbers.take(settings(&[class(Effect::Safe), read.clone()]), &names, &words(&["p"]));
-    assert_eq!(second.classes, ["", "", "book", "look"]);
+    let new_names = names(&["book", "look"]);
+    let second = indices.assign(settings(&[class(Effect::Safe), read.clone()]), &new_names, &names(&["p"]));
+    assert_eq!(second.class_names, ["", "", "book", "look"]);
     assert_eq!(second.settings.classes[1], book);
     assert_eq!(second.settings.classes[2].effect, Effect::Safe);
-    // What comes back as it was has the number that it had.
-    let third = numbers.take(settings(&[read, book]), &words(&["read", "book"]), &words(&["p"]));
-    assert_eq!(third.classes, ["read", "book", "", ""]);
+    // A class that comes back unchanged has the index that it had.
+    let third = indices.assign(settings(&[read, book]), &names(&["read", "book"]), &names(&["p"]));
+    assert_eq!(third.class_names, ["read", "book", "", ""]);
     assert_eq!(third.settings.classes.len(), 4);
-    assert_eq!((third.plans, third.settings.plans.len()), (words(&["p"]), 1));
+    assert_eq!((third.plan_names, third.settings.plans.len()), (names(&["p"]), 1));
 }
 
 #[test]
-fn a_key_that_was_there_and_is_not_is_named() {
+fn missing_key_names_the_path_of_a_key_that_was_dropped() {
     let old =
         json!({"bounds": {"attempts-cap": 4}, "categories": [{"name": "a", "aim-us": 5}], "zone": null});
-    assert_eq!(missing(&old, &old), None);
+    assert_eq!(missing_key(&old, &old), None);
     let more = json!({"bounds": {"attempts-cap": 1, "x": 2}, "zone": 3,
                       "categories": [{"name": "b", "aim-us": 1}, {"name": "c", "aim-us": 2, "y": 0}]});
-    assert_eq!(missing(&old, &more), None);
+    assert_eq!(missing_key(&old, &more), None);
     for (new, path) in [
         (json!({"bounds": {"attempts-cap": 4}, "zone": null}), "categories"),
         (json!({"bounds": {}, "categories": [], "zone": 1}), "bounds.attempts-cap"),
@@ -71,6 +66,6 @@
             "categories.[1].aim-us",
         ),
     ] {
-        assert_eq!(missing(&old, &new).as_deref(), Some(path), "{new}");
+        assert_eq!(missing_key(&old, &new).as_deref(), Some(path), "{new}");
     }
 }
--- a/crates/sim/src/wire.rs
+++ b/crates/sim/src/wire.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 use violetyoke_decision::interface::*;
-use violetyoke_settings::settings;
+use violetyoke_settings::parse_settings;
 
 /// Bytes before a batch's records.
 pub const BATCH_HEADER: usize = 20;
@@ -138,7 +138,7 @@
                 let text = section(tail, fields.u32(9), fields.u32(13) as usize)?;
                 return Ok(Input::Start {
                     seed: fields.u64(1),
-                    settings: Box::new(settings(text).map_err(|error| WireError(error.to_string()))?),
+                    settings: Box::new(parse_settings(text).map_err(|error| WireError(error.to_string()))?),
                 });
             }
             2 => return Ok(Input::Stop),
