--- a/crates/local/src/demo.rs
+++ b/crates/local/src/demo.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use violetyoke_local::client::{resolve_edges, send_command};
 use violetyoke_local::{Backend, Placement, Platform, System, Topology};
-use violetyoke_rig::driven::Driven;
-use violetyoke_rig::until;
+use violetyoke_rig::runtime_thread::RuntimeThread;
+use violetyoke_rig::wait_until;
 
 /// How long the edges may take to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
@@ -30,16 +30,16 @@
 
 /// Starts the system, prints what to try, and runs until the standard input ends.
 pub(crate) fn run() -> Result<(), DemoError> {
-    let driven = Driven::start()?;
-    let platform = Platform::start(driven.handle())?;
-    start_backends(&driven, &platform)?;
+    let runtime = RuntimeThread::start()?;
+    let platform = Platform::start(runtime.handle())?;
+    start_backends(&runtime, &platform)?;
     let topology =
         Topology { cores: &CORES, edges: &EDGES, platform: platform.address, tolerated_machine_losses: 0 };
     let system = System::start(&std::env::current_exe()?, &topology)?;
     replace_configuration(&system)?;
     let (core, edge) = (&system.cores[0], &system.edges[0]);
     let is_ready = || resolve_edges(core.directory, "west", "a").len() == EDGES.len();
-    if !until(READY_TIMEOUT, is_ready) {
+    if !wait_until(READY_TIMEOUT, is_ready) {
         return Err(DemoError::NotReady);
     }
     println!("The system serves. Its settings and its store's files are in {}.\n", system.folder.display());
@@ -49,11 +49,11 @@
     Ok(())
 }
 
-fn start_backends(driven: &Driven, platform: &Platform) -> io::Result<()> {
+fn start_backends(runtime: &RuntimeThread, platform: &Platform) -> io::Result<()> {
     for (service, service_time) in SERVICES {
         for n in 1..=2 {
             let id = format!("{service}-{n}");
-            let backend = Backend::start(driven.handle(), &id, service, "a", service_time)?;
+            let backend = Backend::start(runtime.handle(), &id, service, "a", service_time)?;
             platform.set(&id, backend.list_entry());
         }
     }
--- a/crates/local/src/replacement.rs
+++ b/crates/local/src/replacement.rs
@@ -7,7 +7,7 @@
 use std::mem;
 use std::time::Duration;
 use violetyoke_rig::process::Process;
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 
 /// One process of a system: which daemon, and the index of its machine among the core or the edge machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -44,7 +44,7 @@
         };
         let process = self.process_mut(place);
         process.terminate()?;
-        if !until(grace, || process.has_ended()) {
+        if !wait_until(grace, || process.has_ended()) {
             let message = format!("{place} has not ended within {grace:?} of SIGTERM");
             return Err(io::Error::new(io::ErrorKind::TimedOut, message));
         }
--- a/crates/local/src/upgrade/mod.rs
+++ b/crates/local/src/upgrade/mod.rs
@@ -22,8 +22,8 @@
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use violetyoke_rig::driven::Driven;
-use violetyoke_rig::until;
+use violetyoke_rig::runtime_thread::RuntimeThread;
+use violetyoke_rig::wait_until;
 
 /// How long a process may take to end after SIGTERM: the settings' `grace-s`, and a second for a busy machine.
 const GRACE: Duration = Duration::from_secs(7);
@@ -52,7 +52,7 @@
     logs: Logs,
     evacuated: bool,
     // Last: the platform and the backends run on it.
-    _driven: Driven,
+    _runtime: RuntimeThread,
 }
 
 impl Rehearsal {
@@ -61,12 +61,12 @@
     /// # Errors
     /// Where a process does not start, or the system does not serve within 20 s.
     pub fn start(programs: &Programs) -> io::Result<Rehearsal> {
-        let driven = Driven::start()?;
-        let platform = Platform::start(driven.handle())?;
+        let runtime = RuntimeThread::start()?;
+        let platform = Platform::start(runtime.handle())?;
         let mut backends = Vec::new();
         for (service, zone) in PLACED {
             let id = format!("{service}-{zone}");
-            let backend = Backend::start(driven.handle(), &id, service, zone, Duration::from_millis(5))?;
+            let backend = Backend::start(runtime.handle(), &id, service, zone, Duration::from_millis(5))?;
             platform.set(&id, backend.list_entry());
             backends.push(backend);
         }
@@ -81,7 +81,7 @@
         let directories: Vec<SocketAddr> = system.cores.iter().map(|core| core.directory).collect();
         let listed =
             || directories.iter().all(|it| resolve_edges(*it, "west", "a").len() == system.edges.len());
-        if !until(Duration::from_secs(20), listed) {
+        if !wait_until(Duration::from_secs(20), listed) {
             return Err(io::Error::other("the proxies are not listed"));
         }
         let clients = Clients::start(&directories);
@@ -92,7 +92,7 @@
             clients,
             logs: Logs::default(),
             evacuated: false,
-            _driven: driven,
+            _runtime: runtime,
         })
     }
 
@@ -138,7 +138,7 @@
         let mut faults = Vec::new();
         for edge in &self.system.edges {
             let is_used = || probe(edge, operator::ANNEX) == 200;
-            if !until(EVACUATED, || is_used() != self.evacuated) {
+            if !wait_until(EVACUATED, || is_used() != self.evacuated) {
                 let state = if self.evacuated { "evacuated" } else { "filled again" };
                 faults
                     .push(format!("zone {EVACUATED_ZONE} is {state}, and {} does not act on it", edge.name));
@@ -154,7 +154,7 @@
         let path = operator::path_of(version);
         for edge in &self.system.edges {
             // The routes of the versions before are in force as well: another order may come meanwhile.
-            if !until(APPLIED, || probe(edge, &path) == 200) {
+            if !wait_until(APPLIED, || probe(edge, &path) == 200) {
                 faults.push(format!("{} does not serve version {version}", edge.name));
             }
         }
--- a/crates/local/tests/commands.rs
+++ b/crates/local/tests/commands.rs
@@ -10,7 +10,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 use violetyoke_local::client::{send_command, send_request};
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 use violetyoke_standin::http::read_http;
 
 #[test]
@@ -68,7 +68,7 @@
     let controls = system.processes.control_addresses();
     let begin = "/api/rpc?call=evacuation.begin&of=a";
     // One registry stands still; its operator gives up after a while and goes on to the next.
-    system.processes.cores[0].registry.stop().expect("stopped");
+    system.processes.cores[0].registry.pause().expect("stopped");
     let mut stream = TcpStream::connect(controls[0]).expect("a connection");
     stream
         .write_all(format!("POST {begin} HTTP/1.1\r\nhost: core\r\ncontent-length: 0\r\n\r\n").as_bytes())
@@ -78,13 +78,13 @@
         let answer = send_command(&controls[1..], order_of, b"").expect("a clear answer");
         assert_eq!(answer.status(), 200);
     }
-    system.processes.cores[0].registry.go_on().expect("goes on");
+    system.processes.cores[0].registry.resume().expect("goes on");
     // It answers again, and whatever it had from before has gone out by now.
     let since = std::time::Instant::now();
     let reads = |system: &TestSystem| {
         send_command(&system.processes.control_addresses()[..1], READ, b"").map(|answer| answer.status())
     };
-    assert!(until(LONG, || reads(&system) == Some(200) && since.elapsed() > Duration::from_millis(500)));
+    assert!(wait_until(LONG, || reads(&system) == Some(200) && since.elapsed() > Duration::from_millis(500)));
     let in_a = |system: &TestSystem| {
         system
             .finders
@@ -104,7 +104,7 @@
 fn a_registry_without_a_primary_answers_503_within_the_operators_timeout() {
     let system = TestSystem::start();
     for core in &system.processes.cores[1..] {
-        core.store.stop().expect("stopped");
+        core.store.pause().expect("stopped");
     }
     let control = system.processes.control_addresses()[0];
     let begun = std::time::Instant::now();
@@ -129,7 +129,7 @@
     // An order that can't be read needs no store to be refused.
     assert_eq!(send_request(control, "POST", REPLACE, &[], b"{").map(|answer| answer.status()), Some(400));
     for core in &system.processes.cores[1..] {
-        core.store.go_on().expect("goes on");
+        core.store.resume().expect("goes on");
     }
     system.replace_configuration(&configuration(1));
     system.replace_configuration(&configuration(2));
--- a/crates/local/tests/common/mod.rs
+++ b/crates/local/tests/common/mod.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use violetyoke_local::client::{send_command, send_request};
 use violetyoke_local::{Backend, Placement, Platform, System, Topology};
-use violetyoke_rig::driven::Driven;
-use violetyoke_rig::until;
+use violetyoke_rig::runtime_thread::RuntimeThread;
+use violetyoke_rig::wait_until;
 use violetyoke_standin::http::Http;
 
 pub const LONG: Duration = Duration::from_secs(20);
@@ -32,7 +32,7 @@
     pub finders: Vec<Backend>,
     /// Backends of the service behind `/book/`.
     pub ledgers: Vec<Backend>,
-    pub driven: Driven,
+    pub runtime: RuntimeThread,
     /// How long clients say that they wait.
     pub client_deadline_ms: u32,
     requests_sent: u32,
@@ -56,12 +56,12 @@
 impl TestSystem {
     /// Starts all processes, puts version 1 in force, and waits until every edge is ready.
     pub fn start() -> TestSystem {
-        let driven = Driven::start().expect("a runtime");
-        let platform = Platform::start(driven.handle()).expect("a platform");
+        let runtime = RuntimeThread::start().expect("a runtime");
+        let platform = Platform::start(runtime.handle()).expect("a platform");
         let start_backend = |service: &str, n: usize| {
             let zone = ["a", "b"][n % 2];
             let id = format!("{service}-{n}");
-            let backend = Backend::start(driven.handle(), &id, service, zone, Duration::from_millis(10))
+            let backend = Backend::start(runtime.handle(), &id, service, zone, Duration::from_millis(10))
                 .expect("a backend");
             platform.set(&id, backend.list_entry());
             backend
@@ -81,7 +81,7 @@
             platform,
             finders,
             ledgers,
-            driven,
+            runtime,
             client_deadline_ms: 1_500,
             requests_sent: 0,
         };
@@ -100,7 +100,7 @@
     pub fn wait_until_ready(&self) {
         for edge in &self.processes.edges {
             let status = || send_request(edge.ready, "GET", "/api/readiness", &[], b"").map(|it| it.status());
-            let is_ready = until(LONG, || status() == Some(200));
+            let is_ready = wait_until(LONG, || status() == Some(200));
             assert!(is_ready, "{} is not ready: {:?}", edge.name, edge.proxy.lines());
         }
     }
--- a/crates/local/tests/control.rs
+++ b/crates/local/tests/control.rs
@@ -12,7 +12,7 @@
 use violetyoke_ctl::CommandError;
 use violetyoke_local::client::{resolve_edges, send_command, send_request};
 use violetyoke_rig::link::Link;
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 
 #[test]
 fn changes_are_accepted_and_reach_edges_after_each_core_machine_is_killed() {
@@ -29,17 +29,17 @@
         for edge in 0..4 {
             let path = format!("/search-{version}/1");
             assert!(
-                until(Duration::from_secs(3), || system.status(edge, &path, "key-1", b"") == 200),
+                wait_until(Duration::from_secs(3), || system.status(edge, &path, "key-1", b"") == 200),
                 "edge {edge}"
             );
             assert_eq!(system.status(edge, "/search/1", "key-1", b""), 404);
         }
-        system.processes.cores[victim].store.again().expect("started");
-        system.processes.cores[victim].registry.again().expect("started");
+        system.processes.cores[victim].store.restart().expect("started");
+        system.processes.cores[victim].registry.restart().expect("started");
         let up = |system: &TestSystem| {
             resolve_edges(system.processes.cores[victim].directory, "west", "a").len() == 1
         };
-        assert!(until(LONG, || up(&system)), "core {victim} does not come back");
+        assert!(wait_until(LONG, || up(&system)), "core {victim} does not come back");
     }
     // An older one is acknowledged and has no effect; an invalid one is refused by its field.
     system.replace_configuration(&configuration(3));
@@ -57,20 +57,20 @@
 fn a_stopped_core_machine_and_a_partitioned_backend_fail_no_request() {
     let mut system = TestSystem::start();
     // One finder is reached over a link that is cut.
-    let link = Link::start(system.driven.handle(), system.finders[0].address).expect("a link");
+    let link = Link::start(system.runtime.handle(), system.finders[0].address).expect("a link");
     let mut line = system.finders[0].list_entry();
     line["address"] = json!(link.address.to_string());
     line["service"] = json!("finder");
     system.platform.remove("finder-0");
     system.platform.set("finder-9", line);
-    link.cut(true);
-    system.processes.cores[0].store.stop().expect("stopped");
-    system.processes.cores[0].registry.stop().expect("stopped");
+    link.cut();
+    system.processes.cores[0].store.pause().expect("stopped");
+    system.processes.cores[0].registry.pause().expect("stopped");
     system.replace_configuration(&configuration(2));
     let served = (0..60).filter(|n| system.status(n % 4, "/search/1", "key-1", b"") == 200).count();
     assert_eq!(served, 60);
-    system.processes.cores[0].store.go_on().expect("goes on");
-    system.processes.cores[0].registry.go_on().expect("goes on");
+    system.processes.cores[0].store.resume().expect("goes on");
+    system.processes.cores[0].registry.resume().expect("goes on");
     system.replace_configuration(&configuration(4));
     assert_eq!(system.version_in_force(), 4);
 }
@@ -93,7 +93,7 @@
         let before = zone_a(system);
         (0..12).all(|n| system.status(n % 4, "/search/1", "key-1", b"") == 200) && zone_a(system) == before
     };
-    assert!(until(Duration::from_secs(5), || quiet(&mut system)), "zone a still gets requests");
+    assert!(wait_until(Duration::from_secs(5), || quiet(&mut system)), "zone a still gets requests");
     let mut line = system.finders[1].list_entry();
     line["state"] = json!("draining");
     system.platform.set("finder-1", line);
@@ -102,13 +102,13 @@
         (0..12).all(|n| system.status(n % 4, "/search/1", "key-1", b"") == 200)
             && system.finders[1].executions().len() == before
     };
-    assert!(until(Duration::from_secs(3), || still(&mut system)), "the drained one still gets requests");
+    assert!(wait_until(Duration::from_secs(3), || still(&mut system)), "the drained one still gets requests");
     assert_eq!(
         send_command(&controls, "/api/rpc?call=evacuation.finish&of=a", b"").map(|answer| answer.status()),
         Some(200)
     );
     assert!(
-        until(LONG, || {
+        wait_until(LONG, || {
             system.status(0, "/search/1", "key-1", b"");
             !quiet(&mut system)
         }),
@@ -138,15 +138,15 @@
         }
         statuses
     });
-    assert!(until(LONG, || system.finders.iter().any(|finder| finder.executions().len() > 20)));
+    assert!(wait_until(LONG, || system.finders.iter().any(|finder| finder.executions().len() > 20)));
     system.processes.edges[0].proxy.terminate().expect("told");
-    assert!(until(LONG, || system.processes.edges[0].proxy.has_ended()), "it does not end");
+    assert!(wait_until(LONG, || system.processes.edges[0].proxy.has_ended()), "it does not end");
     let statuses = flood.join().expect("the flood");
     assert!(statuses.len() > 20 && statuses.iter().all(|status| *status == 200), "{statuses:?}");
     let gone = |system: &TestSystem| {
         !resolve_edges(system.processes.cores[0].directory, "west", "a").contains(&front)
     };
-    assert!(until(LONG, || gone(&system)));
+    assert!(wait_until(LONG, || gone(&system)));
 }
 
 /// What a verb of the operators' client prints, and how it ends.
--- a/crates/local/tests/joining.rs
+++ b/crates/local/tests/joining.rs
@@ -50,7 +50,7 @@
     let mut system = TestSystem::start();
     let mut version = 30;
     for stopped in 0..3 {
-        system.processes.cores[stopped].registry.stop().expect("stopped");
+        system.processes.cores[stopped].registry.pause().expect("stopped");
         // Edges that ask this registry first hear from no other for a while.
         for _ in 0..2 {
             version += 1;
@@ -61,7 +61,7 @@
                 "registry {stopped}, version {version}"
             );
         }
-        system.processes.cores[stopped].registry.go_on().expect("goes on");
+        system.processes.cores[stopped].registry.resume().expect("goes on");
     }
 }
 
--- a/crates/local/tests/requests.rs
+++ b/crates/local/tests/requests.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use violetyoke_local::backend::{executions_by_attempt, Backend, Fault};
 use violetyoke_local::client::{resolve_edges, send_request};
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 
 #[test]
 fn a_request_is_routed_authenticated_and_answered_unchanged() {
@@ -86,7 +86,7 @@
     }
     // One of two turns requests away: the other runs them.
     system.ledgers[0].set_fault(Fault::Rejects);
-    assert!(until(LONG, || system.status(0, "/book/1", "key-1", b"x") == 200));
+    assert!(wait_until(LONG, || system.status(0, "/book/1", "key-1", b"x") == 200));
     let served = (0..20).filter(|_| system.status(0, "/book/1", "key-1", b"x") == 200).count();
     assert_eq!(served, 20);
     assert!(executions_by_attempt(&system.ledgers).values().all(|times| *times == 1));
@@ -106,27 +106,27 @@
 fn an_attempt_is_abandoned_only_when_a_retry_is_possible() {
     let mut system = TestSystem::start();
     let slow = Duration::from_millis(1_100);
-    let only = Backend::start(system.driven.handle(), "finder-slow", "finder", "a", slow).expect("a backend");
+    let only =
+        Backend::start(system.runtime.handle(), "finder-slow", "finder", "a", slow).expect("a backend");
     for finder in &system.finders {
         system.platform.remove(&finder.id);
     }
     system.platform.set(&only.id, only.list_entry());
     // Longer than the patience that an attempt has where others could be asked.
-    assert!(
-        until(LONG, || system.status(0, "/search/1", "key-1", b"") == 200 && only.executions().len() == 1)
-    );
+    assert!(wait_until(LONG, || system.status(0, "/search/1", "key-1", b"") == 200
+        && only.executions().len() == 1));
     let before = only.executions().len();
     assert_eq!(system.status(0, "/search/1", "key-1", b""), 200);
     assert_eq!(only.executions().len(), before + 1, "it ran once");
     // With another beside it, one that hangs is given up for that.
     let quick = Duration::from_millis(10);
     let other =
-        Backend::start(system.driven.handle(), "finder-new", "finder", "a", quick).expect("a backend");
+        Backend::start(system.runtime.handle(), "finder-new", "finder", "a", quick).expect("a backend");
     system.platform.set(&other.id, other.list_entry());
     only.set_fault(Fault::Hangs);
     let served =
         |system: &mut TestSystem| (0..8).all(|n| system.status(n % 4, "/search/1", "key-1", b"") == 200);
-    assert!(until(LONG, || served(&mut system)));
+    assert!(wait_until(LONG, || served(&mut system)));
 }
 
 #[test]
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,13 +1,13 @@
-//! A fleet of real processes: one control plane, ingresses, a sink, and a link from each ingress to each of them.
+//! A fleet of real processes: one control plane, ingresses, a sink, and a link from each ingress to each of the two.
 
-mod begin;
+mod start;
 
-use crate::client::call;
-use crate::driven::Driven;
-use crate::gate::Gate;
+use crate::breakpoints::Breakpoints;
+use crate::http_client::{self, Request, Response};
 use crate::link::Link;
 use crate::process::Process;
-use crate::until;
+use crate::runtime_thread::RuntimeThread;
+use crate::wait_until;
 use serde_json::Value;
 use std::fs;
 use std::io;
@@ -18,149 +18,213 @@
 use violetyoke_standin::node::Node;
 use violetyoke_standin::sink::{self, Noted};
 
-/// What is to run.
+/// How long a process may take to be ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Written by a control plane that is ready.
+const CONTROL_READY: &str = "control plane on";
+/// Written by an ingress that is ready.
+const INGRESS_READY: &str = "serving on";
+
+/// What a fleet consists of.
 pub struct Plan {
-    /// The program, and the stand-ins beside it.
+    /// The program of the control plane and of the ingresses.
     pub program: PathBuf,
+    /// The program of the stand-ins.
     pub standin: PathBuf,
+    /// How many ingresses to start.
     pub ingresses: usize,
+    /// Names of tenants to create.
     pub tenants: Vec<String>,
-    /// The duties' file. `SINK` in it stands for the sink's own address.
+    /// The control plane's file of duties (TOML); `SINK` in it stands for the sink's address.
     pub duties: String,
-    /// Duties that the ingresses take part in; none: they have no such section.
-    pub take: Vec<String>,
-    /// Whether the sink refuses older epochs.
-    pub fenced: bool,
-    /// Set for every ingress.
+    /// The duties that the ingresses take part in; none: their settings have no section of duties.
+    pub joined_duties: Vec<String>,
+    /// Whether the sink refuses effects of older epochs.
+    pub has_fencing: bool,
+    /// Environment variables of each ingress.
     pub environment: Vec<(String, String)>,
 }
 
+/// An ingress of a fleet.
 pub struct Ingress {
+    /// Its name at the control plane.
     pub name: String,
+    /// Where it takes requests.
     pub address: SocketAddr,
+    /// The process.
     pub process: Process,
-    pub to_control: Link,
-    pub to_sink: Link,
-    pub gate: Gate,
+    /// The link to the control plane.
+    pub control_link: Link,
+    /// The link to the sink.
+    pub sink_link: Link,
+    /// Pauses its workers before they act.
+    pub breakpoints: Breakpoints,
 }
 
+/// Who owns a shard according to the control plane.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ShardOwner {
+    /// The place in [`Fleet::ingresses`].
+    pub ingress: usize,
+    /// The epoch of its lease.
+    pub epoch: u64,
+}
+
+/// Running processes with their files; dropping it kills the processes and removes the files. The processes' output is
+/// kept in the directory that `VIOLETYOKE_RIG_LOGS` names, if set.
 pub struct Fleet {
+    /// The control plane.
     pub control: Process,
+    /// Where the control plane listens.
     pub control_address: SocketAddr,
+    /// All ingresses.
     pub ingresses: Vec<Ingress>,
-    pub folder: PathBuf,
-    key: String,
+    /// The directory with the fleet's files.
+    folder: PathBuf,
+    operator_key: String,
     sink_address: SocketAddr,
+    /// What the sink had received at the last look.
     history: Vec<Noted>,
     _sink: Process,
-    _node: Node,
-    links: Driven,
-}
-
-/// How long a process may take to be ready.
-const READY: Duration = Duration::from_secs(20);
-
-fn failed(what: impl Into<String>) -> io::Error {
-    io::Error::other(what.into())
+    node: Node,
+    links: RuntimeThread,
 }
 
 impl Fleet {
-    /// A call of an operator, past all links.
-    pub fn try_api(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
-        let fields = format!("Authorization: Bearer {}\r\nIf-Match: *\r\n", self.key);
+    /// A request of an operator to the control plane, directly and not through a link; none if it does not respond.
+    pub fn try_call_api(&self, method: &str, path: &str, body: &Value) -> Option<Response> {
+        let fields = format!("Authorization: Bearer {}\r\nIf-Match: *\r\n", self.operator_key);
         let body = if body.is_null() { String::new() } else { body.to_string() };
-        call(self.control_address, method, path, &fields, &body)
+        let request = Request { method, path, fields: &fields, body: &body };
+        http_client::send(self.control_address, request)
     }
 
-    pub fn api(&self, method: &str, path: &str, body: Value) -> io::Result<Value> {
-        match self.try_api(method, path, &body) {
-            Some((status, answer)) if status < 300 => Ok(answer),
-            other => Err(failed(format!("{method} {path}: {other:?}"))),
+    /// The same, and returns the body of a successful response.
+    ///
+    /// # Errors
+    /// When there is no response, or its status is 300 or more.
+    pub fn call_api(&self, method: &str, path: &str, body: &Value) -> io::Result<Value> {
+        match self.try_call_api(method, path, body) {
+            Some(response) if response.status < 300 => Ok(response.body),
+            other => Err(io::Error::other(format!("{method} {path}: {other:?}"))),
         }
     }
 
-    /// Whose a shard is by the control plane's word: the ingress' number and the epoch.
-    pub fn owner(&self, lease: &ShardId) -> Option<(usize, u64)> {
-        let path = format!("/v1/duties/{}/shards/{}", lease.role, lease.index);
-        let (_, shard) = self.try_api("GET", &path, &Value::Null)?;
-        let name = shard["holder"].as_str()?.split('#').next()?;
-        let place = self.ingresses.iter().position(|ingress| ingress.name == name)?;
-        Some((place, shard["epoch"].as_u64()?))
+    /// Who owns a shard; none: nobody, or the control plane does not respond.
+    pub fn owner(&self, shard: &ShardId) -> Option<ShardOwner> {
+        let state = self.try_call_api("GET", &shard_path(shard), &Value::Null)?.body;
+        let name = state["holder"].as_str()?.split('#').next()?;
+        let ingress = self.ingresses.iter().position(|ingress| ingress.name == name)?;
+        Some(ShardOwner { ingress, epoch: state["epoch"].as_u64()? })
     }
 
-    /// All that the sink has noted so far.
+    /// All that the sink has received so far, in its order.
     pub fn history(&mut self) -> &[Noted] {
         let path = format!("/history?from={}", self.history.len());
-        let new = call(self.sink_address, "GET", &path, "", "").and_then(|(_, new)| sink::parse(&new));
-        self.history.extend(new.unwrap_or_default());
+        let request = Request { method: "GET", path: &path, fields: "", body: "" };
+        let response = http_client::send(self.sink_address, request);
+        // Without a response the history stays as known: the next look asks for the same part again.
+        self.history.extend(response.and_then(|response| sink::parse(&response.body)).into_iter().flatten());
         &self.history
     }
 
-    /// Waits until what the sink has noted is so.
-    pub fn noted(&mut self, within: Duration, mut so: impl FnMut(&[Noted]) -> bool) -> bool {
-        until(within, || so(self.history()))
+    /// Waits until the condition holds for the sink's history; whether it did within the timeout.
+    pub fn wait_for_history(
+        &mut self,
+        timeout: Duration,
+        mut condition: impl FnMut(&[Noted]) -> bool,
+    ) -> bool {
+        wait_until(timeout, || condition(self.history()))
     }
 
-    /// The oldest backup that was made once the fleet ran.
+    /// The oldest backup of the control plane's store that was made while the fleet ran.
     pub fn oldest_backup(&self) -> Option<PathBuf> {
         let entries = fs::read_dir(self.folder.join("backups")).ok()?.flatten().map(|entry| entry.path());
         let mut backups: Vec<PathBuf> =
-            entries.filter(|path| path.extension().is_some_and(|end| end == "sqlite")).collect();
+            entries.filter(|path| path.extension().is_some_and(|extension| extension == "sqlite")).collect();
         backups.sort();
-        // The first is made when the store is new, and knows nobody.
+        // The first is made of a new store, before any ingress is registered.
         backups.into_iter().nth(1)
     }
 
-    /// The control plane's end, and its start with the store as a backup has it.
-    pub fn put_back(&mut self, backup: &Path) -> io::Result<()> {
+    /// Kills the control plane, replaces its store by a backup, and starts it again.
+    ///
+    /// # Errors
+    /// Those of the process and of the files.
+    pub fn restore_backup(&mut self, backup: &Path) -> io::Result<()> {
         self.control.kill()?;
         let store = self.folder.join("store");
-        for end in ["-wal", "-shm"] {
-            let _ = fs::remove_file(format!("{}{end}", store.display()));
+        for suffix in ["-wal", "-shm"] {
+            match fs::remove_file(format!("{}{suffix}", store.display())) {
+                Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
+                Ok(()) | Err(_) => {}
+            }
         }
         fs::copy(backup, &store)?;
         self.restart_control()
     }
 
+    /// Restarts the control plane and waits until it is ready.
+    ///
+    /// # Errors
+    /// Those of the process, or that it is not ready in time.
     pub fn restart_control(&mut self) -> io::Result<()> {
-        let lives = self.control.count("control plane on");
-        self.control.again()?;
-        let up = self.control.wait_for("control plane on", lives, READY);
-        up.map(drop).ok_or_else(|| failed("the control plane did not come back"))
+        restart_until_ready(&mut self.control, CONTROL_READY, "the control plane")
     }
 
-    pub fn restart(&mut self, ingress: usize) -> io::Result<()> {
+    /// Restarts an ingress and waits until it is ready.
+    ///
+    /// # Errors
+    /// Those of the process, or that it is not ready in time.
+    pub fn restart_ingress(&mut self, ingress: usize) -> io::Result<()> {
         let ingress = &mut self.ingresses[ingress];
-        let lives = ingress.process.count("serving on");
-        ingress.process.again()?;
-        let up = ingress.process.wait_for("serving on", lives, READY);
-        up.map(drop).ok_or_else(|| failed(format!("{} did not come back", ingress.name)))
+        restart_until_ready(&mut ingress.process, INGRESS_READY, &ingress.name)
     }
 
-    /// The control plane's wall clock is off by that from now on.
-    pub fn set_clock(&self, ms: i64) -> io::Result<()> {
-        fs::write(self.folder.join("clock"), ms.to_string())
+    /// From now on the control plane's wall clock differs from the machine's by this many milliseconds.
+    ///
+    /// # Errors
+    /// Those of writing the file that the control plane reads the offset from.
+    pub fn set_clock_offset_ms(&self, offset_ms: i64) -> io::Result<()> {
+        fs::write(self.folder.join("clock"), offset_ms.to_string())
     }
+
+    fn write_logs(&self, folder: &Path) -> io::Result<()> {
+        fs::create_dir_all(folder)?;
+        fs::write(folder.join("control.log"), self.control.lines().join("\n"))?;
+        for ingress in &self.ingresses {
+            fs::write(folder.join(format!("{}.log", ingress.name)), ingress.process.lines().join("\n"))?;
+        }
+        Ok(())
+    }
+}
+
+/// The resource of a shard at the control plane.
+pub(crate) fn shard_path(shard: &ShardId) -> String {
+    format!("/v1/duties/{}/shards/{}", shard.role, shard.index)
+}
+
+fn restart_until_ready(process: &mut Process, ready_line: &str, name: &str) -> io::Result<()> {
+    let seen_before = process.count_lines(ready_line);
+    process.restart()?;
+    let line = process.wait_for_line(ready_line, seen_before, START_TIMEOUT);
+    line.map(drop).ok_or_else(|| io::Error::other(format!("{name} did not become ready again")))
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Files go once nobody writes them.
-        let _ = self.control.kill();
+        // Files are removed once nobody writes them. A process that cannot be killed has ended.
+        self.control.kill().unwrap_or_default();
         for ingress in &mut self.ingresses {
-            let _ = ingress.process.kill();
+            ingress.process.kill().unwrap_or_default();
         }
-        // What processes wrote is kept where somebody asks for it.
-        if let Some(folder) = std::env::var_os("VIOLETYOKE_RIG_LOGS").map(PathBuf::from) {
-            let _ = fs::create_dir_all(&folder);
-            let _ = fs::write(folder.join("control.log"), self.control.lines().join("\n"));
-            for ingress in &self.ingresses {
-                let _ = fs::write(
-                    folder.join(format!("{}.log", ingress.name)),
-                    ingress.process.lines().join("\n"),
-                );
+        if let Some(folder) = std::env::var_os("VIOLETYOKE_RIG_LOGS") {
+            if let Err(error) = self.write_logs(Path::new(&folder)) {
+                eprintln!("logs of the fleet are not kept: {error}");
             }
         }
-        let _ = fs::remove_dir_all(&self.folder);
+        if let Err(error) = fs::remove_dir_all(&self.folder) {
+            eprintln!("{} is not removed: {error}", self.folder.display());
+        }
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,32 +1,26 @@
-//! Real processes of the program, and faults between them.
+//! A fault-injection test harness: it runs real processes of the programs and injects faults between them. For tests and
+//! proofs only; no deployed program uses it.
 //!
-//! Each process talks to each other through a [`link`] (TCP) or a [`datagrams`] relay (UDP) of its own, which the
-//! test can cut, hold, slow, or reset half-way, each direction for itself. A [`process`] can be stopped, continued,
-//! killed and started again; a [`gate`] stops a worker between its look at its lease and its act. [`schedule`] draws
-//! faults from a seed and cuts a failing list of them down; [`history`] judges by what receivers have noted, never by
-//! what senders say. [`fleet`] puts it together: a control plane, ingresses, a sink.
+//! - A [`process::Process`] is started, paused, resumed, killed and restarted, and its output is kept.
+//! - A [`link::Link`] is a TCP relay between two processes that holds, delays or resets what passes, each direction for
+//!   itself. Links run on a [`runtime_thread::RuntimeThread`].
+//! - [`breakpoints::Breakpoints`] pause a worker between the check of its lease and its action.
+//! - A [`fleet::Fleet`] is a control plane, ingresses and a sink with links between them; a
+//!   [`injection::FaultInjector`] injects one [`schedule::Fault`] after the other into it.
+//! - [`schedule`] draws faults from a seed and minimizes a failing list of them; [`history`] checks what the sink received,
+//!   which does not depend on what the senders claim.
 //!
-//! Everything is on loopback addresses, and every child is ended by its own id, also when a test panics.
+//! It holds no model of the programs and emulates no clock: time is the machine's, and a run cannot be repeated exactly.
+//! Everything is on loopback addresses. Each child process is killed by its own id, also when a test panics.
 
-#![allow(
-    clippy::implicit_clone,
-    clippy::let_underscore_must_use,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls,
-    clippy::too_many_lines,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
-pub mod cause;
-pub mod client;
-pub mod datagrams;
-pub mod driven;
+pub mod breakpoints;
 pub mod fleet;
-pub mod gate;
 pub mod history;
+pub mod http_client;
+pub mod injection;
 pub mod link;
 pub mod process;
+pub mod runtime_thread;
 pub mod schedule;
 
 use std::io;
@@ -34,22 +28,25 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Waits until it is so; whether it was within that time.
-pub fn until(within: Duration, mut so: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + within;
+/// Polls the condition every 5 ms until it holds; returns whether it held within the timeout. It is polled at least once.
+pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + timeout;
     loop {
-        if so() {
+        if condition() {
             return true;
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return false;
         }
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An address that nobody listens on just now, on a host of its own: on one that connections go out from, the port
-/// may be taken by one of them before a program listens there.
+/// An address without a listener, on a loopback host of its own: on a host that connections go out from, the port may be
+/// taken as a local port by one of them before the program listens on it.
+///
+/// # Errors
+/// Those of binding a socket to find a free port.
 pub fn free_address() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (number, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -1,178 +1,185 @@
-//! A TCP link from one process to another, each direction with its own faults.
+//! A TCP relay from one process to another that holds, delays or resets what passes, each direction for itself.
 
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Handle;
 use tokio::sync::watch;
-use tokio::time::{sleep_until, Instant};
+use tokio::time::{sleep, sleep_until, Instant};
 
-/// How long after the last bytes of a connection its end comes.
-const LAST: Duration = Duration::from_millis(300);
+/// How long after the last bytes of a connection its end is passed on: a receiver that gets both at once may leave the bytes
+/// unprocessed.
+const CLOSE_DELAY: Duration = Duration::from_millis(300);
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Towards the one that is called, or back to the caller.
+/// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Direction {
-    Up,
-    Down,
+    /// From the process that connects.
+    ToServer,
+    /// Back to the process that connects.
+    ToClient,
 }
 
-/// What happens to bytes of one direction.
+/// What happens to the bytes of one direction; the default passes them on at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Way {
-    /// They wait in the link. They go on when this ends, also if their sender has gone meanwhile.
-    pub held: bool,
+pub struct Impairment {
+    /// Bytes wait in the link. They are passed on when this ends, also if their sender has ended meanwhile.
+    pub is_held: bool,
+    /// How long after their arrival bytes are passed on.
     pub delay: Duration,
-    /// Bytes a second; 0: as fast as they come.
-    pub rate: u32,
-    /// After so many bytes of a connection both ends see a reset.
-    pub reset_after: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Conditions {
-    up: Way,
-    down: Way,
+    to_server: Impairment,
+    to_client: Impairment,
     /// Open connections are reset, and new ones too.
-    cut: bool,
+    is_cut: bool,
 }
 
 impl Conditions {
-    fn way(&self, direction: Direction) -> Way {
+    fn impairment(&self, direction: Direction) -> Impairment {
         match direction {
-            Direction::Up => self.up,
-            Direction::Down => self.down,
+            Direction::ToServer => self.to_server,
+            Direction::ToClient => self.to_client,
         }
     }
 }
 
 struct Shared {
-    to: Mutex<SocketAddr>,
+    server: SocketAddr,
     conditions: watch::Sender<Conditions>,
-    /// Pieces that wait in the link now, up and down.
-    held: [AtomicUsize; 2],
+    /// Chunks that wait in the link now, by direction.
+    held_chunks: [AtomicUsize; 2],
 }
 
-/// Listens at `address` for one process, and passes on to another.
+/// Listens at `address` for one process, and relays each connection to another. Its tasks live as long as the runtime
+/// that it was started on.
 #[derive(Clone)]
 pub struct Link {
+    /// Where the client connects to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Link {
-    pub fn start(runtime: &Handle, to: SocketAddr) -> io::Result<Link> {
+    /// Listens on a free address and relays to `server`, without impairment at first.
+    ///
+    /// # Errors
+    /// Those of the listener.
+    pub fn start(runtime: &Handle, server: SocketAddr) -> io::Result<Link> {
         let _entered = runtime.enter();
         let listener = std::net::TcpListener::bind(violetyoke_standin::any())?;
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
         let address = listener.local_addr()?;
         let (conditions, _) = watch::channel(Conditions::default());
-        let shared = Arc::new(Shared { to: Mutex::new(to), conditions, held: Default::default() });
-        let passing = shared.clone();
+        let shared = Arc::new(Shared { server, conditions, held_chunks: Default::default() });
+        let relay = Arc::clone(&shared);
         runtime.spawn(async move {
-            while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(connection(stream, passing.clone()));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(relay_connection(client, Arc::clone(&relay)));
             }
         });
         Ok(Link { address, shared })
     }
 
-    /// Where new connections go from now on.
-    pub fn lead_to(&self, to: SocketAddr) {
-        *self.shared.to.lock().unwrap_or_else(PoisonError::into_inner) = to;
-    }
-
-    pub fn set(&self, direction: Direction, way: Way) {
+    /// Impairs a direction, for open connections and new ones.
+    pub fn impair(&self, direction: Direction, impairment: Impairment) {
         self.shared.conditions.send_modify(|now| match direction {
-            Direction::Up => now.up = way,
-            Direction::Down => now.down = way,
+            Direction::ToServer => now.to_server = impairment,
+            Direction::ToClient => now.to_client = impairment,
         });
     }
 
+    /// Bytes of this direction wait in the link until [`Link::heal`].
     pub fn hold(&self, direction: Direction) {
-        self.set(direction, Way { held: true, ..Way::default() });
+        self.impair(direction, Impairment { is_held: true, ..Impairment::default() });
     }
 
-    pub fn cut(&self, cut: bool) {
-        self.shared.conditions.send_modify(|now| now.cut = cut);
+    /// Resets open connections and all new ones.
+    pub fn cut(&self) {
+        self.shared.conditions.send_modify(|now| now.is_cut = true);
     }
 
-    /// All faults end; what was held goes on.
+    /// Connections are relayed again after [`Link::cut`]; impairments stay.
+    pub fn reconnect(&self) {
+        self.shared.conditions.send_modify(|now| now.is_cut = false);
+    }
+
+    /// Ends the cut and all impairments; what was held is passed on.
     pub fn heal(&self) {
         self.shared.conditions.send_replace(Conditions::default());
     }
 
-    /// Pieces that wait in the link.
-    pub fn waiting(&self, direction: Direction) -> usize {
-        self.shared.held[direction as usize].load(Ordering::SeqCst)
+    /// How many chunks wait in the link.
+    pub fn held_chunks(&self, direction: Direction) -> usize {
+        self.shared.held_chunks[direction as usize].load(Ordering::SeqCst)
     }
 }
 
-fn reset(stream: &TcpStream) {
-    let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
+/// The peer sees a reset when the stream is dropped before its shutdown. A failure means that the socket is closed already.
+fn reset_on_drop(stream: &TcpStream) {
+    socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap_or_default();
 }
 
-async fn connection(near: TcpStream, shared: Arc<Shared>) {
-    let mut conditions = shared.conditions.subscribe();
-    let to = *shared.to.lock().unwrap_or_else(PoisonError::into_inner);
-    if conditions.borrow_and_update().cut {
-        return reset(&near);
+async fn relay_connection(client: TcpStream, shared: Arc<Shared>) {
+    reset_on_drop(&client);
+    if shared.conditions.borrow().is_cut {
+        return;
     }
-    let Ok(far) = TcpStream::connect(to).await else { return reset(&near) };
-    let (_, _) = (near.set_nodelay(true), far.set_nodelay(true));
-    // Whoever drops a half in the middle of a cut has the peer see a reset.
-    reset(&near);
-    reset(&far);
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    tokio::spawn(pump(near_in, far_out, Direction::Up, shared.clone()));
-    tokio::spawn(pump(far_in, near_out, Direction::Down, shared));
+    let Ok(server) = TcpStream::connect(shared.server).await else { return };
+    reset_on_drop(&server);
+    for stream in [&client, &server] {
+        // Without it bytes pass on later, and unchanged.
+        stream.set_nodelay(true).unwrap_or_default();
+    }
+    let (client_reader, client_writer) = client.into_split();
+    let (server_reader, server_writer) = server.into_split();
+    tokio::spawn(relay(client_reader, server_writer, Direction::ToServer, Arc::clone(&shared)));
+    tokio::spawn(relay(server_reader, client_writer, Direction::ToClient, shared));
 }
 
-/// Passes one direction on until its end.
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Direction, shared: Arc<Shared>) {
+/// Relays one direction of a connection until its end or a cut.
+async fn relay(
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
+    direction: Direction,
+    shared: Arc<Shared>,
+) {
     let mut conditions = shared.conditions.subscribe();
-    let mut buffer = vec![0; 16 * 1024];
-    let mut passed = 0;
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let read = tokio::select! {
-            read = from.read(&mut buffer) => read,
-            _ = conditions.wait_for(|now| now.cut) => return,
+            read = reader.read(&mut buffer) => read,
+            _ = conditions.wait_for(|now| now.is_cut) => return,
         };
         let length = match read {
             Ok(length) if length > 0 => length,
             _ => break,
         };
-        let came = Instant::now();
-        let waiting = &shared.held[direction as usize];
-        waiting.fetch_add(1, Ordering::SeqCst);
-        let flows = conditions.wait_for(|now| now.cut || !now.way(direction).held).await.map(|now| *now);
-        waiting.fetch_sub(1, Ordering::SeqCst);
-        let Ok(now) = flows else { return };
-        if now.cut {
+        let arrived = Instant::now();
+        let held_chunks = &shared.held_chunks[direction as usize];
+        held_chunks.fetch_add(1, Ordering::SeqCst);
+        let now =
+            conditions.wait_for(|now| now.is_cut || !now.impairment(direction).is_held).await.map(|now| *now);
+        held_chunks.fetch_sub(1, Ordering::SeqCst);
+        let Ok(now) = now else { return };
+        if now.is_cut {
             return;
         }
-        let way = now.way(direction);
-        sleep_until(came + way.delay).await;
-        if way.rate > 0 {
-            tokio::time::sleep(Duration::from_secs_f64(length as f64 / f64::from(way.rate))).await;
-        }
-        passed += length as u64;
-        let part = match way.reset_after {
-            Some(most) if passed > most => length - (passed - most).min(length as u64) as usize,
-            _ => length,
-        };
-        if to.write_all(&buffer[..part]).await.is_err() || part < length {
+        sleep_until(arrived + now.impairment(direction).delay).await;
+        if writer.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
-    // The sender's end comes a moment after its last bytes: whoever gets both at once may leave the bytes undone.
-    tokio::time::sleep(LAST).await;
-    let _ = to.shutdown().await;
+    sleep(CLOSE_DELAY).await;
+    // A peer that has closed already needs no end.
+    writer.shutdown().await.unwrap_or_default();
 }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! One process: started, stopped, continued, killed, started again.
+//! A child process whose output is kept, and which can be paused, resumed, killed and restarted.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{self, BufRead, BufReader, Read};
@@ -7,79 +7,109 @@
 use std::thread;
 use std::time::Duration;
 
+/// How long a process may take to stand still after SIGSTOP.
+const PAUSE_TIMEOUT: Duration = Duration::from_secs(5);
+
 type Lines = Arc<Mutex<Vec<String>>>;
 
-/// Killed when dropped, whether or not it was stopped.
+/// Killed when dropped, also while it is paused.
 pub struct Process {
     command: Command,
     child: Option<Child>,
     lines: Lines,
 }
 
-fn read(from: impl Read + Send + 'static, lines: Lines) {
+/// Appends what is read to the lines. The thread ends with the output.
+fn collect_lines(output: impl Read + Send + 'static, lines: Lines) {
     thread::spawn(move || {
-        for line in BufReader::new(from).lines().map_while(Result::ok) {
+        for line in BufReader::new(output).lines().map_while(Result::ok) {
             lines.lock().unwrap_or_else(PoisonError::into_inner).push(line);
         }
     });
 }
 
 impl Process {
-    /// Starts it. What it writes is kept, to be waited for and looked at.
+    /// Starts it. Its standard output and standard error are kept as lines.
+    ///
+    /// # Errors
+    /// Those of spawning the command.
     pub fn start(mut command: Command) -> io::Result<Process> {
-        // It may end when its input does, as stand-ins do: this process holds it open.
+        // Stand-ins end when their input does: the pipe is held open for the life of the child.
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut process = Process { command, child: None, lines: Lines::default() };
-        process.again()?;
+        process.restart()?;
         Ok(process)
     }
 
-    /// Starts it again after its end, as it was started before.
-    pub fn again(&mut self) -> io::Result<()> {
+    /// Kills it if it runs, and starts the same command again.
+    ///
+    /// # Errors
+    /// Those of killing and of spawning.
+    pub fn restart(&mut self) -> io::Result<()> {
         self.kill()?;
         let mut child = self.command.spawn()?;
         if let Some(output) = child.stdout.take() {
-            read(output, self.lines.clone());
+            collect_lines(output, self.lines.clone());
         }
         if let Some(errors) = child.stderr.take() {
-            read(errors, self.lines.clone());
+            collect_lines(errors, self.lines.clone());
         }
         self.child = Some(child);
         Ok(())
     }
 
+    /// The process id; none after [`Process::kill`].
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
+    fn pid(&self) -> io::Result<Pid> {
+        let pid = self.id().and_then(|id| Pid::from_raw(id as i32));
+        pid.ok_or_else(|| io::Error::other("the process has ended"))
+    }
+
     fn signal(&self, signal: Signal) -> io::Result<()> {
-        let id = self.id().and_then(|id| Pid::from_raw(id as i32));
-        let id = id.ok_or_else(|| io::Error::other("the process has ended"))?;
-        Ok(kill_process(id, signal)?)
+        Ok(kill_process(self.pid()?, signal)?)
     }
 
-    /// Stops it where it is, and returns once it stands still.
-    pub fn stop(&self) -> io::Result<()> {
+    /// Sends SIGSTOP, and returns once the process stands still.
+    ///
+    /// # Errors
+    /// When it has ended, or does not stand still within 5 s.
+    pub fn pause(&self) -> io::Result<()> {
+        let stat = format!("/proc/{}/stat", self.pid()?.as_raw_nonzero());
         self.signal(Signal::STOP)?;
-        let stat = format!("/proc/{}/stat", self.id().unwrap_or_default());
-        let still = || {
-            let text = std::fs::read_to_string(&stat).unwrap_or_default();
-            text.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('T'))
+        let is_paused = || {
+            // The state follows the program's name, which is in parentheses and may hold any sign.
+            std::fs::read_to_string(&stat)
+                .is_ok_and(|text| text.rsplit_once(") ").is_some_and(|(_, state)| state.starts_with('T')))
         };
-        match crate::until(Duration::from_secs(5), still) {
-            true => Ok(()),
-            false => Err(io::Error::other("the process does not stand still")),
+        if crate::wait_until(PAUSE_TIMEOUT, is_paused) {
+            return Ok(());
         }
+        Err(io::Error::new(io::ErrorKind::TimedOut, "the process does not stand still"))
     }
 
-    pub fn go_on(&self) -> io::Result<()> {
+    /// Sends SIGCONT.
+    ///
+    /// # Errors
+    /// When it has ended.
+    pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
+    /// Sends SIGTERM, and does not wait for the end.
+    ///
+    /// # Errors
+    /// When it has ended.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
+    /// Kills it and waits for its end; nothing if it was killed before.
+    ///
+    /// # Errors
+    /// Those of the signal and of the wait.
     pub fn kill(&mut self) -> io::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -88,35 +118,36 @@
         Ok(())
     }
 
-    /// Whether it has ended by itself.
+    /// Whether it has ended, by itself or killed.
     pub fn has_ended(&mut self) -> bool {
-        self.child.as_mut().is_none_or(|child| child.try_wait().is_ok_and(|ended| ended.is_some()))
+        self.child.as_mut().is_none_or(|child| child.try_wait().is_ok_and(|status| status.is_some()))
     }
 
-    /// What it has written so far, in all its lives.
+    /// All lines of output so far, those from before restarts too.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The newest line with that in it, once there are more than `after` such.
-    pub fn wait_for(&self, what: &str, after: usize, within: Duration) -> Option<String> {
-        let mut found = None;
-        crate::until(within, || {
-            let lines = self.lines();
-            let fit: Vec<&String> = lines.iter().filter(|line| line.contains(what)).collect();
-            found = fit.last().filter(|_| fit.len() > after).map(|line| line.to_string());
-            found.is_some()
+    /// Waits until more than `seen_before` lines contain the pattern, and returns the newest of them; none after the timeout.
+    pub fn wait_for_line(&self, pattern: &str, seen_before: usize, timeout: Duration) -> Option<String> {
+        let mut newest = None;
+        crate::wait_until(timeout, || {
+            let matching = self.lines().into_iter().filter(|line| line.contains(pattern));
+            newest = matching.skip(seen_before).last();
+            newest.is_some()
         });
-        found
+        newest
     }
 
-    pub fn count(&self, what: &str) -> usize {
-        self.lines().iter().filter(|line| line.contains(what)).count()
+    /// How many lines so far contain the pattern.
+    pub fn count_lines(&self, pattern: &str) -> usize {
+        self.lines().iter().filter(|line| line.contains(pattern)).count()
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.kill();
+        // It fails only for a process that has ended already.
+        self.kill().unwrap_or_default();
     }
 }
--- a/crates/rig/tests/history.rs
+++ b/crates/rig/tests/history.rs
@@ -1,4 +1,4 @@
-//! What the history of a fenced effect shows to be wrong.
+//! Violations that the history of a sink shows.
 
 #![cfg(test)]
 
@@ -6,7 +6,8 @@
 use std::collections::BTreeSet;
 use violetyoke_ownership::ShardId;
 use violetyoke_rig::history::{
-    changed_spans, longest_gap, newest, older_after_newer, refused_unprovoked, spans_out_of_order, tries,
+    accepted_after_newer, changed_spans, longest_gap_us, newest_effect, spans_out_of_order, total_tries,
+    unexpected_refusals,
 };
 use violetyoke_standin::sink::{Noted, Verdict};
 
@@ -16,21 +17,21 @@
 }
 
 #[test]
-fn an_older_epoch_let_through_after_a_newer_is_found_and_a_refused_one_is_not() {
+fn an_older_epoch_accepted_after_a_newer_is_found_and_a_refused_one_is_not() {
     let good =
         [noted(1, 5, 1, Verdict::Taken), noted(2, 6, 2, Verdict::Taken), noted(3, 5, 2, Verdict::Stale)];
-    assert!(older_after_newer(&good).is_empty());
+    assert!(accepted_after_newer(&good).is_empty());
     let bad = [noted(1, 6, 1, Verdict::Taken), noted(2, 5, 1, Verdict::Had)];
-    assert_eq!(older_after_newer(&bad).len(), 1);
-    assert_eq!(refused_unprovoked(&good, &BTreeSet::new()).len(), 1);
-    assert!(refused_unprovoked(&good, &BTreeSet::from([5])).is_empty());
+    assert_eq!(accepted_after_newer(&bad).len(), 1);
+    assert_eq!(unexpected_refusals(&good, &BTreeSet::new()).len(), 1);
+    assert!(unexpected_refusals(&good, &BTreeSet::from([5])).is_empty());
 }
 
 #[test]
-fn spans_that_are_left_out_doubled_or_changed_are_found() {
+fn missing_duplicate_and_changed_spans_are_found() {
     let good = [noted(1, 5, 1, Verdict::Taken), noted(2, 5, 1, Verdict::Had), noted(3, 5, 2, Verdict::Taken)];
     assert!(spans_out_of_order(&good).is_empty() && changed_spans(&good).is_empty());
-    assert_eq!(tries(&good, "acme"), 3);
+    assert_eq!(total_tries(&good, "acme"), 3);
     let twice = [noted(1, 5, 1, Verdict::Taken), noted(2, 5, 1, Verdict::Taken)];
     assert_eq!(spans_out_of_order(&twice).len(), 1);
     let out = [noted(1, 5, 1, Verdict::Taken), noted(2, 5, 3, Verdict::Taken), noted(2, 5, 9, Verdict::Gap)];
@@ -41,12 +42,12 @@
 }
 
 #[test]
-fn the_longest_time_without_an_effect_counts_from_the_first_moment_to_the_last() {
+fn the_longest_gap_counts_from_the_first_moment_to_the_last() {
     let history =
         [noted(10, 5, 1, Verdict::Taken), noted(40, 6, 2, Verdict::Taken), noted(90, 5, 2, Verdict::Stale)];
     let lease = ShardId::new("report", 0);
-    assert_eq!(longest_gap(&history, &lease, 0, 100), 60);
-    assert_eq!(longest_gap(&history, &lease, 0, 50), 30);
-    assert_eq!(longest_gap(&history, &ShardId::new("report", 1), 0, 50), 50);
-    assert_eq!(newest(&history, &lease).map(|noted| noted.epoch), Some(6));
+    assert_eq!(longest_gap_us(&history, &lease, 0, 100), 60);
+    assert_eq!(longest_gap_us(&history, &lease, 0, 50), 30);
+    assert_eq!(longest_gap_us(&history, &ShardId::new("report", 1), 0, 50), 50);
+    assert_eq!(newest_effect(&history, &lease).map(|noted| noted.epoch), Some(6));
 }
--- a/crates/scale/src/phases/faults.rs
+++ b/crates/scale/src/phases/faults.rs
@@ -7,7 +7,7 @@
 use crate::traffic::MessageKind;
 use std::io;
 use std::time::{Duration, Instant};
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 
 const RESTARTS: usize = 6;
 const DOWN_TIME: Duration = Duration::from_millis(400);
@@ -80,11 +80,11 @@
     }
     std::thread::sleep(DOWN_TIME);
     let since = Instant::now();
-    if let Some(Err(error)) = testbed.system.cores.first_mut().map(|core| core.registry.again()) {
+    if let Some(Err(error)) = testbed.system.cores.first_mut().map(|core| core.registry.restart()) {
         return figures.add_failure(format!("the registry does not begin again: {error}"));
     }
     let observations = testbed.load.observations();
-    until(DETECTION_TIME, || observations.settled() < testbed.size.simulated_proxies);
+    wait_until(DETECTION_TIME, || observations.settled() < testbed.size.simulated_proxies);
     wait_until_complete(figures, testbed, "registry-killed", since);
 }
 
@@ -102,7 +102,7 @@
     }
     // The state from before is sent under a new epoch first; the change comes after it.
     let states = &testbed.load.observations().states;
-    until(PHASE_TIMEOUT, || states.newest_count(known) >= all);
+    wait_until(PHASE_TIMEOUT, || states.newest_count(known) >= all);
     std::thread::sleep(SETTLE_TIME);
     match wait_until_installed(states, known, all, since) {
         Ok(spread) => figures.set("all-killed.in_force_s", spread.last_ms / 1000.0),
@@ -118,10 +118,10 @@
         core.store.kill()?;
     }
     let observations = testbed.load.observations();
-    until(PHASE_TIMEOUT, || observations.settled() == 0);
+    wait_until(PHASE_TIMEOUT, || observations.settled() == 0);
     for core in &mut testbed.system.cores {
-        core.store.again()?;
-        core.registry.again()?;
+        core.store.restart()?;
+        core.registry.restart()?;
     }
     Ok(())
 }
--- a/crates/scale/src/phases/mod.rs
+++ b/crates/scale/src/phases/mod.rs
@@ -11,7 +11,7 @@
 use crate::traffic::MessageKind;
 use std::path::Path;
 use std::time::{Duration, Instant};
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 use waiting::{wait_until_complete, PHASE_TIMEOUT};
 
 /// Between two proxies that start one after the other.
@@ -67,7 +67,7 @@
     let before = testbed.snapshot();
     let since = Instant::now();
     (0..all).for_each(|number| testbed.load.start_proxy(number));
-    if !until(PHASE_TIMEOUT, || observations.settled() == all) {
+    if !wait_until(PHASE_TIMEOUT, || observations.settled() == all) {
         let settled = observations.settled();
         figures.add_failure(format!("join: {settled} of {all} settled in {} s", PHASE_TIMEOUT.as_secs()));
         steady::measure_resources(figures, testbed);
@@ -93,7 +93,7 @@
 fn join_slowly(figures: &mut Figures, testbed: &Testbed) -> bool {
     let all = testbed.size.simulated_proxies;
     (0..all).for_each(|number| testbed.load.stop_proxy(number));
-    until(PHASE_TIMEOUT, || testbed.load.observations().settled() == 0);
+    wait_until(PHASE_TIMEOUT, || testbed.load.observations().settled() == 0);
     std::thread::sleep(CHANGE_INTERVAL);
     let since = Instant::now();
     for number in 0..all {
--- a/crates/scale/src/phases/waiting.rs
+++ b/crates/scale/src/phases/waiting.rs
@@ -4,7 +4,7 @@
 use crate::installations::{Installations, Spread};
 use crate::testbed::Testbed;
 use std::time::{Duration, Instant};
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 
 /// A phase that takes longer than this has failed.
 pub(super) const PHASE_TIMEOUT: Duration = Duration::from_secs(40);
@@ -18,7 +18,7 @@
 ) -> bool {
     let (all, observations) = (testbed.size.simulated_proxies, testbed.load.observations());
     let is_complete =
-        until(PHASE_TIMEOUT, || observations.settled() == all && observations.complete() == all);
+        wait_until(PHASE_TIMEOUT, || observations.settled() == all && observations.complete() == all);
     if is_complete {
         figures.set(&format!("{name}.complete_s"), since.elapsed().as_secs_f64());
     } else {
@@ -39,7 +39,7 @@
     all: usize,
     since: Instant,
 ) -> Result<Spread, NotInstalled> {
-    until(PHASE_TIMEOUT, || installations.newest_count(known) >= all);
+    wait_until(PHASE_TIMEOUT, || installations.newest_count(known) >= all);
     let count = installations.newest_count(known);
     installations.spread(since).filter(|_| count >= all).ok_or(NotInstalled(count))
 }
--- a/crates/scale/src/testbed.rs
+++ b/crates/scale/src/testbed.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 use violetyoke_local::client::send_command;
 use violetyoke_local::{CoreMachine, Placement, Platform, System, Topology};
-use violetyoke_rig::driven::Driven;
 use violetyoke_rig::process::Process;
+use violetyoke_rig::runtime_thread::RuntimeThread;
 
 /// Entries on a page of the platform's list, as at the sites.
 const PAGE_SIZE: usize = 50;
@@ -41,7 +41,7 @@
     pub(crate) load: ProxyLoad,
     pub(crate) platform: Platform,
     version: u64,
-    _driven: Driven,
+    _runtime: RuntimeThread,
 }
 
 /// A program of the system.
@@ -85,8 +85,8 @@
     /// # Errors
     /// When something can't be started, or the configuration is not acknowledged.
     pub fn start(program: &Path, size: Size) -> io::Result<Testbed> {
-        let driven = Driven::start()?;
-        let platform = Platform::with_page_size(driven.handle(), PAGE_SIZE)?;
+        let runtime = RuntimeThread::start()?;
+        let platform = Platform::with_page_size(runtime.handle(), PAGE_SIZE)?;
         for number in 0..size.tables.backends {
             platform.set(&backend_id(number), backend(size.tables, number, "ready"));
         }
@@ -103,7 +103,7 @@
             |core: &CoreMachine| (core.ip, SocketAddrV4::new(core.ip, core.control.port() + REGISTRY_PORT));
         let registries: Registries = system.cores.iter().map(address).collect();
         let load = ProxyLoad::start(size.threads, &registries, size.simulated_proxies + size.proxies)?;
-        let mut testbed = Testbed { size, system, load, platform, version: 0, _driven: driven };
+        let mut testbed = Testbed { size, system, load, platform, version: 0, _runtime: runtime };
         testbed.send_next_configuration()?;
         Ok(testbed)
     }
--- a/crates/scale/tests/work.rs
+++ b/crates/scale/tests/work.rs
@@ -4,7 +4,7 @@
 
 use std::path::Path;
 use std::time::Duration;
-use violetyoke_rig::until;
+use violetyoke_rig::wait_until;
 use violetyoke_scale::documents::TableSizes;
 use violetyoke_scale::testbed::{Role, Size, Testbed};
 
@@ -20,7 +20,7 @@
     (0..PROXIES).for_each(|number| testbed.load().start_proxy(number));
     let observations = testbed.load().observations();
     let all = || observations.settled() == PROXIES && observations.complete() == PROXIES;
-    assert!(until(LONG, all), "{} of {PROXIES} settled", observations.settled());
+    assert!(wait_until(LONG, all), "{} of {PROXIES} settled", observations.settled());
     testbed.snapshot().cpu_since(&before, Role::Registry)
 }
 
--- a/xtask/src/prove_owners.rs
+++ b/xtask/src/prove_owners.rs
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 use violetyoke_ownership::ShardId;
-use violetyoke_rig::cause::{self, Causes};
 use violetyoke_rig::fleet::Fleet;
 use violetyoke_rig::history;
+use violetyoke_rig::injection::{DutySettings, FaultInjector};
 use violetyoke_rig::schedule::{draw, Fault};
 
 const INGRESSES: usize = 6;
@@ -89,9 +89,9 @@
     let mut fleet = Fleet::start(&plan(&program, &standin, &["report", "probe"], without))?;
     serve_all(&fleet)?;
     let everywhere = |history: &[violetyoke_standin::sink::Noted]| {
-        leases().iter().all(|lease| history::newest(history, lease).is_some())
+        leases().iter().all(|lease| history::newest_effect(history, lease).is_some())
     };
-    if !fleet.noted(Duration::from_secs(20), everywhere) {
+    if !fleet.wait_for_history(Duration::from_secs(20), everywhere) {
         return Err("not every shard has got an owner".into());
     }
     calm(&mut fleet, &mut figures, plain, long)?;
@@ -112,32 +112,33 @@
         if fault == Fault::PutBack && put_back.is_none() {
             put_back = Some(fleet.history().len());
         }
-        let shape = cause::Figures {
-            length: LENGTH,
+        let settings = DutySettings {
+            lease: LENGTH,
             span: SPAN,
             report_shards: REPORT_SHARDS,
             probe_shards: PROBE_SHARDS,
         };
-        let outcome = Causes { fleet: &mut fleet, figures: shape }.cause(fault)?;
+        let outcome = FaultInjector { fleet: &mut fleet, settings }.inject(fault)?;
         let reached = !matches!(fault, Fault::KillBoth { .. } | Fault::PutBack | Fault::AllCut);
-        let took = outcome.went_on_after.map(|time| time.as_secs_f64());
+        let took = outcome.recovered_after.map(|time| time.as_secs_f64());
         println!("fault={fault:?} {outcome:?}");
         let counts = landed.entry(kind(fault)).or_default();
         counts.0 += 1;
-        counts.1 += u32::from(outcome.landed && outcome.missed.is_none());
-        provoked.extend(outcome.provoked);
+        counts.1 += u32::from(outcome.hit && outcome.not_injected.is_none());
+        provoked.extend(outcome.delayed_epochs);
         unrefused += u32::from(outcome.refused == Some(false));
         let counted = !matches!(fault, Fault::Clock { .. } | Fault::Slow { .. } | Fault::SilentDown { .. });
         match took {
             Some(took) if counted => late.push(took),
-            None if counted && outcome.missed.is_none() => never += 1,
+            None if counted && outcome.not_injected.is_none() => never += 1,
             _ => {}
         }
         if reached {
             let history = fleet.history();
             let after = history.last().map_or(before, |noted| noted.at);
             let probes = leases().into_iter().filter(|lease| lease.role == "probe");
-            let rests = probes.map(|lease| history::longest_gap(history, &lease, before, after) as f64 / 1e6);
+            let rests =
+                probes.map(|lease| history::longest_gap_us(history, &lease, before, after) as f64 / 1e6);
             let most = rests.fold(0.0, f64::max);
             println!("probes_rested_s={most:.3}");
             match fault {
@@ -165,14 +166,14 @@
     figures.at_most("kept_back_and_not_refused", f64::from(unrefused), 0.0);
     let history = fleet.history().to_vec();
     figures.tell("effects", history.len());
-    let accepted = history::older_after_newer(&history);
+    let accepted = history::accepted_after_newer(&history);
     accepted.iter().take(5).for_each(|noted| println!("older_after_newer={noted:?}"));
     figures.at_most("older_after_newer", accepted.len() as f64, 0.0);
-    let refused = history::refused_unprovoked(&history, &provoked);
+    let refused = history::unexpected_refusals(&history, &provoked);
     refused.iter().take(5).for_each(|noted| println!("refused_unprovoked={noted:?}"));
     // One may be: a probe whose answer took longer than it was waited for may still be on its way.
     figures.at_most("refused_unprovoked", refused.len() as f64, 1.0);
-    figures.at_most("epochs_of_two_holders", history::shared_epochs(&history).len() as f64, 0.0);
+    figures.at_most("epochs_of_two_holders", history::epochs_with_two_owners(&history).len() as f64, 0.0);
     let wrong = history::spans_out_of_order(&history);
     wrong.iter().take(5).for_each(|wrong| println!("out_of_order={wrong}"));
     figures.at_most("spans_out_of_order", wrong.len() as f64, 0.0);
--- a/xtask/src/prove_owners/calm.rs
+++ b/xtask/src/prove_owners/calm.rs
@@ -55,9 +55,9 @@
     // In a few seconds on a busy machine the slowest of a hundred tells of the machine: the long form judges that.
     let judged = if long { 1 } else { 0 };
     figures.at_most("times_of_without", duties[judged].max(5.0) / plain[judged].max(5.0), 1.5);
-    fleet.ingresses.iter().for_each(|ingress| ingress.to_control.cut(true));
+    fleet.ingresses.iter().for_each(|ingress| ingress.control_link.cut());
     let cut_off = load(fleet, LENGTH * 2);
-    fleet.ingresses.iter().for_each(|ingress| ingress.to_control.cut(false));
+    fleet.ingresses.iter().for_each(|ingress| ingress.control_link.reconnect());
     let served = |list: &[Answered]| list.iter().filter(|one| one.status == 200).count();
     let all: usize = cut_off.iter().map(|(_, list)| list.len()).sum();
     let good: usize = cut_off.iter().map(|(_, list)| served(list)).sum();
@@ -72,7 +72,7 @@
     while Instant::now() < end {
         let history = fleet.history();
         let told: BTreeMap<&str, u64> =
-            TENANTS.iter().map(|name| (*name, history::tries(history, name))).collect();
+            TENANTS.iter().map(|name| (*name, history::total_tries(history, name))).collect();
         // What came before the calm is in it too: more is found out below.
         let done = TENANTS.iter().all(|name| told[name] >= sent(name));
         let settled = before.as_ref() == Some(&told);
--- a/xtask/src/prove_owners/plan.rs
+++ b/xtask/src/prove_owners/plan.rs
@@ -35,8 +35,8 @@
         ingresses: INGRESSES,
         tenants: TENANTS.iter().map(|name| name.to_string()).collect(),
         duties,
-        take: take.iter().map(|name| name.to_string()).collect(),
-        fenced: without != Some(Without::Fence),
+        joined_duties: take.iter().map(|name| name.to_string()).collect(),
+        has_fencing: without != Some(Without::Fence),
         environment: fault
             .map(|fault| ("VIOLETYOKE_TEST_FAULT".to_string(), fault.to_string()))
             .into_iter()
