--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -8,7 +8,7 @@
 use crate::section::{self, Section};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use violetyoke_routes::{Host, Path, Rule, Table};
+use violetyoke_routes::{Host, Path, Route as Rule, RouteTable};
 
 /// A service as its file has it, checked.
 #[derive(Clone, Debug)]
@@ -96,10 +96,12 @@
     let rules: Vec<Rule> = routes.iter().map(|route| route.rule.clone()).collect();
     // Numbers hold only where all could be read.
     if routes.len() == sections.len() {
-        for tie in Table::build(&rules).err().into_iter().flatten() {
-            let other =
-                format!("matches the same requests as route[{}], and neither is more specific", tie.first);
-            sections[tie.second].error("path", other);
+        for conflict in RouteTable::build(&rules).err().into_iter().flatten() {
+            let other = format!(
+                "matches the same requests as route[{}], and neither is more specific",
+                conflict.first
+            );
+            sections[conflict.second].error("path", other);
         }
     }
     sections.into_iter().for_each(Section::finish);
@@ -136,11 +138,11 @@
 }
 
 fn route(section: &Section<'_>, pools: &[Pool]) -> Option<Route> {
-    let noted =
-        |key: &str, result: Result<Host, String>| result.map_err(|error| section.error(key, error)).ok();
-    let host = section.text("host").map_or(Some(Host::Any), |text| noted("host", Host::parse(&text)));
+    let host = section.text("host").map_or(Some(Host::Any), |text| {
+        text.parse::<Host>().map_err(|error| section.error("host", error)).ok()
+    });
     let path = section.text("path").unwrap_or_else(|| "/*".into());
-    let path = Path::parse(&path).map_err(|error| section.error("path", error)).ok();
+    let path = path.parse::<Path>().map_err(|error| section.error("path", error)).ok();
     let method = section.text("method");
     let known = ["GET", "POST", "PUT", "PATCH", "DELETE"];
     if method.as_ref().is_some_and(|method| !known.contains(&method.as_str())) {
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -75,7 +75,7 @@
     assert!(matches!(service.pools[1].nodes, Nodes::Discovery(_)));
     assert_eq!(service.routes[1].pool, 1);
     let rules: Vec<_> = service.routes.iter().map(|route| route.rule.clone()).collect();
-    let table = violetyoke_routes::Table::build(&rules).unwrap();
+    let table = violetyoke_routes::RouteTable::build(&rules).unwrap();
     assert_eq!(table.find("booking.example.org", "/bookings/7", "POST", None), Some(1));
 }
 
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -10,7 +10,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
-use violetyoke_routes::{target, Bad, Table};
+use violetyoke_routes::{target, RouteTable, TargetError};
 
 /// The table in force.
 pub struct Front {
@@ -21,7 +21,7 @@
     /// Everything goes to one pool, as it came.
     One(Rc<Pool>),
     Table {
-        table: Arc<Table>,
+        table: Arc<RouteTable>,
         routes: Vec<Route>,
     },
 }
@@ -90,15 +90,15 @@
         let uri = match origin.query() {
             _ if target.path == origin.path() => Uri::from(origin.clone()),
             Some(query) => {
-                Uri::try_from(format!("{}?{query}", target.path)).map_err(|_| why(Bad::Encoding))?
+                Uri::try_from(format!("{}?{query}", target.path)).map_err(|_| why(TargetError::Encoding))?
             }
-            None => Uri::try_from(target.path).map_err(|_| why(Bad::Encoding))?,
+            None => Uri::try_from(target.path).map_err(|_| why(TargetError::Encoding))?,
         };
         let class = route.class.as_ref().and_then(|class| route.pool.rules().class(class));
         Ok(Matched { pool: route.pool.clone(), uri, class, guest: route.guest.clone() })
     }
 }
 
-fn why(reason: Bad) -> Rejection {
+fn why(reason: TargetError) -> Rejection {
     bad(reason.text())
 }
--- a/crates/ingress/src/prepared.rs
+++ b/crates/ingress/src/prepared.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use violetyoke_config as file;
 use violetyoke_decision::interface::Plan;
-use violetyoke_routes::{Rule, Table};
+use violetyoke_routes::{Route, RouteTable};
 use violetyoke_tenants::model;
 use violetyoke_tenants::snapshot::{Held, TenantView};
 
@@ -18,7 +18,7 @@
     pub file: Arc<file::Service>,
     pub held: Arc<Held>,
     /// Of the file's routes, and behind them the tenants'.
-    pub table: Arc<Table>,
+    pub table: Arc<RouteTable>,
     pub routes: Vec<HostedRoute>,
     /// Each pool's plans that are tenants', by names that no file has.
     pub plans: BTreeMap<String, Vec<(String, Plan)>>,
@@ -51,7 +51,7 @@
 impl Prepared {
     /// Why not, in words that name the tenant.
     pub fn new(config: &Arc<file::Service>, held: Arc<Held>) -> Result<Prepared, String> {
-        let mut rules: Vec<Rule> = config.routes.iter().map(|route| route.rule.clone()).collect();
+        let mut rules: Vec<Route> = config.routes.iter().map(|route| route.rule.clone()).collect();
         let (mut routes, mut plans) = (Vec::new(), BTreeMap::<String, Vec<(String, Plan)>>::new());
         let [mut descriptors, mut bytes, mut open] = [0u64; 3];
         for tenant in held.tenants.values() {
@@ -98,7 +98,7 @@
                 ));
             }
         }
-        let table = Table::build(&rules).map_err(|ties| {
+        let table = RouteTable::build(&rules).map_err(|ties| {
             let name = |number: usize| match number.checked_sub(config.routes.len()) {
                 Some(number) => format!("tenant {:?}", routes[number].tenant),
                 None => format!("route[{number}] of the file"),
--- a/crates/routes/src/host.rs
+++ b/crates/routes/src/host.rs
@@ -1,27 +1,39 @@
 //! Hosts of routes: a name, all names below one, or any.
 
 use std::fmt;
+use std::str::FromStr;
 
-/// Which hosts a rule is for.
+/// Why a text is no host pattern.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("host {text:?} {reason}")]
+pub struct HostError {
+    text: String,
+    reason: &'static str,
+}
+
+/// Which hosts a route is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Host {
     /// This name.
     Name(String),
     /// Every name below this one (`*.example.org`: one label or more), not the name itself.
     Below(String),
+    /// Every name.
     Any,
 }
 
-impl Host {
-    /// Reads `avail.example.org`, `*.example.org` or `*`. Names are taken in lower case, without a port.
-    pub fn parse(text: &str) -> Result<Host, String> {
+/// Reads `avail.example.org`, `*.example.org` or `*`. Names are turned to lower case, and have no port.
+impl FromStr for Host {
+    type Err = HostError;
+
+    fn from_str(text: &str) -> Result<Host, HostError> {
         if text == "*" {
             return Ok(Host::Any);
         }
-        let (below, name) = text.strip_prefix("*.").map_or((false, text), |name| (true, name));
+        let (is_below, name) = text.strip_prefix("*.").map_or((false, text), |name| (true, name));
         let name = name.to_ascii_lowercase();
-        check(&name).map_err(|reason| format!("host {text:?} {reason}"))?;
-        Ok(if below { Host::Below(name) } else { Host::Name(name) })
+        check(&name).map_err(|reason| HostError { text: text.to_string(), reason })?;
+        Ok(if is_below { Host::Below(name) } else { Host::Name(name) })
     }
 }
 
@@ -36,7 +48,7 @@
 }
 
 /// Whether this is a host name, or an address in the form that a URI has it: what RFC 3986 calls `reg-name`
-/// is wider, but whatever else stood there could be read as two things.
+/// is wider, but anything else there could be read in two ways.
 pub(crate) fn check(name: &str) -> Result<(), &'static str> {
     if name.is_empty() {
         return Err("is empty");
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,41 +1,35 @@
-//! The route table of an ingress: which pool a request belongs to, by host, path, method and class. It has no
-//! input or output and no clock, and holds no pools: a look-up gives the number of the rule that matched.
+//! The route table of the ingress: which pool a request belongs to, by host, path, method and class. It does no I/O, reads
+//! no clock and knows no pools: a look-up gives the number of the route that matched.
 //!
 //! What a request is matched by is its [`Target`], in the one normal form that [`target`] describes; the same
 //! form goes on to the node, so that nothing can be matched as one path and served as another.
 //!
-//! The most specific rule wins: first by host (a name, then the longest suffix, then any), then by path,
-//! segment by segment from the left (a literal, then a parameter, then a prefix's open end), then a stated
-//! method before any, then a stated class before any. A rule that fits all but one of these does not fit, and
-//! the next specific one is looked at. Two rules that would tie are an error of the table.
+//! The most specific route wins: first by host (a name, then the longest suffix, then any), then by path,
+//! segment by segment from the left (a literal, then a parameter, then the end of a prefix), then a stated
+//! method before any, then a stated class before any. A route that fits all but one of these does not match, and the next
+//! specific one is tried. Two routes of which neither is more specific are an error of the table.
 //!
 //! ```
-//! use violetyoke_routes::{Host, Path, Rule, Table};
+//! use violetyoke_routes::{Route, RouteTable};
 //!
-//! let rule = |host: &str, path: &str| Rule {
-//!     host: Host::parse(host).unwrap(),
-//!     path: Path::parse(path).unwrap(),
+//! let route = |host: &str, path: &str| Route {
+//!     host: host.parse().unwrap(),
+//!     path: path.parse().unwrap(),
 //!     method: None,
 //!     class: None,
 //! };
-//! let table = Table::build(&[rule("*.example.org", "/*"), rule("avail.example.org", "/hotels/{hotel}")]).unwrap();
+//! let table = RouteTable::build(&[route("*.example.org", "/*"), route("avail.example.org", "/hotels/{hotel}")]).unwrap();
 //! assert_eq!(table.find("avail.example.org", "/hotels/7", "GET", None), Some(1));
 //! assert_eq!(table.find("avail.example.org", "/rooms", "GET", None), Some(0));
 //! assert_eq!(table.find("example.org", "/rooms", "GET", None), None);
 //! ```
 
-#![allow(
-    clippy::semicolon_if_nothing_returned,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
 mod host;
 mod path;
 mod table;
 mod target;
 
-pub use host::Host;
-pub use path::Path;
-pub use table::{Rule, Table, Tie};
-pub use target::{authority, target, Bad, Target};
+pub use host::{Host, HostError};
+pub use path::{Path, PathError};
+pub use table::{Conflict, Route, RouteTable};
+pub use target::{authority, target, Target, TargetError};
--- a/crates/routes/src/path.rs
+++ b/crates/routes/src/path.rs
@@ -1,14 +1,23 @@
-//! Paths of routes: templates of whole paths, and prefixes.
+//! Paths of routes: templates of complete paths, and prefixes.
 
 use crate::target;
 use std::fmt;
+use std::str::FromStr;
 
-/// Which paths a rule is for.
+/// Why a text is no path pattern.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("path {text:?} {reason}")]
+pub struct PathError {
+    text: String,
+    reason: &'static str,
+}
+
+/// Which paths a route is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Path {
     pub(crate) segments: Vec<Segment>,
     /// Whether further segments may follow.
-    pub(crate) open: bool,
+    pub(crate) is_prefix: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,52 +31,60 @@
 /// one and the same request, one is always greater.
 pub(crate) type Rank = Vec<u8>;
 
-impl Path {
-    /// Reads `/hotels/{hotel}/rooms`, or with `/*` at the end a prefix: `/hotels/*` is `/hotels` and all below.
-    pub fn parse(text: &str) -> Result<Path, String> {
-        let bad = |reason: &str| Err(format!("path {text:?} {reason}"));
-        let Some(rest) = text.strip_prefix('/') else { return bad("does not begin with /") };
-        let (rest, open) = match rest.strip_suffix('*') {
-            Some("") => ("", true),
-            Some(rest) => match rest.strip_suffix('/') {
-                Some(rest) => (rest, true),
-                None => return bad("has a * that is not its last segment"),
-            },
-            None => (rest, false),
-        };
-        if rest.is_empty() {
-            return Ok(Path { segments: Vec::new(), open });
-        }
-        let mut segments = Vec::new();
-        for part in rest.split('/') {
-            if part.contains('*') {
-                return bad("has a * that is not its last segment");
-            }
-            let name = part.strip_prefix('{').and_then(|part| part.strip_suffix('}'));
-            if let Some(name) = name {
-                if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_') {
-                    return bad("has a parameter without a plain name");
-                }
-                segments.push(Segment::Parameter(name.to_string()));
-            } else if part.contains(['{', '}']) {
-                return bad("has a parameter that is not a whole segment");
-            } else {
-                segments.push(Segment::Literal(part.to_string()));
+/// Reads `/hotels/{hotel}/rooms`, or a prefix that ends with `/*`: `/hotels/*` is `/hotels` and everything below.
+impl FromStr for Path {
+    type Err = PathError;
+
+    fn from_str(text: &str) -> Result<Path, PathError> {
+        parse(text).map_err(|reason| PathError { text: text.to_string(), reason })
+    }
+}
+
+const MISPLACED_WILDCARD: &str = "has a * that is not its last segment";
+
+fn parse(text: &str) -> Result<Path, &'static str> {
+    let rest = text.strip_prefix('/').ok_or("does not begin with /")?;
+    let (rest, is_prefix) = match rest.strip_suffix('*') {
+        Some("") => ("", true),
+        Some(rest) => (rest.strip_suffix('/').ok_or(MISPLACED_WILDCARD)?, true),
+        None => (rest, false),
+    };
+    if rest.is_empty() {
+        return Ok(Path { segments: Vec::new(), is_prefix });
+    }
+    let segments = rest.split('/').map(parse_segment).collect::<Result<Vec<_>, _>>()?;
+    let path = Path { segments, is_prefix };
+    // Anything else could never match: requests come in normal form.
+    let sample = path.segments.iter().map(|segment| match segment {
+        Segment::Literal(text) => format!("/{text}"),
+        Segment::Parameter(_) => "/x".to_string(),
+    });
+    let sample: String = sample.collect();
+    if target::path(&sample).is_ok_and(|normal| normal == sample) {
+        Ok(path)
+    } else {
+        Err("is not in normal form")
+    }
+}
+
+fn parse_segment(text: &str) -> Result<Segment, &'static str> {
+    if text.contains('*') {
+        return Err(MISPLACED_WILDCARD);
+    }
+    match text.strip_prefix('{').and_then(|text| text.strip_suffix('}')) {
+        Some(name) => {
+            let is_plain = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_');
+            if name.is_empty() || !is_plain {
+                return Err("has a parameter without a plain name");
             }
+            Ok(Segment::Parameter(name.to_string()))
         }
-        let path = Path { segments, open };
-        // Anything else could never match: requests come in normal form.
-        let plain = path.segments.iter().map(|segment| match segment {
-            Segment::Literal(text) => format!("/{text}"),
-            Segment::Parameter(_) => "/x".to_string(),
-        });
-        let plain: String = plain.collect();
-        match target::path(&plain) {
-            Ok(normal) if normal == plain => Ok(path),
-            Ok(_) | Err(_) => bad("is not in normal form"),
-        }
+        None if text.contains(['{', '}']) => Err("has a parameter that is not a whole segment"),
+        None => Ok(Segment::Literal(text.to_string())),
     }
+}
 
+impl Path {
     pub(crate) fn rank(&self) -> Rank {
         let mut rank: Rank = self
             .segments
@@ -77,27 +94,27 @@
                 Segment::Parameter(_) => 2,
             })
             .collect();
-        // The end of a whole path is more than an open end, and an open end less than any segment.
-        rank.push(if self.open { 0 } else { 1 });
+        // The end of a complete path ranks above that of a prefix, which ranks below any segment.
+        rank.push(u8::from(!self.is_prefix));
         rank
     }
 
-    /// In the matcher's words, with parameters named by their places: routes that differ only in what they
-    /// call a parameter are the same route. An open path is several of them.
+    /// In the matcher's syntax, with parameters named by their positions: routes that differ only in the name of a
+    /// parameter are the same route. A prefix is several patterns.
     pub(crate) fn patterns(&self) -> Vec<String> {
         let mut base = String::new();
-        for (place, segment) in self.segments.iter().enumerate() {
+        for (position, segment) in self.segments.iter().enumerate() {
             base.push('/');
             match segment {
                 Segment::Literal(text) => base.push_str(&text.replace('{', "{{").replace('}', "}}")),
-                Segment::Parameter(_) => base.push_str(&format!("{{p{place}}}")),
+                Segment::Parameter(_) => base.push_str(&format!("{{p{position}}}")),
             }
         }
-        if !self.open {
+        if !self.is_prefix {
             return vec![if base.is_empty() { "/".to_string() } else { base }];
         }
         let rest = format!("{base}/{{*rest}}");
-        // A path in normal form may end in one slash, which the open end takes with nothing behind it.
+        // A path in normal form may end in one slash, which a prefix matches with nothing behind it.
         let slash = format!("{base}/");
         if base.is_empty() {
             vec![slash, rest]
@@ -115,7 +132,7 @@
                 Segment::Parameter(name) => write!(f, "/{{{name}}}")?,
             }
         }
-        match (self.open, self.segments.is_empty()) {
+        match (self.is_prefix, self.segments.is_empty()) {
             (true, _) => f.write_str("/*"),
             (false, true) => f.write_str("/"),
             (false, false) => Ok(()),
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,56 +1,50 @@
-//! The table itself: for each host, one matcher for each kind of rule. Rules of one kind state the same method
-//! and class, and are whole paths or open ones of one length: `matchit` does not take an open end beside a
-//! parameter, and so compares only within a kind; between kinds the ranks of the paths decide.
+//! The table itself: for each host, one matcher for each kind of route. Routes of one kind state the same method and
+//! class, and are complete paths or prefixes of one length: `matchit` does not accept a prefix beside a parameter, and so
+//! compares only within a kind; between kinds the ranks of the paths decide.
 
 use crate::host::Host;
 use crate::path::{Path, Rank};
 use matchit::Router;
 use std::collections::HashMap;
-use std::fmt;
 
-/// One route; its number in the list that a table is built of is what a look-up gives.
+/// One route. A look-up gives its number in the list that the table was built of.
 #[derive(Clone, Debug)]
-pub struct Rule {
+pub struct Route {
+    /// The hosts that it is for.
     pub host: Host,
+    /// The paths that it is for.
     pub path: Path,
-    /// Only requests of this method; none: of any.
+    /// Only requests of this method; `None`: of any.
     pub method: Option<String>,
-    /// Only requests whose class header says this; none: whatever it says.
+    /// Only requests whose class header says this; `None`: whatever it says.
     pub class: Option<String>,
 }
 
-/// Two rules, by their numbers, of which none is more specific.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tie {
+/// Two routes, by their numbers, of which neither is more specific.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("routes {first} and {second} match the same requests, and neither is more specific")]
+pub struct Conflict {
+    /// The first in the list.
     pub first: usize,
+    /// The other one.
     pub second: usize,
 }
 
-impl fmt::Display for Tie {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "routes {} and {} match the same requests, and neither is more specific",
-            self.first, self.second
-        )
-    }
-}
-
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Kind {
     method: Option<String>,
     class: Option<String>,
-    /// Segments before the open end.
-    open: Option<usize>,
+    /// How many segments a prefix has.
+    prefix_length: Option<usize>,
 }
 
 /// Looks requests up in time that does not grow with the number of routes.
 #[derive(Default)]
-pub struct Table {
+pub struct RouteTable {
     names: HashMap<String, Paths>,
     below: HashMap<String, Paths>,
     any: Paths,
-    rules: usize,
+    routes: usize,
 }
 
 /// The routes of one host: few kinds, many paths.
@@ -59,32 +53,35 @@
     kinds: Vec<(Kind, Router<(usize, Rank)>)>,
 }
 
-impl Table {
-    /// Builds the table, or tells of all ties.
-    pub fn build(rules: &[Rule]) -> Result<Table, Vec<Tie>> {
-        let mut ties = Vec::new();
-        // What each pattern of each host and kind stands for, before the matchers are filled.
+impl RouteTable {
+    /// Builds the table.
+    ///
+    /// # Errors
+    /// All conflicts between two routes.
+    pub fn build(routes: &[Route]) -> Result<RouteTable, Vec<Conflict>> {
+        let mut conflicts = Vec::new();
+        // The route of each pattern of each host and kind, before the matchers are filled.
         let mut slots: HashMap<(&Host, Kind, String), (usize, Rank)> = HashMap::new();
-        for (number, rule) in rules.iter().enumerate() {
-            let rank = rule.path.rank();
-            for pattern in rule.path.patterns() {
-                let open = rule.path.open.then_some(rule.path.segments.len());
-                let kind = Kind { method: rule.method.clone(), class: rule.class.clone(), open };
-                let slot = slots.entry((&rule.host, kind, pattern)).or_insert((number, rank.clone()));
+        for (number, route) in routes.iter().enumerate() {
+            let rank = route.path.rank();
+            for pattern in route.path.patterns() {
+                let prefix_length = route.path.is_prefix.then_some(route.path.segments.len());
+                let kind = Kind { method: route.method.clone(), class: route.class.clone(), prefix_length };
+                let slot = slots.entry((&route.host, kind, pattern)).or_insert((number, rank.clone()));
                 if slot.0 != number {
-                    let tie = Tie { first: slot.0, second: number };
-                    if !ties.contains(&tie) {
-                        ties.push(tie);
+                    let conflict = Conflict { first: slot.0, second: number };
+                    if !conflicts.contains(&conflict) {
+                        conflicts.push(conflict);
                     }
                 }
             }
         }
-        if !ties.is_empty() {
-            return Err(ties);
+        if !conflicts.is_empty() {
+            return Err(conflicts);
         }
-        let mut table = Table { rules: rules.len(), ..Table::default() };
+        let mut table = RouteTable { routes: routes.len(), ..RouteTable::default() };
         let mut slots: Vec<_> = slots.into_iter().collect();
-        // One order of insertion for one list of rules: the matcher's layout does not depend on chance.
+        // One order of insertion for one list of routes: the matcher's layout does not depend on chance.
         slots.sort_by(|a, b| (a.1 .0, &a.0 .2).cmp(&(b.1 .0, &b.0 .2)));
         for ((host, kind, pattern), value) in slots {
             let paths = match host {
@@ -93,23 +90,27 @@
                 Host::Any => &mut table.any,
             };
             let (first, second) = (value.0, value.0);
-            // Patterns are in the matcher's own form and stand here once each: this cannot fail.
-            paths.router(kind).insert(pattern, value).map_err(|_| vec![Tie { first, second }])?;
+            // Patterns are in the matcher's own syntax, each of them once: this cannot fail.
+            paths.router(kind).insert(pattern, value).map_err(|_| vec![Conflict { first, second }])?;
         }
         Ok(table)
     }
 
-    /// How many rules it holds.
+    /// How many routes it has.
+    #[must_use]
     pub fn len(&self) -> usize {
-        self.rules
+        self.routes
     }
 
+    /// Whether it has no routes.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.rules == 0
+        self.routes == 0
     }
 
-    /// The number of the rule for a request: its host and path in normal form, its method, and its class
-    /// where it states one.
+    /// The number of the route of a request: by its host and path in normal form, its method, and its class where it
+    /// states one.
+    #[must_use]
     pub fn find(&self, host: &str, path: &str, method: &str, class: Option<&str>) -> Option<usize> {
         let find = |paths: &Paths| paths.find(path, method, class);
         if let Some(found) = self.names.get(host).and_then(find) {
@@ -128,33 +129,53 @@
     }
 }
 
+impl Kind {
+    fn fits(&self, method: &str, class: Option<&str>) -> bool {
+        self.method.as_deref().is_none_or(|only| only == method)
+            && self.class.as_deref().is_none_or(|only| Some(only) == class)
+    }
+}
+
+/// A route that matches a request.
+struct Candidate<'a> {
+    rank: &'a Rank,
+    has_method: bool,
+    has_class: bool,
+    number: usize,
+}
+
+impl Candidate<'_> {
+    /// The greater one wins.
+    fn specificity(&self) -> impl PartialOrd + '_ {
+        (self.rank, self.has_method, self.has_class)
+    }
+}
+
 impl Paths {
     fn router(&mut self, kind: Kind) -> &mut Router<(usize, Rank)> {
-        let place = self.kinds.iter().position(|(known, _)| *known == kind);
-        let place = place.unwrap_or_else(|| {
+        let position = self.kinds.iter().position(|(known, _)| *known == kind);
+        let position = position.unwrap_or_else(|| {
             self.kinds.push((kind, Router::new()));
             self.kinds.len() - 1
         });
-        &mut self.kinds[place].1
+        &mut self.kinds[position].1
     }
 
     fn find(&self, path: &str, method: &str, class: Option<&str>) -> Option<usize> {
-        let mut best: Option<(&Rank, bool, bool, usize)> = None;
-        for (kind, router) in &self.kinds {
-            let fits = kind.method.as_deref().is_none_or(|only| only == method)
-                && kind.class.as_deref().is_none_or(|only| Some(only) == class);
-            if !fits {
-                continue;
-            }
-            if let Ok(found) = router.at(path) {
-                let (number, rank) = found.value;
-                let candidate = (rank, kind.method.is_some(), kind.class.is_some(), *number);
-                if best.is_none_or(|best| (best.0, best.1, best.2) < (candidate.0, candidate.1, candidate.2))
-                {
-                    best = Some(candidate);
-                }
+        let mut best: Option<Candidate<'_>> = None;
+        for (kind, router) in self.kinds.iter().filter(|(kind, _)| kind.fits(method, class)) {
+            let Ok(found) = router.at(path) else { continue };
+            let (number, rank) = found.value;
+            let candidate = Candidate {
+                rank,
+                has_method: kind.method.is_some(),
+                has_class: kind.class.is_some(),
+                number: *number,
+            };
+            if best.as_ref().is_none_or(|best| best.specificity() < candidate.specificity()) {
+                best = Some(candidate);
             }
         }
-        best.map(|(.., number)| number)
+        best.map(|best| best.number)
     }
 }
--- a/crates/routes/src/target.rs
+++ b/crates/routes/src/target.rs
@@ -18,13 +18,15 @@
 /// What a request asks for, in normal form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
+    /// The host.
     pub host: String,
+    /// The path, without the query.
     pub path: String,
 }
 
-/// Why a request's target cannot be taken.
+/// Why a request's target is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum TargetError {
     /// No `Host` field, or more than one.
     Host,
     /// The host is no host name.
@@ -39,21 +41,24 @@
     Dots,
 }
 
-impl Bad {
+impl TargetError {
     /// The field, and what is wrong with it.
+    #[must_use]
     pub fn text(self) -> &'static str {
         match self {
-            Bad::Host => "host: there must be one Host field",
-            Bad::HostName => "host: not a host name",
-            Bad::TwoHosts => "host: the target and the Host field differ",
-            Bad::Form => "path: must begin with /",
-            Bad::Encoding => "path: an encoding that servers read differently",
-            Bad::Dots => "path: leads above the root or hides dots",
+            TargetError::Host => "host: there must be one Host field",
+            TargetError::HostName => "host: not a host name",
+            TargetError::TwoHosts => "host: the target and the Host field differ",
+            TargetError::Form => "path: must begin with /",
+            TargetError::Encoding => "path: an encoding that servers read differently",
+            TargetError::Dots => "path: leads above the root or hides dots",
         }
     }
 }
 
-impl fmt::Display for Bad {
+impl std::error::Error for TargetError {}
+
+impl fmt::Display for TargetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.text())
     }
@@ -61,48 +66,57 @@
 
 /// The normal form of a request's target. `absolute` is the authority of an absolute target; `hosts` are the
 /// values of the `Host` fields, in order.
+///
+/// # Errors
+/// When servers on the way could read the target in different ways.
 pub fn target<'a>(
     absolute: Option<&str>,
     hosts: impl IntoIterator<Item = &'a [u8]>,
     raw_path: &str,
-) -> Result<Target, Bad> {
+) -> Result<Target, TargetError> {
     let mut hosts = hosts.into_iter();
-    let (Some(stated), None) = (hosts.next(), hosts.next()) else { return Err(Bad::Host) };
-    let stated = std::str::from_utf8(stated).map_err(|_| Bad::HostName)?;
+    let (Some(stated), None) = (hosts.next(), hosts.next()) else { return Err(TargetError::Host) };
+    let stated = std::str::from_utf8(stated).map_err(|_| TargetError::HostName)?;
     let host = authority(stated.trim())?;
     if let Some(absolute) = absolute {
         // A server in front may have followed the one, a node behind may follow the other.
         if authority(absolute)? != host {
-            return Err(Bad::TwoHosts);
+            return Err(TargetError::TwoHosts);
         }
     }
     Ok(Target { host, path: path(raw_path)? })
 }
 
 /// The host of an authority: lower case, without port and root dot. User names in it are refused.
-pub fn authority(text: &str) -> Result<String, Bad> {
+///
+/// # Errors
+/// When it is no host name with an optional port.
+pub fn authority(text: &str) -> Result<String, TargetError> {
     let (name, port) = match text.strip_prefix('[') {
         Some(rest) => {
-            let end = rest.find(']').ok_or(Bad::HostName)?;
+            let end = rest.find(']').ok_or(TargetError::HostName)?;
             let port = &rest[end + 1..];
-            let port =
-                if port.is_empty() { None } else { Some(port.strip_prefix(':').ok_or(Bad::HostName)?) };
+            let port = if port.is_empty() {
+                None
+            } else {
+                Some(port.strip_prefix(':').ok_or(TargetError::HostName)?)
+            };
             (&text[..end + 2], port)
         }
         None => text.split_once(':').map_or((text, None), |(name, port)| (name, Some(port))),
     };
     // An empty port is a port by RFC 3986, and means the usual one.
     if port.is_some_and(|port| port.len() > 5 || !port.bytes().all(|byte| byte.is_ascii_digit())) {
-        return Err(Bad::HostName);
+        return Err(TargetError::HostName);
     }
     let name = name.strip_suffix('.').unwrap_or(name).to_ascii_lowercase();
-    host::check(&name).map_err(|_| Bad::HostName)?;
+    host::check(&name).map_err(|_| TargetError::HostName)?;
     Ok(name)
 }
 
 /// The normal form of a path.
-pub(crate) fn path(raw: &str) -> Result<String, Bad> {
-    let Some(rest) = raw.strip_prefix('/') else { return Err(Bad::Form) };
+pub(crate) fn path(raw: &str) -> Result<String, TargetError> {
+    let Some(rest) = raw.strip_prefix('/') else { return Err(TargetError::Form) };
     // Most paths are in normal form already.
     let plain =
         |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'%' | b'\\' | b'.' | b';' | b'?' | b'#');
@@ -115,12 +129,12 @@
         let segment = decoded(segment)?;
         let name = segment.split(';').next().unwrap_or_default();
         if matches!(name, "." | "..") && name != segment {
-            return Err(Bad::Dots);
+            return Err(TargetError::Dots);
         }
         ends_open = matches!(segment.as_str(), "" | "." | "..");
         match segment.as_str() {
             "" | "." => {}
-            ".." => normal.truncate(normal.rfind('/').ok_or(Bad::Dots)?),
+            ".." => normal.truncate(normal.rfind('/').ok_or(TargetError::Dots)?),
             segment => {
                 normal.push('/');
                 normal.push_str(segment);
@@ -134,31 +148,31 @@
 }
 
 /// A segment with what needs no encoding decoded, once.
-fn decoded(segment: &str) -> Result<String, Bad> {
+fn decoded(segment: &str) -> Result<String, TargetError> {
     let bytes = segment.as_bytes();
     let mut text = String::with_capacity(segment.len());
     let mut at = 0;
     while at < bytes.len() {
         match bytes[at] {
             b'%' => {
-                let digits = bytes.get(at + 1..at + 3).ok_or(Bad::Encoding)?;
-                let digit = |byte: u8| (byte as char).to_digit(16).ok_or(Bad::Encoding);
+                let digits = bytes.get(at + 1..at + 3).ok_or(TargetError::Encoding)?;
+                let digit = |byte: u8| (byte as char).to_digit(16).ok_or(TargetError::Encoding);
                 let byte = (digit(digits[0])? * 16 + digit(digits[1])?) as u8;
                 match byte {
-                    b'/' | b'\\' | 0..=0x1f | 0x7f => return Err(Bad::Encoding),
+                    b'/' | b'\\' | 0..=0x1f | 0x7f => return Err(TargetError::Encoding),
                     b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => {
-                        text.push(byte as char)
+                        text.push(byte as char);
                     }
                     _ => text.push_str(&format!("%{byte:02X}")),
                 }
                 at += 3;
             }
-            b'\\' | b'?' | b'#' => return Err(Bad::Encoding),
+            b'\\' | b'?' | b'#' => return Err(TargetError::Encoding),
             byte if byte.is_ascii_graphic() => {
                 text.push(byte as char);
                 at += 1;
             }
-            _ => return Err(Bad::Encoding),
+            _ => return Err(TargetError::Encoding),
         }
     }
     Ok(text)
--- a/crates/routes/tests/normal_form.rs
+++ b/crates/routes/tests/normal_form.rs
@@ -1,9 +1,9 @@
 //! The normal form of hosts and paths, and what is refused because servers read it differently.
 
 use proptest::prelude::*;
-use violetyoke_routes::{authority, target, Bad};
+use violetyoke_routes::{authority, target, TargetError};
 
-fn path(raw: &str) -> Result<String, Bad> {
+fn path(raw: &str) -> Result<String, TargetError> {
     target(None, [b"a.example".as_slice()], raw).map(|target| target.path)
 }
 
@@ -39,14 +39,14 @@
     for raw in
         ["/a%2fb", "/a%2Fb", "/a%5cb", "/a\\b", "/a%00", "/a%0d%0aX", "/a%7f", "/a%", "/a%2", "/a%zz", "/a b"]
     {
-        assert_eq!(path(raw), Err(Bad::Encoding), "{raw}");
+        assert_eq!(path(raw), Err(TargetError::Encoding), "{raw}");
     }
     for raw in ["/..", "/../a", "/a/../../b", "/%2e%2e/a", "/a/..;/b", "/a/..;x=1", "/a/.;/b", "/a/%2e%2e;/b"]
     {
-        assert_eq!(path(raw), Err(Bad::Dots), "{raw}");
+        assert_eq!(path(raw), Err(TargetError::Dots), "{raw}");
     }
     for raw in ["", "a", "*", "a.example:443"] {
-        assert_eq!(path(raw), Err(Bad::Form), "{raw}");
+        assert_eq!(path(raw), Err(TargetError::Form), "{raw}");
     }
 }
 
@@ -70,7 +70,7 @@
         "é",
         "a/b",
     ] {
-        assert_eq!(authority(text), Err(Bad::HostName), "{text}");
+        assert_eq!(authority(text), Err(TargetError::HostName), "{text}");
     }
 }
 
@@ -80,12 +80,12 @@
         target(absolute, hosts.iter().map(|host| host.as_bytes()), "/x").map(|target| target.host)
     };
     assert_eq!(with(None, &["A.example:80"]).as_deref(), Ok("a.example"));
-    assert_eq!(with(None, &[]), Err(Bad::Host));
-    assert_eq!(with(None, &["a.example", "a.example"]), Err(Bad::Host));
-    assert_eq!(with(None, &["a.example, b.example"]), Err(Bad::HostName));
+    assert_eq!(with(None, &[]), Err(TargetError::Host));
+    assert_eq!(with(None, &["a.example", "a.example"]), Err(TargetError::Host));
+    assert_eq!(with(None, &["a.example, b.example"]), Err(TargetError::HostName));
     assert_eq!(with(Some("a.example:8080"), &["a.example"]).as_deref(), Ok("a.example"));
-    assert_eq!(with(Some("b.example"), &["a.example"]), Err(Bad::TwoHosts));
-    assert_eq!(with(Some("a.example"), &[]), Err(Bad::Host));
+    assert_eq!(with(Some("b.example"), &["a.example"]), Err(TargetError::TwoHosts));
+    assert_eq!(with(Some("a.example"), &[]), Err(TargetError::Host));
 }
 
 proptest! {
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -4,18 +4,18 @@
 #![cfg(test)]
 
 use proptest::prelude::*;
-use violetyoke_routes::{Host, Path, Rule, Table, Tie};
+use violetyoke_routes::{Conflict, Host, HostError, Path, PathError, Route, RouteTable};
 
-fn rule(host: &str, path: &str, method: Option<&str>, class: Option<&str>) -> Rule {
-    Rule {
-        host: Host::parse(host).unwrap(),
-        path: Path::parse(path).unwrap(),
+fn rule(host: &str, path: &str, method: Option<&str>, class: Option<&str>) -> Route {
+    Route {
+        host: host.parse().unwrap(),
+        path: path.parse().unwrap(),
         method: method.map(String::from),
         class: class.map(String::from),
     }
 }
 
-fn plain(host: &str, path: &str) -> Rule {
+fn plain(host: &str, path: &str) -> Route {
     rule(host, path, None, None)
 }
 
@@ -27,7 +27,7 @@
         plain("*.eu.example.org", "/*"),
         plain("a.eu.example.org", "/rooms/*"),
     ];
-    let table = Table::build(&rules).unwrap();
+    let table = RouteTable::build(&rules).unwrap();
     let find = |host, path| table.find(host, path, "GET", None);
     assert_eq!(find("a.eu.example.org", "/rooms/1"), Some(3));
     assert_eq!(find("a.eu.example.org", "/hotels"), Some(2));
@@ -49,7 +49,7 @@
         rule("h", "/hotels/{hotel}", None, Some("booking")),
         rule("h", "/hotels/new", Some("PUT"), Some("booking")),
     ];
-    let table = Table::build(&rules).unwrap();
+    let table = RouteTable::build(&rules).unwrap();
     let find = |path, method, class| table.find("h", path, method, class);
     assert_eq!(find("/", "GET", None), Some(0));
     assert_eq!(find("/hotel", "GET", None), Some(0));
@@ -79,8 +79,8 @@
         plain("*.h", "/x"),
         plain("*.h", "/x"),
     ];
-    let ties = Table::build(&rules).err().unwrap();
-    let mut ties: Vec<_> = ties.iter().map(|Tie { first, second }| (*first, *second)).collect();
+    let ties = RouteTable::build(&rules).err().unwrap();
+    let mut ties: Vec<_> = ties.iter().map(|Conflict { first, second }| (*first, *second)).collect();
     ties.sort_unstable();
     assert_eq!(ties, [(0, 1), (4, 5)]);
 }
@@ -101,21 +101,21 @@
         "/{a-b}",
         "/a/./b",
     ] {
-        let error = Path::parse(path).unwrap_err();
-        assert!(error.starts_with("path "), "{path}: {error}");
+        let error: PathError = path.parse::<Path>().unwrap_err();
+        assert!(error.to_string().starts_with("path "), "{path}: {error}");
     }
     for host in ["", "*.", "*.*.a", "a..b", "a b", "a:80", "*a"] {
-        let error = Host::parse(host).unwrap_err();
-        assert!(error.starts_with("host "), "{host}: {error}");
+        let error: HostError = host.parse::<Host>().unwrap_err();
+        assert!(error.to_string().starts_with("host "), "{host}: {error}");
     }
     for path in ["/", "/*", "/a/{b}/c", "/a/{b}/*", "/a.b"] {
-        assert_eq!(Path::parse(path).unwrap().to_string(), path);
+        assert_eq!(path.parse::<Path>().unwrap().to_string(), path);
     }
 }
 
 /// One rule against one request, in the words of the documentation and with none of the table's code.
 fn fits(
-    rule: &Rule,
+    rule: &Route,
     host: &str,
     path: &str,
     method: &str,
@@ -149,7 +149,7 @@
     Some((host, rank, rule.method.is_some(), rule.class.is_some()))
 }
 
-fn any_rule() -> impl Strategy<Value = Rule> {
+fn any_rule() -> impl Strategy<Value = Route> {
     let segment = prop::sample::select(vec!["a", "b", "{x}", "{y}"]);
     let host = prop::sample::select(vec!["*", "a.h", "b.h", "*.h", "*.a.h"]);
     let method = prop::sample::select(vec![None, None, Some("GET"), Some("POST")]);
@@ -179,11 +179,11 @@
         class in prop::sample::select(vec![None, Some("k"), Some("l")]),
     ) {
         // Ties are the table's to refuse, and nothing else is: the first of each is kept.
-        let same = |a: &Rule, b: &Rule| {
-            let path = |rule: &Rule| rule.path.to_string().replace("{x}", "{}").replace("{y}", "{}");
+        let same = |a: &Route, b: &Route| {
+            let path = |rule: &Route| rule.path.to_string().replace("{x}", "{}").replace("{y}", "{}");
             (&a.host, path(a), &a.method, &a.class) == (&b.host, path(b), &b.method, &b.class)
         };
-        let mut kept: Vec<Rule> = Vec::new();
+        let mut kept: Vec<Route> = Vec::new();
         let mut ties = 0;
         for rule in &rules {
             if kept.iter().any(|other| same(other, rule)) {
@@ -192,8 +192,8 @@
                 kept.push(rule.clone());
             }
         }
-        prop_assert_eq!(Table::build(&rules).err().map_or(0, |ties| ties.len()), ties);
-        let table = Table::build(&kept).unwrap();
+        prop_assert_eq!(RouteTable::build(&rules).err().map_or(0, |ties| ties.len()), ties);
+        let table = RouteTable::build(&kept).unwrap();
         let path = format!("/{}{}", path.join("/"), if slash && !path.is_empty() { "/" } else { "" });
         let all = kept.iter().enumerate().filter_map(|(number, rule)| Some((fits(rule, host, &path, method, class)?, number)));
         let best = all.max();
--- a/crates/tenants/src/model.rs
+++ b/crates/tenants/src/model.rs
@@ -1,7 +1,7 @@
 //! What there is: tenants, and each one's plans, accounts and routes. What is wrong with one is told with its field.
 
 use serde::{Deserialize, Serialize};
-use violetyoke_routes::{Host, Path, Rule, Table};
+use violetyoke_routes::{Host, HostError, Path, PathError, Route as Rule, RouteTable};
 
 /// What is wrong with a field.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -198,13 +198,13 @@
         }
         for (number, host) in self.hosts.iter().enumerate() {
             let field = format!("hosts[{number}]");
-            match Host::parse(host) {
+            match host.parse::<Host>() {
                 Ok(Host::Any) => faults.push(Fault::new(field, "must name a host or a domain")),
                 Ok(_) if self.hosts[..number].contains(host) => {
                     faults.push(Fault::new(field, "stands there twice"))
                 }
                 Ok(_) => {}
-                Err(reason) => faults.push(Fault::new(field, reason)),
+                Err(reason) => faults.push(Fault::new(field, reason.to_string())),
             }
         }
         for (number, pool) in self.pools.iter().enumerate() {
@@ -273,8 +273,8 @@
 
     fn check(&self) -> Vec<Fault> {
         let mut faults: Vec<Fault> = plain("name", &self.name).into_iter().collect();
-        faults.extend(Host::parse(&self.host).err().map(|reason| Fault::new("host", reason)));
-        faults.extend(Path::parse(&self.path).err().map(|reason| Fault::new("path", reason)));
+        faults.extend(self.host.parse::<Host>().err().map(|reason| Fault::new("host", reason.to_string())));
+        faults.extend(self.path.parse::<Path>().err().map(|reason| Fault::new("path", reason.to_string())));
         let known = ["GET", "POST", "PUT", "PATCH", "DELETE"];
         if self.method.as_ref().is_some_and(|method| !known.contains(&method.as_str())) {
             faults.push(Fault::new("method", "is none of GET, POST, PUT, PATCH, DELETE"));
@@ -288,7 +288,8 @@
 impl Route {
     /// As the table of routes has it; it must have been checked.
     pub fn rule(&self) -> Result<Rule, String> {
-        let (host, path) = (Host::parse(&self.host)?, Path::parse(&self.path)?);
+        let host = self.host.parse().map_err(|error: HostError| error.to_string())?;
+        let path = self.path.parse().map_err(|error: PathError| error.to_string())?;
         Ok(Rule { host, path, method: self.method.clone(), class: None })
     }
 }
@@ -309,8 +310,8 @@
     match rules {
         Err(reason) => faults.push(Fault::new("path", reason)),
         Ok(rules) => {
-            for tie in Table::build(&rules).err().into_iter().flatten() {
-                let other = &routes[tie.first].name;
+            for conflict in RouteTable::build(&rules).err().into_iter().flatten() {
+                let other = &routes[conflict.first].name;
                 let reason =
                     format!("matches the same requests as route {other:?}, and neither is more specific");
                 faults.push(Fault::new("path", reason));
