--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -17,10 +17,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
     /// They are no MessagePack, or of another type.
-    #[error("the bytes are no message of the expected type")]
+    ///
+    /// The text has the cause, because logs print no sources: it names the variant that an older build does not know.
+    #[error("the bytes are no message of the expected type: {0}")]
     Format(#[from] rmp_serde::decode::Error),
     /// They were compressed, and are cut short or corrupt.
-    #[error("the bytes can't be inflated")]
+    #[error("the bytes can't be inflated: {0}")]
     Inflate(#[source] io::Error),
     /// They would inflate to more than any message has.
     #[error("the bytes inflate to more than any message has")]
--- a/crates/transport/tests/codec.rs
+++ b/crates/transport/tests/codec.rs
@@ -3,6 +3,7 @@
 #![cfg(test)]
 
 use serde::{Deserialize, Serialize, Serializer};
+use std::collections::BTreeMap;
 use violetyoke_transport::codec::{decode, encode, encode_deflated, try_encode, Message};
 use violetyoke_transport::compression::Compressed;
 use violetyoke_transport::error::{DecodeError, EncodeError};
@@ -69,3 +70,10 @@
     // The mark of a compressed message, and then a block of a kind that deflate does not have.
     assert!(matches!(decode::<ProxyReply>(&[0xc1, 0xff, 0xff]), Err(DecodeError::Inflate(_))));
 }
+
+#[test]
+fn decode_error_names_the_variant_that_this_build_does_not_know() {
+    let bytes = try_encode(&BTreeMap::from([("VariantOfALaterBuild", [7])])).expect("encoded");
+    let error = decode::<ProxyReply>(&bytes).expect_err("no such variant");
+    assert!(error.to_string().contains("VariantOfALaterBuild"), "{error}");
+}
