--- /dev/null
+++ b/crates/account/tests/loss_report.rs
@@ -0,0 +1,87 @@
+//! The report made of a log: what is counted, and what is passed over.
+
+use std::time::Duration;
+use violetyoke_account::{Belief, Loss, LossCause, LossReport, NodeState, Record};
+
+fn final_record(at: u64, end: &str, why: &str, age: u64, worth: f64) -> Record {
+    let (class, plan) = ("read".to_string(), "basic".to_string());
+    let (end, why) = (end.to_string(), why.to_string());
+    Record::Final { at, process: 1, class, plan, worth, end, why, age, aim: 500_000, attempts: 1 }
+}
+
+#[test]
+fn losses_are_summed_by_cause_and_include_responses_past_the_latency_target() {
+    let records = [
+        final_record(1_000_000, "served", "", 400_000, 2.0),
+        final_record(1_100_000, "served", "", 600_000, 3.0),
+        final_record(2_500_000, "refused", "Held", 100, 1.0),
+        final_record(2_600_000, "refused", "Held", 100, 4.0),
+    ];
+    let log: String =
+        records.iter().map(|record| format!("[1.02] {}\n", record.to_log_line().unwrap())).collect();
+    let mut report = LossReport::new(Duration::from_secs(1));
+    assert_eq!(report.add_log(&log), 4);
+    let totals = report.totals();
+    assert_eq!((totals.offered, totals.in_time), (10.0, 2.0));
+    let loss = |end: &str, why: &str, requests: u32, worth: f64| {
+        let cause = LossCause { end: end.into(), why: why.into(), class: "read".into() };
+        Loss { cause, requests, worth }
+    };
+    assert_eq!(totals.losses, [loss("refused", "Held", 2, 5.0), loss("served", "", 1, 3.0)]);
+}
+
+#[test]
+fn other_lines_are_passed_over_and_a_truncated_record_is_counted() {
+    let mut report = LossReport::new(Duration::from_secs(1));
+    let whole = final_record(1_000_000, "served", "", 1, 1.0).to_log_line().unwrap();
+    let log = format!("by hand: n1 is out\nno account 7 here\n{whole}\n{}", &whole[..whole.len() - 4]);
+    assert_eq!((report.add_log(&log), report.unreadable()), (2, 1));
+    assert_eq!(report.totals().offered, 1.0);
+}
+
+#[test]
+fn state_record_reads_back_as_it_was_written() {
+    let nodes = vec![NodeState { node: "n1".into(), belief: Belief::Cold, slow: 1.5, fails: 0.25, out: 3 }];
+    let (room, pace, spacing, calls) = (8.0, 1.25, 0.0, [3, 2, 1]);
+    let state = Record::State { at: 7, process: 2, room, out: 4, pace, spacing, bad: 1, calls, nodes };
+    assert_eq!(Record::parse_log_line(&state.to_log_line().unwrap()).unwrap().unwrap(), state);
+}
+
+#[test]
+fn report_shows_losses_and_nodes_by_interval() {
+    let nodes = vec![NodeState { node: "n1".into(), belief: Belief::Cold, slow: 1.5, fails: 0.25, out: 3 }];
+    let (room, pace, spacing, calls) = (8.0, 1.25, 2_000.0, [3, 2, 1]);
+    let attempt = |outcome: &str, waited: u64| Record::Attempt {
+        at: 1_200_000,
+        process: 1,
+        node: "n1".into(),
+        outcome: outcome.into(),
+        waited,
+    };
+    let mut report = LossReport::new(Duration::from_secs(1));
+    for record in [
+        final_record(1_000_000, "served", "", 400_000, 2.0),
+        final_record(1_100_000, "served", "", 600_000, 3.0),
+        attempt("Ok", 30_000),
+        attempt("Timeout", 50_000),
+        Record::State { at: 1_300_000, process: 1, room, out: 4, pace, spacing, bad: 1, calls, nodes },
+        final_record(2_500_000, "refused", "Held", 100, 1.0),
+    ] {
+        report.add(record);
+    }
+
+    let text = report.to_string();
+
+    assert_eq!(
+        text,
+        "processes=1 unread=0\n\
+         worth asked for 6, in time 33.3%; lost:\n\
+         \x20  50.0%       1 times  served              read\n\
+         \x20  16.7%       1 times  refused  Held       read\n\
+         from 0.0 s: in time 40.0%  room 8.0 out 4.0 pace 1.2 spacing 2 ms  calls 3 unanswered 2 failed 1\n\
+         \x20   lost  60.0%      1 times  served              read\n\
+         \x20   n1           attempts     2 served     1 timeouts     1  mean   30 ms  slow  1.5  Cold 1\n\
+         from 1.0 s: in time 0.0%  room 0.0 out 0.0 pace 0.0 spacing 0 ms  calls 0 unanswered 0 failed 0\n\
+         \x20   lost 100.0%      1 times  refused  Held       read\n"
+    );
+}
--- a/crates/ingress/src/account.rs
+++ b/crates/ingress/src/account.rs
@@ -2,7 +2,7 @@
 
 use crate::ClientRequest;
 use std::collections::HashMap;
-use violetyoke_account::{Belief, Node, Record};
+use violetyoke_account::{Belief, NodeState, Record};
 use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RequestId, Settings, Why};
 use violetyoke_decision::view::{BackendView, FleetView};
 
@@ -83,7 +83,7 @@
     }
 
     pub fn state(&mut self, at: Micros, view: FleetView, name: impl Fn(u32) -> String) {
-        let node = |backend: &BackendView| Node {
+        let node = |backend: &BackendView| NodeState {
             node: name(backend.id),
             belief: match backend {
                 BackendView { away: true, .. } => Belief::Away,
@@ -102,5 +102,8 @@
 }
 
 fn write(record: &Record) {
-    eprintln!("{}", record.line());
+    match record.to_log_line() {
+        Ok(line) => eprintln!("{line}"),
+        Err(error) => eprintln!("decision log: {error}"),
+    }
 }
--- a/crates/violetyoke/tests/account.rs
+++ b/crates/violetyoke/tests/account.rs
@@ -38,7 +38,8 @@
     let (_backend, _counter, _discovery, ingress) = start(true);
     until("the answer, its attempt and the beliefs are written down", || {
         let log = ingress.log.lock().unwrap();
-        let records: Vec<_> = log.iter().filter_map(|line| Record::read(line)).map(Result::unwrap).collect();
+        let records: Vec<_> =
+            log.iter().filter_map(|line| Record::parse_log_line(line)).map(Result::unwrap).collect();
         let has = |of: &dyn Fn(&Record) -> bool| records.iter().any(of);
         has(&|record| {
             matches!(record, Record::Final { end, class, worth, .. }
@@ -53,5 +54,5 @@
 #[test]
 fn nothing_is_written_down_where_it_is_not() {
     let (_backend, _counter, _discovery, ingress) = start(false);
-    assert_eq!(ingress.told(violetyoke_account::MARK), 0);
+    assert_eq!(ingress.told(violetyoke_account::RECORD_PREFIX), 0);
 }
--- a/xtask/src/account.rs
+++ b/xtask/src/account.rs
@@ -1,13 +1,14 @@
-//! `cargo xtask account LOGS`: the table of a tier's logs.
+//! `cargo xtask account LOGS`: the loss report of the decision logs of all ingresses.
 
 use crate::process::Result;
 use std::fs;
 use std::path::Path;
-use violetyoke_account::Table;
+use std::time::Duration;
+use violetyoke_account::LossReport;
 
-/// Reads one log or each file of a folder, and prints the table by spans of so many seconds.
+/// Reads one log or each file of a folder, and prints the report by intervals of `span` seconds.
 pub fn run(logs: &Path, span: u64) -> Result<()> {
-    let mut table = Table::new(span.saturating_mul(1_000_000));
+    let mut report = LossReport::new(Duration::from_secs(span));
     let mut files = vec![logs.to_path_buf()];
     if logs.is_dir() {
         files =
@@ -17,11 +18,11 @@
     }
     let mut records = 0;
     for file in &files {
-        records += table.read(&String::from_utf8_lossy(&fs::read(file)?));
+        records += report.add_log(&String::from_utf8_lossy(&fs::read(file)?));
     }
     if records == 0 {
         return Err(format!("{}: no record of an account in {} files", logs.display(), files.len()).into());
     }
-    print!("{table}");
+    print!("{report}");
     Ok(())
 }
