--- a/crates/ratelimit-proto/src/channel.rs
+++ b/crates/ratelimit-proto/src/channel.rs
@@ -1,5 +1,5 @@
-//! One HTTP/2 connection as a client's transport. It is not opened anew and sends nothing twice: what becomes of
-//! a question whose connection broke is for its asker to decide.
+//! One HTTP/2 connection as a client's transport. It neither reconnects nor retries: whether a call whose
+//! connection broke is sent again is for the caller to decide.
 
 use hyper::body::Incoming;
 use hyper::client::conn::http2::{self, SendRequest};
@@ -19,8 +19,12 @@
 }
 
 impl Channel {
-    /// Begins with HTTP/2 on a connection that is open. The future has to be run for as long as the channel is
-    /// used; `executor` runs what the connection starts besides.
+    /// Performs the HTTP/2 handshake on an open connection. The returned connection is a future that drives it
+    /// and has to be polled for as long as the channel is used; `executor` runs the tasks that it spawns.
+    ///
+    /// # Errors
+    ///
+    /// When the handshake fails.
     pub async fn open<T, E>(
         io: T,
         executor: E,
@@ -72,8 +76,8 @@
     }
 }
 
-/// Whether a failed question is known not to have been looked at: the server refused its stream, or the stream
-/// came after the last one that its GOAWAY takes (RFC 9113, sections 6.8 and 8.7).
+/// Whether a failed call is known not to have been processed, so that a retry is safe: the server refused its
+/// stream, or the stream came after the last one that its GOAWAY takes (RFC 9113, sections 6.8 and 8.7).
 pub fn never_processed(status: &tonic::Status) -> bool {
     let mut source = std::error::Error::source(status);
     while let Some(error) = source {
@@ -83,7 +87,7 @@
             return error.is_remote() && (refused || error.is_go_away() && quiet);
         }
         if error.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_canceled) {
-            // It was still with us when the connection ended.
+            // The request was still queued on this side when the connection ended.
             return true;
         }
         source = error.source();
--- a/crates/ratelimit-proto/src/lib.rs
+++ b/crates/ratelimit-proto/src/lib.rs
@@ -2,46 +2,8 @@
 //! `envoy/service/ratelimit/v3/rls.proto` and of what it imports. Only what clients and servers of this service
 //! use is here; unknown fields are passed over, as protobuf has it.
 
-#![allow(
-    clippy::allow_attributes_without_reason,
-    clippy::too_many_lines,
-    missing_docs,
-    unused_qualifications,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
-
 mod channel;
-
-pub mod envoy {
-    pub mod config {
-        pub mod core {
-            pub mod v3 {
-                tonic::include_proto!("envoy.config.core.v3");
-            }
-        }
-    }
-    pub mod extensions {
-        pub mod common {
-            pub mod ratelimit {
-                pub mod v3 {
-                    tonic::include_proto!("envoy.extensions.common.ratelimit.v3");
-                }
-            }
-        }
-    }
-    pub mod service {
-        pub mod ratelimit {
-            pub mod v3 {
-                tonic::include_proto!("envoy.service.ratelimit.v3");
-            }
-        }
-    }
-    pub mod r#type {
-        pub mod v3 {
-            tonic::include_proto!("envoy.r#type.v3");
-        }
-    }
-}
+pub mod envoy;
 
 pub use channel::{never_processed, Channel, LocalExecutor};
 pub use envoy::config::core::v3::HeaderValue;
