--- a/crates/control/src/api/documents.rs
+++ b/crates/control/src/api/documents.rs
@@ -5,11 +5,11 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::Value;
-use violetyoke_tenants::model::{Resource, State, StoredTenant};
+use violetyoke_tenants::model::{Resource, StoredTenant, TenantState};
 
 /// A resource that is valid on its own.
 pub(super) fn validated<R: Resource>(resource: R) -> Result<R, Problem> {
-    let faults = resource.check();
+    let faults = resource.validate();
     if faults.is_empty() {
         Ok(resource)
     } else {
@@ -36,8 +36,8 @@
 pub(super) fn find_active_tenant(read: &dyn ReadView, name: &str) -> Result<StoredTenant, Problem> {
     let (tenant, _) = find_tenant(read, name)?;
     match tenant.state {
-        State::Active => Ok(tenant),
-        State::Draining { .. } => {
+        TenantState::Active => Ok(tenant),
+        TenantState::Draining { .. } => {
             Err(Problem::new(409, "draining", "the tenant is draining: restore it first"))
         }
     }
--- a/crates/control/src/api/keys.rs
+++ b/crates/control/src/api/keys.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use utoipa::ToSchema;
-use violetyoke_tenants::model::Fault;
+use violetyoke_tenants::model::FieldError;
 
 /// A key to be made.
 #[derive(Clone, Debug, Serialize, Deserialize, ToSchema)]
@@ -88,22 +88,22 @@
 }
 
 /// What is wrong with a key to be created, for this tenant or for none.
-fn check_new_key(new: &NewKey, tenant: Option<&str>) -> Vec<Fault> {
+fn check_new_key(new: &NewKey, tenant: Option<&str>) -> Vec<FieldError> {
     let mut faults = Vec::new();
     match (tenant, new.role.tenant()) {
         (Some(tenant), Some(of_role)) if tenant != of_role => {
-            faults.push(Fault::new("tenant", "is not the tenant of the path"));
+            faults.push(FieldError::new("tenant", "is not the tenant of the path"));
         }
-        (Some(_), None) => faults.push(Fault::new("role", "must be tenant_admin or tenant_reader here")),
-        (None, Some(_)) => faults.push(Fault::new("role", "must be operator or ingress here")),
+        (Some(_), None) => faults.push(FieldError::new("role", "must be tenant_admin or tenant_reader here")),
+        (None, Some(_)) => faults.push(FieldError::new("role", "must be operator or ingress here")),
         _ => {}
     }
     if new.label.chars().count() > MAX_LABEL_LENGTH {
-        faults.push(Fault::new("label", "must be 128 characters at most"));
+        faults.push(FieldError::new("label", "must be 128 characters at most"));
     }
     let is_in_range = |seconds: u64| (1..=MAX_VALIDITY_SECONDS).contains(&seconds);
     if !new.expires_in_seconds.is_none_or(is_in_range) {
-        faults.push(Fault::new("expires_in_seconds", format!("must be 1 to {MAX_VALIDITY_SECONDS}")));
+        faults.push(FieldError::new("expires_in_seconds", format!("must be 1 to {MAX_VALIDITY_SECONDS}")));
     }
     faults
 }
--- a/crates/control/src/api/problem.rs
+++ b/crates/control/src/api/problem.rs
@@ -5,7 +5,7 @@
 use std::num::NonZeroU64;
 use utoipa::ToSchema;
 use violetyoke_ownership::Epoch;
-use violetyoke_tenants::model::Fault;
+use violetyoke_tenants::model::FieldError;
 
 /// What went wrong, `application/problem+json`.
 #[derive(Clone, Debug, PartialEq, Serialize, ToSchema)]
@@ -16,7 +16,7 @@
     pub(crate) title: String,
     pub(crate) status: u16,
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub(crate) errors: Vec<Fault>,
+    pub(crate) errors: Vec<FieldError>,
     /// What the thing is at now, where the caller has seen another version.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) current_version: Option<Revision>,
@@ -50,13 +50,13 @@
     }
 
     /// Fields of the request that are not valid.
-    pub(crate) fn invalid(errors: Vec<Fault>) -> Problem {
+    pub(crate) fn invalid(errors: Vec<FieldError>) -> Problem {
         Problem { errors, ..Problem::new(422, "invalid", "fields are wrong") }
     }
 
     /// One field of the request that is not valid.
     pub(crate) fn field(field: &str, reason: impl Into<String>) -> Problem {
-        Problem::invalid(vec![Fault::new(field, reason)])
+        Problem::invalid(vec![FieldError::new(field, reason)])
     }
 
     /// A body that is not JSON of the expected type. `path` is where in it, `.` for the whole.
@@ -71,14 +71,14 @@
             (path, _) => path.to_string(),
         };
         Problem {
-            errors: vec![Fault::new(field, text)],
+            errors: vec![FieldError::new(field, text)],
             ..Problem::new(400, "unreadable", "the body is not readable")
         }
     }
 
     /// A write under a lease that is not the newest grant.
     pub(crate) fn fenced(newest: Epoch) -> Problem {
-        let errors = vec![Fault::new("epoch", format!("a newer one has been given out: {newest}"))];
+        let errors = vec![FieldError::new("epoch", format!("a newer one has been given out: {newest}"))];
         Problem {
             errors,
             newest: NonZeroU64::new(newest.0.max(1)),
--- a/crates/control/src/api/resources.rs
+++ b/crates/control/src/api/resources.rs
@@ -7,12 +7,12 @@
 use crate::store::{Document, ReadView, Writes};
 use percent_encoding::{utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use serde_json::{json, Value};
-use violetyoke_tenants::model::{check_routes, Account, Fault, Plan, Resource, Route, StoredTenant};
+use violetyoke_tenants::model::{validate_routes, Account, FieldError, Plan, Resource, Route, StoredTenant};
 
 /// A kind of resource that belongs to a tenant.
 pub(super) trait TenantResource: Resource {
     /// What is wrong with it together with the tenant's other resources. It replaces that of its name, if there is one.
-    fn conflicts(&self, _tenant: &StoredTenant, _read: &dyn ReadView) -> Result<Vec<Fault>, Problem> {
+    fn conflicts(&self, _tenant: &StoredTenant, _read: &dyn ReadView) -> Result<Vec<FieldError>, Problem> {
         Ok(Vec::new())
     }
 
@@ -37,21 +37,21 @@
 }
 
 impl TenantResource for Account {
-    fn conflicts(&self, tenant: &StoredTenant, read: &dyn ReadView) -> Result<Vec<Fault>, Problem> {
+    fn conflicts(&self, tenant: &StoredTenant, read: &dyn ReadView) -> Result<Vec<FieldError>, Problem> {
         let plan = read.get(&format!("tenants/{}/plans/{}", tenant.tenant.name, self.plan))?;
         Ok(match plan {
             Some(_) => Vec::new(),
-            None => vec![Fault::new("plan", format!("the tenant has no plan {:?}", self.plan))],
+            None => vec![FieldError::new("plan", format!("the tenant has no plan {:?}", self.plan))],
         })
     }
 }
 
 impl TenantResource for Route {
-    fn conflicts(&self, tenant: &StoredTenant, read: &dyn ReadView) -> Result<Vec<Fault>, Problem> {
+    fn conflicts(&self, tenant: &StoredTenant, read: &dyn ReadView) -> Result<Vec<FieldError>, Problem> {
         let mut routes: Vec<Route> = resources_of(read, &tenant.tenant.name)?;
         routes.retain(|route| route.name != self.name);
         routes.push(self.clone());
-        Ok(check_routes(&tenant.tenant, &routes))
+        Ok(validate_routes(&tenant.tenant, &routes))
     }
 }
 
--- a/crates/control/src/api/schemas.rs
+++ b/crates/control/src/api/schemas.rs
@@ -11,7 +11,9 @@
 use crate::store::AuditEntry;
 use serde_json::Value;
 use utoipa::OpenApi;
-use violetyoke_tenants::model::{Account, Fault, Limits, Part, Plan, Route, State, StoredTenant, Tenant};
+use violetyoke_tenants::model::{
+    Account, FieldError, Limits, Plan, ResourceBounds, Route, StoredTenant, Tenant, TenantState,
+};
 use violetyoke_tenants::snapshot::{Snapshot, TenantView};
 
 /// A page of a list.
@@ -125,7 +127,7 @@
         AuditEntry,
         RenewRequestBody,
         AuditPage,
-        Fault,
+        FieldError,
         Findings,
         IngressState,
         Ingresses,
@@ -134,7 +136,7 @@
         Watermark,
         NewKey,
         Page,
-        Part,
+        ResourceBounds,
         Plan,
         Problem,
         KeyRole,
@@ -143,7 +145,7 @@
         Shard,
         ShownKey,
         Snapshot,
-        State,
+        TenantState,
         StoredTenant,
         Tenant,
         TenantView,
--- a/crates/control/src/api/tenants.rs
+++ b/crates/control/src/api/tenants.rs
@@ -8,7 +8,7 @@
 use super::resources::{page, resources_of};
 use crate::store::{ReadView, Writes};
 use serde_json::Value;
-use violetyoke_tenants::model::{check_routes, Fault, Route, State, StoredTenant, Tenant};
+use violetyoke_tenants::model::{validate_routes, FieldError, Route, StoredTenant, Tenant, TenantState};
 
 /// The path of the tenant that has a host: no two tenants have the same.
 fn host_path(host: &str) -> String {
@@ -50,7 +50,7 @@
             let title = format!("there is a tenant {:?}", new.name);
             return Err(Problem::exists(title, existing.version));
         }
-        let stored = StoredTenant { tenant: new.clone(), epoch: next, state: State::Active };
+        let stored = StoredTenant { tenant: new.clone(), epoch: next, state: TenantState::Active };
         let body = to_json(&stored)?;
         let writes = update_hosts(Writes::default().put(path.clone(), body.clone()), read, &[], &new)?;
         Ok((writes, Reply::created(body, format!("/v1/{path}")).with_version(next)))
@@ -113,10 +113,10 @@
             return Err(Problem::field("name", "cannot be changed"));
         }
         let routes: Vec<Route> = resources_of(read, &new.name)?;
-        if let Some(fault) = check_routes(&new, &routes).first() {
+        if let Some(fault) = validate_routes(&new, &routes).first() {
             // An existing route needs what would be removed.
             let field = if fault.field == "host" { "hosts" } else { "pools" };
-            return Err(Problem::invalid(vec![Fault::new(
+            return Err(Problem::invalid(vec![FieldError::new(
                 field,
                 format!("a route needs it: {}", fault.reason),
             )]));
@@ -134,11 +134,11 @@
     call.transact(|read| {
         let (mut stored, version) = find_tenant(read, call.param("tenant"))?;
         call.require_if_match(version)?;
-        if stored.state != State::Active {
+        if stored.state != TenantState::Active {
             return Err(Problem::new(409, "draining", "the tenant is draining already"));
         }
         let gone_at = call.now + call.app.options.drain_ms;
-        stored.state = State::Draining { gone_at };
+        stored.state = TenantState::Draining { gone_at };
         let (name, body) = (stored.tenant.name.clone(), to_json(&stored)?);
         let writes = Writes::default()
             .put(format!("tenants/{name}"), body.clone())
@@ -152,10 +152,10 @@
     call.transact(|read| {
         let (mut stored, version) = find_tenant(read, call.param("tenant"))?;
         call.require_if_match(version)?;
-        let State::Draining { gone_at } = stored.state else {
+        let TenantState::Draining { gone_at } = stored.state else {
             return Err(Problem::new(409, "not-draining", "the tenant is not draining"));
         };
-        stored.state = State::Active;
+        stored.state = TenantState::Active;
         let (name, body) = (stored.tenant.name.clone(), to_json(&stored)?);
         let writes = Writes::default()
             .put(format!("tenants/{name}"), body.clone())
@@ -175,7 +175,7 @@
         Err(problem) => return Err(problem),
     };
     match stored.state {
-        State::Draining { gone_at } if gone_at <= now => {}
+        TenantState::Draining { gone_at } if gone_at <= now => {}
         _ => return Ok(Some(writes)),
     }
     let mut writes = writes.clear(format!("tenants/{name}/")).delete(format!("tenants/{name}"));
--- a/crates/control/tests/golden/documents.rs
+++ b/crates/control/tests/golden/documents.rs
@@ -4,17 +4,19 @@
 use violetyoke_control::keys::{index_path, path, KeyRole, StoredKey};
 use violetyoke_control::store::{Author, Sqlite, Store, Writes};
 use violetyoke_ownership::{Epoch, LeaseRecord, RoleKind, ShardId, ShardOverride, SingletonRole};
-use violetyoke_tenants::model::{Account, Limits, Part, Plan, Route, State, StoredTenant, Tenant};
+use violetyoke_tenants::model::{
+    Account, Limits, Plan, ResourceBounds, Route, StoredTenant, Tenant, TenantState,
+};
 
-fn tenant(state: State) -> StoredTenant {
-    let name = if state == State::Active { "acme" } else { "globex" };
+fn tenant(state: TenantState) -> StoredTenant {
+    let name = if state == TenantState::Active { "acme" } else { "globex" };
     let tenant = Tenant {
         name: name.into(),
         weight: 3,
         limits: Limits {
-            open_requests: Part { guaranteed: 1, most: 2 },
-            descriptors: Part { guaranteed: 3, most: 4 },
-            buffered_bytes: Part { guaranteed: 5, most: 70_000 },
+            open_requests: ResourceBounds { guaranteed: 1, most: 2 },
+            descriptors: ResourceBounds { guaranteed: 3, most: 4 },
+            buffered_bytes: ResourceBounds { guaranteed: 5, most: 70_000 },
         },
         hosts: vec![format!("{name}.example")],
         pools: vec!["main".into()],
@@ -111,12 +113,12 @@
 pub(crate) fn transactions() -> Vec<(Author, Writes)> {
     let author = |who: &str, at| Author { key_id: who.into(), at_ms: at };
     let tenants = Writes::default()
-        .put("tenants/acme", body(&tenant(State::Active)))
+        .put("tenants/acme", body(&tenant(TenantState::Active)))
         .put("tenants/acme/plans/basic", body(&plan(5.5)))
         .put("tenants/acme/accounts/customer-1", body(&account()))
         .put("tenants/acme/routes/search", body(&route()))
         .put("tenants/acme/routes/rest", body(&bare_route()))
-        .put("tenants/globex", body(&tenant(State::Draining { gone_at: 1_700_000_060_000 })));
+        .put("tenants/globex", body(&tenant(TenantState::Draining { gone_at: 1_700_000_060_000 })));
     let keys = keys().iter().fold(Writes::default(), |writes, key| {
         let place = path(&key.role, &key.id);
         writes.put(place.clone(), body(key)).put(index_path(&key.id), place.into())
--- a/crates/ingress/src/follow.rs
+++ b/crates/ingress/src/follow.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 use violetyoke_config as file;
-use violetyoke_tenants::snapshot::{Held, Snapshot};
+use violetyoke_tenants::snapshot::{Snapshot, TenantDirectory};
 
 /// How long the control plane may wait for something new, and how long its answer may take beyond that.
 const WAIT_SECONDS: u64 = 20;
@@ -34,25 +34,25 @@
 pub type Offered = (Prepared, oneshot::Sender<()>);
 
 /// What was held when the process ended, from the file that it is kept in. A file that is no good is told and left.
-pub fn last_good(control: &file::Control) -> Held {
-    let Some(path) = &control.last_good else { return Held::default() };
+pub fn last_good(control: &file::Control) -> TenantDirectory {
+    let Some(path) = &control.last_good else { return TenantDirectory::default() };
     let read = match fs::read(path) {
-        Ok(bytes) => Snapshot::read(&bytes).and_then(|snapshot| Held::default().take(snapshot)),
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return Held::default(),
+        Ok(bytes) => Snapshot::parse(&bytes).and_then(|snapshot| TenantDirectory::default().apply(snapshot)),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return TenantDirectory::default(),
         Err(error) => {
             eprintln!("violetyoke: {}: {error}", path.display());
-            return Held::default();
+            return TenantDirectory::default();
         }
     };
     read.unwrap_or_else(|error| {
         eprintln!("violetyoke: {}: {error}", path.display());
-        Held::default()
+        TenantDirectory::default()
     })
 }
 
 /// Written whole before it stands under its name: a kill leaves the old one or the new one.
-fn keep(path: &Path, held: &Held) -> io::Result<()> {
-    let bytes = serde_json::to_vec(&held.whole())?;
+fn keep(path: &Path, held: &TenantDirectory) -> io::Result<()> {
+    let bytes = serde_json::to_vec(&held.to_snapshot())?;
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
     let mut file = fs::File::create(&new)?;
@@ -64,7 +64,7 @@
 /// Follows for as long as the process runs. `config` is the file in force.
 pub async fn follow(
     control: file::Control,
-    mut held: Arc<Held>,
+    mut held: Arc<TenantDirectory>,
     config: watch::Receiver<Arc<file::Service>>,
     offers: mpsc::Sender<Offered>,
 ) {
@@ -94,7 +94,7 @@
         (pause, told) = (FIRST_PAUSE, String::new());
         let (base, file) = (held.clone(), config.borrow().clone());
         let prepared = spawn_blocking(move || {
-            let taken = Snapshot::read(&body).and_then(|snapshot| base.take(snapshot));
+            let taken = Snapshot::parse(&body).and_then(|snapshot| base.apply(snapshot));
             taken.map_err(|error| error.to_string()).and_then(|held| Prepared::new(&file, Arc::new(held)))
         })
         .await;
--- a/crates/ingress/src/prepared.rs
+++ b/crates/ingress/src/prepared.rs
@@ -6,7 +6,7 @@
 use violetyoke_decision::interface::Plan;
 use violetyoke_routes::{Route, RouteTable};
 use violetyoke_tenants::model;
-use violetyoke_tenants::snapshot::{Held, TenantView};
+use violetyoke_tenants::snapshot::{TenantDirectory, TenantView};
 
 /// Plans that a pool's module can have; it knows them by 16 bits.
 const MOST_PLANS: usize = 60_000;
@@ -16,7 +16,7 @@
 pub struct Prepared {
     /// The file that it was checked with.
     pub file: Arc<file::Service>,
-    pub held: Arc<Held>,
+    pub held: Arc<TenantDirectory>,
     /// Of the file's routes, and behind them the tenants'.
     pub table: Arc<RouteTable>,
     pub routes: Vec<HostedRoute>,
@@ -50,7 +50,7 @@
 
 impl Prepared {
     /// Why not, in words that name the tenant.
-    pub fn new(config: &Arc<file::Service>, held: Arc<Held>) -> Result<Prepared, String> {
+    pub fn new(config: &Arc<file::Service>, held: Arc<TenantDirectory>) -> Result<Prepared, String> {
         let mut rules: Vec<Route> = config.routes.iter().map(|route| route.rule.clone()).collect();
         let (mut routes, mut plans) = (Vec::new(), BTreeMap::<String, Vec<(String, Plan)>>::new());
         let [mut descriptors, mut bytes, mut open] = [0u64; 3];
@@ -65,7 +65,7 @@
                 if route.default_class.as_ref().is_some_and(|class| !known(class)) {
                     return Err(wrong(format!("route {:?}: the pool has no such class", route.name)));
                 }
-                rules.push(route.rule().map_err(wrong)?);
+                rules.push(route.to_table_route().map_err(|error| wrong(error.to_string()))?);
                 let (tenant, class) = (tenant.name.clone(), route.default_class.clone());
                 routes.push(HostedRoute { tenant, pool: number, class });
             }
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -20,7 +20,7 @@
 use violetyoke_decision::interface::Plan;
 use violetyoke_duties::usage::UsageCounters;
 use violetyoke_shares::{CapacityPool, Member};
-use violetyoke_tenants::snapshot::Held;
+use violetyoke_tenants::snapshot::TenantDirectory;
 
 /// The rate limit service's number among those that share the process.
 pub const ASKING: Member = DOOR + 1;
@@ -79,7 +79,7 @@
         config: &file::Service,
         prepared: &Prepared,
         hosted: Vec<HostedRoute>,
-    ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<Held>)) {
+    ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<TenantDirectory>)) {
         let door = config.descriptors / DOOR_PART;
         self.descriptors.borrow_mut().resize(config.descriptors);
         self.descriptors.borrow_mut().set_limits(DOOR, door.min(self.spare(config)), config.descriptors);
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -21,7 +21,7 @@
 use tokio::time::{interval, sleep, MissedTickBehavior};
 use violetyoke_config as file;
 use violetyoke_duties::usage::UsageCounters;
-use violetyoke_tenants::snapshot::Held;
+use violetyoke_tenants::snapshot::TenantDirectory;
 
 /// How often the file is looked at, where that is switched on.
 const LOOK: Duration = Duration::from_millis(500);
@@ -197,7 +197,7 @@
 }
 
 /// Checks a file and what is held together, on another thread: it may take long.
-async fn ready(config: &Arc<file::Service>, held: Arc<Held>) -> Result<Prepared, String> {
+async fn ready(config: &Arc<file::Service>, held: Arc<TenantDirectory>) -> Result<Prepared, String> {
     let config = config.clone();
     let prepared = spawn_blocking(move || Prepared::new(&config, held)).await;
     prepared.unwrap_or_else(|_| Err("it could not be checked".into()))
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -16,8 +16,8 @@
 use violetyoke_duties::usage::UsageCounters;
 use violetyoke_shares::{CapacityPool, Member};
 use violetyoke_tenants::account_number;
-use violetyoke_tenants::model::{self, Part};
-use violetyoke_tenants::snapshot::{Held, TenantView};
+use violetyoke_tenants::model::{self, ResourceBounds};
+use violetyoke_tenants::snapshot::{TenantDirectory, TenantView};
 
 /// A tenant as it runs.
 pub struct Tenant {
@@ -73,7 +73,7 @@
         if view.draining {
             return Err(DRAINS);
         }
-        let plan = view.plan_of(account).ok_or(NO_ACCOUNT)?;
+        let plan = view.plan_index(account).ok_or(NO_ACCOUNT)?;
         let plans = tenant.plans.borrow();
         let plan = plans
             .get(&pool)
@@ -91,7 +91,7 @@
 /// All tenants that run.
 pub struct Tenancy {
     running: BTreeMap<String, Rc<Tenant>>,
-    pub held: Arc<Held>,
+    pub held: Arc<TenantDirectory>,
     requests: Shared,
     descriptors: Shared,
     bytes: Shared,
@@ -123,7 +123,7 @@
         mut member: impl FnMut() -> Member,
         pools: impl Fn(&str) -> Option<Member>,
         plan_of: PlanOf<'_>,
-    ) -> (Vec<Member>, Arc<Held>) {
+    ) -> (Vec<Member>, Arc<TenantDirectory>) {
         if let Some(control) = &config.control {
             self.requests.borrow_mut().resize(control.open_requests);
         }
@@ -180,7 +180,7 @@
     }
 
     fn share(&self, config: &file::Service, tenant: &Tenant, view: &TenantView) {
-        let most = |part: Part, all: u64| if part.most == 0 { all } else { part.most.min(all) };
+        let most = |part: ResourceBounds, all: u64| if part.most == 0 { all } else { part.most.min(all) };
         let limits = view.limits;
         let open = config.control.as_ref().map_or(u64::MAX, |control| control.open_requests);
         for (capacity, part, all) in [
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -1,28 +1,25 @@
-//! What a hosted service knows of its tenants, without input or output: [`model`] is what administrators write,
-//! [`snapshot`] what ingresses get of it, and [`account_number`] how an account by any name becomes a number.
-
-#![allow(
-    clippy::semicolon_if_nothing_returned,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
+//! What a hosted ingress knows of its tenants, without I/O and without a clock.
+//!
+//! - [`model`] has the resources that administrators write, and the rules for their fields: [`model::Tenant`],
+//!   [`model::Plan`], [`model::Account`], [`model::Route`].
+//! - [`snapshot`] has the form in which ingresses get them: a [`snapshot::Snapshot`] is applied to a
+//!   [`snapshot::TenantDirectory`].
+//! - [`account_number`] makes a number of an account's name.
+//!
+//! Storing resources and serving snapshots belong to `violetyoke_control`; counting an account's requests belongs to the
+//! decision module and the counting service. `violetyoke_quota` has the rate limits of the other product: there a tenant
+//! has one limit, counted by one registry for all proxies. Here a tenant has many accounts, each with the quotas of its
+//! plan. So neither has use for the rules of the other.
+//!
+//! ```
+//! use violetyoke_tenants::model::{Account, Resource};
+//!
+//! let account = Account { name: "customer-1".into(), plan: "no such name".into() };
+//! assert_eq!(account.validate()[0].field, "plan");
+//! ```
 
+mod account_number;
 pub mod model;
 pub mod snapshot;
 
-use siphasher::sip::SipHasher13;
-use std::hash::Hasher;
-
-/// The number that stands for an account in the decision module and on counters: SipHash-1-3 of the tenant's name,
-/// its epoch and the account's name, each with its length before it, so that no two differ only in where one ends.
-///
-/// With `n` accounts in a pool, the chance that any two of them share a number is below `n^2 / 2^65`: for a million
-/// accounts (10,000 tenants of 100) it is 3 in 100 million. Two that do share a quota, and nothing else.
-pub fn account_number(tenant: &str, epoch: u64, account: &str) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(3, epoch);
-    for text in [tenant, account] {
-        hasher.write_u64(text.len() as u64);
-        hasher.write(text.as_bytes());
-    }
-    hasher.finish()
-}
+pub use account_number::account_number;
--- a/crates/tenants/tests/golden/main.rs
+++ b/crates/tenants/tests/golden/main.rs
@@ -11,8 +11,10 @@
 use files::GoldenFolder;
 use samples::{sample, Sample};
 use std::collections::BTreeSet;
-use violetyoke_tenants::model::{Account, Limits, Part, Plan, Route, State, StoredTenant, Tenant};
-use violetyoke_tenants::snapshot::{Held, Snapshot, TenantView};
+use violetyoke_tenants::model::{
+    Account, Limits, Plan, ResourceBounds, Route, StoredTenant, Tenant, TenantState,
+};
+use violetyoke_tenants::snapshot::{Snapshot, TenantDirectory, TenantView};
 
 fn folder() -> GoldenFolder {
     GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "json")
@@ -23,9 +25,9 @@
         name: name.into(),
         weight: 3,
         limits: Limits {
-            open_requests: Part { guaranteed: 1, most: 2 },
-            descriptors: Part { guaranteed: 3, most: 4 },
-            buffered_bytes: Part { guaranteed: 5, most: 70_000 },
+            open_requests: ResourceBounds { guaranteed: 1, most: 2 },
+            descriptors: ResourceBounds { guaranteed: 3, most: 4 },
+            buffered_bytes: ResourceBounds { guaranteed: 5, most: 70_000 },
         },
         hosts: vec![format!("{name}.example"), format!("*.{name}.example")],
         pools: vec!["main".into(), "batch".into()],
@@ -65,11 +67,11 @@
 }
 
 fn views() -> Vec<TenantView> {
-    let active = StoredTenant { tenant: tenant("acme"), epoch: 300, state: State::Active };
+    let active = StoredTenant { tenant: tenant("acme"), epoch: 300, state: TenantState::Active };
     let draining = StoredTenant {
         tenant: tenant("globex"),
         epoch: 301,
-        state: State::Draining { gone_at: 1_700_000_000_000 },
+        state: TenantState::Draining { gone_at: 1_700_000_000_000 },
     };
     let account = Account { name: "customer-1".into(), plan: "basic".into() };
     vec![
@@ -91,19 +93,19 @@
 #[test]
 fn snapshots_keep_their_form() {
     let encode = |snapshot: &Snapshot| serde_json::to_vec(snapshot).expect("encoded");
-    folder().check(&snapshots(), encode, Snapshot::read);
+    folder().check(&snapshots(), encode, Snapshot::parse);
 }
 
 /// The sum of a snapshot covers the order of its fields, so that is a part of the form.
 #[test]
-fn snapshots_of_earlier_builds_are_taken() {
+fn snapshots_of_earlier_builds_are_applied() {
     let [full, part] = ["snapshot-full", "snapshot-part"].map(|name| {
         let golden = folder().read(name, || panic!("written by the test above"));
-        Snapshot::read(&golden).expect("read")
+        Snapshot::parse(&golden).expect("read")
     });
 
-    let held = Held::default().take(full).expect("taken");
-    let next = held.take(part).expect("taken");
+    let held = TenantDirectory::default().apply(full).expect("applied");
+    let next = held.apply(part).expect("applied");
 
     let names: Vec<&str> = held.tenants.keys().map(String::as_str).collect();
     assert_eq!((held.revision, names), (70_000, vec!["acme", "globex"]));
--- a/crates/tenants/tests/snapshots.rs
+++ b/crates/tenants/tests/snapshots.rs
@@ -1,10 +1,10 @@
-//! Snapshots that are not to be taken, and what is held when they come; numbers of accounts.
+//! Which snapshots are applied and which rejected; numbers of accounts.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use violetyoke_tenants::account_number;
 use violetyoke_tenants::model::{Account, Limits, Plan, Route};
-use violetyoke_tenants::snapshot::{Bad, Held, Snapshot, TenantView};
+use violetyoke_tenants::snapshot::{Snapshot, SnapshotError, TenantDirectory, TenantView};
 
 fn tenant(name: &str, rate: f64) -> TenantView {
     TenantView {
@@ -36,99 +36,105 @@
     }
 }
 
-fn whole(revision: u64, names: &[&str]) -> Snapshot {
+fn full(revision: u64, names: &[&str]) -> Snapshot {
     Snapshot::new(None, revision, names.iter().map(|name| tenant(name, 1.0)).collect(), vec![])
 }
 
 #[test]
-fn parts_change_what_is_held_and_wholes_replace_it() {
-    let held = Held::default().take(whole(3, &["a", "b"])).unwrap();
+fn incremental_snapshot_changes_the_directory_and_full_one_replaces_it() {
+    let directory = TenantDirectory::default().apply(full(3, &["a", "b"])).unwrap();
     let part = Snapshot::new(Some(3), 5, vec![tenant("b", 7.0), tenant("c", 1.0)], vec!["a".into()]);
-    let held = held.take(part).unwrap();
-    assert_eq!(held.revision, 5);
+    let directory = directory.apply(part).unwrap();
+    assert_eq!(directory.revision, 5);
     let rates: BTreeMap<&str, f64> =
-        held.tenants.iter().map(|(name, tenant)| (name.as_str(), tenant.plans[0].rate)).collect();
+        directory.tenants.iter().map(|(name, tenant)| (name.as_str(), tenant.plans[0].rate)).collect();
     assert_eq!(rates, BTreeMap::from([("b", 7.0), ("c", 1.0)]));
-    assert_eq!(held.take(whole(6, &["z"])).unwrap().tenants.len(), 1);
+    assert_eq!(directory.apply(full(6, &["z"])).unwrap().tenants.len(), 1);
 }
 
 #[test]
-fn what_is_torn_old_or_of_another_format_is_refused() {
-    let held = Held::default().take(whole(9, &["a"])).unwrap();
-    let bytes = serde_json::to_vec(&whole(10, &["a", "b"])).unwrap();
+fn truncated_damaged_old_or_unknown_snapshots_are_rejected() {
+    let directory = TenantDirectory::default().apply(full(9, &["a"])).unwrap();
+    let bytes = serde_json::to_vec(&full(10, &["a", "b"])).unwrap();
     for length in 0..bytes.len() {
-        assert!(matches!(Snapshot::read(&bytes[..length]), Err(Bad::Unreadable(_))), "{length} bytes");
+        assert!(
+            matches!(Snapshot::parse(&bytes[..length]), Err(SnapshotError::Unreadable(_))),
+            "{length} bytes"
+        );
     }
-    let good = Snapshot::read(&bytes).unwrap();
+    let good = Snapshot::parse(&bytes).unwrap();
     let mut changed = good.clone();
     changed.tenants[1].plans[0].rate = 2.0;
-    assert_eq!(held.take(changed), Err(Bad::Sum));
-    assert_eq!(held.take(whole(8, &["a"])), Err(Bad::Old { held: 9, offered: 8 }));
+    assert!(matches!(directory.apply(changed), Err(SnapshotError::ChecksumMismatch)));
+    let older = directory.apply(full(8, &["a"]));
+    assert!(matches!(older, Err(SnapshotError::OlderRevision { held: 9, offered: 8 })));
     let part = Snapshot::new(Some(8), 10, vec![], vec![]);
-    assert_eq!(held.take(part), Err(Bad::Base { held: 9, base: 8 }));
-    assert_eq!(Snapshot::read(br#"{"format": 2, "pages": []}"#), Err(Bad::Format(2)));
-    assert_eq!(held.take(good).unwrap().tenants.len(), 2);
+    assert!(matches!(directory.apply(part), Err(SnapshotError::BaseMismatch { held: 9, base: 8 })));
+    let later = Snapshot::parse(br#"{"format": 2, "pages": []}"#);
+    assert!(matches!(later, Err(SnapshotError::UnsupportedFormat { found: 2, supported: 1 })));
+    assert_eq!(directory.apply(good).unwrap().tenants.len(), 2);
 }
 
 #[test]
-fn what_does_not_fit_together_is_refused_with_its_tenant() {
-    let refused = |change: &dyn Fn(&mut TenantView), word: &str| {
+fn invalid_tenant_is_rejected_by_name() {
+    let assert_rejected = |change: &dyn Fn(&mut TenantView), word: &str| {
         let mut bad = tenant("b", 1.0);
         change(&mut bad);
         let snapshot = Snapshot::new(None, 1, vec![tenant("a", 1.0), bad], vec![]);
-        let error = Held::default().take(snapshot).unwrap_err().to_string();
+        let error = TenantDirectory::default().apply(snapshot).unwrap_err().to_string();
         assert!(error.contains("\"b\"") && error.contains(word), "{error}");
     };
-    refused(&|tenant| tenant.hosts = vec!["a.example.org".into()], "host");
-    refused(&|tenant| tenant.hosts.push("a.example.org".into()), "is tenant \"a\"'s too");
-    refused(&|tenant| tenant.accounts[0].plan = "gold".into(), "which is not there");
-    refused(&|tenant| tenant.plans[0].burst = 0.0, "burst");
-    refused(&|tenant| tenant.plans.push(tenant.plans[0].clone()), "two plans");
-    refused(&|tenant| tenant.routes[0].pool = "other".into(), "pool");
-    refused(&|tenant| tenant.routes.push(tenant.routes[0].clone()), "matches the same requests");
-    refused(&|tenant| tenant.weight = 0, "weight");
-    refused(&|tenant| tenant.accounts.push(tenant.accounts[0].clone()), "twice");
+    assert_rejected(&|tenant| tenant.hosts = vec!["a.example.org".into()], "host");
+    assert_rejected(&|tenant| tenant.hosts.push("a.example.org".into()), "is tenant \"a\"'s too");
+    assert_rejected(&|tenant| tenant.accounts[0].plan = "gold".into(), "which is not there");
+    assert_rejected(&|tenant| tenant.plans[0].burst = 0.0, "burst");
+    assert_rejected(&|tenant| tenant.plans.push(tenant.plans[0].clone()), "two plans");
+    assert_rejected(&|tenant| tenant.routes[0].pool = "other".into(), "pool");
+    assert_rejected(&|tenant| tenant.routes.push(tenant.routes[0].clone()), "matches the same requests");
+    assert_rejected(&|tenant| tenant.weight = 0, "weight");
+    assert_rejected(&|tenant| tenant.accounts.push(tenant.accounts[0].clone()), "twice");
 }
 
 #[test]
-fn accounts_are_found_by_name_in_whatever_order_they_came() {
+fn accounts_are_found_by_name_in_any_order_of_the_snapshot() {
     let mut view = tenant("a", 1.0);
     view.plans.push(Plan { name: "gold".into(), ..view.plans[0].clone() });
     view.accounts = ["z", "b", "ü", "a"]
         .into_iter()
         .map(|name| Account { name: name.into(), plan: if name == "b" { "gold" } else { "basic" }.into() })
         .collect();
-    let held = Held::default().take(Snapshot::new(None, 1, vec![view], vec![])).unwrap();
-    let found: Vec<_> = ["a", "b", "ü", "z", "c", ""].map(|name| held.tenants["a"].plan_of(name)).into();
+    let directory = TenantDirectory::default().apply(Snapshot::new(None, 1, vec![view], vec![])).unwrap();
+    let found: Vec<_> =
+        ["a", "b", "ü", "z", "c", ""].map(|name| directory.tenants["a"].plan_index(name)).into();
     assert_eq!(found, [Some(0), Some(1), Some(0), Some(0), None, None]);
-    // What is kept on a disk is what is read back.
-    assert_eq!(Held::default().take(held.whole()).unwrap(), held);
+    // A snapshot of the directory gives the same directory.
+    assert_eq!(TenantDirectory::default().apply(directory.to_snapshot()).unwrap(), directory);
 }
 
 #[test]
-fn ten_thousand_tenants_are_taken() {
+fn ten_thousand_tenants_are_applied() {
     let tenants: Vec<TenantView> = (0..10_000).map(|number| tenant(&format!("t{number}"), 1.0)).collect();
     let bytes = serde_json::to_vec(&Snapshot::new(None, 1, tenants, vec![])).unwrap();
-    let held = Held::default().take(Snapshot::read(&bytes).unwrap()).unwrap();
-    assert_eq!(held.tenants.len(), 10_000);
+    let directory = TenantDirectory::default().apply(Snapshot::parse(&bytes).unwrap()).unwrap();
+    assert_eq!(directory.tenants.len(), 10_000);
 }
 
 #[test]
-fn accounts_of_tenants_never_meet() {
+fn accounts_of_different_tenants_have_different_numbers() {
     let mut seen = BTreeSet::new();
     for tenant in 0..200 {
         for account in 0..100 {
             assert!(seen.insert(account_number(&format!("t{tenant}"), 7, &format!("a{account}"))));
         }
     }
-    // A tenant that is made anew under the name inherits nothing, and no name runs into the next.
+    // A tenant that is created again under its name inherits nothing, and names don't run into each other.
     assert_ne!(account_number("t", 1, "a"), account_number("t", 2, "a"));
     assert_ne!(account_number("ta", 1, "b"), account_number("t", 1, "ab"));
 }
 
 proptest! {
     #[test]
-    fn any_two_accounts_have_numbers_of_their_own(
+    fn any_two_accounts_have_different_numbers(
         first in (".{0,6}", 0..3u64, ".{0,6}"),
         second in (".{0,6}", 0..3u64, ".{0,6}"),
     ) {
@@ -136,17 +142,17 @@
         prop_assert_eq!(number(&first) == number(&second), first == second);
     }
 
-    /// A byte that is changed anywhere is found.
+    /// A byte that is changed anywhere is detected.
     #[test]
-    fn a_changed_byte_is_found(place in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        let good = whole(4, &["a", "b"]);
+    fn changed_byte_is_detected(place in any::<prop::sample::Index>(), byte in any::<u8>()) {
+        let good = full(4, &["a", "b"]);
         let mut bytes = serde_json::to_vec(&good).unwrap();
         let place = place.index(bytes.len());
         let before = std::mem::replace(&mut bytes[place], byte);
-        let taken = Snapshot::read(&bytes).and_then(|snapshot| Held::default().take(snapshot));
+        let taken = Snapshot::parse(&bytes).and_then(|snapshot| TenantDirectory::default().apply(snapshot));
         if before != byte {
             // It may say the same in other words (a space for a space), but never anything else.
-            prop_assert!(taken.is_err() || taken == Held::default().take(good), "{place}: {byte}");
+            prop_assert!(taken.is_err() || taken.ok() == TenantDirectory::default().apply(good).ok(), "{place}: {byte}");
         }
     }
 }
--- a/crates/violetyoke/tests/control_lasting.rs
+++ b/crates/violetyoke/tests/control_lasting.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn ingresses_get_full_and_incremental_snapshots_as_the_store_changes() {
-    use violetyoke_tenants::snapshot::{Held, Snapshot};
+    use violetyoke_tenants::snapshot::{Snapshot, TenantDirectory};
     let file = StoreFile::new();
     let control = start(&file);
     let api = control.operator();
@@ -97,8 +97,9 @@
     api.make("/v1/tenants/acme/plans", PLAN);
     api.make("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
     tenant(&api, "other");
-    let take = |held: &Held, told: &Told| held.take(Snapshot::read(&told.http.body).unwrap()).unwrap();
-    let held = take(&Held::default(), &ingress.get("/v1/snapshot?ingress=i1"));
+    let take =
+        |held: &TenantDirectory, told: &Told| held.apply(Snapshot::parse(&told.http.body).unwrap()).unwrap();
+    let held = take(&TenantDirectory::default(), &ingress.get("/v1/snapshot?ingress=i1"));
     assert_eq!(held.tenants.keys().collect::<Vec<_>>(), ["acme", "other"]);
     assert_eq!(held.tenants["acme"].accounts[0].name, "h");
     // Nothing new: it waits, and what comes then is only what has changed.
@@ -119,8 +120,8 @@
     assert!(held.tenants["other"].draining && !held.tenants["acme"].draining);
     // One that holds what is newer than the store (an old store was put back) gets all, and refuses it.
     let whole = ingress.get("/v1/snapshot?held=999999");
-    assert!(Held { revision: 999_999, ..Held::default() }
-        .take(Snapshot::read(&whole.http.body).unwrap())
+    assert!(TenantDirectory { revision: 999_999, ..TenantDirectory::default() }
+        .apply(Snapshot::parse(&whole.http.body).unwrap())
         .is_err());
     // What it refused, and why, is told to operators.
     ingress.get("/v1/snapshot?held=3&ingress=i2&rejected=9&reason=no%20such%20pool");
--- a/xtask/src/prove_tenants.rs
+++ b/xtask/src/prove_tenants.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 use violetyoke_standin::node::{Node, Shape};
-use violetyoke_tenants::model::{Limits, Part};
+use violetyoke_tenants::model::{Limits, ResourceBounds};
 use violetyoke_tenants::snapshot::Snapshot;
 
 /// The quiet tenant's accounts that stay within their quota, how often each books, and one that does not.
@@ -37,13 +37,13 @@
     let mut loud = tenant("loud", "reservations", FLOODS, RATE, BURST);
     if defence {
         quiet.limits = Limits {
-            open_requests: Part { guaranteed: 64, most: 0 },
-            descriptors: Part { guaranteed: 64, most: 0 },
-            buffered_bytes: Part { guaranteed: 1 << 20, most: 0 },
+            open_requests: ResourceBounds { guaranteed: 64, most: 0 },
+            descriptors: ResourceBounds { guaranteed: 64, most: 0 },
+            buffered_bytes: ResourceBounds { guaranteed: 1 << 20, most: 0 },
         };
         // What its accounts may have at nodes at once: their work is shared too.
         loud.plans[0].open = 2;
-        loud.limits.descriptors = Part { guaranteed: 16, most: 512 };
+        loud.limits.descriptors = ResourceBounds { guaranteed: 16, most: 512 };
     }
     let control = ControlPlane::start(&Snapshot::new(None, 1, vec![loud, quiet], vec![]))?;
     let text = format!(
