--- a/crates/local/src/backend.rs
+++ b/crates/local/src/backend.rs
@@ -91,7 +91,7 @@
         zone: &str,
         service_time: Duration,
     ) -> io::Result<Backend> {
-        let listener = violetyoke_standin::listen(violetyoke_standin::any())?;
+        let listener = violetyoke_standin::listen(violetyoke_standin::any_port())?;
         listener.set_nonblocking(true)?;
         let backend = Backend {
             id: id.into(),
--- a/crates/local/src/client.rs
+++ b/crates/local/src/client.rs
@@ -4,7 +4,7 @@
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use violetyoke_standin::http::{read_http, Http};
+use violetyoke_standin::http::{read_http, HttpMessage};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
@@ -18,7 +18,7 @@
     target: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> Option<Http> {
+) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let mut request = format!("{method} {target} HTTP/1.1\r\n");
@@ -36,7 +36,7 @@
 
 /// Sends an operator's command to one registry after the other, unchanged, until one of them confirms or rejects it;
 /// `None` if none has within 20 s.
-pub fn send_command(registries: &[SocketAddr], target: &str, body: &[u8]) -> Option<Http> {
+pub fn send_command(registries: &[SocketAddr], target: &str, body: &[u8]) -> Option<HttpMessage> {
     let deadline = Instant::now() + COMMAND_TIMEOUT;
     for registry in registries.iter().cycle() {
         if Instant::now() > deadline {
@@ -52,7 +52,7 @@
 }
 
 /// Whether a response says what has become of a command. A 5xx, and a 408, leave it open.
-fn is_conclusive(response: &Http) -> bool {
+fn is_conclusive(response: &HttpMessage) -> bool {
     response.status() < 500 && response.status() != 408
 }
 
--- a/crates/local/src/platform.rs
+++ b/crates/local/src/platform.rs
@@ -41,7 +41,7 @@
     /// # Errors
     /// When no port can be opened.
     pub fn with_page_size(runtime: &Handle, page_size: usize) -> io::Result<Platform> {
-        let listener = violetyoke_standin::listen(violetyoke_standin::any())?;
+        let listener = violetyoke_standin::listen(violetyoke_standin::any_port())?;
         listener.set_nonblocking(true)?;
         let platform = Platform { address: listener.local_addr()?, entries: Arc::default(), page_size };
         let _entered = runtime.enter();
--- a/crates/local/tests/common/mod.rs
+++ b/crates/local/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use violetyoke_local::{Backend, Placement, Platform, System, Topology};
 use violetyoke_rig::runtime_thread::RuntimeThread;
 use violetyoke_rig::wait_until;
-use violetyoke_standin::http::Http;
+use violetyoke_standin::http::HttpMessage;
 
 pub const LONG: Duration = Duration::from_secs(20);
 pub const REPLACE: &str = "/api/rpc?call=configuration.replace";
@@ -106,7 +106,13 @@
     }
 
     /// One request to one edge, under an id of its own.
-    pub fn send(&mut self, edge: usize, target: &str, key: &str, body: &[u8]) -> (String, Option<Http>) {
+    pub fn send(
+        &mut self,
+        edge: usize,
+        target: &str,
+        key: &str,
+        body: &[u8],
+    ) -> (String, Option<HttpMessage>) {
         self.requests_sent += 1;
         let id = format!("try-{}", self.requests_sent);
         let deadline_ms = self.client_deadline_ms.to_string();
--- a/crates/rig/src/breakpoints.rs
+++ b/crates/rig/src/breakpoints.rs
@@ -42,7 +42,7 @@
     /// # Errors
     /// Those of the listener.
     pub fn start() -> io::Result<Breakpoints> {
-        let listener = TcpListener::bind(violetyoke_standin::any())?;
+        let listener = TcpListener::bind(violetyoke_standin::any_port())?;
         let address = listener.local_addr()?;
         let shared: Arc<Shared> = Arc::default();
         let accepting = Arc::clone(&shared);
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use violetyoke_ownership::ShardId;
 use violetyoke_standin::node::Node;
-use violetyoke_standin::sink::{self, Noted};
+use violetyoke_standin::sink::{self, ReceivedEffect};
 
 /// How long a process may take to be ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
@@ -84,7 +84,7 @@
     operator_key: String,
     sink_address: SocketAddr,
     /// What the sink had received at the last look.
-    history: Vec<Noted>,
+    history: Vec<ReceivedEffect>,
     _sink: Process,
     node: Node,
     links: RuntimeThread,
@@ -119,7 +119,7 @@
     }
 
     /// All that the sink has received so far, in its order.
-    pub fn history(&mut self) -> &[Noted] {
+    pub fn history(&mut self) -> &[ReceivedEffect] {
         let path = format!("/history?from={}", self.history.len());
         let request = Request { method: "GET", path: &path, fields: "", body: "" };
         let response = http_client::send(self.sink_address, request);
@@ -132,7 +132,7 @@
     pub fn wait_for_history(
         &mut self,
         timeout: Duration,
-        mut condition: impl FnMut(&[Noted]) -> bool,
+        mut condition: impl FnMut(&[ReceivedEffect]) -> bool,
     ) -> bool {
         wait_until(timeout, || condition(self.history()))
     }
--- a/crates/rig/src/fleet/start.rs
+++ b/crates/rig/src/fleet/start.rs
@@ -42,7 +42,7 @@
             sink_address,
             history: Vec::new(),
             _sink: sink,
-            node: Node::start(violetyoke_standin::any(), "n1", shape)?,
+            node: Node::start(violetyoke_standin::any_port(), "n1", shape)?,
             links,
         };
         for tenant in &plan.tenants {
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -2,90 +2,95 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use violetyoke_ownership::ShardId;
-use violetyoke_standin::sink::{Noted, Verdict};
+use violetyoke_standin::sink::{ReceivedEffect, Verdict};
 
 /// Effects of an older epoch that the sink let through after one of a newer epoch of the same shard.
-pub fn accepted_after_newer(history: &[Noted]) -> Vec<&Noted> {
+pub fn accepted_after_newer(history: &[ReceivedEffect]) -> Vec<&ReceivedEffect> {
     let mut newest: BTreeMap<&ShardId, u64> = BTreeMap::new();
     let mut found = Vec::new();
-    for noted in history {
-        let newest = newest.entry(&noted.lease).or_default();
-        if noted.epoch < *newest && noted.verdict != Verdict::Stale {
-            found.push(noted);
+    for effect in history {
+        let newest = newest.entry(&effect.shard).or_default();
+        if effect.epoch < *newest && effect.verdict != Verdict::Stale {
+            found.push(effect);
         }
-        *newest = (*newest).max(noted.epoch);
+        *newest = (*newest).max(effect.epoch);
     }
     found
 }
 
 /// Effects that the sink refused as stale, without those of epochs whose actions the test itself has delayed.
-pub fn unexpected_refusals<'a>(history: &'a [Noted], delayed_epochs: &BTreeSet<u64>) -> Vec<&'a Noted> {
+pub fn unexpected_refusals<'a>(
+    history: &'a [ReceivedEffect],
+    delayed_epochs: &BTreeSet<u64>,
+) -> Vec<&'a ReceivedEffect> {
     history
         .iter()
-        .filter(|noted| noted.verdict == Verdict::Stale && !delayed_epochs.contains(&noted.epoch))
+        .filter(|effect| effect.verdict == Verdict::Stale && !delayed_epochs.contains(&effect.epoch))
         .collect()
 }
 
 /// Epochs of a shard under which more than one owner has acted.
-pub fn epochs_with_two_owners(history: &[Noted]) -> Vec<u64> {
+pub fn epochs_with_two_owners(history: &[ReceivedEffect]) -> Vec<u64> {
     let mut owners: BTreeMap<(&ShardId, u64), BTreeSet<&str>> = BTreeMap::new();
-    for noted in history {
-        owners.entry((&noted.lease, noted.epoch)).or_default().insert(&noted.holder);
+    for effect in history {
+        owners.entry((&effect.shard, effect.epoch)).or_default().insert(&effect.owner);
     }
     owners.into_iter().filter(|(_, owners)| owners.len() > 1).map(|((_, epoch), _)| epoch).collect()
 }
 
 /// Violations of the order of a report's spans: each must be accepted once, in order, without gaps.
-pub fn spans_out_of_order(history: &[Noted]) -> Vec<String> {
+pub fn spans_out_of_order(history: &[ReceivedEffect]) -> Vec<String> {
     let mut last: BTreeMap<&ShardId, u64> = BTreeMap::new();
     let mut violations = Vec::new();
-    for noted in history.iter().filter(|noted| noted.verdict == Verdict::Taken) {
-        let Some(span) = noted.span else { continue };
-        if let Some(last) = last.insert(&noted.lease, span) {
+    for effect in history.iter().filter(|effect| effect.verdict == Verdict::Accepted) {
+        let Some(span) = effect.span else { continue };
+        if let Some(last) = last.insert(&effect.shard, span) {
             if span != last + 1 {
-                violations.push(format!("{}: span {span} after {last}", noted.lease));
+                violations.push(format!("{}: span {span} after {last}", effect.shard));
             }
         }
     }
-    let gaps = history.iter().filter(|noted| noted.verdict == Verdict::Gap);
-    violations.extend(gaps.map(|noted| format!("{}: span {:?} leaves a gap", noted.lease, noted.span)));
+    let gaps = history.iter().filter(|effect| effect.verdict == Verdict::Gap);
+    violations.extend(gaps.map(|effect| format!("{}: span {:?} leaves a gap", effect.shard, effect.span)));
     violations
 }
 
 /// Spans that were sent again with other figures than the first time.
-pub fn changed_spans(history: &[Noted]) -> Vec<String> {
-    let mut first: BTreeMap<(&ShardId, u64), &Noted> = BTreeMap::new();
+pub fn changed_spans(history: &[ReceivedEffect]) -> Vec<String> {
+    let mut first: BTreeMap<(&ShardId, u64), &ReceivedEffect> = BTreeMap::new();
     let mut changed = Vec::new();
-    for noted in history.iter().filter(|noted| matches!(noted.verdict, Verdict::Taken | Verdict::Had)) {
-        let Some(span) = noted.span else { continue };
-        let original = first.entry((&noted.lease, span)).or_insert(noted);
-        if original.tries != noted.tries {
-            changed.push(format!("{} span {span}: {} and {}", noted.lease, original.tries, noted.tries));
+    for effect in
+        history.iter().filter(|effect| matches!(effect.verdict, Verdict::Accepted | Verdict::Duplicate))
+    {
+        let Some(span) = effect.span else { continue };
+        let original = first.entry((&effect.shard, span)).or_insert(effect);
+        if original.tries != effect.tries {
+            changed.push(format!("{} span {span}: {} and {}", effect.shard, original.tries, effect.tries));
         }
     }
     changed
 }
 
 /// The sum of a tenant's tries over all accepted spans.
-pub fn total_tries(history: &[Noted], tenant: &str) -> u64 {
-    let accepted = history.iter().filter(|noted| noted.verdict == Verdict::Taken);
-    accepted.filter_map(|noted| noted.tries[tenant].as_u64()).sum()
+pub fn total_tries(history: &[ReceivedEffect], tenant: &str) -> u64 {
+    let accepted = history.iter().filter(|effect| effect.verdict == Verdict::Accepted);
+    accepted.filter_map(|effect| effect.tries[tenant].as_u64()).sum()
 }
 
 /// The longest time without an effect of the shard that was let through, in microseconds, between two moments; the whole
 /// time if there is none.
-pub fn longest_gap_us(history: &[Noted], shard: &ShardId, from_us: u64, to_us: u64) -> u64 {
+pub fn longest_gap_us(history: &[ReceivedEffect], shard: &ShardId, from_us: u64, to_us: u64) -> u64 {
     let times = history
         .iter()
-        .filter(|noted| noted.lease == *shard && noted.verdict != Verdict::Stale)
-        .map(|noted| noted.at)
+        .filter(|effect| effect.shard == *shard && effect.verdict != Verdict::Stale)
+        .map(|effect| effect.at_us)
         .filter(|at| (from_us..to_us).contains(at));
     let (last, longest) = times.fold((from_us, 0), |(last, longest), at| (at, longest.max(at - last)));
     longest.max(to_us - last)
 }
 
 /// The newest effect of the shard under its newest epoch that was let through.
-pub fn newest_effect<'a>(history: &'a [Noted], shard: &ShardId) -> Option<&'a Noted> {
-    let effects = history.iter().filter(|noted| noted.lease == *shard && noted.verdict != Verdict::Stale);
-    effects.max_by_key(|noted| (noted.epoch, noted.at))
+pub fn newest_effect<'a>(history: &'a [ReceivedEffect], shard: &ShardId) -> Option<&'a ReceivedEffect> {
+    let effects = history.iter().filter(|effect| effect.shard == *shard && effect.verdict != Verdict::Stale);
+    effects.max_by_key(|effect| (effect.epoch, effect.at_us))
 }
--- a/crates/rig/src/injection.rs
+++ b/crates/rig/src/injection.rs
@@ -13,7 +13,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use violetyoke_ownership::ShardId;
-use violetyoke_standin::sink::{Noted, Verdict};
+use violetyoke_standin::sink::{ReceivedEffect, Verdict};
 
 /// Settings of the duties under test.
 #[derive(Clone, Copy, Debug)]
@@ -143,15 +143,16 @@
 }
 
 /// How many effects of newer epochs the sink has let through.
-fn newer_effects(history: &[Noted], shard: &ShardId, epoch: u64) -> usize {
-    let is_newer =
-        |noted: &&Noted| noted.lease == *shard && noted.epoch > epoch && noted.verdict != Verdict::Stale;
+fn newer_effects(history: &[ReceivedEffect], shard: &ShardId, epoch: u64) -> usize {
+    let is_newer = |effect: &&ReceivedEffect| {
+        effect.shard == *shard && effect.epoch > epoch && effect.verdict != Verdict::Stale
+    };
     history.iter().filter(is_newer).count()
 }
 
 /// Whether the sink has refused an effect of this epoch.
-fn has_refused(history: &[Noted], shard: &ShardId, epoch: u64) -> bool {
+fn has_refused(history: &[ReceivedEffect], shard: &ShardId, epoch: u64) -> bool {
     history
         .iter()
-        .any(|noted| noted.lease == *shard && noted.epoch == epoch && noted.verdict == Verdict::Stale)
+        .any(|effect| effect.shard == *shard && effect.epoch == epoch && effect.verdict == Verdict::Stale)
 }
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -75,7 +75,7 @@
     /// Those of the listener.
     pub fn start(runtime: &Handle, server: SocketAddr) -> io::Result<Link> {
         let _entered = runtime.enter();
-        let listener = std::net::TcpListener::bind(violetyoke_standin::any())?;
+        let listener = std::net::TcpListener::bind(violetyoke_standin::any_port())?;
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
         let address = listener.local_addr()?;
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,30 +1,52 @@
-//! A discovery: a list of nodes over HTTP, and a watch on its changes.
+//! A discovery: a list of nodes over HTTP, and a watch on its changes (`GET /?index=REVISION&wait=MS`).
 
-use crate::http::read_http;
-use crate::{any, listen, lock};
+use crate::http::{read_http, HttpMessage};
+use crate::{any_port, listen, lock};
 use serde_json::{json, Value};
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::{Arc, Condvar, Mutex, PoisonError};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Longest time that a watch waits for a change.
+const MAX_WAIT_MS: u64 = 60_000;
+
 /// A running discovery; its threads end with the process.
 #[derive(Clone)]
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
-    state: Arc<(Mutex<List>, Condvar)>,
+    state: Arc<State>,
+}
+
+#[derive(Default)]
+struct State {
+    list: Mutex<List>,
+    changed: Condvar,
 }
 
 #[derive(Default)]
 struct List {
     revision: u64,
     members: Vec<Value>,
-    changed: Vec<(u64, Value)>,
-    silent: bool,
-    overbooked: bool,
+    changes: Vec<Change>,
+    is_silent: bool,
+    is_overloaded: bool,
     calls: u32,
-    whole: u32,
+    full_list_calls: u32,
+}
+
+struct Change {
+    revision: u64,
+    member: Value,
+}
+
+/// The parameters of a call that matter.
+struct Query {
+    /// The revision that the caller knows; none: it asks for the whole list.
+    known: Option<u64>,
+    wait: Duration,
 }
 
 /// An entry of the list; `phase` is `in_service`, `terminating` or `terminated`.
@@ -34,93 +56,128 @@
 }
 
 impl Discovery {
+    /// Starts it on any port.
+    ///
+    /// # Panics
+    /// When it cannot listen on a loopback address.
+    #[expect(clippy::expect_used, reason = "for tests: without a loopback address no test can run")]
     pub fn start(members: Vec<Value>) -> Discovery {
-        Discovery::start_at(any(), members).expect("a loopback address")
+        Discovery::start_at(any_port(), members).expect("a loopback address")
     }
 
+    /// Starts it with these entries at revision 1.
+    ///
+    /// # Errors
+    /// Those of the listener.
     pub fn start_at(address: SocketAddr, members: Vec<Value>) -> io::Result<Discovery> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
-        let list = List { revision: 1, members, ..List::default() };
-        let state = Arc::new((Mutex::new(list), Condvar::new()));
-        let shared = state.clone();
+        let list = Mutex::new(List { revision: 1, members, ..List::default() });
+        let state = Arc::new(State { list, changed: Condvar::new() });
+        let shared = Arc::clone(&state);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = shared.clone();
-                thread::spawn(move || serve(stream, &shared));
+                let shared = Arc::clone(&shared);
+                thread::spawn(move || shared.serve(stream));
             }
         });
         Ok(Discovery { address, state })
     }
 
-    /// Changes one entry and tells the watchers.
-    pub fn change(&self, entry: Value) {
-        let mut list = lock(&self.state.0);
+    /// Adds or replaces an entry, and wakes the watches.
+    pub fn update(&self, member: Value) {
+        let mut list = lock(&self.state.list);
         list.revision += 1;
-        list.members.retain(|member| member["id"] != entry["id"]);
-        list.members.push(entry.clone());
+        list.members.retain(|other| other["id"] != member["id"]);
+        list.members.push(member.clone());
         let revision = list.revision;
-        list.changed.push((revision, entry));
-        self.state.1.notify_all();
+        list.changes.push(Change { revision, member });
+        self.state.changed.notify_all();
     }
 
-    /// Answers nothing from now on, or again.
-    pub fn silence(&self, silent: bool) {
-        lock(&self.state.0).silent = silent;
-        self.state.1.notify_all();
+    /// Whether calls stay without an answer from now on.
+    pub fn set_silent(&self, is_silent: bool) {
+        lock(&self.state.list).is_silent = is_silent;
+        self.state.changed.notify_all();
     }
 
-    /// Turns each call away at once from now on, or takes them again.
-    pub fn overbook(&self, overbooked: bool) {
-        lock(&self.state.0).overbooked = overbooked;
+    /// Whether calls are answered 503 at once from now on.
+    pub fn set_overloaded(&self, is_overloaded: bool) {
+        lock(&self.state.list).is_overloaded = is_overloaded;
     }
 
-    /// Calls that have come in.
+    /// How many calls have come.
     pub fn calls(&self) -> u32 {
-        lock(&self.state.0).calls
+        lock(&self.state.list).calls
+    }
+
+    /// How many of them asked for the whole list.
+    pub fn full_list_calls(&self) -> u32 {
+        lock(&self.state.list).full_list_calls
+    }
+}
+
+impl State {
+    fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+        // Pipelined answers must not wait for the peer's acknowledgements.
+        stream.set_nodelay(true)?;
+        let mut reader = BufReader::new(stream.try_clone()?);
+        while let Some(request) = read_http(&mut reader) {
+            let query = Query::from(&request);
+            let mut list = lock(&self.list);
+            list.calls += 1;
+            list.full_list_calls += u32::from(query.known.is_none());
+            if list.is_overloaded {
+                drop(list);
+                return stream
+                    .write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+            }
+            let list = self.wait_for_change(list, &query);
+            if list.is_silent {
+                continue;
+            }
+            let body = list.response(query.known).to_string();
+            drop(list);
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+            stream.write_all((head + &body).as_bytes())?;
+        }
+        Ok(())
+    }
+
+    /// Waits until the list is newer than the caller knows, or the caller's time is over.
+    fn wait_for_change<'a>(&'a self, mut list: MutexGuard<'a, List>, query: &Query) -> MutexGuard<'a, List> {
+        let deadline = Instant::now() + query.wait;
+        while query.known.is_some_and(|known| list.revision <= known) && Instant::now() < deadline {
+            let left = deadline.saturating_duration_since(Instant::now());
+            list = self.changed.wait_timeout(list, left).unwrap_or_else(PoisonError::into_inner).0;
+        }
+        list
     }
+}
 
-    /// Those among them that asked for the whole list.
-    pub fn whole_calls(&self) -> u32 {
-        lock(&self.state.0).whole
+impl List {
+    /// The whole list, or the changes since the known revision.
+    fn response(&self, known: Option<u64>) -> Value {
+        let members: Vec<&Value> = match known {
+            None => self.members.iter().collect(),
+            Some(known) => {
+                let newer = self.changes.iter().filter(|change| change.revision > known);
+                newer.map(|change| &change.member).collect()
+            }
+        };
+        json!({"revision": self.revision, "complete": known.is_none(), "members": members})
     }
 }
 
-fn serve(mut stream: TcpStream, state: &(Mutex<List>, Condvar)) -> io::Result<()> {
-    // Answers one behind another must not wait for their peer's acknowledgements.
-    stream.set_nodelay(true)?;
-    let mut reader = BufReader::new(stream.try_clone()?);
-    while let Some(request) = read_http(&mut reader) {
-        let target = request.first.split(' ').nth(1).unwrap_or_default();
+impl From<&HttpMessage> for Query {
+    fn from(request: &HttpMessage) -> Query {
+        let target = request.start_line.split(' ').nth(1).unwrap_or_default();
         let query = target.split_once('?').map_or("", |(_, query)| query);
-        let value = |name: &str| {
+        let number = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse::<u64>().ok())
         };
-        let mut list = lock(&state.0);
-        list.calls += 1;
-        list.whole += u32::from(value("index").is_none());
-        if list.overbooked {
-            drop(list);
-            return stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-        }
-        let end = Instant::now() + Duration::from_millis(value("wait").unwrap_or(0).min(60_000));
-        let index = value("index");
-        while index.is_some_and(|index| list.revision <= index) && Instant::now() < end {
-            let left = end.saturating_duration_since(Instant::now());
-            list = state.1.wait_timeout(list, left).unwrap_or_else(PoisonError::into_inner).0;
-        }
-        if list.silent {
-            continue;
-        }
-        let changed = list.changed.iter().filter(|(revision, _)| index.is_some_and(|at| *revision > at));
-        let changed: Vec<_> = changed.map(|(_, entry)| entry.clone()).collect();
-        let members = if index.is_some() { changed } else { list.members.clone() };
-        let body = json!({"revision": list.revision, "complete": index.is_none(), "members": members});
-        drop(list);
-        let body = body.to_string();
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        stream.write_all((head + &body).as_bytes())?;
+        let wait = Duration::from_millis(number("wait").unwrap_or(0).min(MAX_WAIT_MS));
+        Query { known: number("index"), wait }
     }
-    Ok(())
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,61 +1,66 @@
-//! HTTP messages as they stand on the wire, read without a library: a test must see what was really sent.
+//! HTTP/1.1 messages as they are on the wire, read without a library: a test must see what was really sent.
 
 use std::collections::HashMap;
 use std::io::BufRead;
 
-/// One HTTP message: its first line, headers with lower-case names, and body.
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
-pub struct Http {
-    pub first: String,
+pub struct HttpMessage {
+    /// The request line or the status line, without its end.
+    pub start_line: String,
+    /// Values by the names of their fields in lower case; the last one of several.
     pub headers: HashMap<String, String>,
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
 }
 
-impl Http {
+impl HttpMessage {
+    /// The status code of a response; 0 where the first line has none.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message; none at the end of the stream or in the middle of a message.
-pub fn read_http(reader: &mut impl BufRead) -> Option<Http> {
+/// Reads one message; none at the end of the stream, in the middle of a message, or for a malformed one.
+pub fn read_http(reader: &mut impl BufRead) -> Option<HttpMessage> {
     let mut line = String::new();
-    let mut http = Http::default();
+    let mut message = HttpMessage::default();
     reader.read_line(&mut line).ok().filter(|length| *length > 0)?;
-    http.first = line.trim_end().to_string();
+    message.start_line = line.trim_end().to_string();
     loop {
         line.clear();
         reader.read_line(&mut line).ok().filter(|length| *length > 0)?;
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
-        http.headers.insert(name.to_lowercase(), value.trim().to_string());
+        message.headers.insert(name.to_lowercase(), value.trim().to_string());
     }
-    if http.headers.get("transfer-encoding").is_some_and(|coding| coding == "chunked") {
-        return read_chunks(reader, &mut http.body).map(|()| http);
+    if message.headers.get("transfer-encoding").is_some_and(|coding| coding == "chunked") {
+        read_chunks(reader, &mut message.body)?;
+        return Some(message);
     }
-    let length = http.headers.get("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
-    http.body = vec![0; length];
-    std::io::Read::read_exact(reader, &mut http.body).ok()?;
-    Some(http)
+    let length = message.headers.get("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    message.body = vec![0; length];
+    reader.read_exact(&mut message.body).ok()?;
+    Some(message)
 }
 
-/// The chunks of a body, their extensions passed over and what trails them too.
+/// Appends the chunks of a body; extensions and trailers are ignored.
 fn read_chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
     let mut line = String::new();
-    let mut next = |reader: &mut dyn BufRead| {
+    let mut next_line = |reader: &mut dyn BufRead| {
         line.clear();
         reader.read_line(&mut line).ok().filter(|length| *length > 0)?;
         Some(line.trim_end().to_string())
     };
     loop {
-        let size = next(reader)?;
+        let size = next_line(reader)?;
         let size = usize::from_str_radix(size.split(';').next()?.trim(), 16).ok()?;
-        let from = body.len();
-        body.resize(from + size, 0);
-        std::io::Read::read_exact(reader, &mut body[from..]).ok()?;
+        let start = body.len();
+        body.resize(start + size, 0);
+        reader.read_exact(&mut body[start..]).ok()?;
         if size == 0 {
-            while !next(reader)?.is_empty() {}
+            while !next_line(reader)?.is_empty() {}
             return Some(());
         }
-        next(reader)?;
+        next_line(reader)?;
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,27 +1,31 @@
-//! Stand-ins for what an ingress meets, each as a library for tests and as a subcommand of
-//! `violetyoke-standin`. They listen on loopback addresses only, and each is a few threads.
-
-#![allow(
-    clippy::expect_used,
-    clippy::let_underscore_must_use,
-    clippy::option_option,
-    missing_docs,
-    reason = "not yet revised for readers: see docs/ROADMAP.md"
-)]
+//! Stubs for what an ingress talks to, each as a library for tests and as a subcommand of `violetyoke-standin`.
+//!
+//! - [`node`] does work with workers and a queue, and fails on request; [`scripted`] replies with bytes that a test chooses.
+//! - [`discovery`] serves a list of nodes and a watch on its changes.
+//! - [`counter`] adds numbers over RESP2; [`rate_limit_server`] is an outside rate limit server over gRPC.
+//! - [`sink`] receives the fleet's reports and probes, and records them in order.
+//! - [`http`] reads HTTP messages as they are on the wire.
+//!
+//! They listen on loopback addresses only, run on threads that end with the process, and keep everything in memory. They are
+//! made for tests and demonstrations: no deployed program uses them.
 
 pub mod counter;
 pub mod discovery;
 pub mod http;
-pub mod limiter;
 pub mod node;
+pub mod rate_limit_server;
 pub mod scripted;
 pub mod sink;
 
 use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
 
-/// Listens on a loopback address; any other is refused.
+/// Listens on a loopback address.
+///
+/// # Errors
+/// [`io::ErrorKind::InvalidInput`] for any other address, and those of binding.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     if !address.ip().is_loopback() {
         let reason = format!("{address} is not a loopback address");
@@ -30,12 +34,18 @@
     TcpListener::bind(address)
 }
 
-/// An address of this machine that the system chooses the port of.
-pub fn any() -> SocketAddr {
+/// The loopback address with a port that the system chooses.
+pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// What a thread that failed left behind is as good as what it found.
+/// Locks it also after a panic of another thread: stubs keep no state that a panic leaves half changed.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
+
+/// The peer sees a reset and not an orderly close, once the stream is dropped.
+fn reset_on_drop(stream: &TcpStream) {
+    // It fails only for a socket that is closed already.
+    socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap_or_default();
+}
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,7 +1,7 @@
-//! A node whose every answer is a test's own, to the byte.
+//! A node whose every reply is chosen by a test, to the byte.
 
-use crate::http::{read_http, Http};
-use crate::{any, listen, lock};
+use crate::http::{read_http, HttpMessage};
+use crate::{any_port, listen, lock};
 use std::io::{self, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -9,6 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
+/// How long after the first bytes of [`Reply::Later`] the others are written.
+const LATER: Duration = Duration::from_millis(5);
+
 /// What a scripted node does with a request.
 #[derive(Clone)]
 pub enum Reply {
@@ -16,91 +19,112 @@
     Raw(Vec<u8>),
     /// Writes these bytes and closes.
     Close(Vec<u8>),
-    /// Writes the first bytes, and the others shortly after that.
+    /// Writes the first bytes, and the others 5 ms later.
     Later(Vec<u8>, Vec<u8>),
-    /// Writes these one by one, with a pause after each, and then closes or not.
-    Pieces(Vec<Vec<u8>>, Duration, bool),
-    /// Says nothing and holds the connection until the peer ends it.
+    /// Writes these one by one with a pause after each.
+    Pieces {
+        /// The bytes to write.
+        pieces: Vec<Vec<u8>>,
+        /// The time after each.
+        pause: Duration,
+        /// Whether the connection is closed then.
+        closes: bool,
+    },
+    /// Writes nothing, and holds the connection until the peer ends it or sends more.
     Hold,
 }
 
+/// A complete response 200 with this body.
 pub fn ok(body: &[u8]) -> Reply {
     let mut bytes = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
     Reply::Raw(bytes)
 }
 
+/// This text as it is.
 pub fn raw(text: &str) -> Reply {
     Reply::Raw(text.as_bytes().to_vec())
 }
 
-/// Not a header that came: which request of its connection it is, from 1.
+/// The key of an entry that is added to the headers of each request: its number on its connection, from 1. No header that
+/// was sent can have this name, as it has spaces.
 pub const NTH: &str = "nth of its connection";
 
+/// A running scripted node; its threads end with the process.
 pub struct Backend {
+    /// Where it listens.
     pub address: SocketAddr,
-    state: Arc<BackendState>,
+    state: Arc<State>,
 }
 
-type Behaviour = Box<dyn FnMut(&Http) -> Reply + Send>;
+type Script = Box<dyn FnMut(&HttpMessage) -> Reply + Send>;
 
-struct BackendState {
-    reply: Mutex<Behaviour>,
-    requests: Mutex<Vec<Http>>,
+struct State {
+    script: Mutex<Script>,
+    requests: Mutex<Vec<HttpMessage>>,
     connections: AtomicU32,
-    ended: AtomicU32,
-    late: AtomicU32,
+    ended_connections: AtomicU32,
+    late_replies: AtomicU32,
 }
 
 impl Backend {
-    pub fn start(reply: impl FnMut(&Http) -> Reply + Send + 'static) -> Backend {
-        let listener = listen(any()).expect("a loopback address");
+    /// Starts it on any port; the script is called for each request, one at a time.
+    ///
+    /// # Panics
+    /// When it cannot listen on a loopback address.
+    #[expect(clippy::expect_used, reason = "for tests: without a loopback address no test can run")]
+    pub fn start(script: impl FnMut(&HttpMessage) -> Reply + Send + 'static) -> Backend {
+        let listener = listen(any_port()).expect("a loopback address");
         let address = listener.local_addr().expect("a bound address");
-        let state = Arc::new(BackendState {
-            reply: Mutex::new(Box::new(reply)),
+        let state = Arc::new(State {
+            script: Mutex::new(Box::new(script)),
             requests: Mutex::default(),
             connections: AtomicU32::new(0),
-            ended: AtomicU32::new(0),
-            late: AtomicU32::new(0),
+            ended_connections: AtomicU32::new(0),
+            late_replies: AtomicU32::new(0),
         });
-        let shared = state.clone();
+        let shared = Arc::clone(&state);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 shared.connections.fetch_add(1, Ordering::SeqCst);
-                let shared = shared.clone();
+                let shared = Arc::clone(&shared);
                 thread::spawn(move || {
-                    let _ = shared.serve(stream);
-                    shared.ended.fetch_add(1, Ordering::SeqCst);
+                    // A failed connection has ended, which is all that is counted.
+                    shared.serve(stream).unwrap_or_default();
+                    shared.ended_connections.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
         Backend { address, state }
     }
 
-    pub fn requests(&self) -> Vec<Http> {
+    /// All requests so far, in their order.
+    pub fn requests(&self) -> Vec<HttpMessage> {
         lock(&self.state.requests).clone()
     }
 
-    pub fn seen(&self) -> usize {
+    /// How many requests have come.
+    pub fn request_count(&self) -> usize {
         lock(&self.state.requests).len()
     }
 
+    /// How many connections have been opened.
     pub fn connections(&self) -> u32 {
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    /// Answers that were followed by late bytes.
-    pub fn late(&self) -> u32 {
-        self.state.late.load(Ordering::SeqCst)
+    /// How often the second part of a [`Reply::Later`] has been written.
+    pub fn late_replies(&self) -> u32 {
+        self.state.late_replies.load(Ordering::SeqCst)
     }
 
-    /// Connections that either side has ended.
-    pub fn ended(&self) -> u32 {
-        self.state.ended.load(Ordering::SeqCst)
+    /// How many connections have ended, whoever ended them.
+    pub fn ended_connections(&self) -> u32 {
+        self.state.ended_connections.load(Ordering::SeqCst)
     }
 }
 
-impl BackendState {
+impl State {
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -109,29 +133,28 @@
             number += 1;
             request.headers.insert(NTH.into(), number.to_string());
             lock(&self.requests).push(request.clone());
-            let reply = (lock(&self.reply))(&request);
+            let reply = (lock(&self.script))(&request);
+            // A peer may have gone before the reply, and its requests still count: failed writes do not end the loop, the
+            // next read does.
             match reply {
-                Reply::Raw(bytes) => drop(stream.write_all(&bytes)),
+                Reply::Raw(bytes) => stream.write_all(&bytes).unwrap_or_default(),
                 Reply::Close(bytes) => return stream.write_all(&bytes),
-                Reply::Later(bytes, more) => {
-                    let _ = stream.write_all(&bytes);
-                    thread::sleep(Duration::from_millis(5));
-                    let _ = stream.write_all(&more);
-                    self.late.fetch_add(1, Ordering::SeqCst);
+                Reply::Later(first, second) => {
+                    stream.write_all(&first).unwrap_or_default();
+                    thread::sleep(LATER);
+                    stream.write_all(&second).unwrap_or_default();
+                    self.late_replies.fetch_add(1, Ordering::SeqCst);
                 }
-                Reply::Pieces(pieces, pause, closes) => {
+                Reply::Pieces { pieces, pause, closes } => {
                     for piece in pieces {
-                        let _ = stream.write_all(&piece);
+                        stream.write_all(&piece).unwrap_or_default();
                         thread::sleep(pause);
                     }
                     if closes {
                         return Ok(());
                     }
                 }
-                Reply::Hold => {
-                    let _ = reader.read(&mut [0; 16]);
-                    return Ok(());
-                }
+                Reply::Hold => return reader.read(&mut [0; 16]).map(drop),
             }
         }
         Ok(())
--- a/crates/standin/src/sink.rs
+++ b/crates/standin/src/sink.rs
@@ -1,7 +1,7 @@
-//! A receiver of the fleet's work: it takes reports of use, each span once and in order, and probes, as a node does.
-//! It keeps the newest epoch of every lease and refuses older ones, and notes all that comes, in its order.
+//! A receiver of the fleet's reports and probes. It accepts each span of a shard once and in order, refuses effects of epochs
+//! older than the newest it has seen, and records everything it receives in order.
 
-use crate::http::{read_http, Http};
+use crate::http::{read_http, HttpMessage};
 use crate::{listen, lock};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -12,167 +12,217 @@
 use std::time::Instant;
 use violetyoke_ownership::{Epoch, FencingGuard, ShardId};
 
-/// What came, and what was made of it. `GET /history?from=NUMBER` gives it from that place on.
+/// A report or probe that the sink has received. `GET /history?from=NUMBER` returns them from that place on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Noted {
-    /// Since the sink began, in microseconds.
-    pub at: u64,
-    pub lease: ShardId,
+pub struct ReceivedEffect {
+    /// Microseconds since the start of the sink.
+    pub at_us: u64,
+    /// The shard whose owner has sent it.
+    pub shard: ShardId,
+    /// The epoch of the sender's lease.
     pub epoch: u64,
-    pub holder: String,
-    /// None: a probe.
+    /// The sender's name.
+    pub owner: String,
+    /// The number of the reported span; none: a probe.
     pub span: Option<u64>,
-    /// Of the span.
+    /// Tries by tenant in the span.
     pub tries: Value,
+    /// What the sink made of it.
     pub verdict: Verdict,
 }
 
+/// What the sink made of an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// New, and in its order.
-    Taken,
-    /// It was there already.
-    Had,
-    /// A newer owner has been here.
+    /// New, and in order.
+    Accepted,
+    /// The span has been accepted before.
+    Duplicate,
+    /// Refused: a newer epoch has been seen.
     Stale,
-    /// Spans before it are missing.
+    /// Refused: spans before it are missing.
     Gap,
 }
 
 impl Verdict {
+    const ALL: [Verdict; 4] = [Verdict::Accepted, Verdict::Duplicate, Verdict::Stale, Verdict::Gap];
+
+    /// Its name in the history.
     fn name(self) -> &'static str {
         match self {
-            Verdict::Taken => "taken",
-            Verdict::Had => "had",
+            Verdict::Accepted => "taken",
+            Verdict::Duplicate => "had",
             Verdict::Stale => "stale",
             Verdict::Gap => "gap",
         }
     }
 
-    pub fn of(name: &str) -> Option<Verdict> {
-        [Verdict::Taken, Verdict::Had, Verdict::Stale, Verdict::Gap]
-            .into_iter()
-            .find(|one| one.name() == name)
+    fn from_name(name: &str) -> Option<Verdict> {
+        Verdict::ALL.into_iter().find(|verdict| verdict.name() == name)
     }
 }
 
+/// A running sink; its threads end with the process.
+pub struct Sink {
+    /// Where it listens.
+    pub address: SocketAddr,
+    _receiver: Arc<Receiver>,
+}
+
+struct Receiver {
+    started: Instant,
+    has_fencing: bool,
+    state: Mutex<State>,
+}
+
 #[derive(Default)]
-struct Inner {
+struct State {
     guard: FencingGuard,
-    last: BTreeMap<ShardId, u64>,
-    noted: Vec<Noted>,
+    last_spans: BTreeMap<ShardId, u64>,
+    received: Vec<ReceivedEffect>,
 }
 
-pub struct Sink {
-    pub address: SocketAddr,
-    inner: Arc<Mutex<Inner>>,
+struct Response {
+    status: &'static str,
+    body: Value,
 }
 
+/// The effect that a request carries.
+struct Effect {
+    shard: ShardId,
+    epoch: u64,
+    owner: String,
+    span: Option<u64>,
+    tries: Value,
+}
+
+/// The header field or field of the body that is missing or malformed.
+struct InvalidField(&'static str);
+
 impl Sink {
-    /// `fenced`: whether it refuses older epochs, as it should.
-    pub fn start(address: SocketAddr, fenced: bool) -> io::Result<Sink> {
+    /// Starts it. Without fencing it accepts effects of older epochs, which is a fault for tests to find.
+    ///
+    /// # Errors
+    /// Those of the listener.
+    pub fn start(address: SocketAddr, has_fencing: bool) -> io::Result<Sink> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
-        let inner: Arc<Mutex<Inner>> = Arc::default();
-        let shared = inner.clone();
-        let began = Instant::now();
+        let receiver = Arc::new(Receiver { started: Instant::now(), has_fencing, state: Mutex::default() });
+        let shared = Arc::clone(&receiver);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = shared.clone();
-                thread::spawn(move || serve(stream, &shared, began, fenced));
+                let shared = Arc::clone(&shared);
+                thread::spawn(move || shared.serve(stream));
             }
         });
-        Ok(Sink { address, inner })
+        Ok(Sink { address, _receiver: receiver })
+    }
+}
+
+impl Receiver {
+    fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+        let mut reader = BufReader::new(stream.try_clone()?);
+        while let Some(request) = read_http(&mut reader) {
+            let query = request.start_line.strip_prefix("GET /history");
+            let response = match query {
+                Some(query) => self.history(query.trim_start_matches("?from=")),
+                None => self.receive(&request),
+            };
+            let body = response.body.to_string();
+            let head = format!("HTTP/1.1 {}\r\nContent-Length: {}\r\n\r\n", response.status, body.len());
+            stream.write_all((head + &body).as_bytes())?;
+        }
+        Ok(())
+    }
+
+    /// The received effects from the place that the query begins with.
+    fn history(&self, query: &str) -> Response {
+        let from = query.split(' ').next().and_then(|from| from.parse().ok()).unwrap_or(0);
+        let state = lock(&self.state);
+        let received = state.received.get(from..).unwrap_or_default();
+        Response { status: "200 OK", body: received.iter().map(encode).collect() }
     }
 
-    pub fn noted(&self) -> Vec<Noted> {
-        lock(&self.inner).noted.clone()
+    fn receive(&self, request: &HttpMessage) -> Response {
+        let at_us = self.started.elapsed().as_micros() as u64;
+        match Effect::try_from(request) {
+            Ok(effect) => lock(&self.state).receive(effect, at_us, self.has_fencing),
+            Err(InvalidField(field)) => {
+                Response { status: "400 Bad Request", body: json!({ "field": field }) }
+            }
+        }
     }
 }
 
-fn serve(mut stream: TcpStream, inner: &Mutex<Inner>, began: Instant, fenced: bool) -> Option<()> {
-    let mut reader = BufReader::new(stream.try_clone().ok()?);
-    while let Some(request) = read_http(&mut reader) {
-        let from = request.first.strip_prefix("GET /history").map(|rest| rest.trim_start_matches("?from="));
-        let (status, body) = match from {
-            Some(rest) => {
-                let from = rest.split(' ').next().and_then(|from| from.parse().ok()).unwrap_or(0);
-                ("200 OK", history(lock(inner).noted.get(from..).unwrap_or_default()))
+impl State {
+    fn receive(&mut self, effect: Effect, at_us: u64, has_fencing: bool) -> Response {
+        let Effect { shard, epoch, owner, span, tries } = effect;
+        let stale = self.guard.admit(&shard, Epoch(epoch)).err().filter(|_| has_fencing);
+        let last = self.last_spans.get(&shard).copied();
+        let verdict = match (&stale, span, last) {
+            (Some(_), _, _) => Verdict::Stale,
+            (None, Some(span), Some(last)) if span <= last => Verdict::Duplicate,
+            (None, Some(span), Some(last)) if span > last + 1 => Verdict::Gap,
+            (None, _, _) => Verdict::Accepted,
+        };
+        if let (Verdict::Accepted, Some(span)) = (verdict, span) {
+            self.last_spans.insert(shard.clone(), span);
+        }
+        self.received.push(ReceivedEffect { at_us, shard, epoch, owner, span, tries, verdict });
+        match (verdict, stale) {
+            (Verdict::Stale, Some(stale)) => {
+                Response { status: "409 Conflict", body: json!({ "newest": stale.newest }) }
             }
-            None => {
-                let at = began.elapsed().as_micros() as u64;
-                taken(&mut lock(inner), &request, at, fenced)
+            (Verdict::Gap, _) => {
+                Response { status: "409 Conflict", body: json!({ "next": last.unwrap_or(0) + 1 }) }
             }
-        };
-        let body = body.to_string();
-        let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
-        stream.write_all((head + &body).as_bytes()).ok()?;
+            _ => Response { status: "200 OK", body: json!({ "taken": verdict == Verdict::Accepted }) },
+        }
     }
-    Some(())
 }
 
-fn taken(inner: &mut Inner, request: &Http, at: u64, fenced: bool) -> (&'static str, Value) {
-    let wrong = |field: &str| ("400 Bad Request", json!({ "field": field }));
-    let header = |name: &str| request.headers.get(name).map(String::as_str);
-    let lease = header("vy-duty").and_then(|text| text.split_once('/'));
-    let Some((duty, Ok(shard))) = lease.map(|(duty, shard)| (duty, shard.parse::<u32>())) else {
-        return wrong("vy-duty");
-    };
-    let Some(epoch) = header("vy-epoch").and_then(|text| text.parse::<u64>().ok()).filter(|epoch| *epoch > 0)
-    else {
-        return wrong("vy-epoch");
-    };
-    let lease = ShardId::new(duty, shard);
-    let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-    let probe = request.first.starts_with("GET ");
-    let span = body["span"].as_u64();
-    if !probe && span.is_none() {
-        return wrong("span");
-    }
-    let stale = inner.guard.admit(&lease, Epoch(epoch)).err().filter(|_| fenced);
-    let last = inner.last.get(&lease).copied();
-    let verdict = match (&stale, span, last) {
-        (Some(_), _, _) => Verdict::Stale,
-        (None, None, _) | (None, Some(_), None) => Verdict::Taken,
-        (None, Some(span), Some(last)) if span <= last => Verdict::Had,
-        (None, Some(span), Some(last)) if span > last + 1 => Verdict::Gap,
-        (None, Some(_), Some(_)) => Verdict::Taken,
-    };
-    if let (Verdict::Taken, Some(span)) = (verdict, span) {
-        inner.last.insert(lease.clone(), span);
-    }
-    let holder = header("vy-holder").unwrap_or_default().to_string();
-    inner.noted.push(Noted { at, lease, epoch, holder, span, tries: body["tries"].clone(), verdict });
-    match (verdict, stale) {
-        (Verdict::Stale, Some(stale)) => ("409 Conflict", json!({ "newest": stale.newest })),
-        (Verdict::Gap, _) => ("409 Conflict", json!({ "next": last.unwrap_or(0) + 1 })),
-        _ => ("200 OK", json!({ "taken": verdict == Verdict::Taken })),
+impl TryFrom<&HttpMessage> for Effect {
+    type Error = InvalidField;
+
+    fn try_from(request: &HttpMessage) -> Result<Effect, InvalidField> {
+        let header = |name: &str| request.headers.get(name).map(String::as_str);
+        let shard = header("vy-duty").and_then(|text| text.split_once('/'));
+        let Some((duty, Ok(index))) = shard.map(|(duty, index)| (duty, index.parse::<u32>())) else {
+            return Err(InvalidField("vy-duty"));
+        };
+        let epoch = header("vy-epoch").and_then(|text| text.parse::<u64>().ok()).filter(|epoch| *epoch > 0);
+        let epoch = epoch.ok_or(InvalidField("vy-epoch"))?;
+        // A probe has no body; a report whose body is no JSON has no span, and is refused for that.
+        let body: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
+        let span = body["span"].as_u64();
+        if span.is_none() && !request.start_line.starts_with("GET ") {
+            return Err(InvalidField("span"));
+        }
+        let owner = header("vy-holder").unwrap_or_default().to_string();
+        Ok(Effect { shard: ShardId::new(duty, index), epoch, owner, span, tries: body["tries"].clone() })
     }
 }
 
-fn history(noted: &[Noted]) -> Value {
-    let one = |noted: &Noted| {
-        let Noted { at, lease, epoch, holder, span, tries, verdict } = noted;
-        json!({
-            "at": at, "duty": lease.role, "shard": lease.index, "epoch": epoch, "holder": holder, "span": span,
-            "tries": tries, "verdict": verdict.name(),
-        })
-    };
-    noted.iter().map(one).collect()
+fn encode(effect: &ReceivedEffect) -> Value {
+    let ReceivedEffect { at_us, shard, epoch, owner, span, tries, verdict } = effect;
+    json!({
+        "at": at_us, "duty": shard.role, "shard": shard.index, "epoch": epoch, "holder": owner, "span": span,
+        "tries": tries, "verdict": verdict.name(),
+    })
 }
 
-/// What `GET /history` has told.
-pub fn parse(history: &Value) -> Option<Vec<Noted>> {
-    let one = |one: &Value| {
-        Some(Noted {
-            at: one["at"].as_u64()?,
-            lease: ShardId::new(one["duty"].as_str()?, one["shard"].as_u64()? as u32),
-            epoch: one["epoch"].as_u64()?,
-            holder: one["holder"].as_str()?.to_string(),
-            span: one["span"].as_u64(),
-            tries: one["tries"].clone(),
-            verdict: Verdict::of(one["verdict"].as_str()?)?,
+/// Decodes the response of `GET /history`; none if it is malformed.
+pub fn parse(history: &Value) -> Option<Vec<ReceivedEffect>> {
+    let decode = |effect: &Value| {
+        Some(ReceivedEffect {
+            at_us: effect["at"].as_u64()?,
+            shard: ShardId::new(effect["duty"].as_str()?, effect["shard"].as_u64()? as u32),
+            epoch: effect["epoch"].as_u64()?,
+            owner: effect["holder"].as_str()?.to_string(),
+            span: effect["span"].as_u64(),
+            tries: effect["tries"].clone(),
+            verdict: Verdict::from_name(effect["verdict"].as_str()?)?,
         })
     };
-    history.as_array()?.iter().map(one).collect()
+    history.as_array()?.iter().map(decode).collect()
 }
--- a/crates/standin/tests/node.rs
+++ b/crates/standin/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node itself: its workers, its queue, its slow start and its faults.
+//! The node: workers, queue, slow start and faults.
 
 #![cfg(test)]
 
@@ -6,12 +6,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
-use violetyoke_standin::http::{read_http, Http};
-use violetyoke_standin::node::{Fault, Node, Shape};
-use violetyoke_standin::{any, listen};
+use violetyoke_standin::http::{read_http, HttpMessage};
+use violetyoke_standin::node::{Fault, InFlight, Node, Shape};
+use violetyoke_standin::{any_port, listen};
 
 fn node(shape: Shape) -> Node {
-    Node::start(any(), "n", shape).unwrap()
+    Node::start(any_port(), "n", shape).unwrap()
 }
 
 fn send(address: SocketAddr, id: usize) -> TcpStream {
@@ -21,15 +21,15 @@
     stream
 }
 
-fn answer(stream: TcpStream) -> Option<Http> {
+fn response(stream: TcpStream) -> Option<HttpMessage> {
     read_http(&mut BufReader::new(stream))
 }
 
-fn call(address: SocketAddr, id: usize) -> Option<Http> {
-    answer(send(address, id))
+fn call(address: SocketAddr, id: usize) -> Option<HttpMessage> {
+    response(send(address, id))
 }
 
-fn until(mut holds: impl FnMut() -> bool) {
+fn wait_until(mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < Duration::from_secs(10), "waited too long");
@@ -38,23 +38,26 @@
 }
 
 #[test]
-fn what_does_not_fit_in_workers_and_queue_is_declined() {
+fn requests_beyond_workers_and_queue_are_declined() {
     let shape = Shape { workers: 2, queue: 3, service: Duration::from_millis(200), ..Shape::default() };
     let node = node(shape);
     let streams: Vec<_> = (0..5).map(|id| send(node.address, id)).collect();
-    until(|| node.held().0 == 5);
+    wait_until(|| node.in_flight().now == 5);
     let declined = call(node.address, 9).unwrap();
     assert_eq!((declined.status(), declined.headers["srv-declined"].as_str()), (503, "1"));
-    assert!(streams.into_iter().all(|stream| answer(stream).unwrap().status() == 200));
-    assert_eq!((node.ran().len(), node.came().len(), node.held()), (5, 6, (0, 5)));
+    assert!(streams.into_iter().all(|stream| response(stream).unwrap().status() == 200));
+    assert_eq!(
+        (node.executed().len(), node.received().len(), node.in_flight()),
+        (5, 6, InFlight { now: 0, peak: 5 })
+    );
 }
 
 #[test]
-fn a_cold_node_is_slower_and_warms_up() {
+fn a_started_node_is_slower_until_its_slow_start_ends() {
     let shape = Shape {
         service: Duration::from_millis(20),
-        cold_share: 0.25,
-        cold_time: Duration::from_millis(400),
+        initial_speed: 0.25,
+        slow_start: Duration::from_millis(400),
         ..Shape::default()
     };
     let node = node(shape);
@@ -65,39 +68,39 @@
     };
     // At a quarter to a half of its speed.
     assert!(time() >= Duration::from_millis(40));
-    until(|| time() < Duration::from_millis(35));
+    wait_until(|| time() < Duration::from_millis(35));
     node.restart();
     assert!(time() >= Duration::from_millis(40));
 }
 
 #[test]
-fn each_fault_is_what_it_is_called_and_ends() {
+fn each_fault_shows_as_its_name_says_until_it_ends() {
     let node = node(Shape::default());
-    node.fail(Fault::Decline);
+    node.inject(Fault::Decline);
     assert_eq!(call(node.address, 1).unwrap().headers["srv-declined"], "1");
-    node.fail(Fault::Error);
+    node.inject(Fault::Error);
     assert_eq!(call(node.address, 2).unwrap().status(), 500);
-    node.fail(Fault::Spoil);
-    assert!(call(node.address, 3).is_none_or(|answer| answer.status() == 0));
+    node.inject(Fault::Spoil);
+    assert!(call(node.address, 3).is_none_or(|response| response.status() == 0));
     for fault in [Fault::Reset, Fault::Closed] {
-        node.fail(fault);
+        node.inject(fault);
         let mut stream = send(node.address, 4);
         assert!(stream.read(&mut [0; 1]).is_err(), "{fault:?} ends in a reset, not in an orderly close");
     }
-    node.fail(Fault::Hang);
+    node.inject(Fault::Hang);
     let mut stream = send(node.address, 5);
-    until(|| node.came().last().is_some_and(|id| id == "r5"));
+    wait_until(|| node.received().last().is_some_and(|id| id == "r5"));
     stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     let silent = stream.read(&mut [0; 1]).unwrap_err();
     assert!([std::io::ErrorKind::WouldBlock, std::io::ErrorKind::TimedOut].contains(&silent.kind()));
-    node.fail(Fault::None);
+    node.inject(Fault::None);
     assert_eq!(call(node.address, 6).unwrap().status(), 200);
     // Declined, spoilt, reset and hung requests were not worked on.
-    assert_eq!(node.ran(), ["r2", "r6"]);
+    assert_eq!(node.executed(), ["r2", "r6"]);
 }
 
 #[test]
-fn only_loopback_addresses_are_listened_on() {
+fn addresses_other_than_loopback_are_refused() {
     assert!(listen("0.0.0.0:0".parse().unwrap()).is_err());
     assert!(listen("127.0.0.1:0".parse().unwrap()).is_ok());
 }
--- a/crates/violetyoke/src/demo.rs
+++ b/crates/violetyoke/src/demo.rs
@@ -25,7 +25,7 @@
     let listen = chosen(listen)?;
     let node = |name: &str, milliseconds| {
         let shape = Shape { service: Duration::from_millis(milliseconds), ..Shape::default() };
-        Node::start(violetyoke_standin::any(), name, shape).map_err(told)
+        Node::start(violetyoke_standin::any_port(), name, shape).map_err(told)
     };
     let nodes = [node("avail-1", 5)?, node("avail-2", 5)?, node("booking-1", 20)?];
     let text = format!(
--- a/crates/violetyoke/src/demo_tenants.rs
+++ b/crates/violetyoke/src/demo_tenants.rs
@@ -33,7 +33,7 @@
         |end: &str| std::env::temp_dir().join(format!("violetyoke-demo-{}{end}", std::process::id()));
     let shape = Shape { service: Duration::from_millis(5), ..Shape::default() };
     let node =
-        Node::start(violetyoke_standin::any(), "booking-1", shape).map_err(|error| error.to_string())?;
+        Node::start(violetyoke_standin::any_port(), "booking-1", shape).map_err(|error| error.to_string())?;
     let (control, key) = control_plane(beside(".db"))?;
     let ingress = tenants(control, &key)?;
     let key_file = beside(".key");
--- a/crates/violetyoke/tests/bodies.rs
+++ b/crates/violetyoke/tests/bodies.rs
@@ -49,7 +49,7 @@
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"done".as_slice()), "{length}");
         assert!(backend.requests().last().unwrap().body == body, "{length} bytes came otherwise");
     }
-    assert_eq!(backend.seen(), 4);
+    assert_eq!(backend.request_count(), 4);
 }
 
 #[test]
@@ -65,7 +65,7 @@
     ] {
         // Also behind a request that is good, in one piece with it.
         for before in [String::new(), booking("good")] {
-            let (seen, goods) = (backend.seen(), usize::from(!before.is_empty()));
+            let (seen, goods) = (backend.request_count(), usize::from(!before.is_empty()));
             let mut client = ingress.client();
             client.send(before.clone() + &posted(&framing) + &body);
             if goods == 1 {
@@ -73,7 +73,7 @@
             }
             assert_eq!(client.answer().expect("an answer").status(), 400, "{framing}");
             assert!(client.closed(), "{framing}");
-            assert_eq!(backend.seen() - seen, goods, "{framing}");
+            assert_eq!(backend.request_count() - seen, goods, "{framing}");
         }
     }
 }
@@ -134,7 +134,7 @@
         assert!(answer.is_none_or(|answer| [400, 408, 503].contains(&answer.status())));
         assert!(began.elapsed() < Duration::from_millis(2_900), "{:?}", began.elapsed());
     }
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
     // The node was not at fault: it is used on.
     assert_eq!(ingress.client().call(booking("x")).status(), 200);
 }
@@ -153,7 +153,7 @@
     let sent = (0..40).take_while(|_| client.try_send(&piece).is_some()).count();
     assert!(sent >= 32, "cut off after {sent} MiB");
     assert!(client.answer().is_none_or(|answer| answer.status() != 200));
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 /// A raw answer of some form, its body written in pieces with pauses between them.
@@ -174,8 +174,11 @@
         (in_pieces("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", &body, 9), true),
     ];
     for (pieces, closes) in forms {
-        let backend =
-            Backend::start(move |_| Reply::Pieces(pieces.clone(), Duration::from_millis(120), closes));
+        let backend = Backend::start(move |_| Reply::Pieces {
+            pieces: pieces.clone(),
+            pause: Duration::from_millis(120),
+            closes,
+        });
         let (_counter, _discovery, ingress) = start(&backend);
         let mut client = ingress.client();
         // Longer in all than the request's aim: only its first bytes are timed.
@@ -206,7 +209,7 @@
         } else {
             assert_eq!(client.answer().expect("an answer").status(), 502);
         }
-        assert_eq!(backend.seen(), 1);
+        assert_eq!(backend.request_count(), 1);
     }
 }
 
@@ -216,7 +219,7 @@
     let sent = Arc::new(AtomicUsize::new(0));
     let count = sent.clone();
     let backend = Backend::start(move |request| {
-        if !request.first.starts_with("GET") {
+        if !request.start_line.starts_with("GET") {
             return ok(b"done");
         }
         count.fetch_add(1, SeqCst);
--- a/crates/violetyoke/tests/common/control.rs
+++ b/crates/violetyoke/tests/common/control.rs
@@ -1,6 +1,6 @@
 //! The control plane as a process, and a client of its API.
 
-use super::{until, Client, Http, NEXT};
+use super::{until, Client, HttpMessage, NEXT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
     pub status: u16,
     pub body: Value,
     pub version: Option<String>,
-    pub http: Http,
+    pub http: HttpMessage,
 }
 
 impl Api {
@@ -151,7 +151,7 @@
     }
 }
 
-pub fn told(http: Http) -> Told {
+pub fn told(http: HttpMessage) -> Told {
     let body = serde_json::from_slice(&http.body).unwrap_or_default();
     Told { status: http.status(), body, version: http.headers.get("etag").cloned(), http }
 }
--- a/crates/violetyoke/tests/common/hosted.rs
+++ b/crates/violetyoke/tests/common/hosted.rs
@@ -14,7 +14,7 @@
 
 pub fn node(milliseconds: u64) -> Node {
     let shape = Shape { service: Duration::from_millis(milliseconds), workers: 16, ..Shape::default() };
-    Node::start(violetyoke_standin::any(), "n", shape).unwrap()
+    Node::start(violetyoke_standin::any_port(), "n", shape).unwrap()
 }
 
 /// A control plane with a key for an ingress, the files of both, and a node.
--- a/crates/violetyoke/tests/common/mod.rs
+++ b/crates/violetyoke/tests/common/mod.rs
@@ -26,7 +26,7 @@
 use std::time::{Duration, Instant};
 pub use violetyoke_standin::counter::{Counter, Mode};
 pub use violetyoke_standin::discovery::{member, Discovery};
-pub use violetyoke_standin::http::{read_http, Http};
+pub use violetyoke_standin::http::{read_http, HttpMessage};
 pub use violetyoke_standin::scripted::{ok, raw, Backend, Reply, NTH};
 
 const LIMIT: Duration = Duration::from_secs(15);
@@ -242,16 +242,16 @@
         self.stream.write_all(text.as_ref()).ok()
     }
 
-    pub fn answer(&mut self) -> Option<Http> {
+    pub fn answer(&mut self) -> Option<HttpMessage> {
         read_http(&mut self.reader)
     }
 
-    pub fn try_call(&mut self, text: impl AsRef<[u8]>) -> Option<Http> {
+    pub fn try_call(&mut self, text: impl AsRef<[u8]>) -> Option<HttpMessage> {
         self.stream.write_all(text.as_ref()).ok()?;
         self.answer()
     }
 
-    pub fn call(&mut self, text: impl AsRef<[u8]>) -> Http {
+    pub fn call(&mut self, text: impl AsRef<[u8]>) -> HttpMessage {
         self.send(text);
         self.answer().expect("a whole answer")
     }
--- a/crates/violetyoke/tests/consult.rs
+++ b/crates/violetyoke/tests/consult.rs
@@ -11,24 +11,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use violetyoke_ratelimit_proto as proto;
-use violetyoke_standin::limiter::{Limiter, Mode as Outside};
 use violetyoke_standin::node::{Node, Shape};
+use violetyoke_standin::rate_limit_server::{Behavior, RateLimitServer};
 
 const HOST: &str = "booking.example.org";
 const HOUR: Duration = Duration::from_secs(3_600);
 
 fn node() -> Node {
     let shape = Shape { service: Duration::from_millis(1), ..Shape::default() };
-    Node::start(violetyoke_standin::any(), "n", shape).unwrap()
+    Node::start(violetyoke_standin::any_port(), "n", shape).unwrap()
 }
 
 /// `limit` units of each account for the length of a test.
-fn limiter(limit: u64) -> Limiter {
-    Limiter::start(violetyoke_standin::any(), limit, HOUR).unwrap()
+fn limiter(limit: u64) -> RateLimitServer {
+    RateLimitServer::start(violetyoke_standin::any_port(), limit, HOUR).unwrap()
 }
 
 /// A pool that asks, with a quota of its own of 100 units unless `more` has another plan.
-fn file(node: &Node, limiter: &Limiter, consult: &str, more: &str) -> String {
+fn file(node: &Node, limiter: &RateLimitServer, consult: &str, more: &str) -> String {
     let plan =
         if more.contains("plan =") { "" } else { "plan = [{ name = \"basic\", rate = 0.01, burst = 100 }]" };
     format!(
@@ -65,7 +65,7 @@
 const REFUSE: &str = "when_silent = \"refuse\"\nbudget_ms = 100\nbreaker = { failures = 1000000 }";
 const OWN: &str = "when_silent = \"own_quota\"\nbudget_ms = 100\nbreaker = { failures = 1000000 }";
 
-fn booking(address: SocketAddr, account: &str) -> Http {
+fn booking(address: SocketAddr, account: &str) -> HttpMessage {
     let mut client = Client::try_open(address).expect("the service takes connections");
     client.call(open_request("POST", HOST, "/bookings", account, "room=4"))
 }
@@ -86,27 +86,27 @@
     let service = Service::start(&file(&node, &limiter, &format!("{keys}{REFUSE}"), ""));
     let codes: Vec<u16> = (0..5).map(|_| status(&service, "h")).collect();
     assert_eq!(codes, [200, 200, 200, 429, 429]);
-    assert_eq!(node.came().len(), 3);
+    assert_eq!(node.received().len(), 3);
     let refused = booking(service.address, "h");
     // The outside server names the end of its window, and the pool the longest time that it tells.
     assert_eq!(refused.headers["retry-after"], "60.000");
-    let seen = limiter.seen();
+    let seen = limiter.received();
     let entries: Vec<_> = seen[0].entries.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
     let expected = [("service", "rooms"), ("account", "h"), ("tier", "basic"), ("class", "booking-post")];
     assert_eq!((seen[0].domain.as_str(), entries.as_slice()), ("partners", expected.as_slice()));
     // A server that counts wrongly lets nobody past the pool's own quota, and one that is too strict costs none.
     let service =
         Service::start(&file(&node, &limiter, REFUSE, "plan = [{ name = \"p\", rate = 0.01, burst = 2 }]"));
-    limiter.set(Outside::Strict);
+    limiter.set(Behavior::AdmitNone);
     assert_eq!((status(&service, "g"), status(&service, "g")), (429, 429));
-    limiter.set(Outside::Lenient);
+    limiter.set(Behavior::AdmitAll);
     assert_eq!([status(&service, "g"), status(&service, "g"), status(&service, "g")], [200, 200, 429]);
 }
 
 #[test]
 fn silence_is_answered_by_the_budget_and_as_the_file_states() {
     for (consult, code) in [(OWN, 200), (REFUSE, 503)] {
-        for mode in [Outside::Silent, Outside::Error, Outside::Garble] {
+        for mode in [Behavior::Silent, Behavior::Error, Behavior::UnknownCode] {
             let (node, limiter) = (node(), limiter(9));
             let service = Service::start(&file(&node, &limiter, consult, ""));
             limiter.set(mode);
@@ -114,7 +114,7 @@
             assert_eq!(status(&service, "h"), code, "{mode:?}");
             // Well before its deadline of 2 s: the budget is 100 ms.
             assert!(began.elapsed() < Duration::from_millis(1_500), "{mode:?}: {:?}", began.elapsed());
-            assert_eq!(limiter.seen().len(), 1);
+            assert_eq!(limiter.received().len(), 1);
         }
         // Nobody listens there at all.
         let (node, limiter) = (node(), limiter(9));
@@ -129,7 +129,7 @@
     let (node, limiter) = (node(), limiter(9));
     let consult = OWN.replace("budget_ms = 100", "budget_ms = 60000");
     let service = Service::start(&file(&node, &limiter, &consult, ""));
-    limiter.set(Outside::Silent);
+    limiter.set(Behavior::Silent);
     let request = open_request("POST", HOST, "/bookings", "h", "room=4");
     let began = Instant::now();
     let hurried = request.replacen("X-Account", "Req-Deadline: 400m\r\nX-Account", 1);
@@ -142,11 +142,11 @@
     let (node, limiter) = (node(), limiter(1));
     let consult = format!("{REFUSE}\ncredit_ms = 60000\nlate_ms = 10000");
     let service = Service::start(&file(&node, &limiter, &consult, ""));
-    limiter.set(Outside::Delay(Duration::from_millis(400)));
+    limiter.set(Behavior::Delay(Duration::from_millis(400)));
     assert_eq!(status(&service, "h"), 503);
-    assert_eq!(node.came().len(), 0);
+    assert_eq!(node.received().len(), 0);
     // The only unit has been counted for it; in time the answer is booked, and exactly one request passes by it.
-    limiter.set(Outside::Answer);
+    limiter.set(Behavior::Answer);
     let mut codes = Vec::new();
     until("the late answer is booked", || {
         codes.push(status(&service, "h"));
@@ -155,7 +155,7 @@
     codes.extend((0..5).map(|_| status(&service, "h")));
     assert_eq!(codes.iter().filter(|code| **code == 200).count(), 1, "{codes:?}");
     assert!(codes.iter().all(|code| [200, 429].contains(code)), "{codes:?}");
-    assert_eq!(node.came().len(), 1);
+    assert_eq!(node.received().len(), 1);
 }
 
 #[test]
@@ -164,9 +164,9 @@
     // One place: the next question is asked only once the late one has given it back.
     let service =
         Service::start(&file(&node, &limiter, &format!("{OWN}\nmost_open = 1\nlate_ms = 10000"), ""));
-    limiter.set(Outside::Delay(Duration::from_millis(300)));
+    limiter.set(Behavior::Delay(Duration::from_millis(300)));
     assert_eq!(status(&service, "h"), 200);
-    limiter.set(Outside::Answer);
+    limiter.set(Behavior::Answer);
     let mut codes = Vec::new();
     until("the late answer has come", || {
         codes.push(status(&service, "h"));
@@ -174,25 +174,25 @@
     });
     // Until then the place was taken, and the own quota let all in without asking.
     assert!(codes[..codes.len() - 1].iter().all(|code| *code == 200), "{codes:?}");
-    assert_eq!(limiter.seen().len(), 2);
-    assert_eq!((status(&service, "h"), limiter.seen().len()), (429, 3));
+    assert_eq!(limiter.received().len(), 2);
+    assert_eq!((status(&service, "h"), limiter.received().len()), (429, 3));
 }
 
 #[test]
 fn answers_that_never_come_give_their_places_back() {
     let (node, limiter) = (node(), limiter(100));
     let service = Service::start(&file(&node, &limiter, &format!("{OWN}\nmost_open = 2\nlate_ms = 200"), ""));
-    limiter.set(Outside::Silent);
+    limiter.set(Behavior::Silent);
     // More at once than there are places: whoever gets none is answered without being asked about.
     let address = service.address;
     let calls: Vec<_> = (0..6).map(|_| thread::spawn(move || booking(address, "h").status())).collect();
     assert!(calls.into_iter().all(|call| call.join().unwrap() == 200));
-    assert!((2..=6).contains(&limiter.seen().len()));
-    limiter.set(Outside::Answer);
-    let before = limiter.seen().len();
+    assert!((2..=6).contains(&limiter.received().len()));
+    limiter.set(Behavior::Answer);
+    let before = limiter.received().len();
     until("places are free again", || {
         assert_eq!(status(&service, "h"), 200);
-        limiter.seen().len() >= before + 3
+        limiter.received().len() >= before + 3
     });
 }
 
@@ -202,7 +202,7 @@
     let breaker =
         "when_silent = \"refuse\"\nbreaker = { failures = 3, pause_ms = 2000, longest_pause_ms = 2000 }";
     let service = Service::start(&file(&node, &limiter, breaker, ""));
-    limiter.set(Outside::Error);
+    limiter.set(Behavior::Error);
     for _ in 0..3 {
         assert_eq!(status(&service, "h"), 503);
     }
@@ -210,8 +210,8 @@
     let refused = booking(service.address, "h");
     let retry: f64 = refused.headers["retry-after"].parse().unwrap();
     assert!(refused.status() == 503 && retry > 0.0 && retry <= 2.0, "{retry}");
-    assert_eq!(limiter.seen().len(), 3);
-    limiter.set(Outside::Answer);
+    assert_eq!(limiter.received().len(), 3);
+    limiter.set(Behavior::Answer);
     until("a trial has closed it", || status(&service, "h") == 200);
     assert_eq!((status(&service, "h"), status(&service, "h")), (200, 200));
     let log = service.log();
@@ -224,16 +224,16 @@
     let (node, limiter) = (node(), limiter(100));
     let consult = REFUSE.replace("budget_ms = 100", "budget_ms = 5000\nbudget_part = 0.5");
     let service = Service::start(&file(&node, &limiter, &consult, ""));
-    limiter.set(Outside::Delay(Duration::from_millis(50)));
+    limiter.set(Behavior::Delay(Duration::from_millis(50)));
     let address = service.address;
     for round in 1..=3 {
         let calls: Vec<_> = (0..8).map(|_| thread::spawn(move || booking(address, "h").status())).collect();
-        until("all are out", || limiter.seen().len() >= round * 8 - 4);
-        limiter.go_away();
+        until("all are out", || limiter.received().len() >= round * 8 - 4);
+        limiter.close_gracefully();
         assert_eq!(calls.into_iter().map(|call| call.join().unwrap()).collect::<Vec<_>>(), [200; 8]);
     }
     // Each was counted outside once: what was not looked at was asked again, and nothing else.
-    assert_eq!(limiter.seen().iter().filter(|seen| seen.counted).count(), 24);
+    assert_eq!(limiter.received().iter().filter(|seen| seen.is_counted).count(), 24);
     assert!(limiter.connections() >= 3);
 }
 
@@ -242,18 +242,18 @@
     let (node, limiter) = (node(), limiter(100));
     let consult = REFUSE.replace("budget_ms = 100", "budget_ms = 5000\nbudget_part = 0.5");
     let service = Service::start(&file(&node, &limiter, &consult, ""));
-    limiter.set(Outside::Silent);
+    limiter.set(Behavior::Silent);
     let address = service.address;
     let call = thread::spawn(move || {
         let began = Instant::now();
         (booking(address, "h").status(), began.elapsed())
     });
-    until("it is out", || limiter.seen().len() == 1);
-    limiter.break_off();
+    until("it is out", || limiter.received().len() == 1);
+    limiter.close_abruptly();
     let (code, took) = call.join().unwrap();
     // Answered when it broke, not when its time was up.
     assert!(code == 503 && took < Duration::from_millis(900), "{code} after {took:?}");
-    limiter.set(Outside::Answer);
+    limiter.set(Behavior::Answer);
     assert_eq!(status(&service, "h"), 200);
 }
 
@@ -263,14 +263,14 @@
     let consult = format!("{REFUSE}\ncredit_ms = 60000\nlate_ms = 10000")
         .replace("budget_ms = 100", "budget_ms = 5000");
     let service = Service::start(&file(&node, &limiter, &consult, ""));
-    limiter.set(Outside::Delay(Duration::from_millis(300)));
+    limiter.set(Behavior::Delay(Duration::from_millis(300)));
     let mut client = service.client();
     client.send(open_request("POST", HOST, "/bookings", "h", "room=4"));
-    until("it is out", || limiter.seen().len() == 1);
+    until("it is out", || limiter.received().len() == 1);
     drop(client);
-    limiter.set(Outside::Answer);
+    limiter.set(Behavior::Answer);
     until("its unit is there for another", || status(&service, "h") == 200);
-    assert_eq!(node.came().len(), 1);
+    assert_eq!(node.received().len(), 1);
     assert_eq!(status(&service, "h"), 429);
 }
 
@@ -296,8 +296,8 @@
         assert!(ask(&["b"]).await && ask(&["b"]).await && !ask(&["b"]).await);
     });
     let counted = |account: &str| {
-        let seen = limiter.seen();
-        seen.iter().filter(|seen| seen.counted && seen.entries[0].1 == account).count()
+        let seen = limiter.received();
+        seen.iter().filter(|seen| seen.is_counted && seen.entries[0].1 == account).count()
     };
     assert_eq!((counted("a"), counted("b")), (2, 2));
 }
@@ -322,16 +322,16 @@
     };
     assert_eq!(tried(&a, "h", "t1"), 200);
     told(10_000.0, 1);
-    limiter.set(Outside::Strict);
+    limiter.set(Behavior::AdmitNone);
     assert_eq!(tried(&a, "h", "t2"), 429);
     told(1_000_000.0, 1);
-    limiter.set(Outside::Lenient);
-    let before = limiter.seen().len();
-    assert_eq!((tried(&b, "h", "t2"), limiter.seen().len()), (429, before));
+    limiter.set(Behavior::AdmitAll);
+    let before = limiter.received().len();
+    assert_eq!((tried(&b, "h", "t2"), limiter.received().len()), (429, before));
     // Silence is no word on a try: it is fresh to whoever asks next.
-    limiter.set(Outside::Error);
+    limiter.set(Behavior::Error);
     assert_eq!(tried(&a, "h", "t3"), 503);
-    limiter.set(Outside::Lenient);
+    limiter.set(Behavior::AdmitAll);
     assert_eq!(tried(&b, "h", "t3"), 200);
 }
 
@@ -340,10 +340,10 @@
     let (node, limiter) = (node(), limiter(9));
     let consult = REFUSE.replace("budget_ms = 100", "budget_ms = 5000\nbudget_part = 0.5");
     let mut service = Service::start(&file(&node, &limiter, &consult, ""));
-    limiter.set(Outside::Delay(Duration::from_millis(300)));
+    limiter.set(Behavior::Delay(Duration::from_millis(300)));
     let address = service.address;
     let call = thread::spawn(move || booking(address, "h").status());
-    until("it is out", || limiter.seen().len() == 1);
+    until("it is out", || limiter.received().len() == 1);
     service.signal("-TERM");
     assert_eq!(call.join().unwrap(), 200);
     until("the service ends", || service.child.try_wait().unwrap().is_some());
@@ -358,8 +358,8 @@
     let mut service = Service::start(&text);
     assert_eq!((status(&service, "h"), status(&service, "h")), (200, 429));
     service.reload(&off);
-    assert_eq!((status(&service, "h"), limiter.seen().len()), (200, 2));
+    assert_eq!((status(&service, "h"), limiter.received().len()), (200, 2));
     service.reload(&text.replace("refuse", "own_quota"));
-    assert_eq!((status(&service, "h"), limiter.seen().len()), (429, 3));
+    assert_eq!((status(&service, "h"), limiter.received().len()), (429, 3));
     service.reload_refused(&text.replace("refuse", "perhaps"));
 }
--- a/crates/violetyoke/tests/handed_down.rs
+++ b/crates/violetyoke/tests/handed_down.rs
@@ -16,9 +16,9 @@
 /// Calls until the process has left `node` out, as it then sends it next to nothing.
 fn learn_of(process: &Process, node: &Backend) {
     until("the sick node is left out", || {
-        let before = node.seen();
+        let before = node.request_count();
         serves(&process.ingress, 20);
-        node.seen() == before
+        node.request_count() == before
     });
 }
 
@@ -35,9 +35,9 @@
     learn_of(&old, &a);
     let new = held.start();
     until_told(&new, "handed down: believed: 3 nodes");
-    let before = a.seen();
+    let before = a.request_count();
     serves(&new.ingress, 4);
-    assert_eq!(a.seen(), before);
+    assert_eq!(a.request_count(), before);
 }
 
 /// Another process of the ingress, played by the test: it has said that it serves, and answers who asks.
@@ -169,9 +169,9 @@
     new.ingress.exit();
     until("the old one takes clients again", || old.ingress.told("clients: Serving") == 1);
     until("and has back what it lent", || old.ingress.told("it is taken back") == 1);
-    let before = a.seen();
+    let before = a.request_count();
     serves(&old.ingress, 4);
-    assert_eq!(a.seen(), before);
+    assert_eq!(a.request_count(), before);
     // And hands it to the next.
     let next = held.start();
     until_told(&next, "handed down: believed: 2 nodes");
--- a/crates/violetyoke/tests/operations.rs
+++ b/crates/violetyoke/tests/operations.rs
@@ -34,21 +34,21 @@
     // The call may come twice.
     assert_eq!(call(console, "PUT", "/-/backends/s-0/disable"), 200);
     assert_eq!(call(console, "PUT", "/-/backends/s-0/disable"), 200);
-    let before = a.seen();
+    let before = a.request_count();
     serves(&ingress, 20);
-    assert_eq!((a.seen(), b.seen() >= 20), (before, true));
+    assert_eq!((a.request_count(), b.request_count() >= 20), (before, true));
     // Whatever the list says of it meanwhile: it drains, and starts anew.
-    discovery.change(member("s-0", a.address, "terminating"));
+    discovery.update(member("s-0", a.address, "terminating"));
     let mut started = member("s-0", a.address, "in_service");
     started["up_since_ms"] = json!(1);
-    discovery.change(started);
-    discovery.change(member("s-9", b.address, "in_service"));
+    discovery.update(started);
+    discovery.update(member("s-9", b.address, "in_service"));
     until("the list is heard", || call(console, "PUT", "/-/backends/s-9/enable") == 200);
     serves(&ingress, 20);
-    assert_eq!(a.seen(), before);
+    assert_eq!(a.request_count(), before);
     assert_eq!(call(console, "PUT", "/-/backends/s-0/enable"), 200);
     let mut client = ingress.client();
-    until("it is used again", || client.call(read_request()).status() == 200 && a.seen() > before);
+    until("it is used again", || client.call(read_request()).status() == 200 && a.request_count() > before);
 }
 
 #[test]
@@ -133,18 +133,18 @@
     until("the new class is known", || ingress.client().call(posted("upsell-post")).status() == 502);
     // The old one is not, and the class that stays goes on as it was: not sent again.
     assert_eq!(ingress.client().call(read_request()).status(), 404);
-    let before = a.seen();
+    let before = a.request_count();
     assert_eq!(ingress.client().call(posted("booking-post")).status(), 502);
-    assert_eq!(a.seen(), before + 1);
+    assert_eq!(a.request_count(), before + 1);
     // It becomes harmless to repeat, twice at most.
     config["settings"]["categories"][0]["effect"] = json!("idempotent");
     config["settings"]["bounds"]["attempts-cap"] = json!(2);
     ingress.reload(&config.to_string());
     let again = || head("GET", "booking-post", "wide", "1000m") + "\r\n";
     until("its effect has changed", || ingress.client().call(again()).status() == 503);
-    let before = a.seen();
+    let before = a.request_count();
     assert_eq!(ingress.client().call(again()).status(), 503);
-    assert!((1..=2).contains(&(a.seen() - before)), "{}", a.seen() - before);
+    assert!((1..=2).contains(&(a.request_count() - before)), "{}", a.request_count() - before);
 }
 
 #[test]
--- a/crates/violetyoke/tests/platform.rs
+++ b/crates/violetyoke/tests/platform.rs
@@ -39,7 +39,7 @@
     assert_eq!((answer.status(), answer.body), (200, body));
     let seen = backend.requests();
     assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].first, "POST /booking-post/x?room=4%201&q=a HTTP/1.1");
+    assert_eq!(seen[0].start_line, "POST /booking-post/x?room=4%201&q=a HTTP/1.1");
     assert_eq!(seen[0].body, b"{\"room\":4}");
     assert!(request.contains(&format!("Req-Id: {}\r\n", seen[0].headers["req-id"])));
     let left: u64 = seen[0].headers["req-deadline"].strip_suffix('u').unwrap().parse().unwrap();
@@ -48,7 +48,7 @@
     assert_eq!(amounts, [2.0]);
     // The connections on both sides carry the next request.
     assert_eq!(client.call(read_request()).status(), 200);
-    assert_eq!((backend.seen(), backend.connections()), (2, 1));
+    assert_eq!((backend.request_count(), backend.connections()), (2, 1));
 }
 
 #[test]
@@ -63,7 +63,7 @@
         Ingress::start_with(&counter, &discovery, |config| config["settings"]["self-index"] = json!(1));
     // A window's end may fall between two requests, but hardly twice in a row.
     let alike = (0..3).any(|_| {
-        counter.forget_calls();
+        counter.clear_calls();
         assert_eq!(first.client().call(read_request()).status(), 200);
         assert_eq!(second.client().call(read_request()).status(), 200);
         counter.names().into_iter().collect::<HashSet<_>>().len() == 1
@@ -83,7 +83,7 @@
         let (_counter, _discovery, ingress) = one_backend(&backend);
         let answer = ingress.client().call(booking("x"));
         assert!(![200, 429, 503].contains(&answer.status()), "{} after {bytes:.60}", answer.status());
-        assert_eq!(backend.seen(), 1, "after {bytes:.60}");
+        assert_eq!(backend.request_count(), 1, "after {bytes:.60}");
     }
 }
 
@@ -100,7 +100,7 @@
     });
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let answer = ingress.client().call(booking("x"));
-    assert_eq!((answer.status(), backend.seen()), (200, 2));
+    assert_eq!((answer.status(), backend.request_count()), (200, 2));
 }
 
 fn fleet(backends: &[Backend]) -> (Counter, Discovery, Ingress) {
@@ -140,7 +140,7 @@
         clients.iter_mut().for_each(|client| client.send(read_request()));
         assert!(clients.iter_mut().all(|client| client.answer().unwrap().status() == 200));
     }
-    assert_eq!(backends[2].seen(), 3);
+    assert_eq!(backends[2].request_count(), 3);
 }
 
 #[test]
@@ -173,7 +173,7 @@
     }
     // Three to learn of it, and one trial each time that a while (half a second, at first) is over.
     let trials = start.elapsed().as_millis() as usize / 500;
-    assert!(backends[2].seen() <= 3 + trials, "{} requests", backends[2].seen());
+    assert!(backends[2].request_count() <= 3 + trials, "{} requests", backends[2].request_count());
 }
 
 #[test]
@@ -263,7 +263,7 @@
         let backend = Backend::start(move |request| {
             number += 1;
             // Two spoilt answers in a row, from the only backend there is.
-            if number <= 2 || request.first.starts_with("POST") {
+            if number <= 2 || request.start_line.starts_with("POST") {
                 raw(spoilt)
             } else {
                 ok(b"good")
@@ -276,11 +276,11 @@
         let answer = client.call(read_request());
         assert_eq!((answer.status(), answer.body), (200, b"good".to_vec()), "{spoilt}");
         assert!(start.elapsed() < Duration::from_millis(700), "{:?} {spoilt}", start.elapsed());
-        assert_eq!((backend.seen(), backend.connections()), (3, 3), "{spoilt}");
+        assert_eq!((backend.request_count(), backend.connections()), (3, 3), "{spoilt}");
         // It may have run: an unsafe one has failed, and is not sent again.
         let status = client.call(booking("x")).status();
         assert!(![200, 429, 503].contains(&status), "{status} {spoilt}");
-        assert_eq!(backend.seen(), 4, "{spoilt}");
+        assert_eq!(backend.request_count(), 4, "{spoilt}");
     }
 }
 
@@ -322,8 +322,10 @@
     let mut client = ingress.client();
     for _ in 0..10 {
         assert_eq!(client.call(read_request()).body, b"mine");
-        let late = backend.late();
-        until("the stale bytes are out", || backend.late() > late || backend.seen().is_multiple_of(2));
+        let late = backend.late_replies();
+        until("the stale bytes are out", || {
+            backend.late_replies() > late || backend.request_count().is_multiple_of(2)
+        });
         assert_eq!(client.call(read_request()).body, b"mine");
     }
 }
@@ -340,7 +342,7 @@
     for _ in 0..120 {
         assert_eq!(client.call(read_request()).status(), 200);
     }
-    assert!(backends.iter().filter(|backend| backend.seen() > 0).count() > 24);
+    assert!(backends.iter().filter(|backend| backend.request_count() > 0).count() > 24);
 }
 
 #[test]
@@ -350,16 +352,16 @@
     let mut client = ingress.client();
     assert_eq!(client.call(read_request()).body, b"first");
     for round in 0..2 {
-        discovery.change(member("s-2", second.address, "in_service"));
-        discovery.change(member("s-1", first.address, "terminated"));
+        discovery.update(member("s-2", second.address, "in_service"));
+        discovery.update(member("s-1", first.address, "terminated"));
         until("the second serves", || client.call(read_request()).body == b"second");
         // Forgotten ones are dropped once a second.
         std::thread::sleep(Duration::from_millis(1200));
         let id = ["s-1", "s-3"][round];
-        discovery.change(member(id, first.address, "in_service"));
-        discovery.change(member("s-2", second.address, "terminated"));
+        discovery.update(member(id, first.address, "in_service"));
+        discovery.update(member("s-2", second.address, "terminated"));
         until("the first serves", || client.call(read_request()).body == b"first");
-        discovery.change(member(id, first.address, "in_service"));
+        discovery.update(member(id, first.address, "in_service"));
     }
 }
 
@@ -376,9 +378,9 @@
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let mut client = ingress.client();
     assert_eq!(client.call(booking("x")).status(), 200);
-    until("the first connection has ended", || backend.ended() == 1);
+    until("the first connection has ended", || backend.ended_connections() == 1);
     assert_eq!(client.call(booking("x")).status(), 200);
-    assert_eq!((backend.seen(), backend.connections()), (2, 2));
+    assert_eq!((backend.request_count(), backend.connections()), (2, 2));
 }
 
 #[test]
@@ -389,8 +391,8 @@
     let answer = ingress.client().call(booking("x"));
     assert!(start.elapsed() < Duration::from_millis(1000), "{:?}", start.elapsed());
     assert!(![200, 429, 503].contains(&answer.status()), "{}", answer.status());
-    until("the attempt's connection is closed", || backend.ended() == 1);
-    assert_eq!(backend.seen(), 1);
+    until("the attempt's connection is closed", || backend.ended_connections() == 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
@@ -400,9 +402,9 @@
     let mut client = ingress.client();
     let start = Instant::now();
     client.send(read_request());
-    until("the attempt is out", || backend.seen() == 1);
+    until("the attempt is out", || backend.request_count() == 1);
     client.stream.shutdown(Shutdown::Both).unwrap();
-    until("the attempt's connection is closed", || backend.ended() == 1);
+    until("the attempt's connection is closed", || backend.ended_connections() == 1);
     // Well before the attempt would have been given up anyway.
     assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
 }
@@ -413,15 +415,15 @@
     let (_counter, discovery, ingress) = one_backend(&old);
     let mut client = ingress.client();
     assert_eq!(client.call(read_request()).body, b"old");
-    discovery.change(member("s-2", new.address, "in_service"));
-    discovery.change(member("s-1", old.address, "terminating"));
-    until("its idle connection is closed", || old.ended() == 1);
+    discovery.update(member("s-2", new.address, "in_service"));
+    discovery.update(member("s-1", old.address, "terminating"));
+    until("its idle connection is closed", || old.ended_connections() == 1);
     for _ in 0..10 {
         assert_eq!(client.call(read_request()).body, b"new");
     }
-    assert_eq!(old.seen(), 1);
-    discovery.change(member("s-2", new.address, "terminated"));
-    until("its idle connection is closed", || new.ended() == new.connections());
+    assert_eq!(old.request_count(), 1);
+    discovery.update(member("s-2", new.address, "terminated"));
+    until("its idle connection is closed", || new.ended_connections() == new.connections());
     assert_eq!(client.call(read_request()).status(), 503);
 }
 
@@ -431,8 +433,8 @@
     let (_counter, discovery, ingress) = one_backend(&old);
     let mut client = ingress.client();
     assert_eq!(client.call(read_request()).body, b"old");
-    discovery.change(member("s-1", new.address, "in_service"));
-    until("the old connection is closed", || old.ended() == 1);
+    discovery.update(member("s-1", new.address, "in_service"));
+    until("the old connection is closed", || old.ended_connections() == 1);
     assert_eq!(client.call(read_request()).body, b"new");
 }
 
@@ -440,13 +442,13 @@
 fn a_watch_that_falls_silent_is_begun_anew() {
     let (old, new) = (Backend::start(|_| ok(b"old")), Backend::start(|_| ok(b"new")));
     let (_counter, discovery, ingress) = one_backend(&old);
-    discovery.silence(true);
-    discovery.change(member("s-1", old.address, "terminated"));
-    discovery.change(member("s-2", new.address, "in_service"));
+    discovery.set_silent(true);
+    discovery.update(member("s-1", old.address, "terminated"));
+    discovery.update(member("s-2", new.address, "in_service"));
     let calls = discovery.calls();
     // The call that was swallowed is given up, and later ones too, until one is answered.
     until("a further call came", || discovery.calls() > calls);
-    discovery.silence(false);
+    discovery.set_silent(false);
     until("the new list is in force", || ingress.client().call(read_request()).body == b"new");
 }
 
@@ -457,11 +459,11 @@
         (Counter::start(), Discovery::start(vec![member("s-1", old.address, "in_service")]));
     let known =
         json!({"revision": 1, "complete": true, "members": [member("s-1", old.address, "in_service")]});
-    discovery.change(member("s-2", new.address, "in_service"));
-    discovery.change(member("s-1", old.address, "terminated"));
+    discovery.update(member("s-2", new.address, "in_service"));
+    discovery.update(member("s-1", old.address, "terminated"));
     let ingress = Ingress::start_with(&counter, &discovery, |config| config["known"] = known);
     until("the changes are in force", || ingress.client().call(read_request()).body == b"new");
-    assert_eq!(discovery.whole_calls(), 0);
+    assert_eq!(discovery.full_list_calls(), 0);
 }
 
 #[test]
@@ -471,7 +473,7 @@
         (Counter::start(), Discovery::start(vec![member("s-1", old.address, "in_service")]));
     let known =
         json!({"revision": 1, "complete": true, "members": [member("s-1", old.address, "in_service")]});
-    discovery.overbook(true);
+    discovery.set_overloaded(true);
     let ingress = Ingress::start_with(&counter, &discovery, |config| config["known"] = known);
     until("a call is turned away", || discovery.calls() >= 1);
     let first = Instant::now();
@@ -479,9 +481,9 @@
     until("it is made twice more", || discovery.calls() >= 3);
     // The pauses are half a second and a second at least, less what passed before the first call was seen.
     assert!(first.elapsed() >= Duration::from_millis(1200), "{:?}", first.elapsed());
-    discovery.change(member("s-2", new.address, "in_service"));
-    discovery.change(member("s-1", old.address, "terminated"));
-    discovery.overbook(false);
+    discovery.update(member("s-2", new.address, "in_service"));
+    discovery.update(member("s-1", old.address, "terminated"));
+    discovery.set_overloaded(false);
     until("the changes are in force", || ingress.client().call(read_request()).body == b"new");
 }
 
@@ -489,7 +491,7 @@
 fn it_is_ready_only_with_a_list_and_starts_from_the_known_one() {
     let backend = Backend::start(|_| ok(b"x"));
     let (counter, discovery) = (Counter::start(), Discovery::start(Vec::new()));
-    discovery.silence(true);
+    discovery.set_silent(true);
     let bare = Ingress::spawn(&counter, &discovery, |_| {});
     until("it listens", || Client::try_open(bare.address).is_some());
     assert_eq!(bare.client().call(READY).status(), 503);
@@ -519,7 +521,7 @@
 
 #[test]
 fn a_counter_that_is_silent_busy_or_broken_does_not_stop_the_service() {
-    for mode in [Mode::Silent, Mode::Busy, Mode::Break] {
+    for mode in [Mode::Silent, Mode::Busy, Mode::Disconnect] {
         let backend = Backend::start(|_| ok(b"x"));
         let (counter, _discovery, ingress) = one_backend(&backend);
         counter.set(mode);
@@ -532,7 +534,7 @@
         counter.set(Mode::Answer);
         // It is asked again once it is back; a connection that owes answers is replaced.
         until("the counter answers again", || {
-            counter.forget_calls();
+            counter.clear_calls();
             assert_eq!(client.call(read_request()).status(), 200);
             !counter.calls().is_empty()
         });
@@ -639,7 +641,7 @@
     half.stream.shutdown(Shutdown::Write).unwrap();
     assert!(half.answer().is_none_or(|answer| answer.status() == 400));
     ingress.client().send(&good[..good.len() / 2]);
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
     assert_eq!(ingress.client().call(read_request()).status(), 200);
 }
 
@@ -681,7 +683,7 @@
     assert!(body.answer().is_none_or(|answer| answer.status() == 408));
     let took = start.elapsed();
     assert!(took > Duration::from_millis(2000) && took < Duration::from_millis(3000), "{took:?}");
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
@@ -711,7 +713,7 @@
         assert_eq!(answer.headers["connection"], "close", "{text}");
         assert!(client.closed(), "{text}");
     }
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
@@ -735,14 +737,14 @@
     let (mut first, mut second) = (ingress.client(), ingress.client());
     let request = booking("x");
     first.send(&request);
-    until("the request is out", || backend.seen() == 1);
+    until("the request is out", || backend.request_count() == 1);
     assert_eq!(second.call(&request).status(), 400);
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
     // Once it is over the id is forgotten.
     assert_eq!(first.answer().map(|answer| answer.status()), Some(502));
     second = ingress.client();
     second.send(&request);
-    until("it is sent on", || backend.seen() == 2);
+    until("it is sent on", || backend.request_count() == 2);
 }
 
 #[test]
@@ -761,7 +763,7 @@
     let asked = |counter: &Counter, body: &[u8]| {
         until("the new list is in force", || ingress.client().call(read_request()).body == body);
         until("the new counter is asked", || {
-            counter.forget_calls();
+            counter.clear_calls();
             assert_eq!(ingress.client().call(read_request()).body, body);
             !counter.calls().is_empty()
         });
@@ -793,7 +795,7 @@
     });
     let mut client = ingress.client();
     assert_eq!(client.call(read_request()).status(), 200);
-    counter.set(Mode::Noise);
+    counter.set(Mode::Malformed);
     let start = Instant::now();
     assert_eq!(client.call(read_request()).status(), 200);
     // The illegible answer is seen when it comes, not when the call's time is up.
@@ -801,7 +803,7 @@
     counter.set(Mode::Answer);
     // Nor does it make the counter pass for a slow one, which is asked more rarely.
     until("both calls are noted", || counter.calls().len() == 2);
-    counter.forget_calls();
+    counter.clear_calls();
     for _ in 0..8 {
         assert_eq!(client.call(read_request()).status(), 200);
     }
@@ -812,7 +814,7 @@
 fn sigterm_finishes_what_was_taken_and_takes_new_connections_for_a_while() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let backend = Backend::start(move |request| {
-        if request.first.starts_with("POST") {
+        if request.start_line.starts_with("POST") {
             let _ = held.recv();
         }
         ok(b"x")
@@ -821,7 +823,7 @@
     let (mut idle, mut busy) = (ingress.client(), ingress.client());
     assert_eq!(idle.call(READY).status(), 200);
     busy.send(booking("x"));
-    until("the request is out", || backend.seen() == 1);
+    until("the request is out", || backend.request_count() == 1);
     ingress.terminate();
     assert!(idle.closed(), "an idle connection is closed between requests");
     release.send(()).unwrap();
@@ -853,10 +855,10 @@
     let (old, new) = (Backend::start(|_| ok(b"old")), Backend::start(|_| ok(b"new")));
     let (_counter, discovery, ingress) = one_backend(&old);
     assert_eq!(ingress.client().call(read_request()).body, b"old");
-    discovery.change(json!({"id": "s-9", "host_port": "nowhere", "phase": "unheard_of"}));
-    discovery.change(member("s-2", new.address, "in_service"));
-    discovery.change(member("s-1", old.address, "terminating"));
-    until("the drain is heeded", || old.ended() == 1);
+    discovery.update(json!({"id": "s-9", "host_port": "nowhere", "phase": "unheard_of"}));
+    discovery.update(member("s-2", new.address, "in_service"));
+    discovery.update(member("s-1", old.address, "terminating"));
+    until("the drain is heeded", || old.ended_connections() == 1);
     assert_eq!(ingress.client().call(read_request()).body, b"new");
 }
 
--- a/crates/violetyoke/tests/ratelimit.rs
+++ b/crates/violetyoke/tests/ratelimit.rs
@@ -22,7 +22,7 @@
 
 fn node() -> Node {
     let shape = Shape { service: Duration::from_millis(1), ..Shape::default() };
-    Node::start(violetyoke_standin::any(), "n", shape).unwrap()
+    Node::start(violetyoke_standin::any_port(), "n", shape).unwrap()
 }
 
 fn file(node: &Node, rate: f64, burst: f64, more: &str) -> String {
@@ -99,7 +99,7 @@
         // Another account has its own, and questions are sent to no node.
         assert!(ok(&mut client, about("other")).await);
     });
-    assert_eq!(node.came().len(), 3);
+    assert_eq!(node.received().len(), 3);
 }
 
 #[test]
@@ -313,7 +313,7 @@
         assert!(!ok(&mut client, named("other")).await);
         assert_eq!(tried(&service, "other", "same"), 429);
     });
-    assert_eq!(node.came().len(), 6);
+    assert_eq!(node.received().len(), 6);
 }
 
 #[test]
@@ -468,10 +468,10 @@
     // Its calls: the claim, its units, the outcome. Each is lost on its way, or is added and its answer lost.
     for (answered, mode, first_over_grpc) in [
         (0, Mode::Silent, true),
-        (0, Mode::Mute, false),
+        (0, Mode::AddSilently, false),
         (1, Mode::Silent, false),
-        (1, Mode::Mute, true),
-        (2, Mode::Mute, true),
+        (1, Mode::AddSilently, true),
+        (2, Mode::AddSilently, true),
         (2, Mode::Silent, false),
     ] {
         let case = format!("{answered} calls answered, then {mode:?}, first over gRPC: {first_over_grpc}");
--- a/crates/violetyoke/tests/reload.rs
+++ b/crates/violetyoke/tests/reload.rs
@@ -15,7 +15,7 @@
 
 fn node(name: &str, milliseconds: u64) -> Node {
     let shape = Shape { service: Duration::from_millis(milliseconds), ..Shape::default() };
-    Node::start(violetyoke_standin::any(), name, shape).unwrap()
+    Node::start(violetyoke_standin::any_port(), name, shape).unwrap()
 }
 
 struct File<'a> {
@@ -56,13 +56,13 @@
     let mut service = Service::start(&File { pools: &first, to: "a" }.text());
     let mut client = service.client();
     client.send(booking("hotel"));
-    until("the booking is out", || old.ran().len() == 1);
+    until("the booking is out", || old.executed().len() == 1);
     service.reload(&new(&old, &other));
     let answer = client.answer().expect("one final answer");
     assert_eq!((answer.status(), &answer.body[..3]), (200, b"old".as_slice()));
     client.stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     assert!(client.answer().is_none(), "and no second one");
-    assert_eq!((old.ran().len(), other.ran().len()), (1, 0));
+    assert_eq!((old.executed().len(), other.executed().len()), (1, 0));
     // One of two units is used, where the quota is still the same.
     let left = if used_before { 1 } else { 2 };
     assert_eq!(passed(&service, "hotel", 4), left);
@@ -100,15 +100,15 @@
     let first = [("a", "a", &old, 100.0, 100.0)];
     let text = File { pools: &first, to: "a" }.text();
     let mut service = Service::start(&text);
-    old.fail(Fault::Hang);
+    old.inject(Fault::Hang);
     let mut client = service.client();
     client.send(booking("hotel"));
-    until("it is out", || old.came().len() == 1);
+    until("it is out", || old.received().len() == 1);
     service.reload(&text.replace("\"unsafe\"", "\"safe\""));
     // What hangs is reset when the fault ends.
-    old.fail(Fault::None);
+    old.inject(Fault::None);
     assert_eq!(client.answer().unwrap().status(), 502);
-    assert_eq!(old.came().len(), 1);
+    assert_eq!(old.received().len(), 1);
     // New ones go by the new effect: they are repeated.
     assert_eq!(service.client().call(booking("hotel")).status(), 200);
 }
@@ -124,7 +124,7 @@
     service.reload(&File { pools: &pools, to: "b" }.text());
     client.send(&request[40..]);
     assert_eq!(client.answer().unwrap().status(), 200);
-    assert_eq!((a.ran().len(), b.ran().len()), (0, 1));
+    assert_eq!((a.executed().len(), b.executed().len()), (0, 1));
 }
 
 #[test]
@@ -142,10 +142,10 @@
     service.reload(&File { pools: &pools[1..], to: "b" }.text());
     client.send(body);
     assert_eq!(client.answer().unwrap().status(), 200);
-    assert_eq!((a.ran().len(), b.ran().len()), (1, 0));
+    assert_eq!((a.executed().len(), b.executed().len()), (1, 0));
     // The pool that has gone took its last request; the connection serves on.
     assert_eq!(client.call(booking("hotel")).status(), 200);
-    assert_eq!(b.ran().len(), 1);
+    assert_eq!(b.executed().len(), 1);
 }
 
 #[test]
@@ -193,7 +193,7 @@
     let most = 10.0 + 4.0 * seconds + 2.0;
     assert!(f64::from(served) <= most, "{served} of {most} in {seconds} s");
     assert!(f64::from(served) >= 0.7 * most, "{served} of {most} in {seconds} s");
-    assert_eq!(a.ran().len(), served as usize);
+    assert_eq!(a.executed().len(), served as usize);
 }
 
 #[test]
@@ -243,6 +243,6 @@
     std::fs::write(&service.file, watched("b").replace("LISTEN", "127.0.0.1:0")).unwrap();
     until("the new route is in force", || {
         service.client().call(booking("x"));
-        !b.ran().is_empty()
+        !b.executed().is_empty()
     });
 }
--- a/crates/violetyoke/tests/service.rs
+++ b/crates/violetyoke/tests/service.rs
@@ -15,7 +15,7 @@
 
 fn node(name: &str, milliseconds: u64) -> Node {
     let shape = Shape { service: Duration::from_millis(milliseconds), ..Shape::default() };
-    Node::start(violetyoke_standin::any(), name, shape).unwrap()
+    Node::start(violetyoke_standin::any_port(), name, shape).unwrap()
 }
 
 fn addresses(nodes: &[SocketAddr]) -> String {
@@ -74,7 +74,7 @@
     let answer = client.call(booking("x"));
     assert_eq!((answer.status(), &answer.body[..10]), (200, b"b answers ".as_slice()));
     assert_eq!(client.call(read("x")).status(), 200);
-    assert_eq!((avail.ran().len(), reserve.ran().len()), (2, 1));
+    assert_eq!((avail.executed().len(), reserve.executed().len()), (2, 1));
     let answer = client.call(open_request("GET", "other.example.org", "/", "x", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (404, b"path: no route\n".as_slice()));
     assert_eq!(service.client().call(READY).status(), 200);
@@ -99,7 +99,7 @@
         assert!([400, 404].contains(&answer.status()), "{why}");
         assert_eq!(String::from_utf8_lossy(&answer.body).trim_end(), why);
     }
-    assert_eq!(avail.came().len(), 0);
+    assert_eq!(avail.received().len(), 0);
 }
 
 #[test]
@@ -118,10 +118,10 @@
     for (path, host, goes_on) in cases {
         let answer = service.client().call(open_request("GET", host, path, "x", ""));
         assert_eq!(answer.status(), 200, "{path}");
-        let seen = backend.requests().last().unwrap().first.clone();
+        let seen = backend.requests().last().unwrap().start_line.clone();
         assert_eq!(seen, format!("GET {goes_on} HTTP/1.1"), "{path}");
     }
-    let before = backend.seen();
+    let before = backend.request_count();
     let hidden =
         ["/x/%2e%2e%2fadmin", "/x/..;/admin", "/%5cadmin", "/..%2fadmin", "/../admin", "/x%00", "/a%"];
     for path in hidden {
@@ -137,14 +137,14 @@
     ] {
         assert_eq!(service.client().call(&request).status(), 400, "{request}");
     }
-    assert_eq!(backend.seen(), before);
+    assert_eq!(backend.request_count(), before);
     // Whichever way the path is written, it is the route of its normal form that holds.
     for path in ["/admin/keys", "//admin//keys", "/x/../admin/keys", "/%61dmin/keys", "/./admin/keys"] {
         let request = open_request("GET", AVAIL, path, "x", "");
         let request = request.replacen("X-Account: x\r\n", "X-Account: x\r\nReq-Kind: booking-post\r\n", 1);
         // The class is one of the pool behind the route, and of that alone.
         assert_eq!(service.client().call(request).status(), 200, "{path}");
-        assert_eq!(backend.requests().last().unwrap().first, "GET /admin/keys HTTP/1.1");
+        assert_eq!(backend.requests().last().unwrap().start_line, "GET /admin/keys HTTP/1.1");
     }
 }
 
@@ -174,7 +174,7 @@
         bare
     };
     assert_eq!(bare(&mut of_avail), bare(&mut of_booking));
-    assert_eq!(shared.ran().len(), 6);
+    assert_eq!(shared.executed().len(), 6);
 }
 
 #[test]
@@ -209,7 +209,7 @@
     let text = two_pools(&[nodes[0].address, nodes[1].address], &[healthy.address], "", "");
     let service = Service::start(&text);
     assert_eq!(service.client().call(read("x")).status(), 200);
-    nodes.iter().for_each(|node| node.fail(fault));
+    nodes.iter().for_each(|node| node.inject(fault));
     let address = service.address;
     let failing = std::thread::spawn(move || {
         let mut clients: Vec<_> = (0..8).map(|_| Client::try_open(address).unwrap()).collect();
@@ -231,9 +231,9 @@
     }
     let statuses = failing.join().unwrap();
     assert!(statuses.iter().all(|status| expected.contains(status)), "{statuses:?}");
-    assert_eq!(healthy.ran().len(), served);
+    assert_eq!(healthy.executed().len(), served);
     // And it comes back.
-    nodes.iter().for_each(|node| node.fail(Fault::None));
+    nodes.iter().for_each(|node| node.inject(Fault::None));
     until("the pool serves again", || service.client().call(read("x")).status() == 200);
 }
 
@@ -286,7 +286,7 @@
         let mut client = service.client();
         assert_eq!(client.call(booking(&format!("h{number}"))).status(), 200);
     }
-    assert_eq!(reserve.ran().len(), 20);
+    assert_eq!(reserve.executed().len(), 20);
     // The pool that they are against still takes new ones too: the longest idle make room.
     assert_eq!(service.client().call(read("y")).status(), 200);
 }
@@ -297,7 +297,7 @@
     // No keep-alive of its own is idle: all are in the middle of a request that hangs.
     let text = two_pools(&[avail.address], &[reserve.address], "descriptors = 220", "");
     let service = Service::start(&text);
-    avail.fail(Fault::Hang);
+    avail.inject(Fault::Hang);
     let mut busy: Vec<_> = (0..200).filter_map(|_| Client::try_open(service.address)).collect();
     for client in &mut busy {
         let _ = client.try_send(read("x"));
@@ -321,7 +321,7 @@
     );
     let service = Service::start(&text);
     let body = "x".repeat(65_000);
-    avail.fail(Fault::Hang);
+    avail.inject(Fault::Hang);
     let mut full: Vec<_> = (0..12).map(|_| service.client()).collect();
     let large = open_request("POST", AVAIL, "/rates", "x", &body);
     full.iter_mut().for_each(|client| client.send(&large));
@@ -337,7 +337,7 @@
     });
     let own = open_request("POST", BOOKING, "/bookings", "y", &body);
     assert_eq!(service.client().call(&own).status(), 200);
-    assert_eq!(reserve.ran().len(), 1);
+    assert_eq!(reserve.executed().len(), 1);
 }
 
 #[test]
@@ -345,15 +345,15 @@
     let avail = node("a", 1);
     let text = two_pools(&[avail.address], &[avail.address], "", "limits = { open_requests = 3 }");
     let service = Service::start(&text);
-    avail.fail(Fault::Hang);
+    avail.inject(Fault::Hang);
     let mut clients: Vec<_> = (0..3).map(|_| service.client()).collect();
     clients.iter_mut().for_each(|client| client.send(read("x")));
-    until("three are out", || avail.came().len() == 3);
+    until("three are out", || avail.received().len() == 3);
     let began = Instant::now();
     assert_eq!(service.client().call(read("x")).status(), 503);
     assert!(began.elapsed() < Duration::from_millis(300), "refused at once, not after {:?}", began.elapsed());
     clients.iter_mut().for_each(|client| assert_ne!(client.answer().unwrap().status(), 200));
-    avail.fail(Fault::None);
+    avail.inject(Fault::None);
     until("there is room again", || service.client().call(read("x")).status() == 200);
 }
 
@@ -367,17 +367,17 @@
     let service = Service::start(&text);
     until("it is ready", || service.client().call(READY).status() == 200);
     assert_eq!(service.client().call(read("x")).status(), 200);
-    discovery.change(member("s-2", second.address, "in_service"));
-    discovery.change(member("s-1", first.address, "terminating"));
+    discovery.update(member("s-2", second.address, "in_service"));
+    discovery.update(member("s-1", first.address, "terminating"));
     until("the new one serves", || {
         service.client().call(read("x"));
-        !second.ran().is_empty()
+        !second.executed().is_empty()
     });
-    let before = first.came().len();
+    let before = first.received().len();
     for _ in 0..20 {
         assert_eq!(service.client().call(read("x")).status(), 200);
     }
-    assert_eq!(first.came().len(), before);
+    assert_eq!(first.received().len(), before);
 }
 
 #[test]
@@ -386,7 +386,7 @@
     let mut service = Service::start(&two_pools(&[avail.address], &[reserve.address], "", ""));
     let mut client = service.client();
     client.send(booking("x"));
-    until("it is out", || reserve.came().len() == 1);
+    until("it is out", || reserve.received().len() == 1);
     service.signal("-TERM");
     assert_eq!(client.answer().unwrap().status(), 200);
     until("the service ends", || service.child.try_wait().unwrap().is_some());
--- a/crates/violetyoke/tests/takeover.rs
+++ b/crates/violetyoke/tests/takeover.rs
@@ -17,7 +17,7 @@
     assert_eq!(kept.call(read_request()).status(), 200);
     let address = old.ingress.address;
     let stop = std::sync::atomic::AtomicBool::new(false);
-    let before = a.seen();
+    let before = a.request_count();
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..4)
             .map(|_| {
@@ -48,10 +48,12 @@
         assert!(clients.into_iter().all(|client| client.join().unwrap() > 0));
     });
     // Out by hand is out for its successors' successor too, until it is put back there.
-    assert_eq!(a.seen(), before);
+    assert_eq!(a.request_count(), before);
     assert_eq!(call(old.console, "PUT", "/-/backends/s-0/enable"), 200);
     let mut client = old.ingress.client();
-    until("the node is used again", || client.call(read_request()).status() == 200 && a.seen() > before);
+    until("the node is used again", || {
+        client.call(read_request()).status() == 200 && a.request_count() > before
+    });
 }
 
 #[test]
@@ -104,25 +106,25 @@
         // The last word through the old one holds in the new one, within the rule on drains.
         if put_back {
             until("nothing more goes to it", || {
-                let before = a.seen();
+                let before = a.request_count();
                 serves(&new.ingress, 10);
-                a.seen() == before
+                a.request_count() == before
             });
             // Put back through the new one, a moment after.
             assert_eq!(call(new.console, "PUT", "/-/backends/s-0/enable"), 200);
         }
-        let before = a.seen();
+        let before = a.request_count();
         until("it is used", || {
-            new.ingress.client().call(read_request()).status() == 200 && a.seen() > before
+            new.ingress.client().call(read_request()).status() == 200 && a.request_count() > before
         });
         old.ingress.terminate();
         assert!(old.ingress.exit().success());
         if !put_back {
             // And out through the new one, after the old one has gone.
             assert_eq!(call(new.console, "PUT", "/-/backends/s-0/disable"), 200);
-            let before = a.seen();
+            let before = a.request_count();
             serves(&new.ingress, 20);
-            assert_eq!(a.seen(), before);
+            assert_eq!(a.request_count(), before);
         }
     }
 }
@@ -158,5 +160,5 @@
     let whole = whole.expect("a whole answer of the old process");
     assert!(whole.status() == 200 && whole.body == body, "{} bytes", whole.body.len());
     assert!(old.ingress.exit().success());
-    assert_eq!(echo.seen(), 2);
+    assert_eq!(echo.request_count(), 2);
 }
--- a/crates/violetyoke/tests/tenants.rs
+++ b/crates/violetyoke/tests/tenants.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use std::thread;
 use std::time::Duration;
-use violetyoke_standin::limiter::Limiter;
+use violetyoke_standin::rate_limit_server::RateLimitServer;
 
 #[test]
 fn each_tenant_is_served_from_its_own_accounts() {
@@ -77,7 +77,7 @@
     hosted.wait_until_in_force();
     let mut client = service.client();
     client.send(open_request("POST", &host("acme"), "/bookings", "a", "room=4"));
-    until("the booking is out", || hosted.node.came().len() == 1);
+    until("the booking is out", || hosted.node.received().len() == 1);
     // Draining: nothing new, on whatever connection.
     let mut kept = service.client();
     assert_eq!(hosted.api.force("DELETE", "/v1/tenants/acme", "").status, 202);
@@ -89,7 +89,7 @@
     until("it is gone", || hosted.api.get("/v1/tenants/acme").status == 404);
     wait_until_booking_gives(&service, "acme", "a", 404);
     assert_eq!(client.answer().expect("one answer").status(), 200);
-    assert_eq!(hosted.node.came().len(), 1);
+    assert_eq!(hosted.node.received().len(), 1);
     // Anew under the name: its quota is whole, although the old one's account had used some of it.
     hosted.tenant("acme", 2.0, &json!({}));
     hosted.wait_until_in_force();
@@ -137,7 +137,7 @@
         })
     };
     let open: Vec<_> = (0..2).map(|_| call("acme")).collect();
-    until("two are out", || hosted.node.came().len() == 2);
+    until("two are out", || hosted.node.received().len() == 2);
     assert_eq!(book(&service, "acme", "b"), 503);
     assert_eq!(book(&service, "zeta", "b"), 200);
     assert!(open.into_iter().all(|call| call.join().unwrap() == 200));
@@ -147,7 +147,8 @@
 #[test]
 fn external_limiter_counts_accounts_of_two_tenants_apart() {
     let hosted = Hosted::start(node(1));
-    let limiter = Limiter::start(violetyoke_standin::any(), 1, Duration::from_secs(3_600)).unwrap();
+    let limiter =
+        RateLimitServer::start(violetyoke_standin::any_port(), 1, Duration::from_secs(3_600)).unwrap();
     let consult = format!(
         "[pool.consult]\naddress = \"{}\"\ndomain = \"partners\"\nwhen_silent = \"refuse\"\n\
          budget_ms = 2000\n[[route]]",
@@ -159,7 +160,7 @@
     hosted.wait_until_in_force();
     let codes = ["acme", "zeta", "acme", "zeta"].map(|tenant| book(&service, tenant, "a"));
     assert_eq!(codes, [200, 200, 429, 429]);
-    assert_eq!(limiter.seen()[1].entries, [("account".to_string(), "zeta/a".to_string())]);
+    assert_eq!(limiter.received()[1].entries, [("account".to_string(), "zeta/a".to_string())]);
 }
 
 #[test]
--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -75,13 +75,13 @@
 fn one_round(program: &Path) -> Result<[f64; 3]> {
     let shape = Shape { workers: 8, queue: 64, service: Duration::from_millis(1), ..Shape::default() };
     let nodes = [
-        Node::start(violetyoke_standin::any(), "a", shape.clone())?,
-        Node::start(violetyoke_standin::any(), "b", shape)?,
+        Node::start(violetyoke_standin::any_port(), "a", shape.clone())?,
+        Node::start(violetyoke_standin::any_port(), "b", shape)?,
     ];
-    let counter = Counter::start_at(violetyoke_standin::any())?;
+    let counter = Counter::start_at(violetyoke_standin::any_port())?;
     let members =
         nodes.iter().enumerate().map(|(i, node)| member(&format!("s-{i}"), node.address, "in_service"));
-    let discovery = Discovery::start_at(violetyoke_standin::any(), members.collect())?;
+    let discovery = Discovery::start_at(violetyoke_standin::any_port(), members.collect())?;
     let listen = free_address()?;
     let config = json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.address.to_string(),
--- a/xtask/src/measure_tenants.rs
+++ b/xtask/src/measure_tenants.rs
@@ -23,7 +23,7 @@
     let program = build()?;
     let mut figures = Figures::default();
     let shape = Shape { workers: 8, queue: 64, service: Duration::from_millis(1), ..Shape::default() };
-    let node = Node::start(violetyoke_standin::any(), "n", shape)?;
+    let node = Node::start(violetyoke_standin::any_port(), "n", shape)?;
     let sizes = [10, 10_000];
     let mut services = Vec::new();
     for tenants in sizes {
--- a/xtask/src/prove_consult.rs
+++ b/xtask/src/prove_consult.rs
@@ -11,8 +11,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
-use violetyoke_standin::limiter::{Limiter, Mode};
 use violetyoke_standin::node::{Node, Shape};
+use violetyoke_standin::rate_limit_server::{Behavior, RateLimitServer};
 
 const CLIENTS: usize = 32;
 const PAUSE: Duration = Duration::from_millis(20);
@@ -38,16 +38,17 @@
     // Without the defence nothing ever opens the breaker, and each request finds out for itself.
     let failures = if defence { FAILURES } else { 1_000_000 };
     for (phase, mode) in [
-        ("healthy", Mode::Answer),
-        ("silent", Mode::Silent),
-        ("error", Mode::Error),
-        ("late", Mode::Delay(Duration::from_millis(200))),
-        ("goaway", Mode::Answer),
-        ("breaks", Mode::Answer),
+        ("healthy", Behavior::Answer),
+        ("silent", Behavior::Silent),
+        ("error", Behavior::Error),
+        ("late", Behavior::Delay(Duration::from_millis(200))),
+        ("goaway", Behavior::Answer),
+        ("breaks", Behavior::Answer),
     ] {
-        let limiter = Limiter::start(violetyoke_standin::any(), u64::MAX / 2, Duration::from_secs(3_600))?;
+        let limiter =
+            RateLimitServer::start(violetyoke_standin::any_port(), u64::MAX / 2, Duration::from_secs(3_600))?;
         let shape = Shape { workers: 16, queue: 256, service: Duration::from_millis(1), ..Shape::default() };
-        let node = Node::start(violetyoke_standin::any(), "n", shape)?;
+        let node = Node::start(violetyoke_standin::any_port(), "n", shape)?;
         let service = Program::serve(&program, &file(&node, &limiter, failures))?;
         limiter.set(mode);
         let end = Instant::now() + Duration::from_secs(seconds);
@@ -59,8 +60,8 @@
             while Instant::now() < end {
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 match phase {
-                    "goaway" => limiter.go_away(),
-                    "breaks" => limiter.break_off(),
+                    "goaway" => limiter.close_gracefully(),
+                    "breaks" => limiter.close_abruptly(),
                     _ => {}
                 }
             }
@@ -74,12 +75,12 @@
     Ok(figures)
 }
 
-fn judge(figures: &mut Figures, phase: &str, tally: &mut Tally, limiter: &Limiter, node: &Node) {
+fn judge(figures: &mut Figures, phase: &str, tally: &mut Tally, limiter: &RateLimitServer, node: &Node) {
     let key = |name: &str| format!("{phase}_{name}");
     let requests = tally.served + tally.refused + tally.unanswered;
-    let seen = limiter.seen();
-    let counted = seen.iter().filter(|seen| seen.counted).count() as u64;
-    let came = node.came().len() as u64;
+    let seen = limiter.received();
+    let counted = seen.iter().filter(|seen| seen.is_counted).count() as u64;
+    let came = node.received().len() as u64;
     figures.tell(&key("requests"), requests);
     figures.tell(&key("served"), tally.served);
     figures.tell(&key("asked_outside"), seen.len());
@@ -110,7 +111,7 @@
     }
 }
 
-fn file(node: &Node, limiter: &Limiter, failures: u64) -> String {
+fn file(node: &Node, limiter: &RateLimitServer, failures: u64) -> String {
     format!(
         r#"[service]
 listen = "LISTEN"
--- a/xtask/src/prove_lab.rs
+++ b/xtask/src/prove_lab.rs
@@ -203,7 +203,7 @@
         service: Duration::from_micros(class.work as u64),
         ..Shape::default()
     };
-    let start = |node: usize| Node::start(violetyoke_standin::any(), &format!("n{node}"), shape());
+    let start = |node: usize| Node::start(violetyoke_standin::any_port(), &format!("n{node}"), shape());
     let nodes = (0..experiment.nodes.count).map(start).collect::<std::io::Result<Vec<_>>>()?;
     let listed = |(place, node): (usize, &Node)| member(&format!("n{place}"), node.address, "in_service");
     let discovery = Discovery::start(nodes.iter().enumerate().map(listed).collect());
@@ -217,12 +217,12 @@
         sleep_until((began + FAULT_AT).into()).await;
         match script {
             Script::Silence => counter.set(Mode::Silent),
-            Script::Failing => nodes[0].fail(Fault::Error),
+            Script::Failing => nodes[0].inject(Fault::Error),
             Script::Calm | Script::Crowd => {}
         }
         sleep(FAULT_LASTS).await;
         counter.set(Mode::Answer);
-        nodes[0].fail(Fault::None);
+        nodes[0].inject(Fault::None);
     };
     let load = async {
         let sets = accounts(experiment, seed);
--- a/xtask/src/prove_owners.rs
+++ b/xtask/src/prove_owners.rs
@@ -88,7 +88,7 @@
     };
     let mut fleet = Fleet::start(&plan(&program, &standin, &["report", "probe"], without))?;
     serve_all(&fleet)?;
-    let everywhere = |history: &[violetyoke_standin::sink::Noted]| {
+    let everywhere = |history: &[violetyoke_standin::sink::ReceivedEffect]| {
         leases().iter().all(|lease| history::newest_effect(history, lease).is_some())
     };
     if !fleet.wait_for_history(Duration::from_secs(20), everywhere) {
@@ -108,7 +108,7 @@
         if Instant::now() > end {
             break;
         }
-        let before = fleet.history().last().map_or(0, |noted| noted.at);
+        let before = fleet.history().last().map_or(0, |noted| noted.at_us);
         if fault == Fault::PutBack && put_back.is_none() {
             put_back = Some(fleet.history().len());
         }
@@ -135,7 +135,7 @@
         }
         if reached {
             let history = fleet.history();
-            let after = history.last().map_or(before, |noted| noted.at);
+            let after = history.last().map_or(before, |noted| noted.at_us);
             let probes = leases().into_iter().filter(|lease| lease.role == "probe");
             let rests =
                 probes.map(|lease| history::longest_gap_us(history, &lease, before, after) as f64 / 1e6);
--- a/xtask/src/prove_ratelimit.rs
+++ b/xtask/src/prove_ratelimit.rs
@@ -71,9 +71,9 @@
     let rough = Duration::from_secs(if long { 540 } else { 8 });
     for (phase, time, kills) in [("calm", calm, false), ("kills", rough, true)] {
         // Counts of their own for each phase: nothing is left over from the one before.
-        let counter = Counter::start_at(violetyoke_standin::any())?;
+        let counter = Counter::start_at(violetyoke_standin::any_port())?;
         let shape = Shape { workers: 16, queue: 64, service: Duration::from_millis(2), ..Shape::default() };
-        let node = Node::start(violetyoke_standin::any(), "n", shape)?;
+        let node = Node::start(violetyoke_standin::any_port(), "n", shape)?;
         let files: Vec<String> = (0..INGRESSES).map(|index| file(&node, &counter, index)).collect();
         let began = Instant::now();
         let tally = LocalSet::new().block_on(&runtime, play(&program, &files, seed, time, kills, defence))?;
@@ -91,9 +91,9 @@
     seconds: u64,
 ) -> Result<()> {
     const EACH: usize = 4;
-    let counter = Counter::start_at(violetyoke_standin::any())?;
+    let counter = Counter::start_at(violetyoke_standin::any_port())?;
     let shape = Shape { workers: 16, queue: 64, service: Duration::from_millis(2), ..Shape::default() };
-    let node = Node::start(violetyoke_standin::any(), "n", shape)?;
+    let node = Node::start(violetyoke_standin::any_port(), "n", shape)?;
     let mut services = Vec::new();
     let mut at = Vec::new();
     for index in 0..INGRESSES {
@@ -317,12 +317,12 @@
     // What passed: a question that was let in, and a booking that a node worked on, each try once.
     let mut passed: Vec<(Instant, usize, String)> =
         tally.let_in.iter().map(|(account, name, at)| (*at, *account, name.clone())).collect();
-    for (id, at) in node.runs() {
-        let Some((name, _)) = id.rsplit_once('-') else { continue };
+    for execution in node.executions() {
+        let Some((name, _)) = execution.id.rsplit_once('-') else { continue };
         let account =
             name.strip_prefix('a').and_then(|rest| rest.split('-').next()).and_then(|text| text.parse().ok());
         if let Some(account) = account {
-            passed.push((at, account, name.to_string()));
+            passed.push((execution.started, account, name.to_string()));
         }
     }
     passed.sort();
--- a/xtask/src/prove_routes.rs
+++ b/xtask/src/prove_routes.rs
@@ -32,7 +32,7 @@
         service: Duration::from_millis(milliseconds),
         ..Shape::default()
     };
-    let node = |name, milliseconds| Node::start(violetyoke_standin::any(), name, shape(milliseconds));
+    let node = |name, milliseconds| Node::start(violetyoke_standin::any_port(), name, shape(milliseconds));
     let avail = [node("avail-1", 20)?, node("avail-2", 20)?];
     let booking = [node("booking-1", 10)?, node("booking-2", 10)?];
     // Requests a second that the flooded pool's nodes can do: 2 nodes of 4 workers, 20 ms each.
@@ -82,7 +82,7 @@
     };
     let mut phases = Vec::new();
     for (name, fault) in [("rush", Fault::None), ("hang", Fault::Hang)] {
-        avail.iter().for_each(|node| node.fail(fault));
+        avail.iter().for_each(|node| node.inject(fault));
         let began = Instant::now();
         let floods: Vec<_> =
             FLOODS.into_iter().map(|one| flood(address, read(one), CONNECTIONS, began + phase)).collect();
@@ -98,7 +98,7 @@
         figures.tell(&format!("{name}_flood_served"), served);
         phases.push((name, orderly, greedy, offered));
     }
-    avail.iter().for_each(|node| node.fail(Fault::None));
+    avail.iter().for_each(|node| node.inject(Fault::None));
     let at = |answers: &[Answered], part| {
         quantile(&mut answers.iter().map(|one| one.took).collect::<Vec<_>>(), part)
     };
@@ -133,7 +133,7 @@
         figures.at_least(&format!("{name}_greedy_answered"), (served + refused) / greedy.len() as f64, 1.0);
     }
     // Nothing ran twice: every booking that was worked on has an id of its own.
-    let mut ran: Vec<String> = booking.iter().flat_map(Node::ran).collect();
+    let mut ran: Vec<String> = booking.iter().flat_map(Node::executed).collect();
     let all = ran.len();
     ran.sort();
     ran.dedup();
--- a/xtask/src/prove_tenants.rs
+++ b/xtask/src/prove_tenants.rs
@@ -30,8 +30,8 @@
     let phase = Duration::from_secs(if long { 20 } else { 4 });
     let shape = || Shape { workers: 8, queue: 64, service: Duration::from_millis(10), ..Shape::default() };
     let nodes = [
-        Node::start(violetyoke_standin::any(), "n1", shape())?,
-        Node::start(violetyoke_standin::any(), "n2", shape())?,
+        Node::start(violetyoke_standin::any_port(), "n1", shape())?,
+        Node::start(violetyoke_standin::any_port(), "n2", shape())?,
     ];
     let mut quiet = tenant("quiet", "reservations", 100, RATE, BURST);
     let mut loud = tenant("loud", "reservations", FLOODS, RATE, BURST);
@@ -111,7 +111,7 @@
         figures.at_least(&format!("{mode}_greedy_served_of_quota"), served / quota, 0.9);
         figures.at_least(&format!("{mode}_greedy_answered"), (served + refused) / greedy.len() as f64, 1.0);
     }
-    let mut ran: Vec<String> = nodes.iter().flat_map(Node::ran).collect();
+    let mut ran: Vec<String> = nodes.iter().flat_map(Node::executed).collect();
     let all = ran.len();
     ran.sort();
     ran.dedup();
--- a/xtask/src/prove_upgrade.rs
+++ b/xtask/src/prove_upgrade.rs
@@ -23,7 +23,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use violetyoke_standin::counter::{Counter, Mode};
 use violetyoke_standin::discovery::{member, Discovery};
-use violetyoke_standin::node::{Fault, Node, Shape};
+use violetyoke_standin::node::{Execution, Fault, Node, Shape};
 
 const NODES: usize = 7;
 /// The one that hangs, and those that are out by hand in turn.
@@ -270,9 +270,9 @@
 
 async fn prove(program: &Path, span: Duration, defence: bool) -> Result<Figures> {
     let shape = || Shape { workers: 4, queue: 32, service: Duration::from_millis(15), ..Shape::default() };
-    let start = |node: usize| Node::start(violetyoke_standin::any(), &format!("s-{node}"), shape());
+    let start = |node: usize| Node::start(violetyoke_standin::any_port(), &format!("s-{node}"), shape());
     let nodes = (0..NODES).map(start).collect::<std::io::Result<Vec<_>>>()?;
-    nodes[HANGS].fail(Fault::Hang);
+    nodes[HANGS].inject(Fault::Hang);
     let member = |(i, node): (usize, &Node)| member(&format!("s-{i}"), node.address, "in_service");
     let discovery = Discovery::start(nodes.iter().enumerate().map(member).collect());
     let counter = Counter::start();
@@ -358,23 +358,23 @@
 
 /// The rules, by what the nodes have recorded.
 fn rules(figures: &mut Figures, nodes: &[Node], out: &[(usize, Instant, Option<Instant>)]) {
-    let runs: Vec<Vec<(String, Instant)>> = nodes.iter().map(Node::runs).collect();
+    let executions: Vec<Vec<Execution>> = nodes.iter().map(Node::executions).collect();
     // Reads may be sent again; a booking's id tells what it is by its account: every other member of a burst posts.
     let mut seen = BTreeSet::new();
     let mut twice = 0;
     let mut spent: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
-    for (id, at) in runs.iter().flatten() {
+    for Execution { id, started } in executions.iter().flatten() {
         twice += usize::from(!seen.insert(id.as_str()));
         let account = id.get(..4).unwrap_or_default();
         if account < "0100" {
-            spent.entry(account).or_default().push(*at);
+            spent.entry(account).or_default().push(*started);
         }
     }
     figures.tell("runs", seen.len());
     figures.at_most("requests_run_twice", twice as f64, 0.0);
     let after_word = |(node, from, until): &(usize, Instant, Option<Instant>)| {
         let barred = |at: &Instant| *at > *from + RECORDED && until.is_none_or(|until| *at < until);
-        runs[*node].iter().filter(|(_, at)| barred(at)).count()
+        executions[*node].iter().filter(|execution| barred(&execution.started)).count()
     };
     figures.at_most("runs_on_nodes_out_by_hand", out.iter().map(after_word).sum::<usize>() as f64, 0.0);
     let mut most: f64 = 0.0;
--- a/xtask/src/tenants.rs
+++ b/xtask/src/tenants.rs
@@ -64,8 +64,14 @@
                 let shared = shared.clone();
                 thread::spawn(move || {
                     let request = read_http(&mut BufReader::new(&stream))?;
-                    let held =
-                        request.first.split("held=").nth(1)?.split(['&', ' ']).next()?.parse::<u64>().ok()?;
+                    let held = request
+                        .start_line
+                        .split("held=")
+                        .nth(1)?
+                        .split(['&', ' '])
+                        .next()?
+                        .parse::<u64>()
+                        .ok()?;
                     let (now, changed) = &*shared;
                     let newest = now.lock().unwrap_or_else(PoisonError::into_inner);
                     let wait = Duration::from_secs(15);
