--- a/crates/sim/tests/drill.rs
+++ b/crates/sim/tests/drill.rs
@@ -1,7 +1,6 @@
 //! The drill program itself: clean ends, plain messages, no panic.
 
 #![cfg(test)]
-#![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,7 +13,7 @@
         .spawn()
         .expect("the drill starts");
     // The drill may end before it has read everything; that is part of what is tested.
-    let _ = child.stdin.take().expect("piped").write_all(input);
+    child.stdin.take().expect("piped").write_all(input).unwrap_or_default();
     child.wait_with_output().expect("the drill ends")
 }
 
@@ -28,7 +27,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_one_plain_line() {
+fn malformed_input_ends_the_program_with_one_line() {
     let mut event = vec![0; 60];
     (event[0], event[4], event[20]) = (40, 1, 99);
     let mut cut = event.clone();
--- a/crates/sim/tests/wire.rs
+++ b/crates/sim/tests/wire.rs
@@ -2,8 +2,12 @@
 
 #![cfg(test)]
 
-use violetyoke_decision::interface::*;
-use violetyoke_sim::wire::{reply, Batch, Decoder, Input, WireError, BATCH_HEADER};
+use violetyoke_decision::interface::{
+    Action, AttemptEnd, BackendEntry, Condition, Event, ListKind, Outcome, Request, Why,
+};
+use violetyoke_sim::{
+    encode_reply, Batch, BatchHeader, Decoder, Input, InstanceActions, WireError, BATCH_HEADER_BYTES,
+};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -24,20 +28,20 @@
     header.extend((records.len() as u32).to_le_bytes());
     header.extend(8_412_250_u64.to_le_bytes());
     header.extend(12_u32.to_le_bytes());
-    let header: [u8; BATCH_HEADER] = header.try_into().unwrap();
-    decoder.batch(&header, &body)
+    let header: [u8; BATCH_HEADER_BYTES] = header.try_into().unwrap();
+    decoder.decode(&BatchHeader::from(&header), &body)
 }
 
 fn events(records: &[&str], tail: &[u8]) -> Vec<Input> {
     let batch = batch(&mut Decoder::default(), records, tail).unwrap();
-    assert!(batch.inputs.iter().all(|(instance, _)| *instance == 3));
-    batch.inputs.into_iter().map(|(_, input)| input).collect()
+    assert!(batch.inputs.iter().all(|input| input.instance == 3));
+    batch.inputs.into_iter().map(|input| input.input).collect()
 }
 
 const TO_3: &str = "05 03000000";
 
 #[test]
-fn events_of_the_page() {
+fn events_are_decoded_as_the_wire_page_shows_them() {
     let order = "08 c4913a5d 0100 0000 00004040 640ad2557c3bf091 0000803f 80a90300 00000040 0000";
     let request = Request {
         id: 0x5d3a_91c4,
@@ -89,7 +93,7 @@
 }
 
 #[test]
-fn messages_and_lists_use_the_tail() {
+fn messages_and_lists_are_read_from_the_tail() {
     let data = events(&[TO_3, "0c 02000000 00000000 04000000"], b"hi 7");
     assert_eq!(data, [Input::Event(Event::PeerMessage { from: 2, data: b"hi 7".to_vec() })]);
     let tail = bytes(
@@ -118,18 +122,18 @@
     let second = padded("02000000 0000 00 0000 02 0000803f", 22);
     batch(&mut decoder, &[list], &first).unwrap();
     let read = batch(&mut decoder, &[TO_3, "06 03 01 00000000000000 07000000", list], &second).unwrap();
-    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].1 else { panic!("a list") };
+    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].input else { panic!("a list") };
     assert_eq!(entries[0].id, 1);
     let read = batch(&mut decoder, &[TO_3, "06 00 02 00000000000000 07000000"], &[]).unwrap();
-    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].1 else { panic!("a list") };
+    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].input else { panic!("a list") };
     assert_eq!((entries[0].id, entries[0].condition), (2, Condition::Draining));
     let failed = batch(&mut decoder, &[TO_3, "06 04 02 00000000000000 0f000000"], &[]).unwrap();
-    let Input::Event(Event::Backends { kind, .. }) = failed.inputs[0].1 else { panic!("a list") };
+    let Input::Event(Event::Backends { kind, .. }) = failed.inputs[0].input else { panic!("a list") };
     assert_eq!(kind, ListKind::Failed);
 }
 
 #[test]
-fn outcomes_have_their_codes() {
+fn each_outcome_is_decoded_from_its_code() {
     let known = [
         ("0a", Outcome::Ok),
         ("14", Outcome::Error),
@@ -151,7 +155,7 @@
 }
 
 fn encoded(action: Action) -> (Vec<u8>, Vec<u8>) {
-    let frame = reply(12, &[(3, vec![action])]);
+    let frame = encode_reply(12, &[InstanceActions { instance: 3, actions: vec![action] }]);
     assert_eq!(&frame[..4], 2_u32.to_le_bytes());
     assert_eq!(&frame[4..8], ((frame.len() - 12) as u32).to_le_bytes());
     assert_eq!(&frame[8..12], 12_u32.to_le_bytes());
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn actions_of_the_page() {
+fn actions_are_encoded_as_the_wire_page_shows_them() {
     let (request, backend) = (0x5d3a_91c4, 0x0312_4a07);
     let cases = [
         (Action::Send { request, backend, expires: 8_492_250 }, "41 c4913a5d 074a1203 da94810000000000"),
@@ -198,11 +202,11 @@
 fn an_empty_batch_has_an_empty_reply() {
     let read = batch(&mut Decoder::default(), &[], &[]).unwrap();
     assert_eq!((read.now, read.number, read.inputs.len()), (8_412_250, 12, 0));
-    assert_eq!(reply(1, &[]), bytes("00000000 00000000 01000000"));
+    assert_eq!(encode_reply(1, &[]), bytes("00000000 00000000 01000000"));
 }
 
 #[test]
-fn malformed_frames_are_refused_in_plain_words() {
+fn malformed_frames_are_refused_with_the_cause() {
     let cases: [(&[&str], &str); 7] = [
         (&[TO_3, "63"], "unknown event code 99"),
         (&["03 4d00000000000000"], "an event without an instance"),
@@ -213,11 +217,13 @@
         (&[TO_3, "04 f211902c 0a 78050000 05"], "a load report of 5 values"),
     ];
     for (records, expected) in cases {
-        assert_eq!(batch(&mut Decoder::default(), records, &[]).unwrap_err().0, expected);
+        assert_eq!(batch(&mut Decoder::default(), records, &[]).unwrap_err().to_string(), expected);
     }
-    let header = [0; BATCH_HEADER];
-    assert!(Decoder::default().batch(&header, &[1]).is_err());
-    let mut header = [0; BATCH_HEADER];
+    let decode = |header: &[u8; BATCH_HEADER_BYTES], body: &[u8]| {
+        Decoder::default().decode(&BatchHeader::from(header), body)
+    };
+    let mut header = [0; BATCH_HEADER_BYTES];
+    assert!(matches!(decode(&header, &[1]), Err(WireError::BatchLength { expected: 0, received: 1 })));
     header[4] = 1;
-    assert!(Decoder::default().batch(&header, &[]).is_err());
+    assert!(matches!(decode(&header, &[]), Err(WireError::RecordCount { records: 1, length: 0 })));
 }
