--- /dev/null
+++ b/crates/exchange/src/dispatch.rs
@@ -0,0 +1,59 @@
+//! Events to the decision module, and the actions that it asks for.
+
+use crate::exchange::Exchange;
+use crate::port::{FinalResponse, Port};
+use crate::timers::Timer;
+use violetyoke_decision::interface::{Action, Event, Micros, Outcome, RequestId, Why};
+use violetyoke_ratelimit::claim::Decided;
+
+impl<P: Port> Exchange<P> {
+    /// Queues an event for the decision module; [`Exchange::process_events`] passes it on.
+    pub fn enqueue(&mut self, event: Event) {
+        self.events.push_back(event);
+    }
+
+    /// Passes the queued events to the decision module and performs its actions, until no event is left.
+    pub fn process_events(&mut self, now: Micros) {
+        while let Some(event) = self.events.pop_front() {
+            let mut actions = std::mem::take(&mut self.actions);
+            self.gateway.handle(now, event, &mut actions);
+            actions.drain(..).for_each(|action| self.perform(now, action));
+            self.actions = actions;
+        }
+    }
+
+    fn perform(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Send { request, backend, expires } => self.send_attempt(now, request, backend, expires),
+            Action::Refuse { request, retry_after, why } => self.refuse(now, request, retry_after, why),
+            Action::Fail { request, why } => self.finish(now, request, FinalResponse::Failed, Some(why)),
+            Action::Admit { request } => {
+                self.report_outcome(now, request, Decided::Passes);
+                self.finish(now, request, FinalResponse::Admitted, None);
+            }
+            Action::Cancel { request, attempt } => {
+                self.cancel_if(now, request, Outcome::Cancelled, |in_flight| in_flight.number == attempt);
+            }
+            Action::CloseIdle { backend } => self.port.close_idle(backend),
+            Action::KeepIdle { longest } => self.limit_idle(longest),
+            Action::Tell { to, data } => self.port.send_to_peers(now, to, data),
+            Action::Count { count, amount, life } => self.start_count(now, count, amount, life),
+            Action::Timer { at, token } => self.timers.set(at, Timer::Module(token)),
+            Action::Log { text } => self.port.log(&format!("module: {text}")),
+            Action::Broken { text } => {
+                self.port.report_defect(&format!("the decision module has failed: {text}"));
+            }
+            // The subscription to discovery never ends, and fetches the whole list after each break by itself.
+            Action::Watch { .. } | Action::FetchList => {}
+            Action::Probe { backend } => {
+                self.port.log(&format!("module: asks to probe {backend}, which is not implemented"));
+            }
+        }
+    }
+
+    fn refuse(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: Why) {
+        let sent_before = self.requests.get(&request).is_some_and(|open| open.attempts > 0);
+        self.report_outcome(now, request, Decided::Refused { sent_before, retry_after });
+        self.finish(now, request, FinalResponse::Refused { retry_after }, Some(why));
+    }
+}
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -1,139 +1,172 @@
-//! What carries out: sockets in the program, an emulator in the laboratory.
+//! The interface to the outside: sockets in the ingress, an emulated fleet in the laboratory.
 
-use violetyoke_decision::interface::*;
+use violetyoke_decision::interface::{AttemptEnd, BackendId, Micros, Outcome, RequestId, Why};
 use violetyoke_decision::view::Standing;
 use violetyoke_decision::Gateway;
 
-/// What an exchange needs of the world. Nothing here decides; each call is carried out at once, and what comes of
-/// it is told to the exchange later, never from inside the call.
+/// Identifies a counter call of an exchange.
+pub type CallId = u64;
+
+/// What an exchange needs from the outside. An implementation decides nothing. It carries out each call at once and
+/// reports the result to the exchange later, never from inside the call.
 pub trait Port {
-    /// What is held for a client until its one answer.
+    /// What is kept for a client until its final response.
     type Client;
-    /// What a good answer of a node brings for the client.
-    type Served;
-    /// An attempt that is out.
+    /// The content of a successful response.
+    type Response;
+    /// A handle of an attempt in flight.
     type Attempt;
-    /// A call to the counter that is out.
+    /// A handle of a pending counter call.
     type Call;
-    /// Who waits for the total of a claim.
-    type Asker;
+    /// Receives the total of a claim.
+    type ClaimWaiter;
 
-    /// Begins an attempt, which ends by itself with a word to [`crate::Exchange::attempt_ended`]. None: the node
-    /// takes nothing new.
-    fn attempt(
+    /// Starts an attempt, whose end is reported by [`crate::Exchange::attempt_ended`]. `None`: the backend accepts no
+    /// new requests.
+    fn start_attempt(
         &mut self,
         now: Micros,
         attempt: AttemptId,
-        node: BackendId,
+        backend: BackendId,
         client: &Self::Client,
-        expires: Micros,
+        expires_at: Micros,
     ) -> Option<Self::Attempt>;
-    /// How much of an attempt's request has gone out.
-    fn sent(&self, attempt: &Self::Attempt) -> Sent;
-    /// Closes an attempt's connection: nobody waits for it any more.
-    fn withdraw(&mut self, attempt: Self::Attempt);
-    /// A body that was not whole when its request was taken.
+    /// How much of an attempt's request has been sent.
+    fn send_progress(&self, attempt: &Self::Attempt) -> SendProgress;
+    /// Cancels an attempt and closes its connection.
+    fn cancel_attempt(&mut self, attempt: Self::Attempt);
+    /// The upload of a request whose body was incomplete when the request was accepted.
     fn upload(&self, client: &Self::Client) -> Option<Upload>;
 
-    /// Makes a call to the counter; its total comes by [`crate::Exchange::counted`] under the call's number.
-    fn count(&mut self, now: Micros, call: u64, name: u64, amount: f64, life: Micros) -> Called<Self::Call>;
-    /// Whether a call may have been written: one that was not has added nothing.
-    fn written(&self, call: &Self::Call) -> bool;
-    /// The total of a claim; none: it is not to be had in time.
-    fn claimed(&mut self, asker: Self::Asker, total: Option<f64>);
+    /// Starts a counter call that adds `amount` to the count `count`, which lives for `life`. The total of a pending
+    /// call is reported by [`crate::Exchange::counter_call_ended`].
+    fn start_call(
+        &mut self,
+        now: Micros,
+        call: CallId,
+        count: u64,
+        amount: f64,
+        life: Micros,
+    ) -> CallStart<Self::Call>;
+    /// Whether a call may have been sent. One that was not sent has added nothing.
+    fn may_have_been_sent(&self, call: &Self::Call) -> bool;
+    /// Reports the total of a claim; `None`: it did not arrive in time.
+    fn report_claim(&mut self, waiter: Self::ClaimWaiter, total: Option<f64>);
 
-    /// Whether this client is told how its quota stands.
-    fn tells(&self, client: &Self::Client) -> bool;
-    /// Gives the one final answer.
-    fn answer(&mut self, now: Micros, over: Over, client: Self::Client, answer: Final<Self::Served>);
-    /// A client left before its answer.
-    fn gone(&mut self, now: Micros, request: RequestId, attempts: u8);
+    /// Whether the response to this client carries the state of its quota.
+    fn wants_quota(&self, client: &Self::Client) -> bool;
+    /// Sends the final response.
+    fn respond(
+        &mut self,
+        now: Micros,
+        summary: RequestSummary,
+        client: Self::Client,
+        response: FinalResponse<Self::Response>,
+    );
+    /// A client has disconnected before the final response.
+    fn request_abandoned(&mut self, now: Micros, request: RequestId, attempts: u8);
 
-    /// Closes all idle connections to a node.
-    fn close_idle(&mut self, node: BackendId);
-    /// From now on a connection that has been idle for longer is not used.
-    fn keep_idle(&mut self, longest: Micros);
-    fn tell(&mut self, now: Micros, to: Option<u16>, data: Vec<u8>);
+    /// Closes all idle connections to a backend.
+    fn close_idle(&mut self, backend: BackendId);
+    /// From now on a connection that has been idle for longer than `max_idle` is not reused.
+    fn set_max_idle(&mut self, max_idle: Micros);
+    /// Sends a message to one other ingress, or to all (`None`).
+    fn send_to_peers(&mut self, now: Micros, to: Option<u16>, data: Vec<u8>);
+    /// Logs a line.
     fn log(&mut self, text: &str);
-    /// The regular look at what is held: the time since which idle connections may stand.
+    /// Reports a fault of the program itself, of the decision module or of this crate.
+    fn report_defect(&mut self, text: &str);
+    /// The periodic clean-up: connections that are idle since before `idle_since` are to be closed.
     fn sweep(&mut self, now: Micros, idle_since: Micros, gateway: &Gateway);
 
-    /// An attempt has ended, as the module hears of it.
-    fn attempt_over(&mut self, _now: Micros, _end: &AttemptEnd) {}
-    /// A call of the module's has ended.
-    fn call_over(&mut self, _now: Micros, _name: u64, _outcome: Outcome) {}
+    /// Observes the end of an attempt, as it is reported to the decision module.
+    fn on_attempt_end(&mut self, _now: Micros, _end: &AttemptEnd) {}
+    /// Observes the end of a counter call that was made for the decision module.
+    fn on_call_end(&mut self, _now: Micros, _count: u64, _outcome: Outcome) {}
 }
 
-/// An attempt's name: its request, and its number among that request's attempts from 0.
+/// Identifies an attempt: its request, and its number among that request's attempts, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
+    /// The request that is attempted.
     pub request: RequestId,
+    /// The number of the attempt.
     pub number: u8,
 }
 
-/// How much of a request has gone out to a node.
+/// How much of a request has been sent to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
-    /// Not a byte: it has never run.
+pub enum SendProgress {
+    /// Not a byte: it has not been executed.
     Nothing,
-    /// Its last byte has not: it has never run either, through no fault of the node's.
-    Partly,
-    /// All of it may have, the last byte at that time (0: with the first).
-    All { at: Micros },
+    /// Not its last byte: it has not been executed, and the backend is not at fault.
+    Partial,
+    /// Possibly all of it.
+    Complete {
+        /// When the last byte was sent; 0: with the first.
+        last_byte_at: Micros,
+    },
 }
 
-/// A body that is passed on while it comes.
+/// The upload of a body that is forwarded while it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Upload {
-    /// When its request was taken, and when its last byte came.
-    pub began: Micros,
-    pub ended: Option<Micros>,
-    /// None of it has been given to a connection yet: only then can it be sent.
-    pub untouched: bool,
+    /// When its request was accepted.
+    pub started_at: Micros,
+    /// When its last byte arrived; `None`: it is still arriving.
+    pub ended_at: Option<Micros>,
+    /// No part of it has been passed to a connection. Only then can it still be sent.
+    pub is_unsent: bool,
 }
 
-/// How a call to the counter began.
+/// The start of a counter call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Called<C> {
-    Out(C),
-    /// It is counted in this process: here is the total.
+pub enum CallStart<C> {
+    /// The call is pending.
+    Pending(C),
+    /// The count is kept in this process; this is its total.
     Total(f64),
-    /// It could not be made, and has added nothing.
-    Unmade,
+    /// The call could not be made and has added nothing.
+    NotSent,
 }
 
-/// What is told of a request that is over.
+/// A summary of a request at its final response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Over {
+pub struct RequestSummary {
+    /// The request.
     pub request: RequestId,
+    /// Attempts that the decision module asked for.
     pub attempts: u8,
-    /// The rule that gave it up, if one did.
+    /// The rule that gave the request up, if one did.
     pub why: Option<Why>,
-    /// Its customer's quota, for a client that is told of it.
-    pub standing: Option<Standing>,
+    /// The state of its customer's quota, for a client that wants it ([`Port::wants_quota`]).
+    pub quota: Option<Standing>,
 }
 
-/// The one final answer.
+/// The final response to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final<S> {
-    Served(S),
-    /// Trying again is harmless, after that long (0: nothing is said of it).
+pub enum FinalResponse<R> {
+    /// A backend's response.
+    Served(R),
+    /// Not executed: a retry is safe.
     Refused {
+        /// The time after which a retry is advised; 0: no advice.
         retry_after: Micros,
     },
+    /// Failed; an attempt may have been executed.
     Failed,
-    /// One that only asked may proceed.
+    /// The answer to an admission check: the request may proceed.
     Admitted,
 }
 
-impl<S> Final<S> {
-    /// How it ended, in a word.
-    pub fn word(&self) -> &'static str {
+impl<R> FinalResponse<R> {
+    /// The name of the kind of response.
+    pub fn kind(&self) -> &'static str {
         match self {
-            Final::Served(_) => "served",
-            Final::Refused { .. } => "refused",
-            Final::Failed => "failed",
-            Final::Admitted => "admitted",
+            FinalResponse::Served(_) => "served",
+            FinalResponse::Refused { .. } => "refused",
+            FinalResponse::Failed => "failed",
+            FinalResponse::Admitted => "admitted",
         }
     }
 }
--- /dev/null
+++ b/crates/exchange/src/records.rs
@@ -0,0 +1,47 @@
+//! The records of what is open.
+
+use crate::port::Port;
+use violetyoke_decision::interface::{BackendId, CustomerId, Micros};
+
+/// A request that has been accepted and not yet answered.
+pub(super) struct OpenRequest<P: Port> {
+    pub(super) client: P::Client,
+    pub(super) customer: CustomerId,
+    /// It is a question about admission and is sent to no backend.
+    pub(super) is_admission_check: bool,
+    /// The claim whose outcome this request has still to report.
+    pub(super) claim: Option<u64>,
+    pub(super) deadline: Micros,
+    /// Attempts that the decision module has asked for so far.
+    pub(super) attempts: u8,
+    /// The limit on attempts that was in force when the request was accepted.
+    pub(super) max_attempts: u32,
+    /// An attempt that has ended may have been executed.
+    pub(super) may_have_run: bool,
+    pub(super) in_flight: Option<InFlight<P>>,
+}
+
+/// The attempt in flight for a request.
+pub(super) struct InFlight<P: Port> {
+    /// Its number among the request's attempts, from 0.
+    pub(super) number: u8,
+    pub(super) backend: BackendId,
+    pub(super) started_at: Micros,
+    pub(super) expires_at: Micros,
+    pub(super) handle: P::Attempt,
+}
+
+/// A counter call that has not ended.
+pub(super) struct PendingCall<P: Port> {
+    pub(super) purpose: CallPurpose<P::ClaimWaiter>,
+    pub(super) started_at: Micros,
+    pub(super) handle: P::Call,
+}
+
+/// Who a counter call is made for.
+pub(super) enum CallPurpose<W> {
+    /// The decision module, which knows the call by the name of the count.
+    Module { count: u64 },
+    /// A claim. Nobody waits for the total where an outcome is added.
+    Claim { waiter: Option<W> },
+}
--- /dev/null
+++ b/crates/exchange/src/requests.rs
@@ -0,0 +1,97 @@
+//! Requests from acceptance to the final response.
+
+use crate::exchange::Exchange;
+use crate::port::{FinalResponse, Port, RequestSummary, SendProgress};
+use crate::records::OpenRequest;
+use crate::timers::Timer;
+use violetyoke_decision::interface::{Event, Micros, Outcome, Request, RequestId, Why};
+
+/// How long before its deadline a request is answered if the decision module has not decided by then.
+const RESPONSE_MARGIN: Micros = 2_000;
+
+/// A request as it is accepted.
+#[derive(Clone, Debug)]
+pub struct AcceptedRequest {
+    /// The request, with its full budget.
+    pub request: Request,
+    /// When its last byte arrived; its budget counts from then.
+    pub arrived_at: Micros,
+    /// It is a question about admission and is sent to no backend.
+    pub is_admission_check: bool,
+    /// The claim whose outcome this request is to report, if any.
+    pub claim: Option<u64>,
+}
+
+/// The latest time at which a request with this deadline is answered.
+pub(super) fn respond_by(deadline: Micros) -> Micros {
+    deadline.saturating_sub(RESPONSE_MARGIN)
+}
+
+impl<P: Port> Exchange<P> {
+    /// Accepts a request, which the decision module receives with what is left of its budget.
+    pub fn accept_request(&mut self, now: Micros, accepted: AcceptedRequest, client: P::Client) {
+        let AcceptedRequest { request, arrived_at, is_admission_check, claim } = accepted;
+        let deadline = arrived_at + request.budget;
+        let open = OpenRequest {
+            client,
+            customer: request.customer,
+            is_admission_check,
+            claim,
+            deadline,
+            attempts: 0,
+            max_attempts: self.limits.attempts,
+            may_have_run: false,
+            in_flight: None,
+        };
+        self.requests.insert(request.id, open);
+        self.timers.set(respond_by(deadline), Timer::RequestDeadline(request.id));
+        self.events.push_back(Event::Request(Request { budget: deadline.saturating_sub(now), ..request }));
+    }
+
+    /// Closes a request whose client has disconnected. The decision module is notified of an admitted request too,
+    /// which is not open here any more.
+    pub fn abandon_request(&mut self, now: Micros, request: RequestId) {
+        self.events.push_back(Event::Abandoned { request });
+        if let Some(open) = self.requests.remove(&request) {
+            self.port.request_abandoned(now, request, open.attempts);
+            if let Some(in_flight) = open.in_flight {
+                self.cancel(now, request, in_flight, Outcome::Cancelled);
+            }
+        }
+    }
+
+    /// Sends the final response and cancels an attempt that is still in flight. A request that is closed already is
+    /// left alone.
+    pub(super) fn finish(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        response: FinalResponse<P::Response>,
+        why: Option<Why>,
+    ) {
+        let Some(open) = self.requests.remove(&request) else { return };
+        let wants_quota = self.port.wants_quota(&open.client);
+        let quota = if wants_quota { self.gateway.standing(open.customer) } else { None };
+        let summary = RequestSummary { request, attempts: open.attempts, why, quota };
+        self.port.respond(now, summary, open.client, response);
+        if let Some(in_flight) = open.in_flight {
+            self.cancel(now, request, in_flight, Outcome::Cancelled);
+        }
+    }
+
+    /// Answers a request for which the decision module has not decided in time. That is a defect of the module, but
+    /// the client still gets its response.
+    pub(super) fn finish_undecided(&mut self, now: Micros, request: RequestId) {
+        let Some(open) = self.requests.get(&request) else { return };
+        let may_have_run = open.may_have_run
+            || open.in_flight.as_ref().is_some_and(|in_flight| {
+                matches!(self.port.send_progress(&in_flight.handle), SendProgress::Complete { .. })
+            });
+        let attempts = open.attempts;
+        self.port.report_defect(&format!("request {request} was not decided in time (attempts {attempts})"));
+        self.events.push_back(Event::Abandoned { request });
+        let response =
+            if may_have_run { FinalResponse::Failed } else { FinalResponse::Refused { retry_after: 0 } };
+        self.finish(now, request, response, None);
+    }
+}
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -16,9 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 use violetyoke_decision::interface::*;
-use violetyoke_exchange::nodes::Numbers;
-use violetyoke_exchange::port::AttemptId;
-use violetyoke_exchange::{Exchange, Taken};
+use violetyoke_exchange::{AcceptedRequest, AttemptId, BackendIds, Exchange};
 use violetyoke_operations::ManualEjections;
 
 /// Messages taken up in one go.
@@ -64,17 +62,17 @@
             counter: None,
             peers,
             report_fields: settings.report_fields.clone().into(),
-            numbers: Numbers::default(),
+            backend_ids: BackendIds::default(),
             backends: HashMap::new(),
             listed: HashMap::new(),
-            keep_idle: 0,
+            max_idle: 0,
             account: Account::open(&settings, &names.classes, &names.plans),
         };
         sockets.counter = counter.map(|link| sockets.open(link, timeout));
         let exchange = Exchange::new(clock.now(), settings, seed, sockets);
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.targets(TargetList { cached: true, complete: true, ..known });
-        driver.exchange.settle(clock.now());
+        driver.exchange.process_events(clock.now());
         driver.exchange.gateway_mut().beside(beside);
         if let Some(inherited) = inherited {
             driver.inherit(*inherited);
@@ -104,7 +102,7 @@
                 };
                 let now = self.clock.now();
                 self.take(now, message);
-                self.exchange.settle(now);
+                self.exchange.process_events(now);
                 if let Some((member, began)) = charged {
                     sets::charge(member, began.elapsed().as_micros() as u64);
                 }
@@ -112,7 +110,7 @@
             if self.retiring && self.pool.open() == 0 && self.exchange.is_idle() {
                 return;
             }
-            self.exchange.due(self.clock.now());
+            self.exchange.fire_due(self.clock.now());
         }
     }
 
@@ -120,9 +118,9 @@
         let exchange = &mut self.exchange;
         match message {
             Message::Request(request) => self.request(now, request),
-            Message::Abandoned(request) => exchange.abandoned(now, request),
+            Message::Abandoned(request) => exchange.abandon_request(now, request),
             Message::AttemptEnded { request, attempt, outcome, report, body, carried } => {
-                carried.into_iter().for_each(|carried| exchange.tell(carried));
+                carried.into_iter().for_each(|carried| exchange.enqueue(carried));
                 let id = AttemptId { request, number: attempt };
                 exchange.attempt_ended(now, id, outcome, report, Answer::Served(body));
             }
@@ -130,7 +128,9 @@
                 let id = AttemptId { request, number: attempt };
                 exchange.attempt_ended(now, id, Outcome::Ok, report, Answer::Long(first, rest));
             }
-            Message::Counted { call, outcome, total } => exchange.counted(now, call, outcome, total),
+            Message::Counted { call, outcome, total } => {
+                exchange.counter_call_ended(now, call, outcome, total);
+            }
             Message::Targets(list) => self.targets(list),
             // The old one ends by itself once its calls are answered or its connection is closed.
             Message::CounterMoved(link) => {
@@ -154,9 +154,9 @@
             Message::Alone => exchange.gateway_mut().beside(false),
             Message::TakeBack(lent) => exchange.gateway_mut().take_back(now, &lent.belief),
             Message::Retire => self.retiring = true,
-            Message::Withdrawn(request) => exchange.tell(Event::Withdrawn { request }),
-            Message::Claim { claim, amount, reply } => exchange.claim(now, claim, amount, reply),
-            Message::Peer { from, data } => exchange.tell(Event::PeerMessage { from, data }),
+            Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
+            Message::Claim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
+            Message::Peer { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
         }
     }
 
@@ -165,7 +165,7 @@
         let belief = self.exchange.gateway_mut().hand_down(self.clock.now());
         let sockets = &self.exchange.port;
         let (nodes, back) = (sockets.listed.values().cloned().collect(), self.ejections.restored().clone());
-        Box::new(Inheritance::new(nodes, sockets.numbers.as_map(), &self.names, back, belief))
+        Box::new(Inheritance::new(nodes, sockets.backend_ids.as_map(), &self.names, back, belief))
     }
 
     /// Begins with what an older process knew. Its list of nodes is newer than the configuration's.
@@ -174,9 +174,9 @@
         self.ejections.inherit_restored(std::mem::take(&mut inherited.back));
         if let Some(list) = inherited.list() {
             self.targets(list);
-            self.exchange.settle(self.clock.now());
+            self.exchange.process_events(self.clock.now());
         }
-        let belief = inherited.belief(self.exchange.port.numbers.as_map(), &self.names);
+        let belief = inherited.belief(self.exchange.port.backend_ids.as_map(), &self.names);
         let ((nodes, accounts), now) = (belief.known(), self.clock.now());
         let age = now.saturating_sub(belief.at()) / 1000;
         let believed = self.exchange.gateway_mut().take_over(now, belief);
@@ -200,7 +200,7 @@
         }
         let ClientRequest { forward, reply, .. } = request;
         let write = forward.as_ref().is_some_and(|forward| forward.method != hyper::Method::GET);
-        let taken = Taken {
+        let accepted = AcceptedRequest {
             request: Request {
                 id: request.id,
                 class: request.class,
@@ -213,11 +213,11 @@
                 repeat: request.repeat,
                 write,
             },
-            arrived: request.arrived,
-            asks_only: forward.is_none(),
+            arrived_at: request.arrived,
+            is_admission_check: forward.is_none(),
             claim: request.claim,
         };
-        self.exchange.take(taken, Client { reply, forward }, now);
+        self.exchange.accept_request(now, accepted, Client { reply, forward });
     }
 
     // ---- Lists of nodes ----
@@ -243,7 +243,7 @@
             (false, true) => ListKind::Full,
             (false, false) => ListKind::Delta,
         };
-        self.exchange.tell(Event::Backends { kind, version: list.revision, entries });
+        self.exchange.enqueue(Event::Backends { kind, version: list.revision, entries });
     }
 
     // ---- Nodes taken out by hand ----
@@ -251,7 +251,7 @@
     /// Whether there is such a node; it is out, or back, from then on.
     fn by_hand(&mut self, node: &str, out: bool) -> bool {
         let now = self.clock.now();
-        if self.exchange.port.numbers.get(node).is_none() && !self.ejections.is_ejected(node) {
+        if self.exchange.port.backend_ids.get(node).is_none() && !self.ejections.is_ejected(node) {
             return false;
         }
         let moved = if out { self.ejections.eject(node, now) } else { self.ejections.restore(node, now) };
@@ -269,13 +269,13 @@
         for backend in self.exchange.port.backends.values().filter(|backend| !backend.accepting.get()) {
             backend.close_idle();
         }
-        self.exchange.tell(Event::Backends { kind: ListKind::Delta, version: 0, entries });
+        self.exchange.enqueue(Event::Backends { kind: ListKind::Delta, version: 0, entries });
     }
 
     fn target(&mut self, target: &Target) -> BackendEntry {
         let out = self.ejections.is_ejected(&target.id);
         let sockets = &mut self.exchange.port;
-        let id = sockets.numbers.number(&target.id);
+        let id = sockets.backend_ids.get_or_assign(&target.id);
         let budget = &self.budget;
         let new = || Backend::new(target.host_port, budget.clone());
         let backend = sockets.backends.entry(id).or_insert_with(new);
--- a/crates/ingress/src/port.rs
+++ b/crates/ingress/src/port.rs
@@ -17,8 +17,9 @@
 use violetyoke_config::Fields;
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
-use violetyoke_exchange::nodes::Numbers;
-use violetyoke_exchange::port::{self, AttemptId, Called, Final, Over, Port, Sent};
+use violetyoke_exchange::{
+    AttemptId, BackendIds, CallId, CallStart, FinalResponse, Port, RequestSummary, SendProgress,
+};
 
 /// The way to the counter, opened.
 pub(crate) enum Counting {
@@ -56,12 +57,12 @@
     pub counter: Option<Counting>,
     pub peers: Option<Peers>,
     pub report_fields: Rc<[ReportField]>,
-    pub numbers: Numbers,
+    pub backend_ids: BackendIds,
     pub backends: HashMap<BackendId, Rc<Backend>>,
     /// Nodes as the list last told of them, where operators may take them out.
     pub listed: HashMap<String, Target>,
     /// For how long a connection to a backend may stand idle and still be used.
-    pub keep_idle: Micros,
+    pub max_idle: Micros,
     /// What was decided and why, where it is asked for.
     pub account: Option<Box<Account>>,
 }
@@ -79,38 +80,38 @@
     /// Forgets backends that are gone once nothing is out to them.
     fn forget(&mut self) {
         self.backends.retain(|_, backend| !backend.gone.get() || Rc::strong_count(backend) > 1);
-        let (backends, numbers) = (&self.backends, &mut self.numbers);
-        numbers.retain(|number| backends.contains_key(&number));
-        self.listed.retain(|node, _| numbers.get(node).is_some());
+        let (backends, backend_ids) = (&self.backends, &mut self.backend_ids);
+        backend_ids.retain(|id| backends.contains_key(&id));
+        self.listed.retain(|node, _| backend_ids.get(node).is_some());
     }
 }
 
 impl Port for Sockets {
     type Client = Client;
-    type Served = Answer;
+    type Response = Answer;
     type Attempt = Flying;
     /// Whether it may have been written.
     type Call = Rc<Cell<bool>>;
-    type Asker = oneshot::Sender<Option<f64>>;
+    type ClaimWaiter = oneshot::Sender<Option<f64>>;
 
-    fn attempt(
+    fn start_attempt(
         &mut self,
         now: Micros,
         id: AttemptId,
-        node: BackendId,
+        backend: BackendId,
         client: &Client,
-        expires: Micros,
+        expires_at: Micros,
     ) -> Option<Flying> {
         let AttemptId { request, number: attempt } = id;
-        let backend = self.backends.get(&node).filter(|backend| backend.accepting.get()).cloned()?;
+        let backend = self.backends.get(&backend).filter(|backend| backend.accepting.get()).cloned()?;
         let forward = client.forward.clone()?;
-        backend.close_older(now.saturating_sub(self.keep_idle));
+        backend.close_older(now.saturating_sub(self.max_idle));
         let (sent, messages, clock) = (Rc::new(Cell::new(false)), self.messages.clone(), self.clock);
         let begun = self.messages.clone();
         let work = backend::attempt(
             backend,
             forward,
-            expires - now,
+            expires_at - now,
             sent.clone(),
             self.report_fields.clone(),
             move || clock.now(),
@@ -125,81 +126,96 @@
         Some(Flying { sent, upload: client.upload().cloned(), task })
     }
 
-    fn sent(&self, attempt: &Flying) -> Sent {
+    fn send_progress(&self, attempt: &Flying) -> SendProgress {
         let ended = attempt.upload.as_ref().map_or(Some(0), |upload| upload.ended());
         match (attempt.sent.get(), ended) {
-            (false, _) => Sent::Nothing,
-            (true, None) => Sent::Partly,
-            (true, Some(at)) => Sent::All { at },
+            (false, _) => SendProgress::Nothing,
+            (true, None) => SendProgress::Partial,
+            (true, Some(last_byte_at)) => SendProgress::Complete { last_byte_at },
         }
     }
 
-    fn withdraw(&mut self, attempt: Flying) {
+    fn cancel_attempt(&mut self, attempt: Flying) {
         attempt.task.abort();
     }
 
-    fn upload(&self, client: &Client) -> Option<port::Upload> {
-        client.upload().map(|upload| port::Upload {
-            began: upload.began,
-            ended: upload.ended(),
-            untouched: upload.untouched(),
+    fn upload(&self, client: &Client) -> Option<violetyoke_exchange::Upload> {
+        client.upload().map(|upload| violetyoke_exchange::Upload {
+            started_at: upload.began,
+            ended_at: upload.ended(),
+            is_unsent: upload.untouched(),
         })
     }
 
-    fn count(&mut self, now: Micros, call: u64, name: u64, amount: f64, life: Micros) -> Called<Self::Call> {
+    fn start_call(
+        &mut self,
+        now: Micros,
+        call: CallId,
+        count: u64,
+        amount: f64,
+        life: Micros,
+    ) -> CallStart<Self::Call> {
         match &self.counter {
             Some(Counting::Remote(counter)) => {
-                counter.call(call, now, name, amount, life).map_or(Called::Unmade, Called::Out)
+                counter.call(call, now, count, amount, life).map_or(CallStart::NotSent, CallStart::Pending)
             }
             Some(Counting::Embedded(Link::Embedded { counts, space })) => {
-                Called::Total(counts.add(now, space, name, amount, life))
+                CallStart::Total(counts.add(now, space, count, amount, life))
             }
-            _ => Called::Unmade,
+            _ => CallStart::NotSent,
         }
     }
 
-    fn written(&self, call: &Self::Call) -> bool {
+    fn may_have_been_sent(&self, call: &Self::Call) -> bool {
         call.get()
     }
 
-    fn claimed(&mut self, asker: Self::Asker, total: Option<f64>) {
-        let _ = asker.send(total);
+    fn report_claim(&mut self, waiter: Self::ClaimWaiter, total: Option<f64>) {
+        // The waiter may have left: then nobody misses the total.
+        let _ = waiter.send(total);
     }
 
-    fn tells(&self, client: &Client) -> bool {
+    fn wants_quota(&self, client: &Client) -> bool {
         client.forward.is_none() || self.pool.fields.get() != Fields::default()
     }
 
-    fn answer(&mut self, now: Micros, over: Over, client: Client, answer: Final<Answer>) {
+    fn respond(
+        &mut self,
+        now: Micros,
+        summary: RequestSummary,
+        client: Client,
+        response: FinalResponse<Answer>,
+    ) {
         if let Some(account) = &mut self.account {
-            account.over(now, over.request, over.attempts, answer.word(), over.why);
+            account.over(now, summary.request, summary.attempts, response.kind(), summary.why);
         }
-        let answer = match answer {
-            Final::Served(answer) => answer,
-            Final::Refused { retry_after } => Answer::Refused { retry_after },
-            Final::Failed => Answer::Failed,
-            Final::Admitted => Answer::Admitted,
+        let answer = match response {
+            FinalResponse::Served(answer) => answer,
+            FinalResponse::Refused { retry_after } => Answer::Refused { retry_after },
+            FinalResponse::Failed => Answer::Failed,
+            FinalResponse::Admitted => Answer::Admitted,
         };
-        let _ = client.reply.send(Reply { answer, standing: over.standing });
+        // The client may have left meanwhile: then nobody misses the answer.
+        let _ = client.reply.send(Reply { answer, standing: summary.quota });
     }
 
-    fn gone(&mut self, now: Micros, request: RequestId, attempts: u8) {
+    fn request_abandoned(&mut self, now: Micros, request: RequestId, attempts: u8) {
         if let Some(account) = &mut self.account {
             account.over(now, request, attempts, "gone", None);
         }
     }
 
-    fn close_idle(&mut self, node: BackendId) {
-        if let Some(backend) = self.backends.get(&node) {
+    fn close_idle(&mut self, backend: BackendId) {
+        if let Some(backend) = self.backends.get(&backend) {
             backend.close_idle();
         }
     }
 
-    fn keep_idle(&mut self, longest: Micros) {
-        self.keep_idle = longest;
+    fn set_max_idle(&mut self, max_idle: Micros) {
+        self.max_idle = max_idle;
     }
 
-    fn tell(&mut self, _: Micros, to: Option<u16>, data: Vec<u8>) {
+    fn send_to_peers(&mut self, _: Micros, to: Option<u16>, data: Vec<u8>) {
         if let Some(peers) = &self.peers {
             peers.tell(to, &data);
         }
@@ -209,22 +225,26 @@
         eprintln!("{text} (pool {:?})", self.pool.name);
     }
 
+    fn report_defect(&mut self, text: &str) {
+        self.log(&format!("defect: {text}"));
+    }
+
     fn sweep(&mut self, now: Micros, idle_since: Micros, gateway: &Gateway) {
         self.backends.values().for_each(|backend| backend.close_older(idle_since));
         self.forget();
         if let Some(account) = &mut self.account {
-            let name = |id| self.numbers.name(id).map(str::to_string).unwrap_or_default();
+            let name = |id| self.backend_ids.name(id).map(str::to_string).unwrap_or_default();
             account.state(now, gateway.fleet(), name);
         }
     }
 
-    fn attempt_over(&mut self, now: Micros, end: &AttemptEnd) {
+    fn on_attempt_end(&mut self, now: Micros, end: &AttemptEnd) {
         if let Some(account) = &self.account {
-            account.attempt(now, self.numbers.name(end.backend).unwrap_or(""), end);
+            account.attempt(now, self.backend_ids.name(end.backend).unwrap_or(""), end);
         }
     }
 
-    fn call_over(&mut self, _: Micros, _: u64, outcome: Outcome) {
+    fn on_call_end(&mut self, _: Micros, _: u64, outcome: Outcome) {
         if let Some(account) = &mut self.account {
             account.call(outcome);
         }
--- a/crates/lab/src/reference.rs
+++ b/crates/lab/src/reference.rs
@@ -5,7 +5,7 @@
 use crate::world::{Policy, World};
 use std::collections::BTreeMap;
 use violetyoke_decision::interface::*;
-use violetyoke_exchange::port::{AttemptId, Final, Over, Port};
+use violetyoke_exchange::{AttemptId, FinalResponse, Port, RequestSummary};
 
 /// Part of what pushes a cold node over that the oracle gives it at most.
 const SAFE_PRESSURE: f64 = 0.7;
@@ -28,26 +28,26 @@
 
 impl Reference {
     pub fn new(mut wires: Wires) -> Reference {
-        wires.keep_idle(10_000_000);
+        wires.set_max_idle(10_000_000);
         Reference { wires, open: BTreeMap::new() }
     }
 
-    fn answer(&mut self, request: RequestId, why: Option<Why>, answer: Final<()>) {
+    fn answer(&mut self, request: RequestId, why: Option<Why>, response: FinalResponse<()>) {
         let attempts = self.open.remove(&request).map_or(0, |open| open.attempts);
-        let over = Over { request, attempts, why, standing: None };
-        self.wires.out.push(Command::Answer { over, answer });
+        let summary = RequestSummary { request, attempts, why, quota: None };
+        self.wires.out.push(Command::Answer { summary, response });
     }
 
     pub fn abandoned(&mut self, request: RequestId) {
         if let Some(out) = self.open.remove(&request).and_then(|open| open.out) {
-            self.wires.withdraw(out);
+            self.wires.cancel_attempt(out);
         }
     }
 }
 
 impl World<'_> {
     pub(crate) fn reference_takes(&mut self, ingress: usize, request: RequestId) {
-        let refused = |retry_after| Final::Refused { retry_after };
+        let refused = |retry_after| FinalResponse::Refused { retry_after };
         let within = match self.policy() {
             Policy::Random(part) => self.coin(part),
             _ => self.oracle_has_room(request),
@@ -76,7 +76,7 @@
         let safe = !open.may_have_run || effect == Effect::Safe;
         let more = again && safe && open.attempts < ATTEMPTS;
         if outcome == Outcome::Ok {
-            return reference.answer(id.request, None, Final::Served(()));
+            return reference.answer(id.request, None, FinalResponse::Served(()));
         }
         let node = if more { self.reference_node(ingress, id.request) } else { None };
         let now = self.now();
@@ -84,9 +84,9 @@
         match node {
             Some(node) => reference.send(now, id.request, node),
             None if safe => {
-                reference.answer(id.request, Some(Why::Attempt), Final::Refused { retry_after: 0 });
+                reference.answer(id.request, Some(Why::Attempt), FinalResponse::Refused { retry_after: 0 });
             }
-            None => reference.answer(id.request, Some(Why::Attempt), Final::Failed),
+            None => reference.answer(id.request, Some(Why::Attempt), FinalResponse::Failed),
         }
     }
 
--- a/crates/lab/src/wires.rs
+++ b/crates/lab/src/wires.rs
@@ -6,8 +6,9 @@
 use std::rc::Rc;
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
-use violetyoke_exchange::nodes::Numbers;
-use violetyoke_exchange::port::{AttemptId, Called, Final, Over, Port, Sent, Upload};
+use violetyoke_exchange::{
+    AttemptId, BackendIds, CallId, CallStart, FinalResponse, Port, RequestSummary, SendProgress, Upload,
+};
 
 /// What the world is to do.
 #[derive(Debug)]
@@ -31,8 +32,8 @@
         life: Micros,
     },
     Answer {
-        over: Over,
-        answer: Final<()>,
+        summary: RequestSummary,
+        response: FinalResponse<()>,
     },
     /// Idle connections to that epoch of a node are closed.
     Close {
@@ -76,7 +77,7 @@
 pub struct Wires {
     pub out: Vec<Command>,
     /// Numbers as this ingress gives them, and the emulated nodes behind them.
-    numbers: Numbers,
+    numbers: BackendIds,
     places: HashMap<BackendId, usize>,
     pub lines: Vec<Line>,
     next_serial: u64,
@@ -95,7 +96,7 @@
 
     /// The number of a node, as the list first named it.
     pub fn number(&mut self, name: &str, place: usize) -> BackendId {
-        let number = self.numbers.number(name);
+        let number = self.numbers.get_or_assign(name);
         self.places.insert(number, place);
         if self.lines.len() <= place {
             self.lines.resize(place + 1, Line::default());
@@ -163,25 +164,32 @@
 impl Port for Wires {
     /// A try is known by its request's number.
     type Client = ();
-    type Served = ();
+    type Response = ();
     type Attempt = Flying;
     type Call = ();
-    type Asker = ();
+    type ClaimWaiter = ();
 
-    fn attempt(&mut self, now: Micros, id: AttemptId, node: BackendId, _: &(), _: Micros) -> Option<Flying> {
+    fn start_attempt(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        node: BackendId,
+        _: &(),
+        _: Micros,
+    ) -> Option<Flying> {
         let place = *self.places.get(&node)?;
         self.line(place).accepting.then(|| self.begin(now, id, place))
     }
 
-    fn sent(&self, attempt: &Flying) -> Sent {
+    fn send_progress(&self, attempt: &Flying) -> SendProgress {
         if attempt.sent.get() {
-            Sent::All { at: 0 }
+            SendProgress::Complete { last_byte_at: 0 }
         } else {
-            Sent::Nothing
+            SendProgress::Nothing
         }
     }
 
-    fn withdraw(&mut self, attempt: Flying) {
+    fn cancel_attempt(&mut self, attempt: Flying) {
         self.out.push(Command::Withdraw { serial: attempt.serial });
     }
 
@@ -189,26 +197,26 @@
         None
     }
 
-    fn count(&mut self, _: Micros, call: u64, name: u64, amount: f64, life: Micros) -> Called<()> {
+    fn start_call(&mut self, _: Micros, call: CallId, name: u64, amount: f64, life: Micros) -> CallStart<()> {
         self.out.push(Command::Count { call, name, amount, life });
-        Called::Out(())
+        CallStart::Pending(())
     }
 
-    fn written(&self, (): &()) -> bool {
+    fn may_have_been_sent(&self, (): &()) -> bool {
         true
     }
 
-    fn claimed(&mut self, (): (), _: Option<f64>) {}
+    fn report_claim(&mut self, (): (), _: Option<f64>) {}
 
-    fn tells(&self, (): &()) -> bool {
+    fn wants_quota(&self, (): &()) -> bool {
         false
     }
 
-    fn answer(&mut self, _: Micros, over: Over, (): (), answer: Final<()>) {
-        self.out.push(Command::Answer { over, answer });
+    fn respond(&mut self, _: Micros, summary: RequestSummary, (): (), response: FinalResponse<()>) {
+        self.out.push(Command::Answer { summary, response });
     }
 
-    fn gone(&mut self, _: Micros, _: RequestId, _: u8) {}
+    fn request_abandoned(&mut self, _: Micros, _: RequestId, _: u8) {}
 
     fn close_idle(&mut self, node: BackendId) {
         if let Some(place) = self.places.get(&node).copied() {
@@ -217,18 +225,18 @@
         }
     }
 
-    fn keep_idle(&mut self, longest: Micros) {
-        self.keep_idle = longest;
+    fn set_max_idle(&mut self, max_idle: Micros) {
+        self.keep_idle = max_idle;
     }
 
-    fn tell(&mut self, _: Micros, to: Option<u16>, data: Vec<u8>) {
+    fn send_to_peers(&mut self, _: Micros, to: Option<u16>, data: Vec<u8>) {
         self.out.push(Command::Tell { to, data });
     }
 
-    fn log(&mut self, text: &str) {
-        if text.starts_with("defect") || text.contains("broken") {
-            self.out.push(Command::Defect);
-        }
+    fn log(&mut self, _: &str) {}
+
+    fn report_defect(&mut self, _: &str) {
+        self.out.push(Command::Defect);
     }
 
     fn sweep(&mut self, _: Micros, idle_since: Micros, _: &Gateway) {
@@ -237,7 +245,7 @@
         }
     }
 
-    fn attempt_over(&mut self, _: Micros, end: &AttemptEnd) {
+    fn on_attempt_end(&mut self, _: Micros, end: &AttemptEnd) {
         self.out.push(Command::Ended(end.outcome));
     }
 }
--- a/crates/lab/src/world/counting.rs
+++ b/crates/lab/src/world/counting.rs
@@ -64,7 +64,9 @@
         }
         if self.ingresses[call.ingress].epoch == call.epoch {
             self.by_total = outcome == Outcome_::Ok;
-            self.drive(call.ingress, |exchange, now| exchange.counted(now, call.number, outcome, total));
+            self.drive(call.ingress, |exchange, now| {
+                exchange.counter_call_ended(now, call.number, outcome, total);
+            });
             self.by_total = false;
         }
     }
--- a/crates/lab/src/world/hearing.rs
+++ b/crates/lab/src/world/hearing.rs
@@ -51,7 +51,7 @@
             self.tally.told(now, ingress, *place, !node.draining && !node.gone);
         }
         self.drive(ingress, |exchange, _| {
-            exchange.tell(Event::Backends { kind, version: now, entries });
+            exchange.enqueue(Event::Backends { kind, version: now, entries });
         });
     }
 
@@ -89,6 +89,6 @@
             self.outcome.messages_dropped += u64::from(self.counts());
             return;
         }
-        self.drive(to, |exchange, _| exchange.tell(Event::PeerMessage { from: from as u32, data }));
+        self.drive(to, |exchange, _| exchange.enqueue(Event::PeerMessage { from: from as u32, data }));
     }
 }
--- a/crates/lab/src/world/ingresses.rs
+++ b/crates/lab/src/world/ingresses.rs
@@ -5,8 +5,7 @@
 use crate::reference::Reference;
 use crate::wires::{Command, Wires};
 use std::collections::BTreeSet;
-use violetyoke_exchange::port::Final;
-use violetyoke_exchange::{Exchange, Taken};
+use violetyoke_exchange::{AcceptedRequest, Exchange, FinalResponse};
 
 /// Serials of attempts: so many for each ingress.
 const SERIALS: u32 = 40;
@@ -130,7 +129,7 @@
     pub(super) fn drive(&mut self, number: usize, say: impl FnOnce(&mut Exchange<Wires>, Micros)) {
         if let Some(Brain::Module(exchange)) = &mut self.ingresses[number].brain {
             say(exchange, self.now);
-            exchange.settle(self.now);
+            exchange.process_events(self.now);
         }
         self.perform(number);
     }
@@ -140,7 +139,7 @@
             return;
         }
         self.ingresses[number].wakes = Micros::MAX;
-        self.drive(number, |exchange, now| exchange.due(now));
+        self.drive(number, |exchange, now| exchange.fire_due(now));
     }
 
     pub(super) fn delivered(&mut self, request: RequestId) {
@@ -178,7 +177,13 @@
                 ingress.believed.insert(request, believed);
             }
             self.drive(number, |exchange, now| {
-                exchange.take(Taken { request: words, arrived, asks_only: false, claim: None }, (), now);
+                let accepted = AcceptedRequest {
+                    request: words,
+                    arrived_at: arrived,
+                    is_admission_check: false,
+                    claim: None,
+                };
+                exchange.accept_request(now, accepted, ());
             });
         } else {
             self.reference_takes(number, request);
@@ -190,7 +195,9 @@
         self.ingresses[number].open.remove(&request);
         self.ingresses[number].believed.remove(&request);
         match &mut self.ingresses[number].brain {
-            Some(Brain::Module(_)) => self.drive(number, |exchange, now| exchange.abandoned(now, request)),
+            Some(Brain::Module(_)) => {
+                self.drive(number, |exchange, now| exchange.abandon_request(now, request));
+            }
             Some(Brain::Reference(reference)) => {
                 reference.abandoned(request);
                 self.perform(number);
@@ -227,21 +234,23 @@
                 Command::Count { call, name, amount, life } => {
                     self.call(number, epoch, (call, name, amount, life));
                 }
-                Command::Answer { over, answer } => {
+                Command::Answer { summary, response } => {
                     // Only this rule speaks of a total.
-                    let refused = (over.why == Some(Why::Quota)).then_some(false);
-                    self.believed(number, AttemptId { request: over.request, number: 0 }, refused);
-                    self.ingresses[number].open.remove(&over.request);
-                    self.tally.answered(self.now, over.request);
+                    let refused = (summary.why == Some(Why::Quota)).then_some(false);
+                    self.believed(number, AttemptId { request: summary.request, number: 0 }, refused);
+                    self.ingresses[number].open.remove(&summary.request);
+                    self.tally.answered(self.now, summary.request);
                     if self.sabotage == Some(Sabotage::AnswersTwice) {
-                        self.tally.answered(self.now, over.request);
+                        self.tally.answered(self.now, summary.request);
                     }
                     self.got(
-                        over.request,
-                        match answer {
-                            Final::Served(()) | Final::Admitted => Got::Served,
-                            Final::Refused { retry_after } => Got::Refused { retry_after, why: over.why },
-                            Final::Failed => Got::Failed { why: over.why },
+                        summary.request,
+                        match response {
+                            FinalResponse::Served(()) | FinalResponse::Admitted => Got::Served,
+                            FinalResponse::Refused { retry_after } => {
+                                Got::Refused { retry_after, why: summary.why }
+                            }
+                            FinalResponse::Failed => Got::Failed { why: summary.why },
                         },
                     );
                 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -25,7 +25,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use violetyoke_decision::interface::*;
-use violetyoke_exchange::port::AttemptId;
+use violetyoke_exchange::AttemptId;
 
 /// A rule that is taken out of what the ingresses are told or do, to see that the tally reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -250,7 +250,7 @@
         });
         if self.policy == Policy::Module {
             self.drive(flight.ingress, |exchange, now| {
-                carried.into_iter().for_each(|carried| exchange.tell(carried));
+                carried.into_iter().for_each(|carried| exchange.enqueue(carried));
                 exchange.attempt_ended(now, flight.id, outcome, report, ());
             });
         } else {
