--- a/crates/lab/benches/speed.rs
+++ b/crates/lab/benches/speed.rs
@@ -19,7 +19,7 @@
             .replace("seconds = 26", "seconds = 10")
             .replace("warm_seconds = 6", "warm_seconds = 1");
         let read = parse(&text).expect("a good file");
-        let (_, experiment) = variants(&text, &read).expect("good values").remove(0);
+        let experiment = variants(&text, &read).expect("good values").remove(0).experiment;
         assert_eq!(experiment.ingresses, ingresses);
         group.bench_with_input(
             BenchmarkId::new("ingresses", ingresses),
--- a/crates/lab/src/account.rs
+++ b/crates/lab/src/account.rs
@@ -1,38 +1,45 @@
-//! What an account has really used, over all ingresses together: the measure that every decision is held against.
+//! The true use of accounts over all ingresses together, by which decisions are judged. No ingress knows it.
 
 use violetyoke_decision::interface::{Micros, Plan};
 
-/// A bucket that is full at first and refills at a rate.
+/// Errors of sums of floating-point numbers, in units.
+const ROUNDING: f64 = 1e-9;
+
+/// A token bucket that is full at first.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
+    /// Units a second.
     rate: f64,
-    size: f64,
+    capacity: f64,
+    /// Units at the time of the last refill.
     level: f64,
-    at: Micros,
+    refilled_at: Micros,
 }
 
 impl Bucket {
-    pub fn full(rate: f64, size: f64, at: Micros) -> Bucket {
-        Bucket { rate, size, level: size, at }
+    /// A full bucket of `capacity` units that refills at `rate` units a second.
+    pub fn full(rate: f64, capacity: f64, now: Micros) -> Bucket {
+        Bucket { rate, capacity, level: capacity, refilled_at: now }
     }
 
     fn refill(&mut self, now: Micros) {
-        let since = now.saturating_sub(self.at) as f64 / 1e6;
-        self.level = (self.level + since * self.rate).min(self.size);
-        self.at = now;
+        let seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.level = (self.level + seconds * self.rate).min(self.capacity);
+        self.refilled_at = now;
     }
 
+    /// Whether it holds this many units now.
     pub fn has(&mut self, now: Micros, units: f64) -> bool {
         self.refill(now);
-        self.level + 1e-9 >= units
+        self.level + ROUNDING >= units
     }
 
-    /// Takes units, and tells how many of them were beyond what there was.
+    /// Takes units, and returns how many of them it did not hold.
     pub fn take(&mut self, now: Micros, units: f64) -> f64 {
         self.refill(now);
         let beyond = (units - self.level).max(0.0);
         self.level = (self.level - units).max(0.0);
-        if beyond < 1e-9 {
+        if beyond < ROUNDING {
             0.0
         } else {
             beyond
@@ -40,43 +47,50 @@
     }
 }
 
-/// One account: its plan, its set of ingresses, and its true use.
+/// An account: its plan, its set of ingresses, and its true use.
 #[derive(Clone, Debug)]
 pub struct Account {
+    /// The number of its plan.
     pub plan: u16,
-    /// The set: this many ingresses in a row, from that one on.
-    pub spread: u16,
-    pub first: u16,
-    /// Running sums of the parts of its tries that each ingress of its set gets.
-    pub parts: Vec<f64>,
-    /// None: no quota.
+    /// The ingresses that its tries go to.
+    pub set: IngressSet,
+    /// Its quota; none: unlimited.
     pub quota: Option<Bucket>,
+    /// Its ceiling; none: unlimited.
     pub ceiling: Option<Bucket>,
-    /// The quota as an oracle spends it, at the moment it decides.
+    /// The quota as the oracle spends it, at the moment of its decision.
     pub oracle: Option<Bucket>,
 }
 
+/// Ingresses in a row, around the end to the first, and how tries fall on them.
+#[derive(Clone, Debug)]
+pub struct IngressSet {
+    /// The number of the first one.
+    pub first: u16,
+    /// How many there are.
+    pub spread: u16,
+    /// Running sums of the shares of tries that each gets; the last is 1.
+    pub parts: Vec<f64>,
+}
+
+impl IngressSet {
+    /// The ingress of a try, by a random number from 0 to 1; `ingresses` is the size of the fleet.
+    pub fn ingress(&self, random: f64, ingresses: usize) -> usize {
+        let place = self.parts.partition_point(|sum| *sum < random).min(self.parts.len() - 1);
+        (usize::from(self.first) + place) % ingresses
+    }
+}
+
 impl Account {
-    pub fn new(
-        plan_number: u16,
-        plan: &Plan,
-        slack_ms: f64,
-        spread: u16,
-        first: u16,
-        parts: Vec<f64>,
-    ) -> Account {
-        let at = crate::START;
-        let quota = (plan.rate > 0.0).then(|| Bucket::full(plan.rate, plan.burst, at));
+    /// An account whose buckets are full. The ceiling is judged with the slack of its plan and of this time, as what the
+    /// ingresses know of it is that old.
+    pub fn new(plan_number: u16, plan: &Plan, slack_ms: f64, set: IngressSet) -> Account {
+        let now = crate::START;
+        let quota = (plan.rate > 0.0).then(|| Bucket::full(plan.rate, plan.burst, now));
         let ceiling = (plan.ceiling_rate > 0.0).then(|| {
             let slack = plan.ceiling_slack + plan.ceiling_rate * slack_ms / 1e3;
-            Bucket::full(plan.ceiling_rate, plan.ceiling_burst + slack, at)
+            Bucket::full(plan.ceiling_rate, plan.ceiling_burst + slack, now)
         });
-        Account { plan: plan_number, spread, first, parts, quota, ceiling, oracle: quota }
-    }
-
-    /// The ingress for a try, by a number drawn from 0 to 1.
-    pub fn ingress(&self, drawn: f64, ingresses: usize) -> usize {
-        let place = self.parts.partition_point(|sum| *sum < drawn).min(self.parts.len() - 1);
-        (usize::from(self.first) + place) % ingresses
+        Account { plan: plan_number, set, quota, ceiling, oracle: quota }
     }
 }
--- a/crates/lab/src/counter.rs
+++ b/crates/lab/src/counter.rs
@@ -1,115 +1,148 @@
-//! The shared counter: parts of fixed capacity, each with a bounded line, which also work on calls that nobody
-//! waits for any more.
+//! The shared counter: parts of fixed capacity, each with a bounded queue. A part also works on calls whose callers have given
+//! up waiting.
 
 use std::collections::{HashMap, VecDeque};
 use violetyoke_decision::interface::Micros;
 
-/// A call on its way or in line.
+/// A part looks for expired totals once in this many calls.
+const CALLS_BETWEEN_CLEANUPS: u64 = 4096;
+
+/// A call on its way or in a queue.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
-    pub ingress: usize,
-    pub epoch: u32,
-    pub number: u64,
-    pub name: u64,
-    pub amount: f64,
-    pub life: Micros,
-    pub made: Micros,
+pub(crate) struct Call {
+    /// The caller.
+    pub(crate) ingress: usize,
+    /// The caller's epoch: after a restart it does not wait for the answer.
+    pub(crate) epoch: u32,
+    /// The caller's number of the call.
+    pub(crate) number: u64,
+    /// The name of the total.
+    pub(crate) name: u64,
+    pub(crate) amount: f64,
+    /// How long a new total lives.
+    pub(crate) lifetime: Micros,
+    pub(crate) sent_at: Micros,
 }
 
-/// What a part says of a call that has come.
+/// What becomes of a call that arrives at a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
-    /// It stands in line; the part was idle, and will be done with it then.
-    Starts(Micros),
-    Waits,
-    /// The line is full: nothing is added.
-    Full,
-    /// Nobody hears it.
+pub(crate) enum Arrival {
+    /// The part was idle, and will have answered it at this time.
+    Started(Micros),
+    Queued,
+    /// Refused: the queue is full, and nothing is added.
+    QueueFull,
+    /// Nobody is there.
     Lost,
 }
 
+/// A call that a part has worked on.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Completion {
+    pub(crate) call: Call,
+    /// The new total; none: the answer is lost.
+    pub(crate) total: Option<f64>,
+    /// When the next call of the queue will be completed; none: the part is idle.
+    pub(crate) next: Option<Micros>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Total {
+    value: f64,
+    expires: Micros,
+}
+
+/// A factor until a time.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Slowdown {
+    pub(crate) factor: f64,
+    pub(crate) until: Micros,
+}
+
 #[derive(Clone, Debug, Default)]
-pub struct Part {
-    line: VecDeque<Call>,
-    numbers: HashMap<u64, (f64, Micros)>,
-    /// It hears nothing until then.
-    pub silent_until: Micros,
-    /// Answers are lost, with what they say added, until then.
-    pub deaf_until: Micros,
-    /// Factor on the time for a call, until then.
-    pub slow: (f64, Micros),
-    pub worked: u64,
+pub(crate) struct Part {
+    queue: VecDeque<Call>,
+    totals: HashMap<u64, Total>,
+    /// Until then calls do not arrive.
+    pub(crate) silent_until: Micros,
+    /// Until then calls are added and their answers are lost.
+    pub(crate) answers_lost_until: Micros,
+    /// On the time for a call.
+    pub(crate) slowdown: Slowdown,
+    completed: u64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Counter {
-    pub parts: Vec<Part>,
-    /// Time for a call (us), and most calls in line at a part.
-    call: f64,
-    line: usize,
+pub(crate) struct Counter {
+    pub(crate) parts: Vec<Part>,
+    /// Time for a call, in microseconds.
+    call_time: f64,
+    /// The most calls in a part's queue, with the one that it works on.
+    queue: usize,
 }
 
 impl Counter {
-    pub fn new(parts: usize, calls_per_second: f64, line: usize) -> Counter {
-        let call = 1e6 * parts as f64 / calls_per_second;
-        Counter { parts: vec![Part::default(); parts], call, line }
+    /// A counter whose parts together answer this many calls a second.
+    pub(crate) fn new(parts: usize, calls_per_second: f64, queue: usize) -> Counter {
+        let call_time = 1e6 * parts as f64 / calls_per_second;
+        Counter { parts: vec![Part::default(); parts], call_time, queue }
     }
 
     /// The part that a name belongs to.
-    pub fn part(&self, name: u64) -> usize {
+    fn part(&self, name: u64) -> usize {
         (name % self.parts.len() as u64) as usize
     }
 
-    fn time(&self, part: usize, now: Micros) -> Micros {
-        let (factor, until) = self.parts[part].slow;
-        (self.call * if now < until { factor } else { 1.0 }).max(1.0) as Micros
+    fn call_time(&self, part: usize, now: Micros) -> Micros {
+        let Slowdown { factor, until } = self.parts[part].slowdown;
+        (self.call_time * if now < until { factor } else { 1.0 }).max(1.0) as Micros
     }
 
-    pub fn take(&mut self, now: Micros, call: Call) -> (usize, Taken) {
+    /// A call arrives; the part it belongs to, and what becomes of it.
+    pub(crate) fn arrive(&mut self, now: Micros, call: Call) -> (usize, Arrival) {
         let number = self.part(call.name);
-        let time = self.time(number, now);
+        let call_time = self.call_time(number, now);
         let part = &mut self.parts[number];
-        let taken = if now < part.silent_until {
-            Taken::Lost
-        } else if part.line.len() >= self.line {
-            Taken::Full
+        let arrival = if now < part.silent_until {
+            Arrival::Lost
+        } else if part.queue.len() >= self.queue {
+            Arrival::QueueFull
         } else {
-            part.line.push_back(call);
-            if part.line.len() == 1 {
-                Taken::Starts(now + time)
+            part.queue.push_back(call);
+            if part.queue.len() == 1 {
+                Arrival::Started(now + call_time)
             } else {
-                Taken::Waits
+                Arrival::Queued
             }
         };
-        (number, taken)
+        (number, arrival)
     }
 
-    /// The first call in a part's line is done: the call, its total (none: its answer is lost), and when the next
-    /// one will be.
-    pub fn done(&mut self, now: Micros, number: usize) -> Option<(Call, Option<f64>, Option<Micros>)> {
-        let time = self.time(number, now);
+    /// A part has worked on the first call of its queue; none: the queue is empty.
+    pub(crate) fn complete(&mut self, now: Micros, number: usize) -> Option<Completion> {
+        let call_time = self.call_time(number, now);
         let part = &mut self.parts[number];
-        let call = part.line.pop_front()?;
-        part.worked += 1;
-        if part.worked.is_multiple_of(4096) {
-            part.numbers.retain(|_, (_, end)| *end > now);
+        let call = part.queue.pop_front()?;
+        part.completed += 1;
+        if part.completed.is_multiple_of(CALLS_BETWEEN_CLEANUPS) {
+            part.totals.retain(|_, total| total.expires > now);
         }
-        let next = (!part.line.is_empty()).then_some(now + time);
+        let next = (!part.queue.is_empty()).then_some(now + call_time);
         if now < part.silent_until {
-            return Some((call, None, next));
+            return Some(Completion { call, total: None, next });
         }
-        let (total, end) = part.numbers.entry(call.name).or_insert((0.0, 0));
-        if *end <= now {
-            (*total, *end) = (0.0, now + call.life);
+        let total = part.totals.entry(call.name).or_insert(Total { value: 0.0, expires: 0 });
+        if total.expires <= now {
+            *total = Total { value: 0.0, expires: now + call.lifetime };
         }
-        *total += call.amount;
-        let total = *total;
-        Some((call, (now >= part.deaf_until).then_some(total), next))
+        total.value += call.amount;
+        let total = (now >= part.answers_lost_until).then_some(total.value);
+        Some(Completion { call, total, next })
     }
 
-    /// All numbers are lost.
-    pub fn empty(&mut self) {
-        self.parts.iter_mut().for_each(|part| part.numbers.clear());
+    /// All totals are lost.
+    pub(crate) fn clear(&mut self) {
+        self.parts.iter_mut().for_each(|part| part.totals.clear());
     }
 }
 
--- a/crates/lab/src/heap.rs
+++ b/crates/lab/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in a total order: by time, and at one time in the order in which they were set.
+//! Events in a total order: by time, and at one time in the order in which they were scheduled.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -30,34 +30,34 @@
     }
 }
 
-pub struct Heap<E> {
+pub(crate) struct EventQueue<E> {
     entries: BinaryHeap<Reverse<Entry<E>>>,
-    set: u64,
+    scheduled: u64,
 }
 
-impl<E> Default for Heap<E> {
-    fn default() -> Heap<E> {
-        Heap { entries: BinaryHeap::new(), set: 0 }
+impl<E> Default for EventQueue<E> {
+    fn default() -> EventQueue<E> {
+        EventQueue { entries: BinaryHeap::new(), scheduled: 0 }
     }
 }
 
-impl<E> Heap<E> {
-    pub fn set(&mut self, at: Micros, event: E) {
-        self.set += 1;
-        self.entries.push(Reverse(Entry { at, number: self.set, event }));
+impl<E> EventQueue<E> {
+    pub(crate) fn schedule(&mut self, at: Micros, event: E) {
+        self.scheduled += 1;
+        self.entries.push(Reverse(Entry { at, number: self.scheduled, event }));
     }
 
-    /// The first event, if it comes before `end`.
-    pub fn pop(&mut self, end: Micros) -> Option<(Micros, E)> {
+    /// Removes the first event with its time, if it is due before `end`.
+    pub(crate) fn pop_before(&mut self, end: Micros) -> Option<(Micros, E)> {
         if self.entries.peek()?.0.at >= end {
             return None;
         }
         self.entries.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 
-    /// How many events were ever set.
-    pub fn set_so_far(&self) -> u64 {
-        self.set
+    /// How many events have ever been scheduled.
+    pub(crate) fn scheduled(&self) -> u64 {
+        self.scheduled
     }
 }
 
--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -1,164 +1,246 @@
-//! The script of faults: what happens to whom, when, and for how long.
+//! The faults of an experiment: what is injected into which target, when, and for how long.
 
-use crate::experiment::Nodes;
+use std::fmt;
 use violetyoke_config::Section;
 use violetyoke_decision::interface::Micros;
 
+const SECOND: f64 = 1e6;
+/// Latest time and longest duration: an emulated day.
+const MAX_SECONDS: f64 = 86_400.0;
+
+/// What is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// The process dies: connections break, new ones are refused; it comes back cold.
+pub enum FaultKind {
+    /// Nodes' processes die: connections break, new ones are refused; they are restarted with slow start.
     KillNodes,
-    /// The machine vanishes: nothing is heard of it; it comes back cold.
+    /// Nodes' machines vanish: nothing is heard of them; they are restarted with slow start.
     SilenceNodes,
-    /// It is drained, ends, and another one takes its place.
+    /// Nodes are drained and end, and new ones take their places.
     ReplaceNodes,
+    /// Nodes work slower by the factor.
     SlowNodes,
-    /// A part of the requests is answered with an error at once.
+    /// Nodes answer this share of requests with an error at once.
     FailNodes,
+    /// Nodes stand still, and go on where they were.
     PauseNodes,
+    /// Ingresses' processes die and are restarted.
     KillIngresses,
     /// Connections between a zone and the others are silent.
     CutZone,
-    /// An ingress reaches no other one, no counter, or hears no lists.
+    /// Ingresses reach no other ingress.
     CutPeers,
+    /// Ingresses do not reach the counter.
     CutCounter,
+    /// Ingresses receive no lists of nodes.
     CutDiscovery,
+    /// Parts of the counter do not answer.
     SilenceCounter,
+    /// Parts of the counter work slower by the factor.
     SlowCounter,
+    /// The counter loses its totals.
     EmptyCounter,
-    /// Its answers are lost, what they say is added.
+    /// Answers of parts of the counter are lost, while calls are added.
     DeafCounter,
+    /// Nobody receives lists of nodes.
     StopDiscovery,
+    /// This share of messages between ingresses is lost.
     LoseMessages,
-    /// Demand moves between accounts and, in a set, between ingresses.
+    /// Demand moves between accounts and, within an account's set, between ingresses.
     ShiftDemand,
+    /// Demand grows by the factor.
     Surge,
 }
 
-pub const KINDS: [(&str, Kind); 19] = [
-    ("kill_nodes", Kind::KillNodes),
-    ("silence_nodes", Kind::SilenceNodes),
-    ("replace_nodes", Kind::ReplaceNodes),
-    ("slow_nodes", Kind::SlowNodes),
-    ("fail_nodes", Kind::FailNodes),
-    ("pause_nodes", Kind::PauseNodes),
-    ("kill_ingresses", Kind::KillIngresses),
-    ("cut_zone", Kind::CutZone),
-    ("cut_peers", Kind::CutPeers),
-    ("cut_counter", Kind::CutCounter),
-    ("cut_discovery", Kind::CutDiscovery),
-    ("silence_counter", Kind::SilenceCounter),
-    ("slow_counter", Kind::SlowCounter),
-    ("empty_counter", Kind::EmptyCounter),
-    ("deaf_counter", Kind::DeafCounter),
-    ("stop_discovery", Kind::StopDiscovery),
-    ("lose_messages", Kind::LoseMessages),
-    ("shift_demand", Kind::ShiftDemand),
-    ("surge", Kind::Surge),
-];
-
-impl Kind {
-    pub fn word(self) -> &'static str {
-        KINDS.iter().find(|(_, kind)| *kind == self).map_or("", |(word, _)| word)
-    }
-
-    fn on_nodes(self) -> bool {
-        use Kind::*;
-        matches!(self, KillNodes | SilenceNodes | ReplaceNodes | SlowNodes | FailNodes | PauseNodes)
-    }
-
-    fn on_ingresses(self) -> bool {
-        use Kind::*;
-        matches!(self, KillIngresses | CutPeers | CutCounter | CutDiscovery)
-    }
-
-    fn on_parts(self) -> bool {
-        use Kind::*;
-        matches!(self, SilenceCounter | SlowCounter | DeafCounter)
-    }
+/// What one victim of a fault is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum VictimKind {
+    /// A node.
+    Node,
+    /// An ingress.
+    Ingress,
+    /// A part of the counter.
+    CounterPart,
+    /// The system as a whole, or a zone.
+    System,
 }
 
-/// Who is hit.
+/// Which victims are hit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
-    /// A part of all, drawn.
-    Part(f64),
+pub enum Target {
+    /// A random share of all.
+    Share(f64),
     /// One, by its number from 0.
     One(usize),
+    /// All in a zone.
     Zone(u16),
 }
 
+/// A fault of an experiment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    pub kind: Kind,
+    /// What is injected.
+    pub kind: FaultKind,
+    /// When the first victim is hit, from the start of the run.
     pub at: Micros,
-    pub lasts: Micros,
-    /// They are hit one after another over that time.
-    pub over: Micros,
-    /// It comes again and again, with this mean pause, by chance.
-    pub every: Option<Micros>,
-    pub whom: Whom,
-    /// By how much: a factor of time or load, or a share.
-    pub by: f64,
+    /// How long it lasts.
+    pub duration: Micros,
+    /// Victims are hit one after another within this time.
+    pub stagger: Micros,
+    /// It is injected again and again at random intervals with this mean; none: once.
+    pub mean_interval: Option<Micros>,
+    /// Which victims are hit.
+    pub target: Target,
+    /// A factor of time or load, or a share, according to the kind.
+    pub magnitude: f64,
 }
 
-pub fn read(section: Section<'_>, nodes: &Nodes, zones: u16, ingresses: usize, parts: usize) -> Fault {
-    if !section.has("kind") {
-        section.error("kind", "is missing");
+/// How many possible victims an experiment has.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Population {
+    pub(crate) nodes: usize,
+    pub(crate) ingresses: usize,
+    pub(crate) counter_parts: usize,
+    pub(crate) zones: u16,
+}
+
+/// The kinds by their names in the file.
+const KINDS: [(&str, FaultKind); 19] = [
+    ("kill_nodes", FaultKind::KillNodes),
+    ("silence_nodes", FaultKind::SilenceNodes),
+    ("replace_nodes", FaultKind::ReplaceNodes),
+    ("slow_nodes", FaultKind::SlowNodes),
+    ("fail_nodes", FaultKind::FailNodes),
+    ("pause_nodes", FaultKind::PauseNodes),
+    ("kill_ingresses", FaultKind::KillIngresses),
+    ("cut_zone", FaultKind::CutZone),
+    ("cut_peers", FaultKind::CutPeers),
+    ("cut_counter", FaultKind::CutCounter),
+    ("cut_discovery", FaultKind::CutDiscovery),
+    ("silence_counter", FaultKind::SilenceCounter),
+    ("slow_counter", FaultKind::SlowCounter),
+    ("empty_counter", FaultKind::EmptyCounter),
+    ("deaf_counter", FaultKind::DeafCounter),
+    ("stop_discovery", FaultKind::StopDiscovery),
+    ("lose_messages", FaultKind::LoseMessages),
+    ("shift_demand", FaultKind::ShiftDemand),
+    ("surge", FaultKind::Surge),
+];
+
+impl fmt::Display for FaultKind {
+    /// The name in the file.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let name = KINDS.iter().find(|(_, kind)| kind == self).map_or("", |(name, _)| name);
+        f.write_str(name)
     }
-    let kind = section.word("kind", Kind::KillNodes, &KINDS);
-    let time = |key: &'static str, usual: f64| (section.number(key, usual, 0.0..=86_400.0) * 1e6) as Micros;
-    let mut whom = Whom::Part(section.number("part", 1.0, 0.0..=1.0));
-    let mut named = usize::from(section.has("part"));
-    let mut one = |key: &'static str, fits: bool, count: usize| {
-        if section.has(key) {
-            let number = section.whole(key, 0, ..) as usize;
-            if !fits {
-                section.error(key, format!("is not what {} hits", kind.word()));
-            } else if number >= count {
-                section.error(key, format!("there is no {key} {number}: they go from 0 to {}", count - 1));
+}
+
+impl FaultKind {
+    /// What it hits.
+    pub fn victims(self) -> VictimKind {
+        match self {
+            FaultKind::KillNodes
+            | FaultKind::SilenceNodes
+            | FaultKind::ReplaceNodes
+            | FaultKind::SlowNodes
+            | FaultKind::FailNodes
+            | FaultKind::PauseNodes => VictimKind::Node,
+            FaultKind::KillIngresses
+            | FaultKind::CutPeers
+            | FaultKind::CutCounter
+            | FaultKind::CutDiscovery => VictimKind::Ingress,
+            FaultKind::SilenceCounter | FaultKind::SlowCounter | FaultKind::DeafCounter => {
+                VictimKind::CounterPart
             }
-            named += 1;
-            return Some(number);
+            FaultKind::CutZone
+            | FaultKind::EmptyCounter
+            | FaultKind::StopDiscovery
+            | FaultKind::LoseMessages
+            | FaultKind::ShiftDemand
+            | FaultKind::Surge => VictimKind::System,
         }
-        None
-    };
-    if let Some(node) = one("node", kind.on_nodes(), nodes.count) {
-        whom = Whom::One(node);
-    }
-    if let Some(ingress) = one("ingress", kind.on_ingresses(), ingresses) {
-        whom = Whom::One(ingress);
     }
-    if let Some(part) = one("counter_part", kind.on_parts(), parts) {
-        whom = Whom::One(part);
-    }
-    let zoned = kind.on_nodes() || kind.on_ingresses() || kind == Kind::CutZone;
-    if let Some(zone) = one("zone", zoned, usize::from(zones)) {
-        whom = Whom::Zone(zone as u16);
+
+    /// Whether its target may be a zone.
+    fn accepts_zone(self) -> bool {
+        matches!(self.victims(), VictimKind::Node | VictimKind::Ingress) || self == FaultKind::CutZone
     }
-    if named > 1 {
-        section.error("kind", "one of part, node, ingress, counter_part and zone says who is hit");
+
+    fn default_magnitude(self) -> f64 {
+        match self {
+            FaultKind::SlowNodes | FaultKind::SlowCounter => 5.0,
+            FaultKind::Surge => 1.5,
+            _ => 1.0,
+        }
     }
-    if kind == Kind::CutZone && !matches!(whom, Whom::Zone(_)) {
-        section.error("zone", "is missing: which zone is cut off");
+}
+
+/// Reads a `[[fault]]`; what is wrong becomes an error of the section.
+pub(crate) fn read(section: Section<'_>, population: &Population) -> Fault {
+    if !section.has("kind") {
+        section.error("kind", "is missing");
     }
+    let kind = section.word("kind", FaultKind::KillNodes, &KINDS);
+    let time = |key: &'static str, default: f64| {
+        (section.number(key, default, 0.0..=MAX_SECONDS) * SECOND) as Micros
+    };
+    let target = read_target(&section, kind, population);
     let fault = Fault {
         kind,
         at: time("at_seconds", 0.0),
-        lasts: time("for_seconds", 1.0),
-        over: time("over_seconds", 0.0),
-        every: section.has("every_seconds").then(|| time("every_seconds", 1.0).max(1_000)),
-        whom,
-        by: section.number("by", usual_by(kind), 0.0..=1_000.0),
+        duration: time("for_seconds", 1.0),
+        stagger: time("over_seconds", 0.0),
+        mean_interval: section.has("every_seconds").then(|| time("every_seconds", 1.0).max(1_000)),
+        target,
+        magnitude: section.number("by", kind.default_magnitude(), 0.0..=1_000.0),
     };
     section.finish();
     fault
 }
 
-fn usual_by(kind: Kind) -> f64 {
-    match kind {
-        Kind::SlowNodes | Kind::SlowCounter => 5.0,
-        Kind::Surge => 1.5,
-        _ => 1.0,
+fn read_target(section: &Section<'_>, kind: FaultKind, population: &Population) -> Target {
+    let victims = kind.victims();
+    let mut target = Target::Share(section.number("part", 1.0, 0.0..=1.0));
+    let mut given = usize::from(section.has("part"));
+    for (key, of, count) in [
+        ("node", VictimKind::Node, population.nodes),
+        ("ingress", VictimKind::Ingress, population.ingresses),
+        ("counter_part", VictimKind::CounterPart, population.counter_parts),
+    ] {
+        if let Some(number) = read_number(section, key, kind, victims == of, count) {
+            target = Target::One(number);
+            given += 1;
+        }
+    }
+    let zones = usize::from(population.zones);
+    if let Some(zone) = read_number(section, "zone", kind, kind.accepts_zone(), zones) {
+        target = Target::Zone(zone as u16);
+        given += 1;
+    }
+    if given > 1 {
+        section.error("kind", "one of part, node, ingress, counter_part and zone says who is hit");
+    }
+    if kind == FaultKind::CutZone && !matches!(target, Target::Zone(_)) {
+        section.error("zone", "is missing: which zone is cut off");
+    }
+    target
+}
+
+/// The number of a victim, if the key is there; whether this kind has such victims, and how many there are, is checked.
+fn read_number(
+    section: &Section<'_>,
+    key: &'static str,
+    kind: FaultKind,
+    is_accepted: bool,
+    count: usize,
+) -> Option<usize> {
+    if !section.has(key) {
+        return None;
+    }
+    let number = section.whole(key, 0, ..) as usize;
+    if !is_accepted {
+        section.error(key, format!("is not what {kind} hits"));
+    } else if number >= count {
+        section.error(key, format!("there is no {key} {number}: they go from 0 to {}", count - 1));
     }
+    Some(number)
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,38 +1,48 @@
-//! Runs: every variant and seed of an experiment, each beside its two references, over all cores.
+//! Runs every variant and seed of an experiment, each beside its two reference policies, on all cores.
 
-use crate::experiment::Experiment;
+use crate::experiment::{Experiment, Variant};
 use crate::outcome::Outcome;
 use crate::world::{Policy, World};
 use rayon::prelude::*;
 use serde::Serialize;
 
-/// One seed of one variant, with its references.
+/// One seed of one variant, under the shipped module and both reference policies.
 #[derive(Clone, Debug, Serialize)]
 pub struct Run {
+    /// The variant's name.
     pub variant: String,
+    /// The seed.
     pub seed: u64,
+    /// Under the shipped decision module.
     pub module: Outcome,
+    /// Under the oracle.
     pub oracle: Outcome,
+    /// Under the random policy, which admits as many tries as the oracle.
     pub random: Outcome,
-    /// Where the module stands between the two: 0 as random, 1 as the oracle.
+    /// Where the module's net worth stands between the random policy (0) and the oracle (1).
     pub place: f64,
 }
 
 /// All runs of an experiment, variant by variant and seed by seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
+    /// The experiment's name.
     pub experiment: String,
+    /// How many ingresses it has, without variation.
     pub ingresses: usize,
+    /// How many nodes it has, without variation.
     pub nodes: usize,
+    /// How long a run lasts.
     pub seconds: f64,
+    /// All runs.
     pub runs: Vec<Run>,
 }
 
-/// Plays one seed three times: the module, and its references.
-pub fn one(variant: &str, experiment: &Experiment, seed: u64) -> Run {
+/// Runs one seed under each of the three policies.
+pub fn run_seed(variant: &str, experiment: &Experiment, seed: u64) -> Run {
     let oracle = World::new(experiment, seed, Policy::Oracle).play();
     let [served, _, failed] = oracle.parts();
-    // As much as the oracle lets in, but blindly.
+    // It admits as many as the oracle, but blindly.
     let random = World::new(experiment, seed, Policy::Random((served + failed).clamp(0.0, 1.0))).play();
     let module = World::new(experiment, seed, Policy::Module).play();
     let span = oracle.net - random.net;
@@ -40,30 +50,32 @@
     Run { variant: variant.to_string(), seed, module, oracle, random, place }
 }
 
-/// Plays all of them; `done` hears of each that is over. The result does not depend on how many threads play.
-pub fn all(variants: &[(String, Experiment)], done: impl Fn() + Sync) -> Vec<Run> {
+/// Runs all seeds of all variants on the threads of the current pool, and calls `on_completed` after each. The result does
+/// not depend on the number of threads.
+pub fn run_all(variants: &[Variant], on_completed: impl Fn() + Sync) -> Vec<Run> {
     let pairs: Vec<(&str, &Experiment, u64)> = variants
         .iter()
-        .flat_map(|(name, experiment)| {
+        .flat_map(|Variant { name, experiment }| {
             experiment.seeds.iter().map(move |seed| (name.as_str(), experiment, *seed))
         })
         .collect();
     pairs
         .into_par_iter()
         .map(|(name, experiment, seed)| {
-            let run = one(name, experiment, seed);
-            done();
+            let run = run_seed(name, experiment, seed);
+            on_completed();
             run
         })
         .collect()
 }
 
+/// The report of these runs of an experiment.
 pub fn report(experiment: &Experiment, runs: Vec<Run>) -> Report {
     Report {
         experiment: experiment.name.clone(),
         ingresses: experiment.ingresses,
         nodes: experiment.nodes.count,
-        seconds: experiment.length as f64 / 1e6,
+        seconds: experiment.duration as f64 / 1e6,
         runs,
     }
 }
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -24,50 +24,51 @@
     pub(super) fn arrives(&mut self, client: Option<usize>) {
         let factor = if self.now < self.cuts.surge.1 { self.cuts.surge.0 } else { 1.0 };
         if client.is_none() {
-            let at = self.now + self.demand.pause(factor).max(1);
-            self.heap.set(at, Happens::Arrives(None));
+            let at = self.now + self.demand.next_arrival(factor).max(1);
+            self.events.schedule(at, Happens::Arrives(None));
         }
-        let wish = self.demand.wish();
+        let demanded = self.demand.next_request();
         if self.counts() {
-            let worth = self.worth(&wish);
+            let worth = self.worth(&demanded);
             self.outcome.asked.add(worth);
-            let class = &self.experiment.classes[usize::from(wish.class)].name;
+            let class = &self.experiment.classes[usize::from(demanded.class)].name;
             self.outcome.by_class.entry(class.clone()).or_default().0.add(worth);
-            let second = self.second_of_run() - (self.experiment.warm / 1_000_000) as usize;
+            let second = self.second_of_run() - (self.experiment.warm_up / 1_000_000) as usize;
             let seconds = &mut self.outcome.seconds;
             seconds.resize(seconds.len().max(second + 1), (0.0, 0.0));
             seconds[second].0 += worth;
         }
-        self.comes(Coming { wish, nth: 1, client });
+        self.comes(Coming { demanded, nth: 1, client });
     }
 
-    pub(super) fn worth(&self, wish: &demand::Wish) -> f64 {
-        let plan = self.accounts[wish.account].plan;
-        self.experiment.classes[usize::from(wish.class)].class.value
+    pub(super) fn worth(&self, demanded: &demand::Demanded) -> f64 {
+        let plan = self.accounts[demanded.account].plan;
+        self.experiment.classes[usize::from(demanded.class)].class.value
             * self.experiment.plans[usize::from(plan)].plan.worth
     }
 
     pub(super) fn comes(&mut self, coming: Coming) {
-        let account = &self.accounts[coming.wish.account];
-        let class = &self.experiment.classes[usize::from(coming.wish.class)].class;
+        let account = &self.accounts[coming.demanded.account];
+        let class = &self.experiment.classes[usize::from(coming.demanded.class)].class;
         let all = self.ingresses.len();
-        let drawn = account.ingress(coming.wish.drawn, all);
+        let drawn = account.set.ingress(coming.demanded.ingress_draw, all);
         // The front leaves out what it has seen to be dead: the next of the set takes over.
-        let set = (0..usize::from(account.spread)).map(|next| {
-            let place = (drawn + all - usize::from(account.first)) % all;
-            (usize::from(account.first) + (place + next) % usize::from(account.spread)) % all
+        let set = (0..usize::from(account.set.spread)).map(|next| {
+            let place = (drawn + all - usize::from(account.set.first)) % all;
+            (usize::from(account.set.first) + (place + next) % usize::from(account.set.spread)) % all
         });
         let known_dead = |ingress: &usize| {
             let ingress = &self.ingresses[*ingress];
-            !ingress.up() && self.now >= ingress.down_since + self.experiment.clients.notices
+            !ingress.up() && self.now >= ingress.down_since + self.experiment.clients.detection_delay
         };
         let ingress = set.clone().find(|ingress| !known_dead(ingress)).unwrap_or(drawn);
         let request = self.next_try;
         self.next_try += 1;
         let (arrived, deadline) = (self.now, self.now + class.deadline);
         self.tries.insert(request, Try { coming, ingress, arrived, deadline, over: false, beyond: 0.0 });
-        self.heap.set(self.now + self.experiment.clients.delay, Happens::Delivered(request));
-        self.heap.set(deadline + self.experiment.settings.safety.answer_slack, Happens::Leaves(request));
+        self.events.schedule(self.now + self.experiment.clients.delay, Happens::Delivered(request));
+        self.events
+            .schedule(deadline + self.experiment.settings.safety.answer_slack, Happens::Leaves(request));
     }
 
     pub(super) fn leaves(&mut self, request: RequestId) {
@@ -82,14 +83,15 @@
         let Some(held) = self.tries.get_mut(&request).filter(|held| !held.over) else { return };
         held.over = true;
         let held = held.clone();
-        let class = &self.experiment.classes[usize::from(held.coming.wish.class)];
-        let (worth, waited) = (self.worth(&held.coming.wish), self.now - held.arrived);
+        let class = &self.experiment.classes[usize::from(held.coming.demanded.class)];
+        let (worth, waited) = (self.worth(&held.coming.demanded), self.now - held.arrived);
         if self.counts() {
             self.gauges.ingresses[held.ingress].0 += 1;
         }
         if got == Got::Served {
-            let plan = &self.experiment.plans[usize::from(self.accounts[held.coming.wish.account].plan)].plan;
-            let beyond = held.beyond / held.coming.wish.units;
+            let plan =
+                &self.experiment.plans[usize::from(self.accounts[held.coming.demanded.account].plan)].plan;
+            let beyond = held.beyond / held.coming.demanded.units;
             let earned = worth * (1.0 - beyond * (1.0 - plan.beyond_worth));
             if self.counts() {
                 self.gauges.answered(waited);
@@ -110,27 +112,28 @@
             self.outcome.late_fails += 1;
         }
         let clients = &self.experiment.clients;
-        let again = held.coming.nth < clients.most_tries && self.clients_rng.random::<f64>() < clients.again;
+        let again =
+            held.coming.nth < clients.max_tries && self.clients_rng.random::<f64>() < clients.retry_share;
         if !again {
             self.lost(&held, got, worth);
             return self.thinks(held.coming.client);
         }
         let drawn: f64 = Exp1.sample(&mut self.clients_rng);
-        let heeds = self.clients_rng.random::<f64>() < clients.heed;
-        let pause = clients.pause as f64 * drawn;
+        let heeds = self.clients_rng.random::<f64>() < clients.retry_after_share;
+        let pause = clients.retry_pause as f64 * drawn;
         let pause = match got {
             Got::Refused { retry_after, .. } if heeds && retry_after > 0 => retry_after as f64 + pause / 4.0,
             _ => pause,
         };
-        let wish = demand::Wish { drawn: self.clients_rng.random(), ..held.coming.wish };
-        let coming = Coming { wish, nth: held.coming.nth + 1, client: held.coming.client };
-        self.heap.set(self.now + pause as Micros + 1, Happens::Comes(Box::new(coming)));
+        let demanded = demand::Demanded { ingress_draw: self.clients_rng.random(), ..held.coming.demanded };
+        let coming = Coming { demanded, nth: held.coming.nth + 1, client: held.coming.client };
+        self.events.schedule(self.now + pause as Micros + 1, Happens::Comes(Box::new(coming)));
     }
 
     fn thinks(&mut self, client: Option<usize>) {
         if client.is_some() {
-            let at = self.now + self.demand.pause(1.0).max(1);
-            self.heap.set(at, Happens::Arrives(client));
+            let at = self.now + self.demand.next_arrival(1.0).max(1);
+            self.events.schedule(at, Happens::Arrives(client));
         }
     }
 
@@ -140,9 +143,9 @@
             return;
         }
         let now = self.now;
-        let account = &mut self.accounts[held.coming.wish.account];
+        let account = &mut self.accounts[held.coming.demanded.account];
         let plan = &self.experiment.plans[usize::from(account.plan)].plan;
-        let units = held.coming.wish.units;
+        let units = held.coming.demanded.units;
         let (room, half) = account
             .quota
             .as_mut()
--- a/crates/lab/src/world/counting.rs
+++ b/crates/lab/src/world/counting.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter on their way there and back.
 
 use super::*;
-use crate::counter::Taken;
+use crate::counter::{Arrival, Completion};
 
 impl World<'_> {
     pub(super) fn call(&mut self, ingress: usize, epoch: u32, call: (u64, u64, f64, Micros)) {
@@ -14,12 +14,12 @@
                 _ => calls.read += 1,
             }
         }
-        let call = Call { ingress, epoch, number, name, amount, life, made: self.now };
+        let call = Call { ingress, epoch, number, name, amount, lifetime: life, sent_at: self.now };
         if self.now < self.cuts.counter[ingress] {
             return;
         }
         let way = self.counter_way();
-        self.heap.set(self.now + way, Happens::CallComes(call));
+        self.events.schedule(self.now + way, Happens::CallComes(call));
     }
 
     fn counter_way(&mut self) -> Micros {
@@ -27,28 +27,29 @@
     }
 
     pub(super) fn call_comes(&mut self, call: Call) {
-        let (part, taken) = self.counter.take(self.now, call);
-        match taken {
-            Taken::Starts(at) => self.heap.set(at, Happens::CallDone(part)),
-            Taken::Waits => {}
-            Taken::Full => {
+        let (part, arrival) = self.counter.arrive(self.now, call);
+        match arrival {
+            Arrival::Started(at) => self.events.schedule(at, Happens::CallDone(part)),
+            Arrival::Queued => {}
+            Arrival::QueueFull => {
                 self.outcome.calls.turned_away += u64::from(self.counts());
                 let way = self.counter_way();
-                self.heap.set(self.now + way, Happens::Counted { call, outcome: Outcome_::Full, total: 0.0 });
+                self.events
+                    .schedule(self.now + way, Happens::Counted { call, outcome: Outcome_::Full, total: 0.0 });
             }
-            Taken::Lost => self.outcome.calls.lost += u64::from(self.counts()),
+            Arrival::Lost => self.outcome.calls.lost += u64::from(self.counts()),
         }
     }
 
     pub(super) fn call_done(&mut self, part: usize) {
-        let Some((call, total, next)) = self.counter.done(self.now, part) else { return };
+        let Some(Completion { call, total, next }) = self.counter.complete(self.now, part) else { return };
         if let Some(next) = next {
-            self.heap.set(next, Happens::CallDone(part));
+            self.events.schedule(next, Happens::CallDone(part));
         }
         match total {
             Some(total) => {
                 let way = self.counter_way();
-                self.heap.set(self.now + way, Happens::Counted { call, outcome: Outcome_::Ok, total });
+                self.events.schedule(self.now + way, Happens::Counted { call, outcome: Outcome_::Ok, total });
             }
             None => self.outcome.calls.lost += u64::from(self.counts()),
         }
@@ -59,7 +60,7 @@
             return;
         }
         let timeout = self.experiment.settings.counter.map_or(0, |counter| counter.timeout);
-        if self.now > call.made + timeout && self.counts() {
+        if self.now > call.sent_at + timeout && self.counts() {
             self.outcome.calls.late += 1;
         }
         if self.ingresses[call.ingress].epoch == call.epoch {
--- a/crates/lab/src/world/hearing.rs
+++ b/crates/lab/src/world/hearing.rs
@@ -8,7 +8,7 @@
         for ingress in 0..self.ingresses.len() {
             let delay = self.links_rng.random_range(self.experiment.discovery.clone());
             let epoch = self.ingresses[ingress].epoch;
-            self.heap.set(self.now + delay, Happens::Listed { ingress, epoch, node });
+            self.events.schedule(self.now + delay, Happens::Listed { ingress, epoch, node });
         }
     }
 
@@ -19,7 +19,7 @@
         let deaf = self.cuts.discovery[ingress].max(self.cuts.lists_stopped);
         if self.now < deaf {
             let delay = self.links_rng.random_range(self.experiment.discovery.clone());
-            return self.heap.set(deaf + delay, Happens::Listed { ingress, epoch, node });
+            return self.events.schedule(deaf + delay, Happens::Listed { ingress, epoch, node });
         }
         self.outcome.lists += u64::from(self.counts());
         self.tell_nodes(ingress, ListKind::Delta, &[node]);
@@ -72,12 +72,13 @@
         self.outcome.messages += u64::from(self.counts());
         let (one, other) = (self.ingresses[from].zone, self.ingresses[to].zone);
         let cut = self.now < self.cuts.peers[from].max(self.cuts.peers[to]) || self.apart(one, other);
-        let loss = if self.now < self.cuts.loss.1 { self.cuts.loss.0 } else { self.experiment.links.loss };
+        let loss =
+            if self.now < self.cuts.loss.1 { self.cuts.loss.0 } else { self.experiment.links.message_loss };
         if cut || (loss > 0.0 && self.links_rng.random::<f64>() < loss) {
             return;
         }
-        let way = self.experiment.links.message + self.way(one, other);
-        self.heap.set(self.now + way, Happens::Message { to, from, data });
+        let way = self.experiment.links.message_delay + self.way(one, other);
+        self.events.schedule(self.now + way, Happens::Message { to, from, data });
     }
 
     pub(super) fn message(&mut self, to: usize, from: usize, data: Vec<u8>) {
--- a/crates/lab/src/world/ingresses.rs
+++ b/crates/lab/src/world/ingresses.rs
@@ -149,17 +149,17 @@
             // Refused at once: nobody listens there.
             return self.got(request, Got::Nothing);
         }
-        let account = &self.accounts[held.coming.wish.account];
-        let class = &self.experiment.classes[usize::from(held.coming.wish.class)].class;
+        let account = &self.accounts[held.coming.demanded.account];
+        let class = &self.experiment.classes[usize::from(held.coming.demanded.class)].class;
         let patience = if self.sabotage == Some(Sabotage::Patience) { PATIENCE } else { 1 };
         let words = Request {
             id: request,
-            class: held.coming.wish.class,
+            class: held.coming.demanded.class,
             plan: account.plan,
-            customer: held.coming.wish.account as u64 + 1,
-            units: held.coming.wish.units,
-            spread: f64::from(account.spread),
-            first_gateway: f64::from(account.first),
+            customer: held.coming.demanded.account as u64 + 1,
+            units: held.coming.demanded.units,
+            spread: f64::from(account.set.spread),
+            first_gateway: f64::from(account.set.first),
             budget: (held.deadline - held.arrived) * patience,
             repeat: false,
             write: class.effect != Effect::Safe,
@@ -277,7 +277,7 @@
         if let Some(Brain::Module(exchange)) = &mut ingress.brain {
             if let Some(at) = exchange.next_due().filter(|at| *at < ingress.wakes) {
                 ingress.wakes = at;
-                self.heap.set(at.max(self.now), Happens::Wake { ingress: number, epoch });
+                self.events.schedule(at.max(self.now), Happens::Wake { ingress: number, epoch });
             }
         }
     }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -11,8 +11,8 @@
 use crate::account::Account;
 use crate::counter::{Call, Counter};
 use crate::demand::{self, stream, Demand, Stream};
+use crate::event_queue::EventQueue;
 use crate::experiment::{Arrivals, Experiment};
-use crate::heap::Heap;
 use crate::node::{Job, Node, Rules};
 use crate::outcome::{Gauges, Outcome};
 use crate::tally::Tally;
@@ -159,7 +159,7 @@
 /// A try that is to come.
 #[derive(Clone, Debug)]
 struct Coming {
-    wish: demand::Wish,
+    demanded: demand::Demanded,
     nth: u8,
     client: Option<usize>,
 }
@@ -215,7 +215,7 @@
     rules: Rules,
     now: Micros,
     end: Micros,
-    heap: Heap<Happens>,
+    events: EventQueue<Happens>,
     ingresses: Vec<Ingress>,
     nodes: Vec<Node>,
     counter: Counter,
@@ -276,14 +276,14 @@
             settings: experiment.settings.clone(),
             rules,
             now: START,
-            end: START + experiment.length,
-            heap: Heap::default(),
+            end: START + experiment.duration,
+            events: EventQueue::default(),
             ingresses: (0..ingresses).map(|number| Ingress::new(number, experiment)).collect(),
             nodes,
             counter: Counter::new(
                 experiment.counter.parts,
                 experiment.counter.calls_per_second,
-                experiment.counter.line,
+                experiment.counter.queue,
             ),
             accounts: demand::accounts(experiment, seed),
             demand: Demand::new(experiment, seed),
@@ -307,7 +307,7 @@
             tally: Tally::new(safety.drain_grace + 50_000),
             outcome: Outcome::default(),
             gauges: Gauges::new(ingresses),
-            mean_work: mean(&|class| class.work),
+            mean_work: mean(&|class| class.mean_work),
             unit_price: mean(&|class| class.class.value) * plan_worth,
         }
     }
@@ -322,7 +322,7 @@
     /// Plays the whole run.
     pub fn play(mut self) -> Outcome {
         self.begin();
-        while let Some((at, event)) = self.heap.pop(self.end) {
+        while let Some((at, event)) = self.events.pop_before(self.end) {
             self.now = at;
             self.happens(event);
         }
@@ -335,20 +335,20 @@
         }
         match self.demand.arrivals {
             Arrivals::Open { .. } => {
-                let at = self.now + self.demand.pause(1.0);
-                self.heap.set(at, Happens::Arrives(None));
+                let at = self.now + self.demand.next_arrival(1.0);
+                self.events.schedule(at, Happens::Arrives(None));
             }
             Arrivals::Closed { clients, .. } => {
                 for client in 0..clients {
-                    let at = self.now + self.demand.pause(1.0);
-                    self.heap.set(at, Happens::Arrives(Some(client)));
+                    let at = self.now + self.demand.next_arrival(1.0);
+                    self.events.schedule(at, Happens::Arrives(Some(client)));
                 }
             }
         }
         for (number, fault) in self.experiment.faults.iter().enumerate() {
-            self.heap.set(START + fault.at, Happens::Trouble(number));
+            self.events.schedule(START + fault.at, Happens::Trouble(number));
         }
-        self.heap.set(self.now + 1_000_000, Happens::Second);
+        self.events.schedule(self.now + 1_000_000, Happens::Second);
     }
 
     fn happens(&mut self, event: Happens) {
@@ -380,7 +380,7 @@
 
     /// What happens in the time that is not counted leaves no trace in the outcome, but for broken rules.
     fn counts(&self) -> bool {
-        self.now >= START + self.experiment.warm
+        self.now >= START + self.experiment.warm_up
     }
 
     fn second(&mut self) {
@@ -394,13 +394,13 @@
         // Nothing can come of a try whose client is long gone.
         let old = self.now.saturating_sub(60_000_000);
         self.tries.retain(|_, held| !held.over || held.deadline > old);
-        self.heap.set(self.now + 1_000_000, Happens::Second);
+        self.events.schedule(self.now + 1_000_000, Happens::Second);
     }
 
     /// Time of a way between two zones.
     fn way(&mut self, one: u16, other: u16) -> Micros {
         let links = &self.experiment.links;
-        let mean = links.delay + if one == other { 0 } else { links.cross_zone };
+        let mean = links.delay + if one == other { 0 } else { links.cross_zone_delay };
         // Networks are uneven: up to half as much again.
         (mean as f64 * self.links_rng.random_range(1.0..1.5)) as Micros
     }
@@ -431,7 +431,7 @@
         let mut outcome = std::mem::take(&mut self.outcome);
         self.gauges.read(&mut outcome);
         outcome.broken = self.tally.broken.clone();
-        outcome.events = self.heap.set_so_far();
+        outcome.events = self.events.scheduled();
         outcome.node_load = self.node_load();
         let prices = &self.experiment.settings.prices;
         let fee = self.experiment.settings.counter.map_or(0.0, |counter| counter.fee);
@@ -447,9 +447,9 @@
             *outcome.prices.entry(what.into()).or_default() += price * many * self.unit_price;
         }
         outcome.settle();
-        let warm = self.experiment.warm / 1_000_000;
+        let warm = self.experiment.warm_up / 1_000_000;
         let first = self.experiment.faults.iter().map(|fault| fault.at).min();
-        let last = self.experiment.faults.iter().map(|fault| fault.at + fault.over + fault.lasts).max();
+        let last = self.experiment.faults.iter().map(|fault| fault.at + fault.stagger + fault.duration).max();
         if let (Some(first), Some(last)) = (first, last) {
             let second = |at: Micros| (at / 1_000_000).saturating_sub(warm) as usize;
             outcome.recover(second(first), second(last));
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -18,7 +18,7 @@
     ) {
         let (node, kept, sent) = way;
         let Some(held) = self.tries.get(&id.request) else { return };
-        let work = held.coming.wish.work;
+        let work = held.coming.demanded.work;
         self.tally.sent(self.now, id.request, serial, ingress, node);
         self.outcome.attempts += u64::from(self.counts());
         let node_epoch = kept.map_or(self.nodes[node].epoch, |kept| kept.epoch);
@@ -43,15 +43,17 @@
         let way = self.way(one, other);
         match kept {
             Some(kept) if kept.epoch != self.nodes[node].epoch || !self.nodes[node].up => {
-                self.heap.set(self.now + 2 * way, Happens::Ended { serial, outcome: Outcome_::Stale });
+                self.events.schedule(self.now + 2 * way, Happens::Ended { serial, outcome: Outcome_::Stale });
             }
-            Some(_) => self.heap.set(self.now + way, Happens::Offered(serial)),
+            Some(_) => self.events.schedule(self.now + way, Happens::Offered(serial)),
             None if !self.nodes[node].up => {
-                self.heap
-                    .set(self.now + 2 * way, Happens::Ended { serial, outcome: Outcome_::ConnectFailed });
+                self.events.schedule(
+                    self.now + 2 * way,
+                    Happens::Ended { serial, outcome: Outcome_::ConnectFailed },
+                );
             }
             // There and back, and there again with what begins a handshake.
-            None => self.heap.set(self.now + 3 * way, Happens::Connects(serial)),
+            None => self.events.schedule(self.now + 3 * way, Happens::Connects(serial)),
         }
     }
 
@@ -77,7 +79,7 @@
             return;
         }
         let way = self.way(one, other);
-        self.heap.set(self.now + way, Happens::Ended { serial, outcome });
+        self.events.schedule(self.now + way, Happens::Ended { serial, outcome });
     }
 
     pub(super) fn connects(&mut self, serial: u64) {
@@ -108,7 +110,7 @@
             return;
         }
         let way = self.way(one, other);
-        self.heap.set(self.now + way, Happens::Offered(serial));
+        self.events.schedule(self.now + way, Happens::Offered(serial));
     }
 
     /// A request's last byte has come to a node.
@@ -149,19 +151,19 @@
     fn charge(&mut self, request: RequestId) {
         let counts = self.counts();
         let Some(held) = self.tries.get_mut(&request) else { return };
-        let (wish, now) = (&held.coming.wish, self.now);
-        let account = &mut self.accounts[wish.account];
-        let beyond = account.quota.as_mut().map_or(0.0, |quota| quota.take(now, wish.units));
-        let past = account.ceiling.as_mut().map_or(0.0, |ceiling| ceiling.take(now, wish.units));
+        let (demanded, now) = (&held.coming.demanded, self.now);
+        let account = &mut self.accounts[demanded.account];
+        let beyond = account.quota.as_mut().map_or(0.0, |quota| quota.take(now, demanded.units));
+        let past = account.ceiling.as_mut().map_or(0.0, |ceiling| ceiling.take(now, demanded.units));
         if past > 0.0 {
             self.tally.past_ceiling(past);
         }
         held.beyond = beyond;
         if counts {
             let plan = &self.experiment.plans[usize::from(account.plan)].plan;
-            let class = &self.experiment.classes[usize::from(wish.class)].class;
-            let cost = beyond / wish.units * plan.beyond_cost * class.value * plan.worth;
-            self.outcome.units += wish.units;
+            let class = &self.experiment.classes[usize::from(demanded.class)].class;
+            let cost = beyond / demanded.units * plan.beyond_cost * class.value * plan.worth;
+            self.outcome.units += demanded.units;
             self.outcome.beyond_units += beyond;
             *self.outcome.prices.entry("beyond_quota".into()).or_default() += cost;
         }
@@ -183,7 +185,7 @@
         };
         node.working.push(serial);
         let epoch = node.epoch;
-        self.heap.set(self.now + took, Happens::Done { node: place, epoch, job, took });
+        self.events.schedule(self.now + took, Happens::Done { node: place, epoch, job, took });
     }
 
     pub(super) fn done(&mut self, place: usize, epoch: u32, job: Job, took: Micros) {
@@ -193,7 +195,7 @@
         }
         if self.now < node.paused_until {
             let at = node.paused_until + 1;
-            return self.heap.set(at, Happens::Done { node: place, epoch, job, took });
+            return self.events.schedule(at, Happens::Done { node: place, epoch, job, took });
         }
         let (Job::Handshake(serial) | Job::Attempt(serial)) = job;
         node.working.retain(|other| *other != serial);
@@ -208,7 +210,7 @@
             } else if let Job::Handshake(_) = job {
                 let (one, other) = (self.ingresses[flight.ingress].zone, self.nodes[place].zone);
                 let way = self.way(one, other);
-                self.heap.set(self.now + way, Happens::Connected(serial));
+                self.events.schedule(self.now + way, Happens::Connected(serial));
             } else {
                 let outcome = if flight.errs { Outcome_::Error } else { Outcome_::Ok };
                 self.back(serial, outcome);
@@ -278,7 +280,7 @@
         }
         if let Some(after) = back_after {
             let epoch = self.nodes[place].epoch;
-            self.heap.set(self.now + after, Happens::NodeStarts { node: place, epoch });
+            self.events.schedule(self.now + after, Happens::NodeStarts { node: place, epoch });
         }
     }
 
--- a/crates/lab/src/world/seen.rs
+++ b/crates/lab/src/world/seen.rs
@@ -12,7 +12,7 @@
     }
 
     pub(crate) fn effect(&self, request: RequestId) -> Effect {
-        let class = self.tries.get(&request).map(|held| usize::from(held.coming.wish.class));
+        let class = self.tries.get(&request).map(|held| usize::from(held.coming.demanded.class));
         class.map_or(Effect::Unsafe, |class| self.experiment.classes[class].class.effect)
     }
 
@@ -26,15 +26,15 @@
 
     pub(crate) fn oracle_has_room(&mut self, request: RequestId) -> bool {
         let Some(held) = self.tries.get(&request) else { return false };
-        let oracle = self.accounts[held.coming.wish.account].oracle.as_mut();
-        oracle.is_none_or(|quota| quota.has(self.now, held.coming.wish.units))
+        let oracle = self.accounts[held.coming.demanded.account].oracle.as_mut();
+        oracle.is_none_or(|quota| quota.has(self.now, held.coming.demanded.units))
     }
 
     pub(crate) fn oracle_spends(&mut self, request: RequestId) {
         let Some(held) = self.tries.get(&request) else { return };
-        let wish = &held.coming.wish;
-        if let Some(quota) = self.accounts[wish.account].oracle.as_mut() {
-            quota.take(self.now, wish.units);
+        let demanded = &held.coming.demanded;
+        if let Some(quota) = self.accounts[demanded.account].oracle.as_mut() {
+            quota.take(self.now, demanded.units);
         }
     }
 
@@ -47,8 +47,8 @@
         kept: &[bool],
     ) -> Option<usize> {
         let held = self.tries.get(&request)?;
-        let (wish, zone) = (&held.coming.wish, self.ingresses[ingress].zone);
-        let aim = self.experiment.classes[usize::from(wish.class)].class.aim;
+        let (demanded, zone) = (&held.coming.demanded, self.ingresses[ingress].zone);
+        let aim = self.experiment.classes[usize::from(demanded.class)].class.aim;
         let links = &self.experiment.links;
         let left = (held.arrived + aim).saturating_sub(self.now) as f64;
         let serves = |place: &usize| {
@@ -56,15 +56,15 @@
             node.serves()
                 && node.fails < 0.5
                 && !self.apart(zone, node.zone)
-                && node.pressure(self.now, wish.work, &self.rules) <= pressure
+                && node.pressure(self.now, demanded.work, &self.rules) <= pressure
                 && (node.connections < self.rules.connections || kept.get(*place).copied().unwrap_or(false))
         };
         let takes = |place: usize| {
             let node = &self.nodes[place];
-            let way = links.delay + if node.zone == zone { 0 } else { links.cross_zone };
+            let way = links.delay + if node.zone == zone { 0 } else { links.cross_zone_delay };
             let shaken =
                 if kept.get(place).copied().unwrap_or(false) { 0 } else { 3 * way + self.rules.handshake };
-            let work = node.expected(self.now, wish.work, self.mean_work, &self.rules);
+            let work = node.expected(self.now, demanded.work, self.mean_work, &self.rules);
             work + (3 * way + shaken) as f64
         };
         let all = (0..self.nodes.len()).filter(serves).map(|place| (takes(place), place));
--- a/crates/lab/tests/account.rs
+++ b/crates/lab/tests/account.rs
@@ -5,7 +5,7 @@
 use violetyoke_lab::account::Bucket;
 
 #[test]
-fn units_beyond_what_there_is_are_told_and_the_rest_refills() {
+fn units_that_a_bucket_does_not_hold_are_returned_and_it_refills() {
     let mut bucket = Bucket::full(2.0, 10.0, 0);
     assert_eq!(bucket.take(0, 8.0), 0.0);
     assert_eq!(bucket.take(0, 5.0), 3.0);
--- a/crates/lab/tests/hard.rs
+++ b/crates/lab/tests/hard.rs
@@ -19,7 +19,7 @@
     let experiment = parse(text).expect("a good file");
     let variants = variants(text, &experiment).expect("good values");
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
-    let runs = pool.install(|| run::all(&variants, || ()));
+    let runs = pool.install(|| run::run_all(&variants, || ()));
     serde_json::to_string(&run::report(&experiment, runs)).expect("plain figures")
 }
 
@@ -124,7 +124,7 @@
 
 #[test]
 fn the_oracle_stands_above_the_module_and_blind_chance_below_the_oracle() {
-    let run = run::one("", &with(""), 5);
+    let run = run::run_seed("", &with(""), 5);
     assert!(run.oracle.net > run.module.net, "{} {}", run.oracle.net, run.module.net);
     assert!(run.oracle.net > run.random.net);
     // Units count at the node, a moment after the decision: hardly anything may come of that.
--- a/crates/lab/tests/standing.rs
+++ b/crates/lab/tests/standing.rs
@@ -10,8 +10,11 @@
         let path = file.expect("a file").path();
         let text = std::fs::read_to_string(&path).expect("a text");
         let read = parse(&text).unwrap_or_else(|errors| panic!("{}: {errors}", path.display()));
-        let sizes: Vec<_> =
-            variants(&text, &read).expect("good values").iter().map(|one| one.1.ingresses).collect();
+        let sizes: Vec<_> = variants(&text, &read)
+            .expect("good values")
+            .iter()
+            .map(|variant| variant.experiment.ingresses)
+            .collect();
         assert_eq!(sizes, [60, 300], "{}", path.display());
         names.push(read.name);
     }
--- a/crates/violetyoke/src/lab.rs
+++ b/crates/violetyoke/src/lab.rs
@@ -71,9 +71,7 @@
     (1, format!("violetyoke lab: {text}\n"))
 }
 
-type Variants = Vec<(String, experiment::Experiment)>;
-
-fn read(file: &Path) -> Result<(experiment::Experiment, Variants), Failed> {
+fn read(file: &Path) -> Result<(experiment::Experiment, Vec<experiment::Variant>), Failed> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| failed(format!("{name}: {error}")))?;
     let bad = |errors: violetyoke_config::Errors| (BAD_FILE, errors.of_file(&name));
@@ -85,12 +83,12 @@
 fn play(file: &Path, threads: Option<usize>) -> Result<Report, Failed> {
     let (experiment, variants) = read(file)?;
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads.unwrap_or(0)).build().map_err(failed)?;
-    let many = variants.iter().map(|(_, experiment)| experiment.seeds.len() as u64).sum();
+    let many = variants.iter().map(|variant| variant.experiment.seeds.len() as u64).sum();
     let bar = ProgressBar::new(many);
     let style = "{elapsed_precise} [{bar:40}] {pos}/{len} runs";
     bar.set_style(ProgressStyle::with_template(style).map_err(failed)?.progress_chars("=> "));
     bar.enable_steady_tick(Duration::from_millis(200));
-    let runs = pool.install(|| run::all(&variants, || bar.inc(1)));
+    let runs = pool.install(|| run::run_all(&variants, || bar.inc(1)));
     bar.finish_and_clear();
     Ok(run::report(&experiment, runs))
 }
@@ -104,9 +102,9 @@
 fn figures(file: &Path, threads: Option<usize>) -> Result<Vec<compare::Figures>, Failed> {
     if file.extension().is_some_and(|ending| ending == "json") {
         let text = std::fs::read(file).map_err(|error| failed(format!("{}: {error}", file.display())))?;
-        return compare::read(&text).map_err(|error| failed(format!("{}: {error}", file.display())));
+        return compare::parse_report(&text).map_err(|error| failed(format!("{}: {error}", file.display())));
     }
-    play(file, threads).map(|report| report.runs.iter().map(compare::Figures::of).collect())
+    play(file, threads).map(|report| report.runs.iter().map(compare::Figures::from).collect())
 }
 
 fn compare(before: &Path, after: &Path, threads: Option<usize>) -> Result<(), Failed> {
--- a/xtask/src/prove_lab.rs
+++ b/xtask/src/prove_lab.rs
@@ -17,7 +17,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, timeout};
 use violetyoke_decision::interface::{Effect, Settings};
-use violetyoke_lab::demand::{accounts, Demand, Wish};
+use violetyoke_lab::account::IngressSet;
+use violetyoke_lab::demand::{accounts, Demand, Demanded};
 use violetyoke_lab::experiment::{parse, Experiment};
 use violetyoke_lab::world::{Policy, World};
 use violetyoke_standin::counter::{Counter, Mode};
@@ -200,7 +201,7 @@
     let shape = || Shape {
         workers: experiment.nodes.workers,
         queue: experiment.nodes.queue,
-        service: Duration::from_micros(class.work as u64),
+        service: Duration::from_micros(class.mean_work as u64),
         ..Shape::default()
     };
     let start = |node: usize| Node::start(violetyoke_standin::any_port(), &format!("n{node}"), shape());
@@ -230,17 +231,17 @@
         let (mut at, mut tasks, mut serial) = (0, Vec::new(), 0);
         loop {
             // The same draws in the same order as the emulator's.
-            at += demand.pause(1.0).max(1);
-            if at >= experiment.length {
+            at += demand.next_arrival(1.0).max(1);
+            if at >= experiment.duration {
                 break;
             }
-            let wish = demand.wish();
+            let demanded = demand.next_request();
             serial += 1;
-            let set = &sets[wish.account];
-            let place = set.ingress(wish.drawn, experiment.ingresses);
-            let request = request(experiment, &wish, (set.spread, set.first), serial);
-            let deadline = experiment.classes[usize::from(wish.class)].class.deadline;
-            let (sender, counts) = (senders[place].clone(), at >= experiment.warm);
+            let set = &sets[demanded.account].set;
+            let place = set.ingress(demanded.ingress_draw, experiment.ingresses);
+            let request = request(experiment, &demanded, set, serial);
+            let deadline = experiment.classes[usize::from(demanded.class)].class.deadline;
+            let (sender, counts) = (senders[place].clone(), at >= experiment.warm_up);
             sleep_until((began + Duration::from_micros(at)).into()).await;
             tasks.push(spawn_local(async move {
                 let status = sender.send(request, 2 * Duration::from_micros(deadline)).await;
@@ -262,14 +263,15 @@
     Ok(ends)
 }
 
-fn request(experiment: &Experiment, wish: &Wish, set: (u16, u16), serial: u32) -> String {
-    let class = &experiment.classes[usize::from(wish.class)];
+fn request(experiment: &Experiment, demanded: &Demanded, set: &IngressSet, serial: u32) -> String {
+    let class = &experiment.classes[usize::from(demanded.class)];
     let (name, deadline) = (&class.name, class.class.deadline);
     let (method, body, end) = match class.class.effect {
         Effect::Safe => ("GET", "", ""),
         _ => ("POST", "Content-Length: 1\r\n", "x"),
     };
-    let (account, units, (spread, first)) = (wish.account + 1, wish.units, set);
+    let (account, units) = (demanded.account + 1, demanded.units);
+    let IngressSet { first, spread, .. } = set;
     let plan = &experiment.plans[0].name;
     format!(
         "{method} /{name}/x HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {account:04x}{serial:012x}\r\nReq-Kind: {name}\r\n\
