--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -26,9 +26,9 @@
 pub mod node;
 pub mod outcome;
 mod reference;
+pub mod rule_checker;
 pub mod run;
 pub mod table;
-pub mod tally;
 mod wires;
 pub mod world;
 
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,159 +1,190 @@
-//! A sync node: workers, a queue, connections, warm-up after a start, and all that can go wrong with it. It works
-//! on what it has begun also when nobody waits for it any more.
+//! An emulated node: workers, a queue, connections, slow start, and its faults. It completes what it has started, also when
+//! nobody waits for it any more.
 
 use std::collections::VecDeque;
 use violetyoke_decision::interface::Micros;
 
-/// What a worker does.
+/// What a worker works on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Job {
-    /// A new connection, for the attempt of that number.
+    /// The handshake of a new connection, for the attempt of this serial.
     Handshake(u64),
+    /// The request of the attempt of this serial.
     Attempt(u64),
 }
 
-/// Fixed figures of all nodes.
+/// The settings of all nodes.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct NodeSettings {
+    /// Jobs worked on at once.
     pub workers: usize,
+    /// The most requests that wait.
     pub queue: usize,
+    /// The most connections.
     pub connections: u32,
+    /// Time of a worker for a handshake.
     pub handshake: Micros,
-    pub cold_share: f64,
-    pub cold_time: Micros,
-    pub fall_multiple: f64,
-    pub fall_time: Micros,
+    /// Share of its speed right after its start.
+    pub initial_speed: f64,
+    /// How long its slow start takes.
+    pub slow_start: Micros,
+    /// It falls over during its slow start under more than this multiple of the work that it can do.
+    pub overload_factor: f64,
+    /// The time over which the work that comes is averaged for that.
+    pub overload_window: Micros,
 }
 
+/// A node and its state.
 #[derive(Clone, Debug)]
 pub struct Node {
+    /// Its name in lists.
     pub name: String,
+    /// The number of its zone.
     pub zone: u16,
-    /// Against the usual node.
+    /// As a multiple of the mean speed.
     pub speed: f64,
-    /// Rises with each start: what was of an earlier one is over.
+    /// Incremented when it dies: connections and events of an earlier epoch are void.
     pub epoch: u32,
-    pub up: bool,
-    /// Its machine is not heard of.
-    pub silent: bool,
-    pub draining: bool,
-    /// It will not come back.
-    pub gone: bool,
-    /// 0: long ago.
-    pub born: Micros,
-    pub slow: f64,
-    /// Part of its requests that it fails at once.
-    pub fails: f64,
+    /// Whether its process runs.
+    pub is_up: bool,
+    /// Whether its machine is unreachable.
+    pub is_silent: bool,
+    /// Whether it refuses new requests because it will end.
+    pub is_draining: bool,
+    /// Whether it has been replaced, and does not come back.
+    pub is_removed: bool,
+    /// When its process was started; 0: long before the run.
+    pub started_at: Micros,
+    /// Factor on its work times.
+    pub slowdown: f64,
+    /// Share of its requests that it fails at once.
+    pub failure_share: f64,
+    /// Until then it completes nothing.
     pub paused_until: Micros,
-    /// Open connections, those that are yet to be shaken among them.
+    /// Open connections, with those whose handshake is not complete.
     pub connections: u32,
+    /// Serials that workers work on.
     pub working: Vec<u64>,
+    /// Jobs that wait.
     pub queue: VecDeque<Job>,
-    /// Work that has lately come (us), faded over the fall time.
-    pressed: (f64, Micros),
-    /// When it was first there.
-    pub since: Micros,
-    /// Worker time spent (us).
+    recent_work: RecentWork,
+    /// When it was added.
+    pub added_at: Micros,
+    /// Time that its workers have worked, in microseconds.
     pub busy: f64,
 }
 
+/// Work that has come, in microseconds, decayed exponentially since then.
+#[derive(Clone, Copy, Debug, Default)]
+struct RecentWork {
+    work: f64,
+    at: Micros,
+}
+
 impl Node {
-    pub fn new(name: String, zone: u16, speed: f64, born: Micros) -> Node {
+    /// An idle node whose process was started at this time; 0: long before the run.
+    pub fn new(name: String, zone: u16, speed: f64, started_at: Micros) -> Node {
         Node {
             name,
             zone,
             speed,
             epoch: 0,
-            up: true,
-            silent: false,
-            draining: false,
-            gone: false,
-            born,
-            slow: 1.0,
-            fails: 0.0,
+            is_up: true,
+            is_silent: false,
+            is_draining: false,
+            is_removed: false,
+            started_at,
+            slowdown: 1.0,
+            failure_share: 0.0,
             paused_until: 0,
             connections: 0,
             working: Vec::new(),
             queue: VecDeque::new(),
-            pressed: (0.0, 0),
-            since: born.max(crate::START),
+            recent_work: RecentWork::default(),
+            added_at: started_at.max(crate::START),
             busy: 0.0,
         }
     }
 
-    /// Part of its work that it can do for its age.
-    pub fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
-        if self.born == 0 {
+    /// The share of its speed that its slow start allows now.
+    pub fn slow_start_share(&self, now: Micros, settings: &NodeSettings) -> f64 {
+        if self.started_at == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.born).min(rules.cold_time) as f64;
-        rules.cold_share + (1.0 - rules.cold_share) * age / rules.cold_time.max(1) as f64
+        let age = now.saturating_sub(self.started_at).min(settings.slow_start) as f64;
+        settings.initial_speed + (1.0 - settings.initial_speed) * age / settings.slow_start.max(1) as f64
     }
 
-    pub fn is_cold(&self, now: Micros, rules: &Rules) -> bool {
-        self.born > 0 && now < self.born + rules.cold_time
+    /// Whether it is in its slow start.
+    pub fn is_in_slow_start(&self, now: Micros, settings: &NodeSettings) -> bool {
+        self.started_at > 0 && now < self.started_at + settings.slow_start
     }
 
-    /// Whether it is there and takes new requests.
-    pub fn serves(&self) -> bool {
-        self.up && !self.silent && !self.draining && !self.gone
+    /// Whether it is reachable and accepts new requests.
+    pub fn is_serving(&self) -> bool {
+        self.is_up && !self.is_silent && !self.is_draining && !self.is_removed
     }
 
-    /// How long some work takes now.
-    pub fn takes(&self, now: Micros, work: f64, rules: &Rules) -> Micros {
+    /// How long a worker needs for this much work, from now.
+    pub fn work_time(&self, now: Micros, work: f64, settings: &NodeSettings) -> Micros {
         let pause = self.paused_until.saturating_sub(now);
-        pause + (work * self.slow / self.speed / self.warmth(now, rules)).max(1.0) as Micros
+        pause + (work * self.slowdown / self.speed / self.slow_start_share(now, settings)).max(1.0) as Micros
     }
 
-    /// When a request that came now would be done.
-    pub fn expected(&self, now: Micros, work: f64, mean_work: f64, rules: &Rules) -> f64 {
-        let before = (self.working.len() + self.queue.len() + 1).saturating_sub(rules.workers) as f64;
-        let speed = self.speed * self.warmth(now, rules) / self.slow;
-        (work + before * mean_work / rules.workers as f64) / speed
+    /// How long a request that came now would take, with its time in the queue.
+    pub fn expected_time(&self, now: Micros, work: f64, mean_work: f64, settings: &NodeSettings) -> f64 {
+        let before = (self.working.len() + self.queue.len() + 1).saturating_sub(settings.workers) as f64;
+        let speed = self.speed * self.slow_start_share(now, settings) / self.slowdown;
+        (work + before * mean_work / settings.workers as f64) / speed
             + self.paused_until.saturating_sub(now) as f64
     }
 
-    fn pressed(&self, now: Micros, rules: &Rules) -> f64 {
-        let span = rules.fall_time.max(1) as f64;
-        self.pressed.0 * (-(now.saturating_sub(self.pressed.1) as f64) / span).exp()
+    fn recent_work(&self, now: Micros, settings: &NodeSettings) -> f64 {
+        let window = settings.overload_window.max(1) as f64;
+        self.recent_work.work * (-(now.saturating_sub(self.recent_work.at) as f64) / window).exp()
     }
 
-    /// What has lately come, against the most that it bears without falling over; 0 where it is warm.
-    pub fn pressure(&self, now: Micros, more: f64, rules: &Rules) -> f64 {
-        if !self.is_cold(now, rules) {
+    /// Recent work and `more`, as a multiple of the most that it bears without falling over; 0 after its slow start.
+    pub fn pressure(&self, now: Micros, more: f64, settings: &NodeSettings) -> f64 {
+        if !self.is_in_slow_start(now, settings) {
             return 0.0;
         }
-        let can = rules.workers as f64 * self.speed * self.warmth(now, rules) * rules.fall_time as f64;
-        (self.pressed(now, rules) + more) / (rules.fall_multiple * can)
+        let capacity = settings.workers as f64
+            * self.speed
+            * self.slow_start_share(now, settings)
+            * settings.overload_window as f64;
+        (self.recent_work(now, settings) + more) / (settings.overload_factor * capacity)
     }
 
-    /// Some work has come. Whether it is more than a cold node bears.
-    pub fn press(&mut self, now: Micros, work: f64, rules: &Rules) -> bool {
-        self.pressed = (self.pressed(now, rules) + work, now);
-        self.pressure(now, 0.0, rules) > 1.0
+    /// Adds work that has come. Whether that is more than it bears in its slow start.
+    #[must_use]
+    pub fn add_work(&mut self, now: Micros, work: f64, settings: &NodeSettings) -> bool {
+        self.recent_work = RecentWork { work: self.recent_work(now, settings) + work, at: now };
+        self.pressure(now, 0.0, settings) > 1.0
     }
 
-    /// Takes a job in hand, or in line; false: it is full. A handshake always finds a place.
-    pub fn take(&mut self, job: Job, rules: &Rules) -> Placed {
-        if self.working.len() < rules.workers {
-            return Placed::Starts;
+    /// Finds a place for a job. A handshake goes to the front of the queue, also of a full one.
+    #[must_use]
+    pub fn place(&mut self, job: Job, settings: &NodeSettings) -> Placement {
+        if self.working.len() < settings.workers {
+            return Placement::Started;
         }
         if let Job::Handshake(_) = job {
             self.queue.push_front(job);
-        } else if self.queue.len() < rules.queue {
+        } else if self.queue.len() < settings.queue {
             self.queue.push_back(job);
         } else {
-            return Placed::Full;
+            return Placement::QueueFull;
         }
-        Placed::Waits
+        Placement::Queued
     }
 
-    /// It dies, and all that it had in hand with it: the attempts in hand or in line.
-    pub fn die(&mut self) -> Vec<u64> {
-        self.up = false;
+    /// Its process dies. Returns the serials of the attempts that it worked on and that waited.
+    pub fn kill(&mut self) -> Vec<u64> {
+        self.is_up = false;
         self.epoch += 1;
         self.connections = 0;
-        self.pressed = (0.0, 0);
+        self.recent_work = RecentWork::default();
         let waiting = self.queue.drain(..).map(|job| match job {
             Job::Handshake(attempt) | Job::Attempt(attempt) => attempt,
         });
@@ -161,15 +192,19 @@
         self.working.drain(..).chain(lost).collect()
     }
 
+    /// Its process is started, and its slow start begins.
     pub fn start(&mut self, now: Micros) {
-        (self.up, self.silent, self.draining, self.born) = (true, false, false, now);
+        (self.is_up, self.is_silent, self.is_draining, self.started_at) = (true, false, false, now);
     }
 }
 
-/// Where a job has gone.
+/// Where a job has been placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Placed {
-    Starts,
-    Waits,
-    Full,
+pub enum Placement {
+    /// A worker is free, and must be given the job.
+    Started,
+    /// It waits.
+    Queued,
+    /// Refused.
+    QueueFull,
 }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,6 +1,6 @@
 //! What a run has come to: worth served and lost, by reason, and what it has cost.
 
-use crate::tally::Broken;
+use crate::rule_checker::Violations;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -87,7 +87,9 @@
     pub node_load: [f64; 3],
     /// Answer times of what was served (ms): half, nine tenths, 99 of 100.
     pub answer_ms: [f64; 3],
-    pub broken: Broken,
+    /// Violated rules.
+    #[serde(rename = "broken")]
+    pub violations: Violations,
     pub defects: u64,
     pub events: u64,
 }
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -67,8 +67,8 @@
 }
 
 fn rules(outcome: &Outcome) -> String {
-    let broken = &outcome.broken;
-    if broken.is_none() {
+    let violations = &outcome.violations;
+    if violations.is_none() {
         return if outcome.defects > 0 {
             format!("kept, {} defects", outcome.defects)
         } else {
@@ -76,13 +76,13 @@
         };
     }
     let counts = [
-        ("unanswered", broken.unanswered as f64),
-        ("answered again", broken.answered_again as f64),
-        ("ran twice", broken.ran_twice as f64),
-        ("copies", broken.copies as f64),
-        ("after drain", broken.after_drain as f64),
-        ("pushed over", broken.pushed_over as f64),
-        ("past ceiling", broken.past_ceiling),
+        ("unanswered", violations.unanswered as f64),
+        ("answered again", violations.answered_again as f64),
+        ("ran twice", violations.ran_twice as f64),
+        ("copies", violations.copies as f64),
+        ("after drain", violations.after_drain as f64),
+        ("pushed over", violations.pushed_over as f64),
+        ("past ceiling", violations.past_ceiling),
     ];
     let told = counts.iter().filter(|(_, many)| *many > 0.0);
     told.map(|(what, many)| format!("{what} {many:.0}")).collect::<Vec<_>>().join(", ")
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -150,8 +150,9 @@
             .quota
             .as_mut()
             .map_or((true, true), |quota| (quota.has(now, units), quota.has(now, plan.burst / 2.0)));
-        let idle = |node: &Node| node.serves() && !node.is_cold(now, &self.rules);
-        let fleet = self.nodes.iter().any(|node| idle(node) && node.working.len() < self.rules.workers);
+        let idle = |node: &Node| node.is_serving() && !node.is_in_slow_start(now, &self.node_settings);
+        let fleet =
+            self.nodes.iter().any(|node| idle(node) && node.working.len() < self.node_settings.workers);
         let (losses, name): (&mut BTreeMap<String, Loss>, _) = match got {
             Got::Refused { why, .. } => (&mut self.outcome.refused, reason(why)),
             Got::Failed { why } => (&mut self.outcome.failed, reason(why)),
--- a/crates/lab/src/world/hearing.rs
+++ b/crates/lab/src/world/hearing.rs
@@ -33,8 +33,8 @@
         for place in nodes {
             let node = &self.nodes[*place];
             let condition = match node {
-                Node { gone: true, .. } if !blind => Condition::Gone,
-                Node { draining: true, .. } if !blind => Condition::Draining,
+                Node { is_removed: true, .. } if !blind => Condition::Gone,
+                Node { is_draining: true, .. } if !blind => Condition::Draining,
                 _ => Condition::Ready,
             };
             let id = wires.number(&node.name, *place);
@@ -46,9 +46,9 @@
                 cell: 0,
                 condition,
                 share: 1.0,
-                born: node.born,
+                born: node.started_at,
             });
-            self.tally.told(now, ingress, *place, !node.draining && !node.gone);
+            self.checker.on_listed(now, ingress, *place, !node.is_draining && !node.is_removed);
         }
         self.drive(ingress, |exchange, _| {
             exchange.enqueue(Event::Backends { kind, version: now, entries });
--- a/crates/lab/src/world/ingresses.rs
+++ b/crates/lab/src/world/ingresses.rs
@@ -95,8 +95,8 @@
         });
         ingress.wakes = Micros::MAX;
         ingress.intake = (0.0, self.now);
-        self.tally.begins(number);
-        let nodes: Vec<usize> = (0..self.nodes.len()).filter(|node| !self.nodes[*node].gone).collect();
+        self.checker.on_ingress_started(number);
+        let nodes: Vec<usize> = (0..self.nodes.len()).filter(|node| !self.nodes[*node].is_removed).collect();
         self.tell_nodes(number, ListKind::Full, &nodes);
     }
 
@@ -120,7 +120,7 @@
         let out: Vec<u64> = self.flights.range(first..last).map(|(serial, _)| *serial).collect();
         out.into_iter().for_each(|serial| self.withdraw(serial));
         for request in open {
-            self.tally.orphaned(request);
+            self.checker.on_orphaned(request);
             self.got(request, Got::Nothing);
         }
     }
@@ -166,7 +166,7 @@
         };
         let until = held.deadline + self.experiment.settings.safety.answer_slack;
         let (arrived, effect) = (held.arrived, class.effect);
-        self.tally.taken(request, effect, until);
+        self.checker.on_accepted(request, effect, until);
         self.ingresses[number].open.insert(request);
         if self.policy == Policy::Module {
             let ingress = &mut self.ingresses[number];
@@ -239,9 +239,9 @@
                     let refused = (summary.why == Some(Why::Quota)).then_some(false);
                     self.believed(number, AttemptId { request: summary.request, number: 0 }, refused);
                     self.ingresses[number].open.remove(&summary.request);
-                    self.tally.answered(self.now, summary.request);
+                    self.checker.on_answered(self.now, summary.request);
                     if self.sabotage == Some(Sabotage::AnswersTwice) {
-                        self.tally.answered(self.now, summary.request);
+                        self.checker.on_answered(self.now, summary.request);
                     }
                     self.got(
                         summary.request,
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -13,9 +13,9 @@
 use crate::demand::{self, stream, Demand, Stream};
 use crate::event_queue::EventQueue;
 use crate::experiment::{Arrivals, Experiment};
-use crate::node::{Job, Node, Rules};
+use crate::node::{Job, Node, NodeSettings};
 use crate::outcome::{Gauges, Outcome};
-use crate::tally::Tally;
+use crate::rule_checker::RuleChecker;
 use crate::START;
 use ingresses::Ingress;
 use rand::RngExt;
@@ -27,7 +27,7 @@
 use violetyoke_decision::interface::*;
 use violetyoke_exchange::AttemptId;
 
-/// A rule that is taken out of what the ingresses are told or do, to see that the tally reports it.
+/// A rule that is taken out of what the ingresses are told or do, to see that the rule checker reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
     /// Ingresses take clients to wait far longer than they do.
@@ -212,7 +212,7 @@
     policy: Policy,
     sabotage: Option<Sabotage>,
     settings: Settings,
-    rules: Rules,
+    node_settings: NodeSettings,
     now: Micros,
     end: Micros,
     events: EventQueue<Happens>,
@@ -233,7 +233,7 @@
     seed: u64,
     /// A total of the counter is being heard.
     by_total: bool,
-    tally: Tally,
+    checker: RuleChecker,
     outcome: Outcome,
     gauges: Gauges,
     /// Mean work of a try (us), and its mean worth: prices are in parts of that.
@@ -244,15 +244,15 @@
 impl<'e> World<'e> {
     pub fn new(experiment: &'e Experiment, seed: u64, policy: Policy) -> World<'e> {
         let safety = &experiment.settings.safety;
-        let rules = Rules {
+        let node_settings = NodeSettings {
             workers: experiment.nodes.workers,
             queue: experiment.nodes.queue,
             connections: experiment.nodes.connections,
             handshake: experiment.nodes.handshake,
-            cold_share: safety.cold_share,
-            cold_time: safety.cold_time,
-            fall_multiple: safety.fall_multiple,
-            fall_time: safety.fall_time,
+            initial_speed: safety.cold_share,
+            slow_start: safety.cold_time,
+            overload_factor: safety.fall_multiple,
+            overload_window: safety.fall_time,
         };
         let mut nodes_rng = stream(seed, Stream::Nodes);
         let speeds = LogNormal::new(0.0, experiment.nodes.speed_spread).expect("a checked spread");
@@ -274,7 +274,7 @@
             policy,
             sabotage: None,
             settings: experiment.settings.clone(),
-            rules,
+            node_settings,
             now: START,
             end: START + experiment.duration,
             events: EventQueue::default(),
@@ -304,7 +304,7 @@
             random_rng: stream(seed, Stream::Random),
             seed,
             by_total: false,
-            tally: Tally::new(safety.drain_grace + 50_000),
+            checker: RuleChecker::new(safety.drain_grace + 50_000),
             outcome: Outcome::default(),
             gauges: Gauges::new(ingresses),
             mean_work: mean(&|class| class.mean_work),
@@ -384,7 +384,7 @@
     }
 
     fn second(&mut self) {
-        self.tally.over(self.now);
+        self.checker.forget_expired(self.now);
         if self.counts() {
             let idle: usize = self.ingresses.iter().map(Ingress::idle).sum();
             let busy = self.flights.values().filter(|flight| flight.connected && !flight.withdrawn).count();
@@ -418,19 +418,19 @@
     /// The part of its workers' time that a node that is there has worked: a tenth of them, half of them, nine tenths
     /// are below.
     fn node_load(&self) -> [f64; 3] {
-        let there = self.nodes.iter().filter(|node| !node.gone);
+        let there = self.nodes.iter().filter(|node| !node.is_removed);
         let load = |node: &Node| {
-            let time = self.now.saturating_sub(node.since).max(1) as f64;
-            node.busy / (self.rules.workers as f64 * time)
+            let time = self.now.saturating_sub(node.added_at).max(1) as f64;
+            node.busy / (self.node_settings.workers as f64 * time)
         };
         crate::outcome::tenths(there.map(load).collect())
     }
 
     fn finish(mut self) -> Outcome {
-        self.tally.end(self.now);
+        self.checker.finish(self.now);
         let mut outcome = std::mem::take(&mut self.outcome);
         self.gauges.read(&mut outcome);
-        outcome.broken = self.tally.broken.clone();
+        outcome.violations = self.checker.violations.clone();
         outcome.events = self.events.scheduled();
         outcome.node_load = self.node_load();
         let prices = &self.experiment.settings.prices;
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -1,7 +1,7 @@
 //! Attempts on their way to nodes, in their hands, and back.
 
 use super::*;
-use crate::node::Placed;
+use crate::node::Placement;
 use crate::wires::Kept;
 
 /// How long a node takes to fail a request at once (us).
@@ -19,7 +19,7 @@
         let (node, kept, sent) = way;
         let Some(held) = self.tries.get(&id.request) else { return };
         let work = held.coming.demanded.work;
-        self.tally.sent(self.now, id.request, serial, ingress, node);
+        self.checker.on_attempt_sent(self.now, id.request, serial, ingress, node);
         self.outcome.attempts += u64::from(self.counts());
         let node_epoch = kept.map_or(self.nodes[node].epoch, |kept| kept.epoch);
         let flight = Flight {
@@ -37,16 +37,16 @@
         };
         self.flights.insert(serial, flight);
         let (one, other) = (self.ingresses[ingress].zone, self.nodes[node].zone);
-        if self.nodes[node].silent || self.apart(one, other) {
+        if self.nodes[node].is_silent || self.apart(one, other) {
             return;
         }
         let way = self.way(one, other);
         match kept {
-            Some(kept) if kept.epoch != self.nodes[node].epoch || !self.nodes[node].up => {
+            Some(kept) if kept.epoch != self.nodes[node].epoch || !self.nodes[node].is_up => {
                 self.events.schedule(self.now + 2 * way, Happens::Ended { serial, outcome: Outcome_::Stale });
             }
             Some(_) => self.events.schedule(self.now + way, Happens::Offered(serial)),
-            None if !self.nodes[node].up => {
+            None if !self.nodes[node].is_up => {
                 self.events.schedule(
                     self.now + 2 * way,
                     Happens::Ended { serial, outcome: Outcome_::ConnectFailed },
@@ -65,7 +65,7 @@
         if std::mem::take(&mut flight.connected) && node.epoch == flight.node_epoch {
             node.connections = node.connections.saturating_sub(1);
         }
-        self.tally.ended(flight.id.request, serial);
+        self.checker.on_attempt_ended(flight.id.request, serial);
         if !flight.at_node {
             self.flights.remove(&serial);
         }
@@ -75,7 +75,7 @@
     fn back(&mut self, serial: u64, outcome: Outcome_) {
         let Some(flight) = self.flights.get(&serial) else { return };
         let (one, other) = (self.ingresses[flight.ingress].zone, self.nodes[flight.node].zone);
-        if self.nodes[flight.node].silent || self.apart(one, other) {
+        if self.nodes[flight.node].is_silent || self.apart(one, other) {
             return;
         }
         let way = self.way(one, other);
@@ -85,20 +85,20 @@
     pub(super) fn connects(&mut self, serial: u64) {
         let Some(flight) = self.flights.get_mut(&serial) else { return };
         let node = &mut self.nodes[flight.node];
-        if node.silent {
+        if node.is_silent {
             return;
         }
         flight.node_epoch = node.epoch;
-        if !node.up || node.connections >= self.rules.connections {
+        if !node.is_up || node.connections >= self.node_settings.connections {
             return self.back(serial, Outcome_::ConnectFailed);
         }
         node.connections += 1;
         (flight.connected, flight.at_node) = (true, true);
         let place = flight.node;
         self.outcome.handshakes += u64::from(self.counts());
-        match self.nodes[place].take(Job::Handshake(serial), &self.rules) {
-            Placed::Starts => self.work_on(place, Job::Handshake(serial)),
-            Placed::Waits | Placed::Full => {}
+        match self.nodes[place].place(Job::Handshake(serial), &self.node_settings) {
+            Placement::Started => self.work_on(place, Job::Handshake(serial)),
+            Placement::Queued | Placement::QueueFull => {}
         }
     }
 
@@ -118,29 +118,29 @@
         let Some(flight) = self.flights.get(&serial) else { return };
         let (place, id, work) = (flight.node, flight.id, flight.work);
         let node = &mut self.nodes[place];
-        if node.silent {
+        if node.is_silent {
             return;
         }
-        if node.epoch != flight.node_epoch || !node.up {
+        if node.epoch != flight.node_epoch || !node.is_up {
             return self.back(serial, Outcome_::Reset);
         }
         if id.number == 0 {
             self.charge(id.request);
         }
         let node = &mut self.nodes[place];
-        if node.draining {
+        if node.is_draining {
             return self.back(serial, Outcome_::Full);
         }
-        if node.press(self.now, work, &self.rules) {
-            self.tally.pushed_over();
+        if node.add_work(self.now, work, &self.node_settings) {
+            self.checker.on_pushed_over();
             self.outcome.falls += u64::from(self.counts());
             let restart = self.experiment.nodes.restart;
             return self.node_dies(place, Some(restart));
         }
-        match node.take(Job::Attempt(serial), &self.rules) {
-            Placed::Full => return self.back(serial, Outcome_::Full),
-            Placed::Starts => self.work_on(place, Job::Attempt(serial)),
-            Placed::Waits => {}
+        match node.place(Job::Attempt(serial), &self.node_settings) {
+            Placement::QueueFull => return self.back(serial, Outcome_::Full),
+            Placement::Started => self.work_on(place, Job::Attempt(serial)),
+            Placement::Queued => {}
         }
         if let Some(flight) = self.flights.get_mut(&serial) {
             flight.at_node = true;
@@ -156,7 +156,7 @@
         let beyond = account.quota.as_mut().map_or(0.0, |quota| quota.take(now, demanded.units));
         let past = account.ceiling.as_mut().map_or(0.0, |ceiling| ceiling.take(now, demanded.units));
         if past > 0.0 {
-            self.tally.past_ceiling(past);
+            self.checker.on_past_ceiling(past);
         }
         held.beyond = beyond;
         if counts {
@@ -173,13 +173,13 @@
         let node = &mut self.nodes[place];
         let (serial, took) = match job {
             Job::Handshake(serial) => {
-                (serial, node.takes(self.now, self.rules.handshake as f64, &self.rules))
+                (serial, node.work_time(self.now, self.node_settings.handshake as f64, &self.node_settings))
             }
             Job::Attempt(serial) => {
                 let Some(flight) = self.flights.get_mut(&serial) else { return };
-                self.tally.runs(flight.id.request);
-                flight.errs = node.fails > 0.0 && self.nodes_rng.random::<f64>() < node.fails;
-                let takes = node.takes(self.now, flight.work, &self.rules);
+                self.checker.on_executed(flight.id.request);
+                flight.errs = node.failure_share > 0.0 && self.nodes_rng.random::<f64>() < node.failure_share;
+                let takes = node.work_time(self.now, flight.work, &self.node_settings);
                 (serial, if flight.errs { FAILS_IN } else { takes })
             }
         };
@@ -216,7 +216,7 @@
                 self.back(serial, outcome);
             }
         }
-        while self.nodes[place].working.len() < self.rules.workers {
+        while self.nodes[place].working.len() < self.node_settings.workers {
             let Some(next) = self.nodes[place].queue.pop_front() else { break };
             let (Job::Handshake(serial) | Job::Attempt(serial)) = next;
             // One that nobody waits for any more is not begun.
@@ -232,7 +232,7 @@
     pub(super) fn ended(&mut self, serial: u64, outcome: Outcome_) {
         let Some(flight) = self.flights.remove(&serial) else { return };
         let now = self.now;
-        self.tally.ended(flight.id.request, serial);
+        self.checker.on_attempt_ended(flight.id.request, serial);
         let node = &mut self.nodes[flight.node];
         let load = (node.working.len() + node.queue.len()) as f64;
         let report = match self.experiment.nodes.reports {
@@ -263,10 +263,10 @@
 
     /// A node's process dies, and comes back after a while, if at all.
     pub(super) fn node_dies(&mut self, place: usize, back_after: Option<Micros>) {
-        if !self.nodes[place].up {
+        if !self.nodes[place].is_up {
             return;
         }
-        let lost = self.nodes[place].die();
+        let lost = self.nodes[place].kill();
         for serial in lost {
             let Some(flight) = self.flights.get_mut(&serial) else { continue };
             flight.at_node = false;
@@ -286,7 +286,7 @@
 
     pub(super) fn node_starts(&mut self, place: usize, epoch: u32) {
         let node = &mut self.nodes[place];
-        if node.epoch == epoch && !node.gone {
+        if node.epoch == epoch && !node.is_removed {
             node.start(self.now);
             self.announce(place);
         }
--- a/crates/lab/src/world/seen.rs
+++ b/crates/lab/src/world/seen.rs
@@ -53,18 +53,22 @@
         let left = (held.arrived + aim).saturating_sub(self.now) as f64;
         let serves = |place: &usize| {
             let node = &self.nodes[*place];
-            node.serves()
-                && node.fails < 0.5
+            node.is_serving()
+                && node.failure_share < 0.5
                 && !self.apart(zone, node.zone)
-                && node.pressure(self.now, demanded.work, &self.rules) <= pressure
-                && (node.connections < self.rules.connections || kept.get(*place).copied().unwrap_or(false))
+                && node.pressure(self.now, demanded.work, &self.node_settings) <= pressure
+                && (node.connections < self.node_settings.connections
+                    || kept.get(*place).copied().unwrap_or(false))
         };
         let takes = |place: usize| {
             let node = &self.nodes[place];
             let way = links.delay + if node.zone == zone { 0 } else { links.cross_zone_delay };
-            let shaken =
-                if kept.get(place).copied().unwrap_or(false) { 0 } else { 3 * way + self.rules.handshake };
-            let work = node.expected(self.now, demanded.work, self.mean_work, &self.rules);
+            let shaken = if kept.get(place).copied().unwrap_or(false) {
+                0
+            } else {
+                3 * way + self.node_settings.handshake
+            };
+            let work = node.expected_time(self.now, demanded.work, self.mean_work, &self.node_settings);
             work + (3 * way + shaken) as f64
         };
         let all = (0..self.nodes.len()).filter(serves).map(|place| (takes(place), place));
--- a/crates/lab/src/world/trouble.rs
+++ b/crates/lab/src/world/trouble.rs
@@ -28,7 +28,7 @@
     /// Who is hit: nodes, ingresses or parts of the counter by their numbers; one for all that is one.
     fn victims(&mut self, fault: &Fault) -> Vec<usize> {
         let all: Vec<usize> = match fault.kind.victims() {
-            VictimKind::Node => (0..self.nodes.len()).filter(|node| !self.nodes[*node].gone).collect(),
+            VictimKind::Node => (0..self.nodes.len()).filter(|node| !self.nodes[*node].is_removed).collect(),
             VictimKind::Ingress => (0..self.ingresses.len()).collect(),
             VictimKind::CounterPart => (0..self.counter.parts.len()).collect(),
             VictimKind::System => vec![0],
@@ -61,20 +61,20 @@
         match fault.kind {
             FaultKind::KillNodes => self.node_dies(victim, Some(fault.duration)),
             FaultKind::SilenceNodes => {
-                self.nodes[victim].silent = true;
+                self.nodes[victim].is_silent = true;
                 self.events.schedule(until, heals);
             }
             FaultKind::ReplaceNodes => {
-                self.nodes[victim].draining = true;
+                self.nodes[victim].is_draining = true;
                 self.announce(victim);
                 self.events.schedule(self.now + DRAIN, Happens::Replaced { node: victim });
             }
             FaultKind::SlowNodes => {
-                self.nodes[victim].slow = fault.magnitude.max(0.01);
+                self.nodes[victim].slowdown = fault.magnitude.max(0.01);
                 self.events.schedule(until, heals);
             }
             FaultKind::FailNodes => {
-                self.nodes[victim].fails = fault.magnitude.min(1.0);
+                self.nodes[victim].failure_share = fault.magnitude.min(1.0);
                 self.events.schedule(until, heals);
             }
             FaultKind::PauseNodes => self.nodes[victim].paused_until = until,
@@ -103,13 +103,13 @@
     pub(super) fn healed(&mut self, number: usize, victim: usize) {
         let node = &mut self.nodes[victim];
         match self.experiment.faults[number].kind {
-            FaultKind::SlowNodes => node.slow = 1.0,
-            FaultKind::FailNodes => node.fails = 0.0,
+            FaultKind::SlowNodes => node.slowdown = 1.0,
+            FaultKind::FailNodes => node.failure_share = 0.0,
             // Back on the network, as a machine that was started anew.
             FaultKind::SilenceNodes => {
                 self.node_dies(victim, None);
                 let epoch = self.nodes[victim].epoch;
-                self.nodes[victim].silent = false;
+                self.nodes[victim].is_silent = false;
                 self.node_starts(victim, epoch);
             }
             _ => {}
@@ -119,7 +119,7 @@
     /// A drained node has ended; another one takes its place.
     pub(super) fn replaced(&mut self, place: usize) {
         self.node_dies(place, None);
-        self.nodes[place].gone = true;
+        self.nodes[place].is_removed = true;
         self.announce(place);
         let number = self.nodes.len();
         let (zone, speed) = (self.nodes[place].zone, self.nodes[place].speed);
--- a/crates/lab/tests/hard.rs
+++ b/crates/lab/tests/hard.rs
@@ -55,14 +55,14 @@
     let outcome = World::new(&slow, 5, Policy::Module).play();
     assert!(outcome.calls.late > 50, "{:?}", outcome.calls);
     assert!(outcome.calls.turned_away > 0, "{:?}", outcome.calls);
-    assert!(outcome.broken.is_none(), "{:?}", outcome.broken);
+    assert!(outcome.violations.is_none(), "{:?}", outcome.violations);
 }
 
 #[test]
 fn seven_in_ten_ingresses_die_at_once_and_are_back_within_seconds() {
     let fault = "[[fault]]\nkind = \"kill_ingresses\"\npart = 0.7\nat_seconds = 5\nfor_seconds = 1.5\n";
     let (killed, calm) = (play(fault), play(""));
-    assert!(killed.broken.is_none(), "{:?}", killed.broken);
+    assert!(killed.violations.is_none(), "{:?}", killed.violations);
     // Their clients see it, their nodes get all connections anew, and it passes.
     assert!(killed.failed.contains_key("NoAnswer"), "{:?}", killed.failed);
     assert!(killed.handshakes > calm.handshakes, "{} {}", killed.handshakes, calm.handshakes);
@@ -79,7 +79,7 @@
          [[fault]]\nkind = \"slow_nodes\"\npart = 1.0\nby = 4\nat_seconds = 2\nfor_seconds = 10\n\n\
          [[fault]]\nkind = \"replace_nodes\"\npart = 0.5\nat_seconds = 4\nover_seconds = 4\n",
     );
-    assert!(outcome.broken.is_none(), "{:?}", outcome.broken);
+    assert!(outcome.violations.is_none(), "{:?}", outcome.violations);
     assert!(outcome.useless_work > 0.0);
     assert_eq!(outcome.defects, 0);
 }
@@ -93,7 +93,7 @@
     ];
     let fault = "[[fault]]\nkind = \"kill_nodes\"\npart = 1.0\nat_seconds = 4\nfor_seconds = 0.5\n";
     let outcome = World::new(&changed(&words, fault), 5, Policy::Module).play();
-    assert!(outcome.broken.is_none(), "{:?}", outcome.broken);
+    assert!(outcome.violations.is_none(), "{:?}", outcome.violations);
     assert!(outcome.ends.get("ConnectFailed").is_some_and(|many| *many >= 60), "{:?}", outcome.ends);
     assert!(outcome.served.tries > 1_000, "{:?}", outcome.parts());
 }
@@ -107,7 +107,7 @@
         ("kind = \"cut_zone\"\nzone = 0\nat_seconds = 4\nfor_seconds = 4", "Timeout"),
     ] {
         let outcome = play(&format!("[[fault]]\n{fault}\n"));
-        assert!(outcome.broken.is_none(), "{fault}: {:?}", outcome.broken);
+        assert!(outcome.violations.is_none(), "{fault}: {:?}", outcome.violations);
         assert!(outcome.ends.contains_key(sees), "{fault}: {:?}", outcome.ends);
         assert!(outcome.served.tries > 400, "{fault}: {:?}", outcome.parts());
     }
--- /dev/null
+++ b/crates/lab/tests/rule_checker.rs
@@ -0,0 +1,66 @@
+//! The rule checker: what violates no rule, and each way to violate one.
+
+#![cfg(test)]
+
+use violetyoke_decision::interface::Effect;
+use violetyoke_lab::rule_checker::RuleChecker;
+
+/// A try taken at 0 that must be answered by 1,000.
+fn checker(effect: Effect) -> RuleChecker {
+    let mut checker = RuleChecker::new(250);
+    checker.on_accepted(1, effect, 1_000);
+    checker
+}
+
+#[test]
+fn a_run_that_keeps_all_rules_has_no_violations() {
+    let mut checker = checker(Effect::Unsafe);
+    checker.on_listed(0, 0, 7, true);
+    checker.on_attempt_sent(10, 1, 5, 0, 7);
+    checker.on_executed(1);
+    checker.on_attempt_ended(1, 5);
+    checker.on_answered(900, 1);
+    checker.finish(2_000);
+    assert!(checker.violations.is_none(), "{:?}", checker.violations);
+}
+
+#[test]
+fn each_violation_is_reported() {
+    let mut late = checker(Effect::Safe);
+    late.on_answered(1_001, 1);
+    assert_eq!(late.violations.unanswered, 1);
+    let mut never = checker(Effect::Safe);
+    never.finish(1_001);
+    assert_eq!(never.violations.unanswered, 1);
+    let mut again = checker(Effect::Safe);
+    again.on_answered(1, 1);
+    again.on_answered(2, 1);
+    assert_eq!(again.violations.answered_again, 1);
+    let mut twice = checker(Effect::Unsafe);
+    twice.on_executed(1);
+    twice.on_executed(1);
+    assert_eq!(twice.violations.ran_twice, 1);
+    let mut safe = checker(Effect::Safe);
+    safe.on_executed(1);
+    safe.on_executed(1);
+    assert!(safe.violations.is_none());
+    let mut copies = checker(Effect::Safe);
+    copies.on_attempt_sent(1, 1, 5, 0, 7);
+    copies.on_attempt_sent(2, 1, 6, 0, 8);
+    assert_eq!(copies.violations.copies, 1);
+    let mut drained = checker(Effect::Safe);
+    drained.on_listed(100, 0, 7, false);
+    drained.on_attempt_sent(350, 1, 5, 0, 7);
+    drained.on_attempt_ended(1, 5);
+    assert_eq!(drained.violations.after_drain, 0);
+    drained.on_attempt_sent(351, 1, 6, 0, 7);
+    assert_eq!(drained.violations.after_drain, 1);
+}
+
+#[test]
+fn a_try_of_a_dead_ingress_needs_no_answer() {
+    let mut checker = checker(Effect::Safe);
+    checker.on_orphaned(1);
+    checker.finish(5_000);
+    assert!(checker.violations.is_none());
+}
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -6,7 +6,7 @@
 use violetyoke_decision::interface::Micros;
 use violetyoke_lab::experiment::Experiment;
 use violetyoke_lab::outcome::Outcome;
-use violetyoke_lab::tally::Broken;
+use violetyoke_lab::rule_checker::Violations;
 use violetyoke_lab::world::{Policy, Sabotage, World};
 
 /// Nodes go and come, some answer late or with an error, connections break, and the counter is silent for a while:
@@ -59,14 +59,14 @@
 #[test]
 fn the_shipped_decisions_keep_all_rules_through_it() {
     let outcome = play(&troubled(), None);
-    assert_eq!(outcome.broken, Broken::default());
+    assert_eq!(outcome.violations, Violations::default());
     assert!(outcome.served.tries > 250, "{:?}", outcome.parts());
 }
 
 #[test]
 fn each_rule_that_is_taken_out_is_reported_and_no_other_hides_it() {
     let experiment = troubled();
-    let told = |sabotage| play(&experiment, Some(sabotage)).broken;
+    let told = |sabotage| play(&experiment, Some(sabotage)).violations;
     assert!(told(Sabotage::Patience).unanswered > 0);
     assert!(told(Sabotage::AnswersTwice).answered_again > 0);
     assert!(told(Sabotage::SendsTwice).copies > 0);
@@ -95,7 +95,7 @@
     experiment.settings.safety.cold_share = 0.2;
     experiment.settings.safety.cold_time = seconds(8);
     experiment.settings.safety.fall_multiple = 1.2;
-    let own = play(&experiment, None).broken;
-    let blind = play(&experiment, Some(Sabotage::BlindToCold)).broken;
+    let own = play(&experiment, None).violations;
+    let blind = play(&experiment, Some(Sabotage::BlindToCold)).violations;
     assert_eq!((own.pushed_over, blind.pushed_over > 0), (0, true), "{blind:?}");
 }
--- a/xtask/src/prove_lab.rs
+++ b/xtask/src/prove_lab.rs
@@ -91,7 +91,7 @@
             }
             figures.at_most(
                 &format!("{name}_{seed}_rules_broken_in_lab"),
-                if lab.broken.is_none() { 0.0 } else { 1.0 },
+                if lab.violations.is_none() { 0.0 } else { 1.0 },
                 0.0,
             );
         }
