--- a/crates/config/src/consult.rs
+++ b/crates/config/src/consult.rs
@@ -3,8 +3,8 @@
 use crate::section::Section;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use violetyoke_ratelimit::breaker;
-use violetyoke_ratelimit::consult::{Settings, Silence};
+use violetyoke_ratelimit::breaker::BreakerSettings;
+use violetyoke_ratelimit::consult::{LimiterSettings, OnSilence};
 
 /// What a pool asks, checked.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     pub try_key: Option<String>,
     /// Plans that are asked about; none of them: all.
     pub plans: Vec<String>,
-    pub settings: Settings,
+    pub settings: LimiterSettings,
 }
 
 const MS: f64 = 1_000.0;
@@ -39,22 +39,22 @@
         let breaker = section.section("breaker");
         let pause = (breaker.number("pause_ms", 1_000.0, 10.0..=600_000.0) * MS) as u64;
         let longest_pause = (breaker.number("longest_pause_ms", 30_000.0, 10.0..=600_000.0) * MS) as u64;
-        let settings = Settings {
+        let settings = LimiterSettings {
             budget: time("budget_ms", 50.0, 1.0),
-            part: section.number("budget_part", 0.25, 0.01..=0.5),
-            most_open: section.whole("most_open", 64, 1..=10_000) as usize,
-            late: time("late_ms", 1_000.0, 0.0),
-            credit: time("credit_ms", 1_000.0, 0.0),
-            silence: section.word(
+            budget_share: section.number("budget_part", 0.25, 0.01..=0.5),
+            max_in_flight: section.whole("most_open", 64, 1..=10_000) as usize,
+            late_reply_time: time("late_ms", 1_000.0, 0.0),
+            credit_time: time("credit_ms", 1_000.0, 0.0),
+            on_silence: section.word(
                 "when_silent",
-                Silence::Refuse,
-                &[("own_quota", Silence::OwnQuota), ("refuse", Silence::Refuse)],
+                OnSilence::Reject,
+                &[("own_quota", OnSilence::OwnQuota), ("refuse", OnSilence::Reject)],
             ),
-            longest_hint,
-            breaker: breaker::Settings {
+            max_retry_after: longest_hint,
+            breaker: BreakerSettings {
                 failures: breaker.whole("failures", 5, 1..=1_000_000) as u32,
                 pause,
-                longest_pause,
+                max_pause: longest_pause,
             },
         };
         if longest_pause < pause {
--- a/crates/config/src/ratelimit.rs
+++ b/crates/config/src/ratelimit.rs
@@ -4,7 +4,7 @@
 use crate::section::Section;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use violetyoke_ratelimit::{Domain, Mapping, Rule, Unknown};
+use violetyoke_ratelimit::{DescriptorRule, Domain, Mapping, UnknownPolicy};
 
 /// The gRPC rate limit service, checked.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,7 +23,8 @@
     pub mapping: Mapping,
 }
 
-const UNKNOWN: [(&str, Unknown); 2] = [("ok", Unknown::Ok), ("over_limit", Unknown::OverLimit)];
+const UNKNOWN: [(&str, UnknownPolicy); 2] =
+    [("ok", UnknownPolicy::Ok), ("over_limit", UnknownPolicy::OverLimit)];
 
 impl RateLimit {
     pub(crate) fn read(section: &Section<'_>, pools: &[Pool]) -> RateLimit {
@@ -36,7 +37,7 @@
                 // Either answer may be wrong for somebody: it is for the operator to state it.
                 section.error(key, "is missing: ok or over_limit");
             }
-            section.word(key, Unknown::OverLimit, &UNKNOWN)
+            section.word(key, UnknownPolicy::OverLimit, &UNKNOWN)
         };
         let mut domains = BTreeMap::new();
         let sections = section.sections("domain");
@@ -74,7 +75,7 @@
     }
 }
 
-fn rule(section: Section<'_>, pools: &[Pool]) -> Option<Rule> {
+fn rule(section: Section<'_>, pools: &[Pool]) -> Option<DescriptorRule> {
     let name = section.needed("pool");
     let pool = pools.iter().position(|pool| pool.name == name);
     if section.has("pool") && pool.is_none() {
@@ -86,13 +87,13 @@
     if plan.as_ref().is_some_and(|plan| !known(plan)) {
         section.error("plan", "is not a plan of the pool");
     }
-    let rule = Rule {
+    let rule = DescriptorRule {
         pool: pool.unwrap_or(0),
         when: section.texts("when"),
-        account: section.needed("account"),
+        account_key: section.needed("account"),
         plan_key: section.text("plan_key"),
-        plan,
-        try_key: section.text("try_key"),
+        default_plan: plan,
+        attempt_key: section.text("try_key"),
     };
     section.finish();
     pool.map(|_| rule)
--- a/crates/exchange/src/attempts.rs
+++ b/crates/exchange/src/attempts.rs
@@ -5,7 +5,7 @@
 use crate::records::InFlight;
 use crate::timers::Timer;
 use violetyoke_decision::interface::{AttemptEnd, BackendId, Event, Micros, Outcome, Report, RequestId};
-use violetyoke_ratelimit::claim::Decided;
+use violetyoke_ratelimit::claim::Verdict;
 
 impl<P: Port> Exchange<P> {
     /// Starts the attempt that the decision module asks for (`expires` 0: it may last until the deadline). One that is
@@ -41,7 +41,7 @@
             return self.events.push_back(Event::AttemptEnded(attempt_end(id, backend, outcome)));
         };
         open.in_flight = Some(InFlight { number, backend, started_at: now, expires_at, handle });
-        self.report_outcome(now, request, Decided::Passes);
+        self.report_outcome(now, request, Verdict::Admitted);
         self.timers.set(expires_at, Timer::AttemptTimeout(id));
         self.timers.set(now + self.limits.connect_timeout, Timer::ConnectTimeout(id));
     }
--- a/crates/exchange/src/counter.rs
+++ b/crates/exchange/src/counter.rs
@@ -8,7 +8,7 @@
 use crate::records::{CallPurpose, PendingCall};
 use crate::timers::Timer;
 use violetyoke_decision::interface::{Event, Micros, Outcome, RequestId};
-use violetyoke_ratelimit::claim::{self, Decided};
+use violetyoke_ratelimit::claim::{self, Verdict};
 
 /// How long a claim is kept: the longest time for which the counter service keeps a count.
 const CLAIM_LIFE: Micros = 60_000_000;
@@ -61,10 +61,10 @@
     }
 
     /// Adds what was decided about a request to the claim that it made, once.
-    pub(super) fn report_outcome(&mut self, now: Micros, request: RequestId, decided: Decided) {
+    pub(super) fn report_outcome(&mut self, now: Micros, request: RequestId, verdict: Verdict) {
         let claim = self.requests.get_mut(&request).and_then(|open| open.claim.take());
-        if let (Some(claim), Some(let_in)) = (claim, claim::told(decided)) {
-            self.add_to_claim(now, claim, claim::outcome(let_in), None);
+        if let (Some(claim), Some(is_admitted)) = (claim, claim::outcome_to_report(verdict)) {
+            self.add_to_claim(now, claim, claim::outcome(is_admitted), None);
         }
     }
 
--- a/crates/exchange/src/dispatch.rs
+++ b/crates/exchange/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::port::{FinalResponse, Port};
 use crate::timers::Timer;
 use violetyoke_decision::interface::{Action, Event, Micros, Outcome, RequestId, Why};
-use violetyoke_ratelimit::claim::Decided;
+use violetyoke_ratelimit::claim::Verdict;
 
 impl<P: Port> Exchange<P> {
     /// Queues an event for the decision module; [`Exchange::process_events`] passes it on.
@@ -28,7 +28,7 @@
             Action::Refuse { request, retry_after, why } => self.refuse(now, request, retry_after, why),
             Action::Fail { request, why } => self.finish(now, request, FinalResponse::Failed, Some(why)),
             Action::Admit { request } => {
-                self.report_outcome(now, request, Decided::Passes);
+                self.report_outcome(now, request, Verdict::Admitted);
                 self.finish(now, request, FinalResponse::Admitted, None);
             }
             Action::Cancel { request, attempt } => {
@@ -53,7 +53,7 @@
 
     fn refuse(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: Why) {
         let sent_before = self.requests.get(&request).is_some_and(|open| open.attempts > 0);
-        self.report_outcome(now, request, Decided::Refused { sent_before, retry_after });
+        self.report_outcome(now, request, Verdict::Rejected { was_forwarded: sent_before, retry_after });
         self.finish(now, request, FinalResponse::Refused { retry_after }, Some(why));
     }
 }
--- a/crates/exchange/tests/exchange/claims.rs
+++ b/crates/exchange/tests/exchange/claims.rs
@@ -30,6 +30,6 @@
     accept(&mut exchange, AcceptedRequest { claim: Some(5), ..request() });
     advance(&mut exchange, START + 1_000_000);
     let amounts: Vec<f64> = exchange.port.calls.iter().map(|(_, amount)| *amount).collect();
-    assert_eq!(amounts, [claim::LET_IN]);
+    assert_eq!(amounts, [claim::ADMITTED]);
     assert!(exchange.port.claims.is_empty());
 }
--- a/crates/ingress/src/consult.rs
+++ b/crates/ingress/src/consult.rs
@@ -19,7 +19,7 @@
 use tonic::Request;
 use violetyoke_config::Consult;
 use violetyoke_decision::interface::Micros;
-use violetyoke_ratelimit::consult::{Ask, Outside, Said, Word};
+use violetyoke_ratelimit::consult::{Decision, ExternalLimiter, Reply, Start};
 use violetyoke_ratelimit_proto as proto;
 use violetyoke_ratelimit_proto::{never_processed, Channel};
 use violetyoke_shares::Member;
@@ -33,7 +33,7 @@
 /// One pool's outside server.
 pub struct Consulting {
     file: RefCell<Rc<Consult>>,
-    outside: RefCell<Outside>,
+    outside: RefCell<ExternalLimiter>,
     /// The connection in use, and what asks on it.
     link: RefCell<Option<(Channel, Client)>>,
     /// How many connections there have been.
@@ -57,7 +57,7 @@
         set: Rc<Set>,
         pool: String,
     ) -> Rc<Consulting> {
-        let outside = Outside::new(file.settings, clock.now() ^ (member as u64) << 40);
+        let outside = ExternalLimiter::new(file.settings, clock.now() ^ (member as u64) << 40);
         Rc::new(Consulting {
             file: RefCell::new(Rc::new(file)),
             outside: RefCell::new(outside),
@@ -78,7 +78,7 @@
     }
 
     pub fn change(&self, file: Consult) {
-        self.outside.borrow_mut().change(file.settings);
+        self.outside.borrow_mut().update_settings(file.settings);
         *self.file.borrow_mut() = Rc::new(file);
     }
 
@@ -88,13 +88,13 @@
     }
 
     /// Asks, and returns by the time that the answer counts until, whatever the server does.
-    pub async fn ask(self: &Rc<Consulting>, about: &About) -> (Word, Option<Asked>) {
+    pub async fn ask(self: &Rc<Consulting>, about: &About) -> (Decision, Option<Asked>) {
         let deadline = about.arrived.saturating_add(about.budget);
-        let ask = self.outside.borrow_mut().ask(self.clock.now(), deadline, key_of(about));
+        let ask = self.outside.borrow_mut().start(self.clock.now(), deadline, key_of(about));
         let (number, until) = match ask {
-            Ask::Counted { number } => return (Word::GoOn, Some(Asked::new(self, number))),
-            Ask::Silent(word) => return (word, None),
-            Ask::Question { number, until } => (number, until),
+            Start::Credited { id: number } => return (Decision::Proceed, Some(Asked::new(self, number))),
+            Start::NoQuery(word) => return (word, None),
+            Start::Query { id: number, until } => (number, until),
         };
         // Dropped while it waits, its client has gone.
         let mut asked = Asked::new(self, number);
@@ -109,12 +109,12 @@
         };
         asked.left = false;
         // No word at all: its task has ended without one, as when the process ends.
-        (word.unwrap_or(Word::Refuse { retry_after: 0 }), Some(asked))
+        (word.unwrap_or(Decision::Reject { retry_after: 0 }), Some(asked))
     }
 
-    fn give_up(&self, number: u64) -> Option<Word> {
-        let word = self.watched(|outside, now| outside.give_up(now, number));
-        if word.is_some() && self.outside.borrow().is_shut() {
+    fn give_up(&self, number: u64) -> Option<Decision> {
+        let word = self.watched(|outside, now| outside.on_timeout(now, number));
+        if word.is_some() && self.outside.borrow().is_breaker_open() {
             // A connection that nothing comes on may be why: the next trial begins with a new one.
             self.link.take();
         }
@@ -127,9 +127,9 @@
         number: u64,
         until: Micros,
         request: proto::RateLimitRequest,
-        tell: oneshot::Sender<Word>,
+        tell: oneshot::Sender<Decision>,
     ) {
-        let late = self.outside.borrow().late();
+        let late = self.outside.borrow().late_reply_time();
         let end = self.clock.instant(until.saturating_add(late)).into();
         let said = tokio::select! {
             biased;
@@ -137,17 +137,17 @@
             () = sleep_until(end) => {
                 // Given up on before, but for a clock that jumped.
                 let _ = self.give_up(number);
-                return self.outside.borrow_mut().lost(number);
+                return self.outside.borrow_mut().on_reply_lost(number);
             }
         };
-        if let Some(word) = self.watched(|outside, now| outside.answered(now, number, said)) {
+        if let Some(word) = self.watched(|outside, now| outside.on_reply(now, number, said)) {
             let _ = tell.send(word);
         }
     }
 
-    async fn call(&self, request: proto::RateLimitRequest, number: u64, until: Micros) -> Said {
+    async fn call(&self, request: proto::RateLimitRequest, number: u64, until: Micros) -> Reply {
         for asked in 1.. {
-            let Ok(mut client) = self.client().await else { return Said::Nothing };
+            let Ok(mut client) = self.client().await else { return Reply::Failed };
             let connection = self.opened.get();
             let left = until.saturating_sub(self.clock.now()).max(1);
             let mut question = Request::new(request.clone());
@@ -157,14 +157,14 @@
                 // Its connection was ending.
                 Err(status) if never_processed(&status) => drop(self.link.take()),
                 // What the server says itself has no cause; a connection's end has.
-                Err(status) if status.source().is_some() => return Said::Broke { connection },
-                Err(_) => return Said::Nothing,
+                Err(status) if status.source().is_some() => return Reply::ConnectionBroke { connection },
+                Err(_) => return Reply::Failed,
             }
-            if !self.outside.borrow().again(self.clock.now(), number, until, asked) {
+            if !self.outside.borrow().may_retry(self.clock.now(), number, until, asked) {
                 break;
             }
         }
-        Said::Nothing
+        Reply::Failed
     }
 
     /// The connection, opened if there is none that takes questions.
@@ -203,16 +203,16 @@
     }
 
     /// Tells the state something, and the log where it opens or closes by that.
-    fn watched<T>(&self, tell: impl FnOnce(&mut Outside, Micros) -> T) -> T {
+    fn watched<T>(&self, tell: impl FnOnce(&mut ExternalLimiter, Micros) -> T) -> T {
         let mut outside = self.outside.borrow_mut();
-        let before = outside.is_shut();
+        let before = outside.is_breaker_open();
         let result = tell(&mut outside, self.clock.now());
         let pool = &self.pool;
-        match (before, outside.is_shut()) {
+        match (before, outside.is_breaker_open()) {
             (false, true) => eprintln!("violetyoke: pool {pool:?}: the outside rate limit server is silent"),
             (true, false) => eprintln!(
                 "violetyoke: pool {pool:?}: the outside rate limit server answers again ({:?})",
-                outside.tally
+                outside.counters()
             ),
             _ => {}
         }
@@ -255,9 +255,9 @@
 }
 
 /// Reads an answer. A code that is neither of the two is no answer; a time that is none is not passed on.
-fn said(response: &proto::RateLimitResponse) -> Said {
+fn said(response: &proto::RateLimitResponse) -> Reply {
     match response.overall_code() {
-        proto::Code::Ok => Said::Ok,
+        proto::Code::Ok => Reply::Ok,
         proto::Code::OverLimit => {
             let over = |status: &&proto::DescriptorStatus| status.code() == proto::Code::OverLimit;
             let times = response.statuses.iter().filter(over).filter_map(|status| {
@@ -266,9 +266,9 @@
                 let rest = u64::try_from(time.nanos).ok()? / 1_000;
                 seconds.checked_mul(1_000_000)?.checked_add(rest)
             });
-            Said::Over { reset: times.max() }
+            Reply::OverLimit { reset: times.max() }
         }
-        proto::Code::Unknown => Said::Nothing,
+        proto::Code::Unknown => Reply::Failed,
     }
 }
 
@@ -286,7 +286,7 @@
 
     pub fn ended(self, let_in: bool) {
         let now = self.consulting.clock.now();
-        self.consulting.outside.borrow_mut().ended(now, self.number, let_in);
+        self.consulting.outside.borrow_mut().on_request_end(now, self.number, let_in);
     }
 }
 
@@ -295,10 +295,10 @@
         let now = self.consulting.clock.now();
         let mut outside = self.consulting.outside.borrow_mut();
         if self.left {
-            outside.left(now, self.number);
+            outside.on_caller_gone(now, self.number);
         } else {
             // Nobody knows what became of it: it may have been let in. After `ended` this says nothing more.
-            outside.ended(now, self.number, true);
+            outside.on_request_end(now, self.number, true);
         }
     }
 }
--- a/crates/ingress/src/gate.rs
+++ b/crates/ingress/src/gate.rs
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use violetyoke_decision::interface::Micros;
-use violetyoke_ratelimit::claim::{self, Standing, Way};
-use violetyoke_ratelimit::consult::Word;
+use violetyoke_ratelimit::claim::{self, ClaimState, Source};
+use violetyoke_ratelimit::consult::Decision;
 
 /// A request or a question, as far as it matters here.
 pub struct About {
-    pub way: Way,
+    pub source: Source,
     pub customer: u64,
     pub units: f64,
     /// The try's name.
@@ -104,23 +104,23 @@
     let mut pass = Pass { counted: false, claim: None, asked: None };
     if let Some(name) = &about.named {
         let number = claim_of(about.customer, about.units, name);
-        match claim(&messages, about.way, number).await {
-            Standing::Fresh => pass.claim = Some(number),
-            Standing::Counted => {
+        match claim(&messages, about.source, number).await {
+            ClaimState::Fresh => pass.claim = Some(number),
+            ClaimState::Counted => {
                 pass.counted = true;
                 return Gated::Pass(pass);
             }
-            Standing::Refused => return Gated::Refused { retry_after: 0 },
+            ClaimState::Rejected => return Gated::Refused { retry_after: 0 },
         }
     }
     let Some(consulting) = consulting else { return Gated::Pass(pass) };
-    let (word, asked) = consulting.ask(&about).await;
-    match word {
-        Word::GoOn => {
+    let (decision, asked) = consulting.ask(&about).await;
+    match decision {
+        Decision::Proceed => {
             pass.asked = asked;
             Gated::Pass(pass)
         }
-        Word::Over { retry_after } => {
+        Decision::OverLimit { retry_after } => {
             if let Some(claim) = pass.claim {
                 // Whoever asks about this try again is told the same.
                 let _ = messages.send(Message::Claim { claim, amount: claim::outcome(false), reply: None });
@@ -128,13 +128,13 @@
             Gated::Refused { retry_after }
         }
         // No word on the try: it is fresh to whoever asks next.
-        Word::Refuse { retry_after } => Gated::Silent { retry_after },
+        Decision::Reject { retry_after } => Gated::Silent { retry_after },
     }
 }
 
 /// Claims a try. Not known in time, it is fresh: counted again rather than not at all.
-async fn claim(messages: &Messages, way: Way, claim: u64) -> Standing {
+async fn claim(messages: &Messages, source: Source, claim: u64) -> ClaimState {
     let (reply, answered) = oneshot::channel();
-    let _ = messages.send(Message::Claim { claim, amount: claim::add(way), reply: Some(reply) });
-    claim::read(way, answered.await.unwrap_or(None))
+    let _ = messages.send(Message::Claim { claim, amount: claim::increment(source), reply: Some(reply) });
+    claim::decode(source, answered.await.unwrap_or(None))
 }
--- a/crates/ingress/src/questions.rs
+++ b/crates/ingress/src/questions.rs
@@ -27,8 +27,8 @@
 use violetyoke_config::RateLimit as File;
 use violetyoke_decision::interface::Micros;
 use violetyoke_decision::view::Standing;
-use violetyoke_ratelimit::claim::{self, Way};
-use violetyoke_ratelimit::{questions, verdict, Asked, Bounds, Question, Unknown};
+use violetyoke_ratelimit::claim::{self, Source};
+use violetyoke_ratelimit::{combine, quota_queries, Descriptor, QuotaQuery, RequestLimits, UnknownPolicy};
 use violetyoke_ratelimit_proto as proto;
 use violetyoke_shares::Member;
 
@@ -82,7 +82,7 @@
     ) -> Result<Response<proto::RateLimitResponse>, Status> {
         let timeout = match request.metadata().get("grpc-timeout").map(|value| value.to_str()) {
             None => None,
-            Some(Ok(text)) => Some(violetyoke_ratelimit::timeout::parse(text).ok_or_else(bad_timeout)?),
+            Some(Ok(text)) => Some(violetyoke_ratelimit::grpc_timeout::parse(text).ok_or_else(bad_timeout)?),
             Some(Err(_)) => return Err(bad_timeout()),
         };
         let (answer, answered) = oneshot::channel();
@@ -256,10 +256,11 @@
 ) -> Result<proto::RateLimitResponse, Status> {
     let arrived = clock.now();
     let request = &handing.request;
-    let descriptors: Vec<Asked> = request.descriptors.iter().map(asked).collect();
-    let bounds = Bounds { descriptors: asking.file.descriptors, ..Bounds::default() };
-    let list = questions(&asking.file.mapping, &bounds, &request.domain, &descriptors, request.hits_addend)
-        .map_err(|fault| Status::invalid_argument(fault.to_string()))?;
+    let descriptors: Vec<Descriptor> = request.descriptors.iter().map(asked).collect();
+    let limits = RequestLimits { descriptors: asking.file.descriptors, ..RequestLimits::default() };
+    let list =
+        quota_queries(&asking.file.mapping, &limits, &request.domain, &descriptors, request.hits_addend)
+            .map_err(|fault| Status::invalid_argument(fault.to_string()))?;
     let budget = handing.timeout.unwrap_or(Micros::MAX).min(asking.file.deadline);
     // All are checked before the first one is asked: what is wrong with one counts nothing for another.
     let mut ready = Vec::with_capacity(list.len());
@@ -271,33 +272,33 @@
     }
     let asks = ready.into_iter().map(|ready| async move {
         match ready {
-            Err(Unknown::Ok) => Answered::known(true),
-            Err(Unknown::OverLimit) => Answered::known(false),
+            Err(UnknownPolicy::Ok) => Answered::known(true),
+            Err(UnknownPolicy::OverLimit) => Answered::known(false),
             Ok(ready) => ready.ask(arrived, budget).await,
         }
     });
     let mut answers = join_all(asks).await;
-    let verdict = verdict(&answers.iter().map(|answer| answer.let_in).collect::<Vec<_>>());
-    for number in &verdict.given_back {
+    let combined = combine(&answers.iter().map(|answer| answer.let_in).collect::<Vec<_>>());
+    for number in &combined.refunds {
         answers[*number].give_back();
     }
     answers.iter_mut().for_each(Answered::settle);
     let code = |ok| if ok { proto::Code::Ok } else { proto::Code::OverLimit };
-    let headers = answers.iter().find(|answer| answer.let_in == verdict.ok).and_then(Answered::headers);
+    let headers = answers.iter().find(|answer| answer.let_in == combined.is_ok).and_then(Answered::headers);
     Ok(proto::RateLimitResponse {
-        overall_code: code(verdict.ok).into(),
+        overall_code: code(combined.is_ok).into(),
         statuses: answers.iter().map(|answer| answer.status(code(answer.let_in))).collect(),
         response_headers_to_add: headers.unwrap_or_default(),
         ..proto::RateLimitResponse::default()
     })
 }
 
-fn asked(descriptor: &proto::RateLimitDescriptor) -> Asked<'_> {
-    Asked {
+fn asked(descriptor: &proto::RateLimitDescriptor) -> Descriptor<'_> {
+    Descriptor {
         entries: descriptor.entries.iter().map(|entry| (entry.key.as_str(), entry.value.as_str())).collect(),
         hits: descriptor.hits_addend,
-        negative: descriptor.is_negative_hits,
-        overrides: descriptor.limit.is_some(),
+        is_negative: descriptor.is_negative_hits,
+        has_limit: descriptor.limit.is_some(),
     }
 }
 
@@ -314,22 +315,21 @@
 }
 
 impl Ready {
-    fn check(asking: &Asking, number: usize, question: Question) -> Result<Ready, Status> {
+    fn check(asking: &Asking, number: usize, query: QuotaQuery) -> Result<Ready, Status> {
         let wrong = |what: &str| Status::invalid_argument(format!("descriptors[{number}]: {what}"));
-        let pool = asking.pools.get(question.pool).ok_or_else(|| Status::internal("the pool is gone"))?;
+        let pool = asking.pools.get(query.pool).ok_or_else(|| Status::internal("the pool is gone"))?;
         let rules = pool.rules();
-        let plan = match &question.plan {
+        let plan = match &query.plan {
             Some(name) => rules.plan(name).ok_or_else(|| wrong("no such plan"))?,
             None => rules.usual_plan().ok_or_else(|| wrong("names no plan, and the pool has no default"))?,
         };
-        if question.units > rules.largest() {
+        if query.units > rules.largest() {
             return Err(wrong("hits_addend: more units than one request may have"));
         }
-        let customer =
-            account_of(&question.account).ok_or_else(|| wrong("the account is empty or too long"))?;
+        let customer = account_of(&query.account).ok_or_else(|| wrong("the account is empty or too long"))?;
         let class = rules.asks().ok_or_else(|| Status::internal("the pool takes no questions"))?;
-        let (units, spread, named) = (question.units, rules.ingresses(), question.named);
-        let (pool, account) = (pool.clone(), question.account);
+        let (units, spread, named) = (query.units, rules.ingresses(), query.attempt_name);
+        let (pool, account) = (pool.clone(), query.account);
         Ok(Ready { pool, class, plan, customer, units, spread, named, account })
     }
 
@@ -337,7 +337,7 @@
         let mut pass = None;
         if let Some(gate) = self.pool.gate(self.named.is_some(), || self.plan) {
             let about = About {
-                way: Way::Question,
+                source: Source::Query,
                 customer: self.customer,
                 units: self.units,
                 named: self.named,
@@ -417,7 +417,7 @@
                 pass.ended(false);
                 if let Some(claim) = pass.claim {
                     // Its try stands as if nobody had decided it.
-                    pool.send(Message::Claim { claim, amount: -claim::LET_IN, reply: None });
+                    pool.send(Message::Claim { claim, amount: -claim::ADMITTED, reply: None });
                 }
             }
             self.open = false;
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -31,7 +31,7 @@
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 use violetyoke_decision::interface::Micros;
 use violetyoke_operations::{IdlePolicy, ServingState};
-use violetyoke_ratelimit::claim::Way;
+use violetyoke_ratelimit::claim::Source;
 use violetyoke_shares::Member;
 
 /// Connections waiting to be accepted.
@@ -295,7 +295,7 @@
     let (mut plan, mut customer, mut pass) = (terms.plan, terms.customer, None);
     if let Some(gate) = pool.gate(terms.named.is_some(), || plan) {
         let about = About {
-            way: Way::Request,
+            source: Source::Request,
             customer,
             units: terms.units,
             named: terms.named,
--- a/crates/ratelimit/src/breaker.rs
+++ b/crates/ratelimit/src/breaker.rs
@@ -1,25 +1,34 @@
-//! A circuit breaker: after so many failures in a row nothing is asked for a while, then one question tries
-//! whether that has passed (M. Nygard, Release It!, 2007, "Circuit Breaker").
+//! A circuit breaker: after a number of failures in a row calls are suspended for a while, then one trial call finds out
+//! whether the other side has recovered (M. Nygard, Release It!, 2007, "Circuit Breaker").
 
 /// Microseconds.
 pub type Micros = u64;
 
+/// When a breaker opens, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settings {
+pub struct BreakerSettings {
     /// Failures in a row that open it, at least 1.
     pub failures: u32,
-    /// For how long it is open at first; each trial that fails doubles it, up to the longest.
+    /// For how long it is open at first; each trial that fails doubles it.
     pub pause: Micros,
-    pub longest_pause: Micros,
+    /// For how long it is open at most.
+    pub max_pause: Micros,
 }
 
-/// Whether to ask.
+/// Whether a call may be made.
+#[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leave {
-    /// Ask, and tell what came of it under this epoch.
-    Ask { epoch: u64 },
-    /// Don't; it may be otherwise after that long.
-    Shut { reopens: Micros },
+pub enum Permit {
+    /// Make it, and report its result.
+    Granted {
+        /// To be given back with the result.
+        epoch: u64,
+    },
+    /// Don't.
+    Denied {
+        /// Time after which it may be granted.
+        retry_after: Micros,
+    },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,17 +39,17 @@
     Open {
         until: Micros,
     },
-    /// One question is out, and nobody else asks until its end is known.
+    /// One call is in flight, and no other is granted until its result is known.
     Trial {
-        began: Micros,
+        started: Micros,
     },
 }
 
-/// The state between questions. What was asked before a change of state says nothing after it: questions bring
-/// the epoch back that they were let out in.
+/// The state between calls. The result of a call that began before a change of state is ignored after it: results bring
+/// back the epoch in which their call was granted.
 #[derive(Clone, Debug)]
 pub struct Breaker {
-    settings: Settings,
+    settings: BreakerSettings,
     state: State,
     epoch: u64,
     /// Pauses since it was closed.
@@ -49,35 +58,40 @@
 }
 
 impl Breaker {
-    /// `seed`: the pauses of several ingresses must not end together, or their trials come as one blow.
-    pub fn new(settings: Settings, seed: u64) -> Breaker {
+    /// A closed breaker. `seed` has to differ among ingresses, so that their pauses end apart and their trials don't come at
+    /// once.
+    pub fn new(settings: BreakerSettings, seed: u64) -> Breaker {
         Breaker { settings, state: State::Closed { failures: 0 }, epoch: 0, pauses: 0, random: seed }
     }
 
-    pub fn change(&mut self, settings: Settings) {
+    /// Other settings from now on; a pause that has begun keeps its end.
+    pub fn update_settings(&mut self, settings: BreakerSettings) {
         self.settings = settings;
     }
 
+    /// Whether every call is granted.
     pub fn is_closed(&self) -> bool {
         matches!(self.state, State::Closed { .. })
     }
 
-    pub fn ask(&mut self, now: Micros) -> Leave {
+    /// Asks for a call.
+    pub fn acquire(&mut self, now: Micros) -> Permit {
         match self.state {
-            State::Closed { .. } => Leave::Ask { epoch: self.epoch },
-            State::Open { until } if now < until => Leave::Shut { reopens: until - now },
+            State::Closed { .. } => Permit::Granted { epoch: self.epoch },
+            State::Open { until } if now < until => Permit::Denied { retry_after: until - now },
             State::Open { .. } => {
-                self.enter(State::Trial { began: now });
-                Leave::Ask { epoch: self.epoch }
+                self.enter(State::Trial { started: now });
+                Permit::Granted { epoch: self.epoch }
             }
-            // When the trial ends is not known; it was begun so long ago.
-            State::Trial { began } => {
-                Leave::Shut { reopens: (began + self.settings.pause).saturating_sub(now) }
+            // When the trial ends is not known; a pause after its start is an estimate.
+            State::Trial { started } => {
+                Permit::Denied { retry_after: (started + self.settings.pause).saturating_sub(now) }
             }
         }
     }
 
-    pub fn succeeded(&mut self, epoch: u64) {
+    /// A call succeeded.
+    pub fn on_success(&mut self, epoch: u64) {
         if epoch == self.epoch {
             self.pauses = 0;
             match self.state {
@@ -87,8 +101,8 @@
         }
     }
 
-    /// Returns whether it has opened by this.
-    pub fn failed(&mut self, now: Micros, epoch: u64) -> bool {
+    /// A call failed. Returns whether that has opened the breaker.
+    pub fn on_failure(&mut self, now: Micros, epoch: u64) -> bool {
         if epoch != self.epoch {
             return false;
         }
@@ -99,17 +113,17 @@
             }
         }
         let pause = self.settings.pause.saturating_mul(1 << self.pauses.min(20));
-        let pause = pause.min(self.settings.longest_pause);
+        let pause = pause.min(self.settings.max_pause);
         self.pauses += 1;
         // Between 80% and all of it.
-        let part = 800 + self.next() % 201;
-        self.enter(State::Open { until: now + pause * part / 1_000 });
+        let permille = 800 + self.next_random() % 201;
+        self.enter(State::Open { until: now + pause * permille / 1_000 });
         true
     }
 
-    /// A question ended without telling anything of the other side: its asker went away. Were a trial's not told,
-    /// nobody would ever ask again.
-    pub fn left(&mut self, now: Micros, epoch: u64) {
+    /// A call ended without a result: its caller went away. If that was the trial, the next call is one. Without this, no
+    /// call would be granted any more.
+    pub fn on_abandoned(&mut self, now: Micros, epoch: u64) {
         if epoch == self.epoch && matches!(self.state, State::Trial { .. }) {
             self.enter(State::Open { until: now });
         }
@@ -121,7 +135,7 @@
     }
 
     /// SplitMix64 (Steele, Lea, Flood, OOPSLA 2014).
-    fn next(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/ratelimit/src/claim.rs
+++ b/crates/ratelimit/src/claim.rs
@@ -1,108 +1,118 @@
-//! One try, one count. A try that has a name may be asked about through several ingresses and ways; the first to
-//! claim it counts it, and the others take over what came of that.
+//! Claims: an attempt is counted once, though several ingresses may be asked about it, and by several ways.
 //!
-//! The claim is one number on the pool's counter, under a name made of the account, the units and the try's name:
-//! what one account says is nothing to another. Whoever meets the try adds its [`Way`] and sees by the total who
-//! came before; the one that counted it adds [`LET_IN`] or [`TURNED_AWAY`] when that is decided. From the lowest
-//! digits on, the number holds how many asked (two digits), how many requests came (two), and what was decided;
-//! all of it fits into the seven digits that totals are exact in.
+//! An attempt that has a name may be asked about through several ingresses; the first to claim it counts it, and the
+//! others adopt the outcome.
 //!
-//! A name is only what a client says, and must not let more through than was counted. So a counted try passes
-//! uncounted as one request at most, and as a few questions, which networks repeat; whatever comes more often
-//! under one name is counted like a try of its own.
+//! A claim is one number on the pool's counting service, under a name made of the account, the units and the attempt's
+//! name: claims of different accounts never meet. Whoever meets the attempt adds its [`Source`] and sees by the total who
+//! came before; the one that counted it adds [`ADMITTED`] or [`REJECTED`] when that is decided. From the lowest digits on,
+//! the number holds how many queries came (two digits), how many requests (two), and what was decided; all of it fits into
+//! the seven digits that totals are exact in.
 //!
-//! What is not known lies on the side that keeps the ceiling:
+//! A name is only what a client states, and must not let more through than was counted. So a counted attempt passes
+//! uncounted as one request at most, and as a few queries, which networks repeat; whatever comes more often under one name
+//! is counted like an attempt of its own.
 //!
-//! - the claim's answer is lost or late: the try counts as new, and may be counted twice;
+//! What is not known is decided so that the limit holds:
+//!
+//! - the claim's reply is lost or late: the attempt counts as new, and may be counted twice;
 //! - an earlier claim has no outcome (its ingress died, or has not decided yet): the same;
 //! - the outcome's call is lost: later claims find none, and the same;
-//! - the number's life is over: the same.
+//! - the number has expired: the same.
 //!
-//! So one try is never let in uncounted by its claim, and is counted at most once more for each loss. What one
-//! try costs is two calls to the counter.
+//! So an attempt is never admitted uncounted by its own claim, and is counted at most once more for each loss. An attempt
+//! costs two calls to the counting service.
 
-/// How a try is met.
+/// How an ingress meets an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// A question about it: nothing is sent on by its answer.
-    Question,
-    /// A request, which is sent on to a node.
+pub enum Source {
+    /// A query about it, which forwards nothing.
+    Query,
+    /// A request, which is forwarded to a node.
     Request,
 }
 
-/// What is added for an outcome.
-pub const LET_IN: f64 = 10_000.0;
-pub const TURNED_AWAY: f64 = 1_000_000.0;
-/// What is added for a request; a question adds one.
+/// What is added when an attempt was admitted.
+pub const ADMITTED: f64 = 10_000.0;
+/// What is added when an attempt was rejected.
+pub const REJECTED: f64 = 1_000_000.0;
+/// What is added for a request; a query adds one.
 const REQUEST: f64 = 100.0;
-/// Questions about one try that are answered by its first outcome, and requests of it beside which they are.
-const MOST_ASKED: f64 = 4.0;
-const MOST_REQUESTS: f64 = 2.0;
+/// Queries about one attempt that adopt its outcome.
+const MAX_QUERIES: f64 = 4.0;
+/// Requests of one attempt beside which queries adopt its outcome.
+const MAX_REQUESTS: f64 = 2.0;
 
 /// What to add for a claim.
-pub fn add(way: Way) -> f64 {
-    match way {
-        Way::Question => 1.0,
-        Way::Request => REQUEST,
+pub fn increment(source: Source) -> f64 {
+    match source {
+        Source::Query => 1.0,
+        Source::Request => REQUEST,
     }
 }
 
-/// What a claim's total says of the try.
+/// What a claim's total says of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It is for this one to count it, and to tell the outcome.
+pub enum ClaimState {
+    /// The claimant has to count it, and to report the outcome.
     Fresh,
-    /// It was let in and is counted: it passes without being counted again.
+    /// It was admitted and counted: it passes without being counted again.
     Counted,
-    /// It was turned away: it gets the same answer, and nothing is counted.
-    Refused,
+    /// It was rejected: it gets the same response, and nothing is counted.
+    Rejected,
 }
 
-/// Reads the total that a claim came back with; none: no answer, or none in time.
-pub fn read(way: Way, total: Option<f64>) -> Standing {
-    let Some(total) = total.filter(|total| total.fract() == 0.0 && (add(way)..1e7).contains(total)) else {
-        return Standing::Fresh;
+/// Decodes the total that a claim came back with; `None`: no reply, or none in time.
+pub fn decode(source: Source, total: Option<f64>) -> ClaimState {
+    let Some(total) = total.filter(|total| total.fract() == 0.0 && (increment(source)..1e7).contains(total))
+    else {
+        return ClaimState::Fresh;
     };
-    let refused = (total / TURNED_AWAY).floor();
-    let let_in = (total % TURNED_AWAY / LET_IN).floor();
-    let requests = (total % LET_IN / REQUEST).floor();
-    let asked = total % REQUEST;
-    let may_pass = match way {
+    let rejected = (total / REJECTED).floor();
+    let admitted = (total % REJECTED / ADMITTED).floor();
+    let requests = (total % ADMITTED / REQUEST).floor();
+    let queries = total % REQUEST;
+    let may_pass = match source {
         // This one is the first request that comes.
-        Way::Request => requests == 1.0,
-        Way::Question => (1.0..=MOST_ASKED).contains(&asked) && requests <= MOST_REQUESTS,
+        Source::Request => requests == 1.0,
+        Source::Query => (1.0..=MAX_QUERIES).contains(&queries) && requests <= MAX_REQUESTS,
     };
-    match (let_in > 0.0, refused > 0.0) {
-        (true, _) if may_pass => Standing::Counted,
-        (false, true) => Standing::Refused,
-        _ => Standing::Fresh,
+    match (admitted > 0.0, rejected > 0.0) {
+        (true, _) if may_pass => ClaimState::Counted,
+        (false, true) => ClaimState::Rejected,
+        _ => ClaimState::Fresh,
     }
 }
 
-/// What has come of a request or a question that is for its ingress to decide.
+/// What the decision module made of a request or a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decided {
-    /// The module lets it pass: it is sent for the first time, or its question is answered.
-    Passes,
-    /// The module refuses it, with the time after which its quota has room (0: that is not why).
-    Refused { sent_before: bool, retry_after: u64 },
+pub enum Verdict {
+    /// It is admitted: it is forwarded for the first time, or its query is answered.
+    Admitted,
+    /// It is rejected.
+    Rejected {
+        /// Whether an attempt of it was forwarded before.
+        was_forwarded: bool,
+        /// Microseconds after which its quota has room; 0: the quota is not the reason.
+        retry_after: u64,
+    },
 }
 
-/// The outcome that is told to others who ask about the try; none: that is no word on the try, which stays fresh
-/// for them. Want of a node refuses a request and says nothing of its quota, and one that was sent has passed.
-pub fn told(decided: Decided) -> Option<bool> {
-    match decided {
-        Decided::Passes => Some(true),
-        Decided::Refused { sent_before: false, retry_after } if retry_after > 0 => Some(false),
-        Decided::Refused { .. } => None,
+/// Whether others that claim the attempt have to adopt that it was admitted or rejected; `None`: it stays fresh for them. A
+/// request that is rejected for lack of a node says nothing of its quota, and one that was forwarded has been admitted.
+pub fn outcome_to_report(verdict: Verdict) -> Option<bool> {
+    match verdict {
+        Verdict::Admitted => Some(true),
+        Verdict::Rejected { was_forwarded: false, retry_after } if retry_after > 0 => Some(false),
+        Verdict::Rejected { .. } => None,
     }
 }
 
-/// What to add when the try that was [`Standing::Fresh`] has been decided.
-pub fn outcome(let_in: bool) -> f64 {
-    if let_in {
-        LET_IN
+/// What to add when an attempt that was [`ClaimState::Fresh`] has been decided.
+pub fn outcome(is_admitted: bool) -> f64 {
+    if is_admitted {
+        ADMITTED
     } else {
-        TURNED_AWAY
+        REJECTED
     }
 }
--- /dev/null
+++ b/crates/ratelimit/src/consult/limiter.rs
@@ -0,0 +1,250 @@
+//! The state of the queries to one external server.
+
+use super::credits::Credits;
+use super::protocol::{Counters, Decision, Reply, Start, Usage};
+use super::query::{Query, QueryState};
+use super::settings::LimiterSettings;
+use crate::breaker::{Breaker, Micros, Permit};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// With less time a query is not worth sending.
+const MIN_QUERY_TIME: Micros = 1_000;
+/// Times that one query is sent at most.
+const MAX_ATTEMPTS: u32 = 2;
+/// Broken connections that are remembered: queries are in flight on the last few only.
+const MAX_BROKEN_CONNECTIONS: usize = 8;
+
+/// One external server, as one pool sees it.
+pub struct ExternalLimiter {
+    settings: LimiterSettings,
+    breaker: Breaker,
+    queries: BTreeMap<u64, Query>,
+    /// Queries whose reply may still come, each of which has a slot.
+    in_flight: usize,
+    next_id: u64,
+    /// Connections that broke lately, with the breaker's epoch then: one break is one failure.
+    broken_connections: BTreeSet<(u64, u64)>,
+    credits: Credits,
+    counters: Counters,
+}
+
+impl ExternalLimiter {
+    /// A limiter that has asked nothing. `seed`: of the breaker's random pauses.
+    pub fn new(settings: LimiterSettings, seed: u64) -> ExternalLimiter {
+        ExternalLimiter {
+            settings,
+            breaker: Breaker::new(settings.breaker, seed),
+            queries: BTreeMap::new(),
+            in_flight: 0,
+            next_id: 1,
+            broken_connections: BTreeSet::new(),
+            credits: Credits::default(),
+            counters: Counters::default(),
+        }
+    }
+
+    /// Other settings from now on. Queries in flight keep the times that they were given.
+    pub fn update_settings(&mut self, settings: LimiterSettings) {
+        self.settings = settings;
+        self.breaker.update_settings(settings.breaker);
+    }
+
+    /// How long after its time-out a late reply is waited for.
+    pub fn late_reply_time(&self) -> Micros {
+        self.settings.late_reply_time
+    }
+
+    /// Whether queries are suspended, but for a trial.
+    pub fn is_breaker_open(&self) -> bool {
+        !self.breaker.is_closed()
+    }
+
+    /// How often what happened.
+    pub fn counters(&self) -> Counters {
+        self.counters
+    }
+
+    /// What is kept at the moment.
+    pub fn usage(&self) -> Usage {
+        Usage { in_flight: self.in_flight, queries: self.queries.len(), credits: self.credits.len() }
+    }
+
+    /// A request is to be asked about. `key` stands for all that the query says but the attempt's name.
+    pub fn start(&mut self, now: Micros, deadline: Micros, key: u64) -> Start {
+        self.credits.expire(now);
+        if let Some(expiry) = self.credits.take(key) {
+            return Start::Credited { id: self.add_query(key, 0, QueryState::Counted, Some(expiry)) };
+        }
+        let left = deadline.saturating_sub(now);
+        let time = self.settings.budget.min((left as f64 * self.settings.budget_share) as Micros);
+        if self.in_flight >= self.settings.max_in_flight || time < MIN_QUERY_TIME {
+            self.counters.unasked += 1;
+            return Start::NoQuery(self.settings.decision_on_silence(0));
+        }
+        match self.breaker.acquire(now) {
+            Permit::Granted { epoch } => {
+                let id = self.add_query(key, epoch, QueryState::Asked, None);
+                self.in_flight += 1;
+                self.counters.asked += 1;
+                Start::Query { id, until: now + time }
+            }
+            Permit::Denied { retry_after } => {
+                self.counters.unasked += 1;
+                Start::NoQuery(self.settings.decision_on_silence(retry_after))
+            }
+        }
+    }
+
+    /// Whether a query that the server has not processed is sent again: not twice, and only while the request still waits.
+    pub fn may_retry(&self, now: Micros, id: u64, until: Micros, attempts: u32) -> bool {
+        let is_waiting = self.queries.get(&id).is_some_and(|query| query.state == QueryState::Asked);
+        is_waiting && attempts < MAX_ATTEMPTS && now < until
+    }
+
+    /// A query has ended. `None`: nobody waits for the reply any more, and it has been accounted for.
+    pub fn on_reply(&mut self, now: Micros, id: u64, reply: Reply) -> Option<Decision> {
+        let query = self.queries.get_mut(&id)?;
+        match query.state {
+            QueryState::Counted => None,
+            QueryState::Abandoned => {
+                let query = self.queries.remove(&id)?;
+                self.in_flight -= 1;
+                self.on_late_reply(now, &query, reply);
+                None
+            }
+            QueryState::Asked => {
+                let epoch = query.breaker_epoch;
+                if reply == Reply::Ok {
+                    // Kept until it is known what became of the request.
+                    query.state = QueryState::Counted;
+                } else {
+                    self.queries.remove(&id);
+                }
+                self.in_flight -= 1;
+                Some(self.on_reply_in_time(now, epoch, reply))
+            }
+        }
+    }
+
+    fn on_reply_in_time(&mut self, now: Micros, epoch: u64, reply: Reply) -> Decision {
+        match reply {
+            Reply::Ok => {
+                self.breaker.on_success(epoch);
+                self.counters.ok += 1;
+                Decision::Proceed
+            }
+            Reply::OverLimit { reset } => {
+                self.breaker.on_success(epoch);
+                self.counters.over += 1;
+                Decision::OverLimit { retry_after: self.settings.bounded_retry_after(reset.unwrap_or(0)) }
+            }
+            Reply::Failed => self.on_failure(now, epoch),
+            Reply::ConnectionBroke { connection } => self.on_connection_broke(now, connection, epoch),
+        }
+    }
+
+    /// A break is one failure, however many queries it ends. The epoch belongs to its identity: a trial has an epoch of
+    /// its own, and its failure counts whatever broke before it.
+    fn on_connection_broke(&mut self, now: Micros, connection: u64, epoch: u64) -> Decision {
+        if !self.broken_connections.insert((connection, epoch)) {
+            self.counters.silent += 1;
+            return self.settings.decision_on_silence(0);
+        }
+        if self.broken_connections.len() > MAX_BROKEN_CONNECTIONS {
+            self.broken_connections.pop_first();
+        }
+        self.on_failure(now, epoch)
+    }
+
+    /// The time for a reply is up. `None`: it has come.
+    pub fn on_timeout(&mut self, now: Micros, id: u64) -> Option<Decision> {
+        let epoch = self.abandon(id)?;
+        let decision = self.on_failure(now, epoch);
+        if decision != Decision::Proceed {
+            self.on_request_end(now, id, false);
+        }
+        Some(decision)
+    }
+
+    /// The caller went away before the reply: its request is not admitted.
+    pub fn on_caller_gone(&mut self, now: Micros, id: u64) {
+        if let Some(epoch) = self.abandon(id) {
+            self.breaker.on_abandoned(now, epoch);
+            self.on_request_end(now, id, false);
+        }
+    }
+
+    /// Stops waiting for a reply. Returns the breaker's epoch of the query, unless nobody waited.
+    fn abandon(&mut self, id: u64) -> Option<u64> {
+        let query = self.queries.get_mut(&id).filter(|query| query.state == QueryState::Asked)?;
+        query.state = QueryState::Abandoned;
+        Some(query.breaker_epoch)
+    }
+
+    /// What became of a request that got [`Decision::Proceed`] or a credit. The first call counts.
+    pub fn on_request_end(&mut self, now: Micros, id: u64, is_admitted: bool) {
+        let Some(query) = self.queries.get_mut(&id) else { return };
+        query.is_admitted.get_or_insert(is_admitted);
+        if query.state != QueryState::Counted {
+            return;
+        }
+        let (key, credit_expiry) = (query.key, query.credit_expiry);
+        self.queries.remove(&id);
+        match (is_admitted, credit_expiry) {
+            (true, Some(_)) => self.counters.credits_used += 1,
+            (true, None) => {}
+            // Counted as a credit when it became one. It keeps its expiry.
+            (false, Some(expiry)) => self.credits.add(now, key, expiry),
+            (false, None) => self.add_credit(now, key),
+        }
+    }
+
+    /// A late reply is not waited for any longer.
+    pub fn on_reply_lost(&mut self, id: u64) {
+        if self.queries.get(&id).is_some_and(|query| query.state != QueryState::Counted) {
+            self.queries.remove(&id);
+            self.in_flight -= 1;
+            self.counters.lost += 1;
+        }
+    }
+
+    fn on_late_reply(&mut self, now: Micros, query: &Query, reply: Reply) {
+        // A request whose end is not known yet went on by its own quota: it counts as admitted.
+        let is_admitted = query.is_admitted.unwrap_or(true);
+        match reply {
+            Reply::Ok if is_admitted => self.counters.late_ok += 1,
+            Reply::Ok => {
+                self.counters.late_unused += 1;
+                self.add_credit(now, query.key);
+            }
+            Reply::OverLimit { .. } if is_admitted => self.counters.late_over_let_in += 1,
+            Reply::OverLimit { .. } | Reply::Failed | Reply::ConnectionBroke { .. } => {}
+        }
+    }
+
+    fn on_failure(&mut self, now: Micros, epoch: u64) -> Decision {
+        self.counters.silent += 1;
+        if self.breaker.on_failure(now, epoch) {
+            self.counters.opened += 1;
+        }
+        self.settings.decision_on_silence(0)
+    }
+
+    fn add_credit(&mut self, now: Micros, key: u64) {
+        self.counters.credited += 1;
+        self.credits.add(now, key, now + self.settings.credit_time);
+    }
+
+    fn add_query(
+        &mut self,
+        key: u64,
+        breaker_epoch: u64,
+        state: QueryState,
+        credit_expiry: Option<Micros>,
+    ) -> u64 {
+        let id = self.next_id;
+        self.next_id += 1;
+        self.queries.insert(id, Query { key, breaker_epoch, state, is_admitted: None, credit_expiry });
+        id
+    }
+}
--- /dev/null
+++ b/crates/ratelimit/tests/consult/main.rs
@@ -0,0 +1,158 @@
+//! Replies of an external server: in time, late, never.
+
+#![cfg(test)]
+
+mod properties;
+mod support;
+
+use support::{query, settings, MS};
+use violetyoke_ratelimit::consult::{Decision, ExternalLimiter, OnSilence, Reply, Start, Usage};
+
+#[test]
+fn time_for_a_reply_is_a_share_of_the_requests_remaining_time() {
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::OwnQuota), 1);
+    assert_eq!(limiter.start(0, 2_000 * MS, 1), Start::Query { id: 1, until: 100 * MS });
+    assert_eq!(limiter.start(0, 200 * MS, 1), Start::Query { id: 2, until: 50 * MS });
+    // A request with 3 ms left is not held up for it, and takes no place.
+    assert_eq!(limiter.start(0, 3 * MS, 1), Start::NoQuery(Decision::Proceed));
+    assert_eq!(limiter.usage().in_flight, 2);
+}
+
+#[test]
+fn replies_in_time_decide() {
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let (first, _) = query(&mut limiter, 0, 1);
+    assert_eq!(limiter.on_reply(10, first, Reply::Ok), Some(Decision::Proceed));
+    limiter.on_request_end(20, first, true);
+    let (second, _) = query(&mut limiter, 30, 1);
+    let over = Reply::OverLimit { reset: Some(700 * MS) };
+    assert_eq!(limiter.on_reply(40, second, over), Some(Decision::OverLimit { retry_after: 700 * MS }));
+    let (third, _) = query(&mut limiter, 50, 1);
+    let over = Reply::OverLimit { reset: Some(u64::MAX) };
+    assert_eq!(limiter.on_reply(60, third, over), Some(Decision::OverLimit { retry_after: 5_000 * MS }));
+    assert_eq!(limiter.usage(), Usage::default());
+}
+
+#[test]
+fn late_ok_becomes_a_credit_if_its_request_was_rejected() {
+    // Refused as the answer was late: what was counted for it serves the next request about the same.
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let (number, until) = query(&mut limiter, 0, 7);
+    assert_eq!(limiter.on_timeout(until, number), Some(Decision::Reject { retry_after: 0 }));
+    // Whoever drops it says that it may have been let in; it has been refused before that.
+    limiter.on_request_end(until, number, true);
+    assert_eq!(limiter.on_reply(until + 1, number, Reply::Ok), None);
+    assert!(matches!(limiter.start(until + 2, until + 2_000 * MS, 8), Start::Query { .. }));
+    let Start::Credited { id: credited } = limiter.start(until + 2, until + 2_000 * MS, 7) else {
+        panic!("the credit is there")
+    };
+    // Its request is not let in either: it is there for the next one, until the end that it had.
+    limiter.on_request_end(until + 3, credited, false);
+    let Start::Credited { id: credited } = limiter.start(until + 4, until + 2_000 * MS, 7) else {
+        panic!("the credit is there")
+    };
+    limiter.on_request_end(until + 5, credited, true);
+    assert!(matches!(limiter.start(until + 2, until + 2_000 * MS, 7), Start::Query { .. }));
+    assert_eq!((limiter.counters().late_unused, limiter.counters().credits_used), (1, 1));
+    // Let in by the pool's own quota: it has used what was counted, and nothing is over.
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::OwnQuota), 1);
+    let (number, until) = query(&mut limiter, 0, 7);
+    assert_eq!(limiter.on_timeout(until, number), Some(Decision::Proceed));
+    limiter.on_request_end(until, number, true);
+    assert_eq!(limiter.on_reply(until + 1, number, Reply::Ok), None);
+    assert_eq!(
+        (limiter.counters().late_ok, limiter.counters().credited, limiter.usage()),
+        (1, 0, Usage::default())
+    );
+}
+
+#[test]
+fn late_over_limit_changes_nothing_and_is_counted() {
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::OwnQuota), 1);
+    let (number, until) = query(&mut limiter, 0, 7);
+    assert_eq!(limiter.on_timeout(until, number), Some(Decision::Proceed));
+    limiter.on_request_end(until, number, true);
+    assert_eq!(limiter.on_reply(until + 1, number, Reply::OverLimit { reset: None }), None);
+    assert_eq!(
+        (limiter.counters().late_over_let_in, limiter.counters().credited, limiter.usage()),
+        (1, 0, Usage::default())
+    );
+}
+
+#[test]
+fn credit_of_a_request_rejected_by_its_own_quota_expires() {
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let (number, _) = query(&mut limiter, 0, 7);
+    assert_eq!(limiter.on_reply(1, number, Reply::Ok), Some(Decision::Proceed));
+    limiter.on_request_end(2, number, false);
+    // But not for ever.
+    assert!(matches!(limiter.start(2 + 1_000 * MS, 5_000 * MS, 7), Start::Query { .. }));
+    assert_eq!(limiter.usage().credits, 0);
+}
+
+#[test]
+fn unprocessed_query_is_retried_once_while_its_request_waits() {
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let (number, until) = query(&mut limiter, 0, 7);
+    assert!(limiter.may_retry(until - 1, number, until, 1));
+    assert!(!limiter.may_retry(until - 1, number, until, 2) && !limiter.may_retry(until, number, until, 1));
+    // Given up on, or its asker gone: counted now, it would be counted for nothing.
+    limiter.on_timeout(10, number);
+    assert!(!limiter.may_retry(11, number, until, 1));
+    let (number, until) = query(&mut limiter, 20, 7);
+    limiter.on_caller_gone(21, number);
+    assert!(!limiter.may_retry(22, number, until, 1));
+}
+
+#[test]
+fn slots_are_held_until_the_end_of_a_query_is_known() {
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let numbers: Vec<u64> = (0..4).map(|about| query(&mut limiter, 0, about).0).collect();
+    assert_eq!(limiter.start(0, 2_000 * MS, 9), Start::NoQuery(Decision::Reject { retry_after: 0 }));
+    limiter.on_caller_gone(1, numbers[0]);
+    assert_eq!(limiter.usage().in_flight, 4);
+    limiter.on_reply_lost(numbers[0]);
+    assert_eq!(limiter.on_reply(2, numbers[0], Reply::Ok), None);
+    assert_eq!((limiter.usage().in_flight, limiter.counters().lost), (3, 1));
+    assert!(matches!(limiter.start(3, 2_000 * MS, 9), Start::Query { .. }));
+}
+
+#[test]
+fn broken_connection_is_one_failure_for_all_its_queries() {
+    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let broke = |connection| Reply::ConnectionBroke { connection };
+    // Two of them go at once, and their questions end in any order.
+    let numbers: Vec<_> = (0..4).map(|about| query(&mut limiter, 0, about).0).collect();
+    for (number, connection) in numbers.into_iter().zip([1, 2, 1, 2]) {
+        assert!(matches!(limiter.on_reply(1, number, broke(connection)), Some(Decision::Reject { .. })));
+    }
+    assert!(!limiter.is_breaker_open(), "two failures of three");
+    let (first, second) = (query(&mut limiter, 1, 1).0, query(&mut limiter, 1, 2).0);
+    limiter.on_reply(2, first, broke(3));
+    assert!(limiter.is_breaker_open());
+    // The trial is on the connection that an older question still breaks under: its own end is told.
+    let (trial, _) = query(&mut limiter, 2_000 * MS, 3);
+    limiter.on_reply(2_000 * MS, second, broke(4));
+    limiter.on_reply(2_000 * MS, trial, broke(4));
+    assert!(matches!(limiter.start(10_000 * MS, 12_000 * MS, 4), Start::Query { .. }), "it asks again");
+}
+
+#[test]
+fn open_breaker_is_handled_like_silence() {
+    for (silence, refuses) in [(OnSilence::OwnQuota, false), (OnSilence::Reject, true)] {
+        let mut limiter = ExternalLimiter::new(settings(silence), 1);
+        for _ in 0..3 {
+            let (number, _) = query(&mut limiter, 0, 1);
+            limiter.on_reply(1, number, Reply::Failed);
+        }
+        match limiter.start(2, 2_000 * MS, 1) {
+            Start::NoQuery(Decision::Proceed) => assert!(!refuses),
+            Start::NoQuery(Decision::Reject { retry_after }) => assert!(refuses && retry_after > 700 * MS),
+            other => panic!("{other:?}"),
+        }
+        assert_eq!(
+            (limiter.counters().opened, limiter.is_breaker_open(), limiter.usage()),
+            (1, true, Usage::default())
+        );
+    }
+}
