--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -29,7 +29,7 @@
             variant: run.variant.clone(),
             seed: run.seed,
             place: run.place,
-            net: own.share(),
+            net: own.net_share(),
             served: own.served_share(),
             beyond: own.beyond_units / own.units.max(1.0),
         }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,166 +1,238 @@
-//! What a run has come to: worth served and lost, by reason, and what it has cost.
+//! The outcome of a run: worth served and lost, by reason, and what it has cost. Field names are the keys of the JSON report.
 
 use crate::rule_checker::Violations;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use violetyoke_decision::interface::Why;
+use violetyoke_decision::interface::{Micros, Why};
+
+/// Longer response times are recorded as this: ten minutes.
+const MAX_RESPONSE_TIME: Micros = 600_000_000;
+/// Service has recovered at this share of what it was.
+const RECOVERED: f64 = 0.95;
+/// Seconds together in which it must have.
+const RECOVERY_WINDOW: usize = 3;
 
 /// Tries and their worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Amount {
+    /// How many.
     pub tries: u64,
+    /// Their worth together.
     pub worth: f64,
 }
 
 impl Amount {
+    /// Adds a try.
     pub fn add(&mut self, worth: f64) {
         self.tries += 1;
         self.worth += worth;
     }
 }
 
-/// Tries given up for one reason, and what there was room for at that instant.
+/// Tries lost for one reason, and which of them there was room for at that instant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Loss {
+    /// All.
     pub all: Amount,
-    /// The account's quota held its units, and half of the quota was there.
+    /// Those whose account's quota held their units.
     pub quota_had_room: Amount,
+    /// Those whose account's quota was half unused.
     pub quota_half_unused: Amount,
-    /// A worker stood idle at a warm node.
+    /// Those at whose time a worker was idle at a node past its slow start.
     pub fleet_had_room: Amount,
 }
 
-/// Calls to the counter by what they are for.
+/// Calls to the counter by their purpose and fate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Calls {
-    /// Units added, given back, and only a total read.
+    /// Those that add units, to decide on a try.
     pub decide: u64,
+    /// Those that give units back.
     pub give_back: u64,
+    /// Those that only read a total.
     pub read: u64,
-    /// Turned away by a full line, never answered, and answered after the time-out.
+    /// Those refused by a full queue.
     pub turned_away: u64,
+    /// Those never answered.
     pub lost: u64,
+    /// Those answered after the time-out.
     pub late: u64,
-    /// Calls whose total decided otherwise than what was known before would have.
+    /// Those whose total led to another decision than what was known before.
     pub changed: u64,
 }
 
+/// The outcome of a run, without its warm-up.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
+    /// All requests.
     pub asked: Amount,
+    /// Those served within their aim.
     pub served: Amount,
+    /// Those served later.
     pub served_late: Amount,
+    /// Those asked and those served, by class.
     pub by_class: BTreeMap<String, (Amount, Amount)>,
-    /// Refused and failed, by the module's own reason; `Dead`: no ingress has answered.
+    /// Those refused, by the decision module's reason.
     pub refused: BTreeMap<String, Loss>,
+    /// Those failed, by the decision module's reason; `NoAnswer`: no ingress has answered.
     pub failed: BTreeMap<String, Loss>,
-    /// Units sent on, and those of them that were beyond quotas.
+    /// Units sent on.
     pub units: f64,
+    /// Those of them that were beyond quotas.
     pub beyond_units: f64,
+    /// Attempts sent.
     pub attempts: u64,
-    /// Attempts by how they ended, as the module hears of it.
+    /// Attempts by how they ended, as the decision module knows it.
     pub ends: BTreeMap<String, u64>,
-    /// Worker time (us) in all, and of that for attempts nobody waited for.
+    /// Time that workers worked, in microseconds.
     pub work: f64,
+    /// That for attempts nobody waited for any more.
     pub useless_work: f64,
+    /// Handshakes of new connections.
     pub handshakes: u64,
-    /// Idle and busy connections, the mean over the run's seconds and an ingress.
+    /// Idle and busy connections of an ingress, mean over the seconds of the run.
     pub connections: f64,
+    /// Calls to the counter.
     pub calls: Calls,
+    /// Messages sent between ingresses.
     pub messages: u64,
+    /// Those dropped by a receiver that accepts no more.
     pub messages_dropped: u64,
+    /// Changes of lists that ingresses have received.
     pub lists: u64,
+    /// Requests that were not served and learned it after half of their deadline.
     pub late_fails: u64,
+    /// Nodes that fell over during their slow start.
     pub falls: u64,
-    /// What each of these took off the worth served.
+    /// What each kind of cost took off the worth served.
     pub prices: BTreeMap<String, f64>,
-    /// Worth served less all prices, and the same as a part of the worth asked.
+    /// Worth served less all prices.
     pub net: f64,
-    /// Share of worth served by second of the run.
+    /// Worth asked and worth served, by second of the run.
     pub seconds: Vec<(f64, f64)>,
-    /// Seconds from the last fault's end until service is what it was before the first; none: not in this run.
+    /// Seconds from the end of the last fault until service is as good as before the first; none: not in this run.
     pub recovered_after: Option<f64>,
-    /// Served share of an ingress's own tries: a tenth of them, half of them, nine tenths are below.
+    /// Served share of an ingress's tries: 10th, 50th and 90th percentile over the ingresses.
     pub spread: [f64; 3],
-    /// The same of nodes: the part of its workers' time that a node has worked, from the run's start on.
+    /// Share of its workers' time that a node has worked, with the warm-up: the same percentiles over the nodes.
     pub node_load: [f64; 3],
-    /// Answer times of what was served (ms): half, nine tenths, 99 of 100.
+    /// Response times of what was served, in milliseconds: 50th, 90th and 99th percentile.
     pub answer_ms: [f64; 3],
     /// Violated rules.
     #[serde(rename = "broken")]
     pub violations: Violations,
+    /// Defects that decision modules have reported of themselves.
     pub defects: u64,
+    /// Emulated events, with those of the warm-up.
     pub events: u64,
 }
 
-/// What only the run itself needs.
-pub struct Gauges {
-    pub answers: Histogram<u64>,
-    /// Tries and tries served, of each ingress.
-    pub ingresses: Vec<(u64, u64)>,
-    pub connections: (f64, u64),
+/// What is recorded during a run and summarized in its outcome.
+pub(crate) struct Gauges {
+    response_times: Histogram<u64>,
+    /// By ingress.
+    pub(crate) ingresses: Vec<IngressTries>,
+    /// Sum of the samples of connections, and how many there are.
+    connections: f64,
+    connection_samples: u64,
+}
+
+/// Tries of an ingress.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct IngressTries {
+    pub(crate) all: u64,
+    pub(crate) served: u64,
 }
 
 impl Gauges {
-    pub fn new(ingresses: usize) -> Gauges {
+    #[expect(clippy::expect_used, reason = "the bounds are constants that a histogram can have")]
+    pub(crate) fn new(ingresses: usize) -> Gauges {
         Gauges {
-            answers: Histogram::new_with_bounds(1, 600_000_000, 3).expect("good bounds"),
-            ingresses: vec![(0, 0); ingresses],
-            connections: (0.0, 0),
+            response_times: Histogram::new_with_bounds(1, MAX_RESPONSE_TIME, 3).expect("constant bounds"),
+            ingresses: vec![IngressTries::default(); ingresses],
+            connections: 0.0,
+            connection_samples: 0,
         }
     }
 
-    pub fn answered(&mut self, after: u64) {
-        self.answers.saturating_record(after.max(1));
+    pub(crate) fn record_response(&mut self, after: Micros) {
+        self.response_times.saturating_record(after.max(1));
+    }
+
+    /// Records the connections of an ingress, as a mean over the fleet.
+    pub(crate) fn record_connections(&mut self, connections: f64) {
+        self.connections += connections;
+        self.connection_samples += 1;
     }
 
-    pub fn read(&self, outcome: &mut Outcome) {
-        let at = |part| self.answers.value_at_quantile(part) as f64 / 1e3;
-        outcome.answer_ms = if self.answers.is_empty() { [0.0; 3] } else { [at(0.5), at(0.9), at(0.99)] };
-        let shares = self.ingresses.iter().filter(|(all, _)| *all > 0);
-        outcome.spread = tenths(shares.map(|(all, served)| *served as f64 / *all as f64).collect());
-        outcome.connections = self.connections.0 / self.connections.1.max(1) as f64;
+    /// Writes the summary into the outcome.
+    pub(crate) fn summarize(&self, outcome: &mut Outcome) {
+        let ms = |quantile| self.response_times.value_at_quantile(quantile) as f64 / 1e3;
+        outcome.answer_ms =
+            if self.response_times.is_empty() { [0.0; 3] } else { [ms(0.5), ms(0.9), ms(0.99)] };
+        let ingresses = self.ingresses.iter().filter(|tries| tries.all > 0);
+        outcome.spread = percentiles(ingresses.map(|tries| tries.served as f64 / tries.all as f64).collect());
+        outcome.connections = self.connections / self.connection_samples.max(1) as f64;
     }
 }
 
-/// Below which a tenth, half and nine tenths of some figures are.
-pub fn tenths(mut figures: Vec<f64>) -> [f64; 3] {
+/// The 10th, 50th and 90th percentile; 0 of nothing.
+pub(crate) fn percentiles(mut figures: Vec<f64>) -> [f64; 3] {
     figures.sort_by(f64::total_cmp);
     [0.1, 0.5, 0.9].map(|part| figures.get((part * figures.len() as f64) as usize).copied().unwrap_or(0.0))
 }
 
-/// The name of a reason, as tables have it.
-pub fn reason(why: Option<Why>) -> String {
+/// The name of a reason in tables.
+pub(crate) fn reason_name(why: Option<Why>) -> String {
     why.map_or("Undecided".into(), |why| format!("{why:?}"))
 }
 
+/// Shares of the requests by how they ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Shares {
+    /// Served, also late.
+    pub served: f64,
+    /// Refused.
+    pub refused: f64,
+    /// Failed.
+    pub failed: f64,
+}
+
 impl Outcome {
-    pub fn share(&self) -> f64 {
+    /// The net worth, as a share of the worth asked.
+    pub fn net_share(&self) -> f64 {
         self.net / self.asked.worth.max(f64::MIN_POSITIVE)
     }
 
+    /// The worth served, as a share of the worth asked.
     pub fn served_share(&self) -> f64 {
         self.served.worth / self.asked.worth.max(f64::MIN_POSITIVE)
     }
 
-    /// Parts of the tries that were served, refused and failed.
-    pub fn parts(&self) -> [f64; 3] {
+    /// The shares of the requests that were served, refused and failed.
+    pub fn shares(&self) -> Shares {
         let all = self.asked.tries.max(1) as f64;
         let sum = |losses: &BTreeMap<String, Loss>| losses.values().map(|loss| loss.all.tries).sum::<u64>();
         let served = self.served.tries + self.served_late.tries;
-        [served as f64 / all, sum(&self.refused) as f64 / all, sum(&self.failed) as f64 / all]
+        Shares {
+            served: served as f64 / all,
+            refused: sum(&self.refused) as f64 / all,
+            failed: sum(&self.failed) as f64 / all,
+        }
     }
 
-    /// Puts the prices together.
-    pub fn settle(&mut self) {
+    /// Computes the net worth.
+    pub(crate) fn settle(&mut self) {
         self.net = self.served.worth + self.served_late.worth - self.prices.values().sum::<f64>();
     }
 
-    /// The time after `until` from which three seconds together are served as well as all before `from`.
-    pub fn recover(&mut self, from: usize, until: usize) {
-        let share = |span: &[(f64, f64)]| {
-            let (asked, served) = span.iter().fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+    /// Computes the time from second `until`, after the last fault, to the first window that is served as well as all before
+    /// second `from`, of the first fault.
+    pub(crate) fn find_recovery(&mut self, from: usize, until: usize) {
+        let share = |seconds: &[(f64, f64)]| {
+            let (asked, served) =
+                seconds.iter().fold((0.0, 0.0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
             if asked > 0.0 {
                 served / asked
             } else {
@@ -169,7 +241,7 @@
         };
         let before = share(&self.seconds[..from.min(self.seconds.len())]);
         let after = self.seconds.get(until.min(self.seconds.len())..).unwrap_or_default();
-        let again = after.windows(3).position(|span| share(span) >= 0.95 * before);
-        self.recovered_after = again.map(|second| second as f64);
+        let recovered = after.windows(RECOVERY_WINDOW).position(|window| share(window) >= RECOVERED * before);
+        self.recovered_after = recovered.map(|second| second as f64);
     }
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,7 +1,7 @@
 //! Runs every variant and seed of an experiment, each beside its two reference policies, on all cores.
 
 use crate::experiment::{Experiment, Variant};
-use crate::outcome::Outcome;
+use crate::outcome::{Outcome, Shares};
 use crate::world::{Policy, World};
 use rayon::prelude::*;
 use serde::Serialize;
@@ -41,7 +41,7 @@
 /// Runs one seed under each of the three policies.
 pub fn run_seed(variant: &str, experiment: &Experiment, seed: u64) -> Run {
     let oracle = World::new(experiment, seed, Policy::Oracle).play();
-    let [served, _, failed] = oracle.parts();
+    let Shares { served, failed, .. } = oracle.shares();
     // It admits as many as the oracle, but blindly.
     let random = World::new(experiment, seed, Policy::Random((served + failed).clamp(0.0, 1.0))).play();
     let module = World::new(experiment, seed, Policy::Module).play();
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -1,12 +1,11 @@
-//! Results as text.
+//! Reports and comparisons as text, in tables of Markdown.
 
 use crate::compare::{paired, Figures};
-use crate::outcome::{Amount, Calls, Loss, Outcome};
+use crate::outcome::{Amount, Calls, Loss, Outcome, Shares};
 use crate::run::{Report, Run};
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::Write;
 
-/// One line a run, and the mean of each variant.
+/// One row for each run, and the mean place of each variant.
 pub fn results(report: &Report) -> String {
     let mut text = format!(
         "{}: {} ingresses, {} nodes, {} s\n\n",
@@ -18,18 +17,16 @@
     let counted = report.runs.iter().map(|run| run.module.seconds.len().max(1) as f64);
     for (run, seconds) in report.runs.iter().zip(counted) {
         let (own, calls) = (&run.module, &run.module.calls);
-        let [served, refused, failed] = own.parts();
+        let Shares { served, refused, failed } = own.shares();
         let all_calls = calls.decide + calls.give_back + calls.read;
-        let _ = writeln!(
-            text,
-            "| {} | {} | {:.3} | {:.3} | {:.3} | {:.3} | {served:.3} | {refused:.3} | {failed:.3} | {:.3} | {:.0} \
-             | {:.0} | {:.2} | {:.0} | {:.0} | {:.0} | {} |",
+        text += &format!("| {} | {} | {:.3} | {:.3} | {:.3} | {:.3} | {served:.3} | {refused:.3} | {failed:.3} | {:.3} | {:.0} \
+             | {:.0} | {:.2} | {:.0} | {:.0} | {:.0} | {} |\n",
             run.variant,
             run.seed,
             run.place,
-            own.share(),
-            run.oracle.share(),
-            run.random.share(),
+            own.net_share(),
+            run.oracle.net_share(),
+            run.random.net_share(),
             own.beyond_units / own.units.max(1.0),
             own.handshakes as f64 / seconds,
             all_calls as f64 / seconds,
@@ -43,13 +40,12 @@
     text.push('\n');
     for (variant, runs) in by_variant(report) {
         let place = mean(runs.iter().map(|run| run.place));
-        let _ =
-            writeln!(text, "mean place{}{variant}: {place:.3}", if variant.is_empty() { "" } else { " " });
+        text += &format!("mean place{}{variant}: {place:.3}\n", if variant.is_empty() { "" } else { " " });
     }
     text
 }
 
-/// The runs of each variant, in the order in which they were played.
+/// The runs of each variant, in their order.
 fn by_variant(report: &Report) -> Vec<(&str, Vec<&Run>)> {
     let mut groups: Vec<(&str, Vec<&Run>)> = Vec::new();
     for run in &report.runs {
@@ -66,6 +62,7 @@
     sum / f64::from(many.max(1))
 }
 
+/// The violated rules, or that all were kept.
 fn rules(outcome: &Outcome) -> String {
     let violations = &outcome.violations;
     if violations.is_none() {
@@ -84,16 +81,16 @@
         ("pushed over", violations.pushed_over as f64),
         ("past ceiling", violations.past_ceiling),
     ];
-    let told = counts.iter().filter(|(_, many)| *many > 0.0);
-    told.map(|(what, many)| format!("{what} {many:.0}")).collect::<Vec<_>>().join(", ")
+    let violated = counts.iter().filter(|(_, count)| *count > 0.0);
+    violated.map(|(rule, count)| format!("{rule} {count:.0}")).collect::<Vec<_>>().join(", ")
 }
 
-/// Where the worth went, variant by variant: shares of what was asked, over all seeds together.
+/// What the worth was lost to, by variant: shares of the worth asked, over all seeds together.
 pub fn losses(report: &Report) -> String {
-    by_variant(report).into_iter().map(|(variant, runs)| lost(variant, &runs)).collect()
+    by_variant(report).into_iter().map(|(variant, runs)| losses_of_variant(variant, &runs)).collect()
 }
 
-fn lost(variant: &str, runs: &[&Run]) -> String {
+fn losses_of_variant(variant: &str, runs: &[&Run]) -> String {
     let asked = runs.iter().map(|run| run.module.asked.worth).sum::<f64>().max(f64::MIN_POSITIVE);
     let mut text =
         format!("\n| {variant} lost to | worth | quota had room | half unused | fleet had room |\n");
@@ -120,19 +117,27 @@
     }
     rows.sort_by(|one, other| other.0.total_cmp(&one.0));
     rows.into_iter().for_each(|(_, row)| text += &row);
-    text += "\n| price of | module | oracle |\n| --- | --: | --: |\n";
+    text + &prices(runs, asked) + &calls(runs)
+}
+
+/// What each kind of cost took off, as a share of the worth asked.
+fn prices(runs: &[&Run], asked: f64) -> String {
+    let mut text = String::from("\n| price of | module | oracle |\n| --- | --: | --: |\n");
     let prices: BTreeSet<&String> = runs.iter().flat_map(|run| run.module.prices.keys()).collect();
     for price in prices {
         let sum = |outcome: fn(&Run) -> &Outcome| {
             let prices = runs.iter().filter_map(|run| outcome(run).prices.get(price));
             prices.sum::<f64>() / asked
         };
-        let _ = writeln!(text, "| {price} | {:.3} | {:.3} |", sum(|run| &run.module), sum(|run| &run.oracle));
+        text += &format!("| {price} | {:.3} | {:.3} |\n", sum(|run| &run.module), sum(|run| &run.oracle));
     }
+    text
+}
+
+/// Calls to the counter by their purpose and fate.
+fn calls(runs: &[&Run]) -> String {
     let total = |figure: fn(&Calls) -> u64| runs.iter().map(|run| figure(&run.module.calls)).sum::<u64>();
-    let _ = writeln!(
-        text,
-        "\ncalls: {} to decide, {} to give back, {} to read; {} turned away, {} lost, {} late; {} changed a decision",
+    format!("\ncalls: {} to decide, {} to give back, {} to read; {} turned away, {} lost, {} late; {} changed a decision\n",
         total(|calls| calls.decide),
         total(|calls| calls.give_back),
         total(|calls| calls.read),
@@ -140,17 +145,16 @@
         total(|calls| calls.lost),
         total(|calls| calls.late),
         total(|calls| calls.changed),
-    );
-    text
+    )
 }
 
-/// The differences of two sets of runs, paired by variant and seed; none: they have none in common.
+/// The differences of two sets of runs, paired by variant and seed; none if they have no pair in common.
 pub fn comparison(before: &[Figures], after: &[Figures]) -> Option<String> {
     let mut text =
         String::from("| variant | figure | before | after | difference | 95% of resamples | pairs |\n");
     text += "| --- | --- | --: | --: | --: | --- | --: |\n";
     let variants: BTreeSet<&str> = before.iter().map(|run| run.variant.as_str()).collect();
-    let mut any = false;
+    let mut has_pairs = false;
     for variant in variants {
         let pairs: Vec<(&Figures, &Figures)> = before
             .iter()
@@ -171,10 +175,9 @@
             let values: Vec<(f64, f64)> =
                 pairs.iter().map(|(one, other)| (figure(one), figure(other))).collect();
             let Some(found) = paired(&values) else { continue };
-            any = true;
-            let _ = writeln!(
-                text,
-                "| {variant} | {name} | {:.3} | {:.3} | {:+.3} | {:+.3} to {:+.3} | {} |",
+            has_pairs = true;
+            text += &format!(
+                "| {variant} | {name} | {:.3} | {:.3} | {:+.3} | {:+.3} to {:+.3} | {} |\n",
                 mean(values.iter().map(|pair| pair.0)),
                 mean(values.iter().map(|pair| pair.1)),
                 found.mean,
@@ -184,5 +187,5 @@
             );
         }
     }
-    any.then_some(text)
+    has_pairs.then_some(text)
 }
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -1,7 +1,7 @@
 //! The clients' side: tries come, are answered, and come again.
 
 use super::*;
-use crate::outcome::{reason, Loss};
+use crate::outcome::{reason_name, Loss};
 use rand_distr::Exp1;
 use std::collections::BTreeMap;
 
@@ -86,7 +86,7 @@
         let class = &self.experiment.classes[usize::from(held.coming.demanded.class)];
         let (worth, waited) = (self.worth(&held.coming.demanded), self.now - held.arrived);
         if self.counts() {
-            self.gauges.ingresses[held.ingress].0 += 1;
+            self.gauges.ingresses[held.ingress].all += 1;
         }
         if got == Got::Served {
             let plan =
@@ -94,8 +94,8 @@
             let beyond = held.beyond / held.coming.demanded.units;
             let earned = worth * (1.0 - beyond * (1.0 - plan.beyond_worth));
             if self.counts() {
-                self.gauges.answered(waited);
-                self.gauges.ingresses[held.ingress].1 += 1;
+                self.gauges.record_response(waited);
+                self.gauges.ingresses[held.ingress].served += 1;
                 if waited <= class.class.aim {
                     self.outcome.served.add(earned);
                     self.outcome.by_class.entry(class.name.clone()).or_default().1.add(earned);
@@ -154,8 +154,8 @@
         let fleet =
             self.nodes.iter().any(|node| idle(node) && node.working.len() < self.node_settings.workers);
         let (losses, name): (&mut BTreeMap<String, Loss>, _) = match got {
-            Got::Refused { why, .. } => (&mut self.outcome.refused, reason(why)),
-            Got::Failed { why } => (&mut self.outcome.failed, reason(why)),
+            Got::Refused { why, .. } => (&mut self.outcome.refused, reason_name(why)),
+            Got::Failed { why } => (&mut self.outcome.failed, reason_name(why)),
             _ => (&mut self.outcome.failed, "NoAnswer".into()),
         };
         let loss = losses.entry(name).or_default();
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -388,8 +388,7 @@
         if self.counts() {
             let idle: usize = self.ingresses.iter().map(Ingress::idle).sum();
             let busy = self.flights.values().filter(|flight| flight.connected && !flight.withdrawn).count();
-            self.gauges.connections.0 += (idle + busy) as f64 / self.ingresses.len() as f64;
-            self.gauges.connections.1 += 1;
+            self.gauges.record_connections((idle + busy) as f64 / self.ingresses.len() as f64);
         }
         // Nothing can come of a try whose client is long gone.
         let old = self.now.saturating_sub(60_000_000);
@@ -423,13 +422,13 @@
             let time = self.now.saturating_sub(node.added_at).max(1) as f64;
             node.busy / (self.node_settings.workers as f64 * time)
         };
-        crate::outcome::tenths(there.map(load).collect())
+        crate::outcome::percentiles(there.map(load).collect())
     }
 
     fn finish(mut self) -> Outcome {
         self.checker.finish(self.now);
         let mut outcome = std::mem::take(&mut self.outcome);
-        self.gauges.read(&mut outcome);
+        self.gauges.summarize(&mut outcome);
         outcome.violations = self.checker.violations.clone();
         outcome.events = self.events.scheduled();
         outcome.node_load = self.node_load();
@@ -452,7 +451,7 @@
         let last = self.experiment.faults.iter().map(|fault| fault.at + fault.stagger + fault.duration).max();
         if let (Some(first), Some(last)) = (first, last) {
             let second = |at: Micros| (at / 1_000_000).saturating_sub(warm) as usize;
-            outcome.recover(second(first), second(last));
+            outcome.find_recovery(second(first), second(last));
         }
         outcome
     }
--- a/crates/lab/tests/hard.rs
+++ b/crates/lab/tests/hard.rs
@@ -95,7 +95,7 @@
     let outcome = World::new(&changed(&words, fault), 5, Policy::Module).play();
     assert!(outcome.violations.is_none(), "{:?}", outcome.violations);
     assert!(outcome.ends.get("ConnectFailed").is_some_and(|many| *many >= 60), "{:?}", outcome.ends);
-    assert!(outcome.served.tries > 1_000, "{:?}", outcome.parts());
+    assert!(outcome.served.tries > 1_000, "{:?}", outcome.shares());
 }
 
 #[test]
@@ -109,7 +109,7 @@
         let outcome = play(&format!("[[fault]]\n{fault}\n"));
         assert!(outcome.violations.is_none(), "{fault}: {:?}", outcome.violations);
         assert!(outcome.ends.contains_key(sees), "{fault}: {:?}", outcome.ends);
-        assert!(outcome.served.tries > 400, "{fault}: {:?}", outcome.parts());
+        assert!(outcome.served.tries > 400, "{fault}: {:?}", outcome.shares());
     }
 }
 
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -60,7 +60,7 @@
 fn the_shipped_decisions_keep_all_rules_through_it() {
     let outcome = play(&troubled(), None);
     assert_eq!(outcome.violations, Violations::default());
-    assert!(outcome.served.tries > 250, "{:?}", outcome.parts());
+    assert!(outcome.served.tries > 250, "{:?}", outcome.shares());
 }
 
 #[test]
--- a/xtask/src/prove_lab.rs
+++ b/xtask/src/prove_lab.rs
@@ -82,8 +82,10 @@
             figures.tell(&format!("{name}_{seed}_tries"), real.iter().sum::<u64>());
             let all = real.iter().sum::<u64>().max(1) as f64;
             let shares = real.map(|many| many as f64 / all);
+            let emulated = lab.shares();
+            let emulated = [emulated.served, emulated.refused, emulated.failed];
             for (what, (lab, real)) in
-                ["served", "refused", "failed"].into_iter().zip(lab.parts().into_iter().zip(shares))
+                ["served", "refused", "failed"].into_iter().zip(emulated.into_iter().zip(shares))
             {
                 figures.tell(&format!("{name}_{seed}_{what}_lab"), format!("{lab:.3}"));
                 figures.tell(&format!("{name}_{seed}_{what}_real"), format!("{real:.3}"));
