--- a/crates/tenants/src/snapshot/message.rs
+++ b/crates/tenants/src/snapshot/message.rs
@@ -50,7 +50,8 @@
         hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Reads a snapshot. Nothing of it may be used before [`TenantDirectory::apply`] has validated it.
+    /// Reads a snapshot. Nothing of it may be used before
+    /// [`TenantDirectory::apply`](super::TenantDirectory::apply) has validated it.
     ///
     /// # Errors
     /// If it is no JSON of this shape, or has another format.
