--- a/crates/config/src/duties.rs
+++ b/crates/config/src/duties.rs
@@ -1,31 +1,27 @@
-//! Which of the fleet's duties a process takes part in.
+//! Which singleton roles of the ingresses a process applies for.
 
+use crate::names::is_valid_name;
 use crate::section::Section;
 use std::net::SocketAddr;
 
-/// Duties of the control plane's fleet, by their names there.
+/// Singleton roles that a process applies for at the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Duties {
+    /// Names of the roles.
     pub take: Vec<String>,
-    /// Who gets the report of use.
+    /// Address that gets the report of usage.
     pub sink: SocketAddr,
 }
 
 impl Duties {
-    pub(crate) fn read(section: Section<'_>) -> Duties {
-        for key in ["take", "sink"] {
-            if !section.has(key) {
-                section.error(key, "is missing");
-            }
+    pub(crate) fn read(section: &Section<'_>) -> Duties {
+        if !section.has("take") {
+            section.error("take", "is missing");
         }
-        let duties = Duties {
-            take: section.names("take"),
-            sink: section.parsed("sink", "an address").unwrap_or(SocketAddr::from(([127, 0, 0, 1], 1))),
-        };
-        if let Some(name) = duties.take.iter().find(|name| !crate::pool::plain(name)) {
+        let duties = Duties { take: section.text_list("take"), sink: section.required_address("sink") };
+        if let Some(name) = duties.take.iter().find(|name| !is_valid_name(name)) {
             section.error("take", format!("{name:?} must be 1 to 40 letters, digits, - or _"));
         }
-        section.finish();
         duties
     }
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -2,16 +2,27 @@
 
 use std::fmt;
 
+/// One error of a file.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConfigError {
+    /// Line of the key, counted from 1.
+    pub line: usize,
+    /// The key in full: `pool[0].plan[1].rate`.
+    pub key: String,
+    /// What is wrong with it.
+    pub reason: String,
+}
+
 /// All errors of one file, in the order of their lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Errors {
-    list: Vec<(usize, String, String)>,
+    list: Vec<ConfigError>,
 }
 
 impl Errors {
-    /// `key` in full, as `pool[0].plan[1].rate`.
+    /// Adds an error, unless it is there already.
     pub(crate) fn add(&mut self, line: usize, key: impl Into<String>, reason: impl Into<String>) {
-        let error = (line, key.into(), reason.into());
+        let error = ConfigError { line, key: key.into(), reason: reason.into() };
         if !self.list.contains(&error) {
             self.list.push(error);
         }
@@ -21,25 +32,36 @@
         self.list.sort();
     }
 
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Line, key and reason of each.
-    pub fn iter(&self) -> impl Iterator<Item = (usize, &str, &str)> {
-        self.list.iter().map(|(line, key, reason)| (*line, key.as_str(), reason.as_str()))
+    /// Each error.
+    pub fn iter(&self) -> impl Iterator<Item = &ConfigError> {
+        self.list.iter()
     }
 
     /// One line each, as compilers print them: `FILE:LINE: KEY: REASON`.
     pub fn of_file(&self, file: &str) -> String {
-        self.iter().map(|(line, key, reason)| format!("{file}:{line}: {key}: {reason}\n")).collect()
+        let line =
+            |ConfigError { line, key, reason }: &ConfigError| format!("{file}:{line}: {key}: {reason}\n");
+        self.iter().map(line).collect()
+    }
+}
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "line {}: {}: {}", self.line, self.key, self.reason)
     }
 }
 
 impl fmt::Display for Errors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.iter().try_for_each(|(line, key, reason)| writeln!(f, "line {line}: {key}: {reason}"))
+        self.iter().try_for_each(|error| writeln!(f, "{error}"))
     }
 }
 
+impl std::error::Error for ConfigError {}
+
 impl std::error::Error for Errors {}
--- /dev/null
+++ b/crates/config/src/plan.rs
@@ -0,0 +1,28 @@
+//! Plans of customers.
+
+use crate::names::check_name;
+use crate::section::Section;
+use violetyoke_decision::interface::Plan;
+
+/// Reads the name and the keys of a plan. The table may have others, so it is not finished here.
+pub fn read_plan(section: &Section<'_>) -> (String, Plan) {
+    let name = section.required_text("name");
+    check_name(section, "name", &name);
+    let figure = |key: &'static str| section.number(key, 0.0, 0.0..=1e9);
+    let plan = Plan {
+        rate: figure("rate"),
+        burst: figure("burst"),
+        open_cap: figure("open"),
+        worth: section.number("worth", 1.0, 1e-6..=1e6),
+        ceiling_rate: figure("ceiling_rate"),
+        ceiling_burst: figure("ceiling_burst"),
+        ..Plan::default()
+    };
+    if plan.rate > 0.0 && plan.burst < 1.0 {
+        section.error("burst", "must be 1 or more where there is a rate");
+    }
+    if plan.ceiling_rate > 0.0 && (plan.ceiling_rate < plan.rate || plan.ceiling_burst < plan.burst) {
+        section.error("ceiling_rate", "rate and burst of the ceiling must not be below the plan's");
+    }
+    (name, plan)
+}
--- a/crates/config/src/ratelimit.rs
+++ b/crates/config/src/ratelimit.rs
@@ -9,17 +9,21 @@
 /// The gRPC rate limit service, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RateLimit {
+    /// Where queries are accepted.
     pub listen: SocketAddr,
-    /// Its part of the core against the pools'.
+    /// Its share of the processor in relation to the pools'.
     pub weight: u64,
-    /// Connections at most, and questions at once on one of them.
+    /// Connections at most.
     pub connections: u64,
+    /// Queries in flight on one connection at most.
     pub streams: u32,
-    /// Descriptors of one question, and bytes of one message.
+    /// Descriptors of one query at most.
     pub descriptors: usize,
+    /// Bytes of one message at most.
     pub message_bytes: usize,
-    /// How long a question may take that brings no `grpc-timeout`, in microseconds.
+    /// How long a query without `grpc-timeout` may take, in microseconds.
     pub deadline: u64,
+    /// What domains and descriptors stand for.
     pub mapping: Mapping,
 }
 
@@ -27,56 +31,65 @@
     [("ok", UnknownPolicy::Ok), ("over_limit", UnknownPolicy::OverLimit)];
 
 impl RateLimit {
+    /// Reads the table of the rate limit service. The caller finishes it.
     pub(crate) fn read(section: &Section<'_>, pools: &[Pool]) -> RateLimit {
-        if !section.has("listen") {
-            section.error("listen", "is missing");
-        }
-        let listen = section.parsed("listen", "an address").unwrap_or(SocketAddr::from(([127, 0, 0, 1], 1)));
-        let unknown = |section: &Section<'_>, key: &'static str| {
-            if !section.has(key) {
-                // Either answer may be wrong for somebody: it is for the operator to state it.
-                section.error(key, "is missing: ok or over_limit");
-            }
-            section.word(key, UnknownPolicy::OverLimit, &UNKNOWN)
-        };
-        let mut domains = BTreeMap::new();
-        let sections = section.sections("domain");
-        if sections.is_empty() {
-            section.error("domain", "at least one is needed");
-        }
-        for domain in sections {
-            let name = domain.needed("name");
-            let rules = domain.sections("descriptor");
-            if rules.is_empty() {
-                domain.error("descriptor", "at least one is needed");
-            }
-            let rules = rules.into_iter().filter_map(|section| rule(section, pools)).collect();
-            let read = Domain { rules, unknown_descriptor: unknown(&domain, "unknown_descriptor") };
-            if domains.insert(name.clone(), read).is_some() {
-                domain.error("name", format!("{name:?} is another domain's name too"));
-            }
-            domain.finish();
-        }
-        let unknown_domain = unknown(section, "unknown_domain");
-        let mapping = Mapping::new(domains, unknown_domain).unwrap_or_else(|duplicates| {
-            duplicates.iter().for_each(|duplicate| section.error("domain", duplicate));
-            Mapping::empty(unknown_domain)
-        });
         RateLimit {
-            listen,
-            weight: section.whole("weight", 1, 1..=1_000),
-            connections: section.whole("connections", 64, 1..=100_000),
-            streams: section.whole("streams", 128, 1..=100_000) as u32,
-            descriptors: section.whole("descriptors", 64, 1..=1_000) as usize,
-            message_bytes: section.whole("message_bytes", 65_536, 256..=16 << 20) as usize,
+            listen: section.required_address("listen"),
+            weight: section.integer("weight", 1, 1..=1_000),
+            connections: section.integer("connections", 64, 1..=100_000),
+            streams: section.integer("streams", 128, 1..=100_000) as u32,
+            descriptors: section.integer("descriptors", 64, 1..=1_000) as usize,
+            message_bytes: section.integer("message_bytes", 65_536, 256..=16 << 20) as usize,
             deadline: (section.number("deadline_ms", 1_000.0, 1.0..=60_000.0) * 1_000.0) as u64,
-            mapping,
+            mapping: read_mapping(section, pools),
+        }
+    }
+}
+
+fn read_mapping(section: &Section<'_>, pools: &[Pool]) -> Mapping {
+    let mut domains = BTreeMap::new();
+    let tables = section.sections("domain");
+    if tables.is_empty() {
+        section.error("domain", "at least one is needed");
+    }
+    for table in tables {
+        let name = table.required_text("name");
+        if domains.insert(name.clone(), read_domain(&table, pools)).is_some() {
+            table.error("name", format!("{name:?} is another domain's name too"));
         }
+        table.finish();
+    }
+    let unknown_domain = read_unknown_policy(section, "unknown_domain");
+    Mapping::new(domains, unknown_domain).unwrap_or_else(|duplicates| {
+        duplicates.iter().for_each(|duplicate| section.error("domain", duplicate));
+        Mapping::empty(unknown_domain)
+    })
+}
+
+fn read_domain(table: &Section<'_>, pools: &[Pool]) -> Domain {
+    let rule_tables = table.sections("descriptor");
+    if rule_tables.is_empty() {
+        table.error("descriptor", "at least one is needed");
+    }
+    let mut rules = Vec::new();
+    for rule_table in rule_tables {
+        rules.extend(read_rule(&rule_table, pools));
+        rule_table.finish();
+    }
+    Domain { rules, unknown_descriptor: read_unknown_policy(table, "unknown_descriptor") }
+}
+
+fn read_unknown_policy(section: &Section<'_>, key: &'static str) -> UnknownPolicy {
+    if !section.has(key) {
+        // Either result may be wrong for somebody: the operator has to state it.
+        section.error(key, "is missing: ok or over_limit");
     }
+    section.choice(key, UnknownPolicy::OverLimit, &UNKNOWN)
 }
 
-fn rule(section: Section<'_>, pools: &[Pool]) -> Option<DescriptorRule> {
-    let name = section.needed("pool");
+/// Reads one kind of descriptor; `None`: its pool is not there.
+fn read_rule(section: &Section<'_>, pools: &[Pool]) -> Option<DescriptorRule> {
+    let name = section.required_text("pool");
     let pool = pools.iter().position(|pool| pool.name == name);
     if section.has("pool") && pool.is_none() {
         section.error("pool", format!("there is no pool {name:?}"));
@@ -89,12 +102,11 @@
     }
     let rule = DescriptorRule {
         pool: pool.unwrap_or(0),
-        when: section.texts("when"),
-        account_key: section.needed("account"),
+        when: section.text_map("when"),
+        account_key: section.required_text("account"),
         plan_key: section.text("plan_key"),
         default_plan: plan,
         attempt_key: section.text("try_key"),
     };
-    section.finish();
     pool.map(|_| rule)
 }
--- /dev/null
+++ b/crates/config/src/section/source.rs
@@ -0,0 +1,22 @@
+//! The text of a file, and what is wrong with it.
+
+use crate::error::Errors;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// The text of a file, for line numbers, and the errors found so far.
+pub(super) struct Source<'a> {
+    text: &'a str,
+    pub(super) errors: RefCell<Errors>,
+}
+
+impl<'a> Source<'a> {
+    pub(super) fn new(text: &'a str) -> Rc<Source<'a>> {
+        Rc::new(Source { text, errors: RefCell::default() })
+    }
+
+    /// The line of a byte of the text, counted from 1.
+    pub(super) fn line(&self, offset: usize) -> usize {
+        1 + self.text.as_bytes()[..offset.min(self.text.len())].iter().filter(|byte| **byte == b'\n').count()
+    }
+}
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Every error is told, in one go, with its line and key.
+//! How a file is read, and that every error is reported in one go with its line and key.
 
 use violetyoke_config::{parse, Nodes};
 
@@ -54,11 +54,11 @@
         text = text.replacen(from, to, 1);
     }
     let errors = parse(&text).err().unwrap_or_default();
-    errors.iter().map(|(line, key, reason)| format!("{line} {key}: {reason}")).collect()
+    errors.iter().map(|error| format!("{} {}: {}", error.line, error.key, error.reason)).collect()
 }
 
 #[test]
-fn a_good_file_is_read_with_its_usual_values() {
+fn valid_file_is_read_with_defaults() {
     let service = parse(GOOD).unwrap();
     assert_eq!((service.pools.len(), service.routes.len(), service.turns), (2, 2, true));
     let pool = &service.pools[0];
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn all_errors_come_in_one_go_with_line_and_key() {
+fn all_errors_are_reported_with_line_and_key() {
     let found = errors(&[
         ("listen = \"127.0.0.1:8080\"", "listen = \"here\"\nzebra = 1"),
         ("weight = 3", "weigth = 3"),
@@ -106,13 +106,13 @@
 }
 
 #[test]
-fn syntax_errors_have_their_lines_too() {
+fn syntax_errors_are_reported_with_their_lines() {
     let found = errors(&[("weight = 3", "weight = = 3")]);
     assert!(found.iter().any(|error| error.starts_with("6 syntax: ")), "{found:?}");
 }
 
 #[test]
-fn what_does_not_fit_together_is_refused() {
+fn contradicting_values_are_rejected() {
     let cases: &[(&str, &str, &str)] = &[
         ("name = \"reservations\"", "name = \"availability\"", "pool[1].name"),
         ("name = \"reservations\"", "name = \"reservations\"\nquota = \"availability\"", "pool[1].quota"),
@@ -144,36 +144,36 @@
 }
 
 #[test]
-fn an_empty_file_tells_all_that_is_missing() {
+fn empty_file_reports_all_that_is_missing() {
     let errors = parse("").unwrap_err();
-    let keys: Vec<_> = errors.iter().map(|(_, key, _)| key).collect();
+    let keys: Vec<_> = errors.iter().map(|error| error.key.as_str()).collect();
     assert_eq!(keys, ["pool", "route", "service.listen"]);
     assert!(errors.of_file("x.toml").starts_with("x.toml:1: pool: "));
 }
 
 #[test]
-fn an_outside_server_is_checked_with_its_pool() {
+fn external_limiter_is_validated_with_its_pool() {
     let with = |consult: &str| {
         let table = format!("[pool.consult]\n{consult}\n[[pool.class]]\nname = \"booking-post\"");
         errors(&[("[[pool.class]]\nname = \"booking-post\"", &table)])
     };
     let good = "address = \"127.0.0.1:8090\"\ndomain = \"rooms\"\nwhen_silent = \"refuse\"";
     assert_eq!(with(good), Vec::<String>::new());
-    let told = |consult: &str, what: &str| {
+    let assert_error = |consult: &str, what: &str| {
         let errors = with(consult);
         assert!(errors.len() == 1 && errors[0].contains(what), "{errors:?}");
     };
-    told(
+    assert_error(
         &good.replace("refuse", "guess"),
         "pool[1].consult.when_silent: \"guess\" is none of own_quota, refuse",
     );
-    told(&good.replace("when_silent = \"refuse\"", ""), "pool[1].consult.when_silent: is missing");
-    told(&format!("{good}\nplans = [\"gold\"]"), "pool[1].consult.plans: \"gold\" is not a plan");
-    told(&format!("{good}\nplan_key = \"account\""), "the key \"account\" would stand twice");
-    told(&format!("{good}\nbudget_part = 0.9"), "pool[1].consult.budget_part: 0.9 is out of range");
-    told(
+    assert_error(&good.replace("when_silent = \"refuse\"", ""), "pool[1].consult.when_silent: is missing");
+    assert_error(&format!("{good}\nplans = [\"gold\"]"), "pool[1].consult.plans: \"gold\" is not a plan");
+    assert_error(&format!("{good}\nplan_key = \"account\""), "the key \"account\" would stand twice");
+    assert_error(&format!("{good}\nbudget_part = 0.9"), "pool[1].consult.budget_part: 0.9 is out of range");
+    assert_error(
         &format!("{good}\nbreaker = {{ pause_ms = 500, longest_pause_ms = 100 }}"),
         "pool[1].consult.breaker.longest_pause_ms: is below pause_ms",
     );
-    told(&format!("{good}\nbudgets_ms = 5"), "did you mean budget_ms?");
+    assert_error(&format!("{good}\nbudgets_ms = 5"), "did you mean budget_ms?");
 }
--- a/crates/lab/src/experiment/read.rs
+++ b/crates/lab/src/experiment/read.rs
@@ -6,7 +6,7 @@
     Scale, MS, SECOND,
 };
 use crate::fault::{self, Population};
-use violetyoke_config::{only_once, Section};
+use violetyoke_config::{reject_duplicates, Section};
 use violetyoke_decision::interface::{Limits, Micros, ReportField, ReportVia, Settings};
 
 /// Longest run: an emulated day.
@@ -95,8 +95,8 @@
     if warm_up >= duration {
         table.error("warm_seconds", "must be less than seconds");
     }
-    let count = table.whole("seeds", 3, 1..=10_000);
-    let first = table.whole("first_seed", 1, 0..=1 << 40);
+    let count = table.integer("seeds", 3, 1..=10_000);
+    let first = table.integer("first_seed", 1, 0..=1 << 40);
     let scale = Scale(table.number("scale", 1.0, 0.01..=1_000.0));
     table.finish();
     Run { duration, warm_up, seeds: (first..first + count).collect(), scale }
@@ -105,12 +105,12 @@
 fn read_fleet(root: &Section<'_>, scale: Scale) -> Fleet {
     let table = root.section("fleet");
     let fleet = Fleet {
-        ingresses: scale.count(table.whole("ingresses", 60, 1..=5_000)),
-        zones: table.whole("zones", 3, 1..=64) as u16,
+        ingresses: scale.count(table.integer("ingresses", 60, 1..=5_000)),
+        zones: table.integer("zones", 3, 1..=64) as u16,
         restart: micros(&table, "restart_ms", MS, 1_000.0, 1.0..=600_000.0),
         tick: micros(&table, "tick_ms", MS, 1.0, 0.1..=1_000.0),
         limits: Limits {
-            attempts: table.whole("attempts", 3, 1..=16) as u32,
+            attempts: table.integer("attempts", 3, 1..=16) as u32,
             cancelling: true,
             retry_hints: table.flag("retry_hints", true),
             longest_retry_hint: 60_000_000,
@@ -127,14 +127,14 @@
 
 fn read_classes(root: &Section<'_>) -> Vec<Class> {
     let classes: Vec<Class> = root.sections("class").into_iter().map(read_class).collect();
-    only_once(root, "class", classes.iter().map(|class| class.name.as_str()));
+    reject_duplicates(root, "class", classes.iter().map(|class| class.name.as_str()));
     check_shares(root, "class", "classes", classes.iter().map(|class| class.share));
     classes
 }
 
 fn read_plans(root: &Section<'_>) -> Vec<Plan> {
     let plans: Vec<Plan> = root.sections("plan").into_iter().map(read_plan).collect();
-    only_once(root, "plan", plans.iter().map(|plan| plan.name.as_str()));
+    reject_duplicates(root, "plan", plans.iter().map(|plan| plan.name.as_str()));
     check_shares(root, "plan", "plans", plans.iter().map(|plan| plan.share));
     plans
 }
@@ -162,7 +162,7 @@
 }
 
 fn read_plan(table: Section<'_>) -> Plan {
-    let (name, mut plan) = violetyoke_config::plan(&table);
+    let (name, mut plan) = violetyoke_config::read_plan(&table);
     plan.beyond_worth = table.number("beyond_worth", 0.0, 0.0..=1.0);
     plan.beyond_cost = table.number("beyond_cost", 1.0, 0.0..=100.0);
     plan.ceiling_slack = table.number("ceiling_slack", 1.0, 0.0..=1e6);
@@ -172,11 +172,11 @@
 }
 
 fn read_vary(table: Section<'_>) -> Vary {
-    let key = table.needed("key");
+    let key = table.required_text("key");
     if key.is_empty() || key.split('.').any(str::is_empty) || key.contains('[') {
         table.error("key", "must be a key of a table, as counter.calls_per_second");
     }
-    let values = table.numbers("values");
+    let values = table.number_list("values");
     if values.is_empty() {
         table.error("values", "must be a list of numbers");
     }
--- a/crates/lab/src/experiment/tables.rs
+++ b/crates/lab/src/experiment/tables.rs
@@ -40,10 +40,10 @@
 pub(super) fn read_nodes(root: &Section<'_>, scale: Scale) -> NodesTable {
     let table = root.section("nodes");
     let nodes = Nodes {
-        count: scale.count(table.whole("count", 40, 1..=10_000)),
-        workers: table.whole("workers", 8, 1..=10_000) as usize,
-        queue: table.whole("queue", 32, 0..=1_000_000) as usize,
-        connections: table.whole("connections", 200, 1..=1_000_000) as u32,
+        count: scale.count(table.integer("count", 40, 1..=10_000)),
+        workers: table.integer("workers", 8, 1..=10_000) as usize,
+        queue: table.integer("queue", 32, 0..=1_000_000) as usize,
+        connections: table.integer("connections", 200, 1..=1_000_000) as u32,
         handshake: micros(&table, "handshake_ms", MS, 2.0, 0.0..=10_000.0),
         speed_spread: table.number("speed_spread", 0.15, 0.0..=2.0),
         restart: micros(&table, "restart_ms", MS, 2_000.0, 1.0..=600_000.0),
@@ -78,9 +78,9 @@
 pub(super) fn read_counter(root: &Section<'_>, scale: Scale) -> CounterTable {
     let table = root.section("counter");
     let counter = Counter {
-        parts: scale.count(table.whole("parts", 4, 1..=1_024)),
+        parts: scale.count(table.integer("parts", 4, 1..=1_024)),
         calls_per_second: table.number("calls_per_second", 2_000.0, 0.1..=1e9) * scale.0,
-        queue: table.whole("line", 64, 1..=1_000_000) as usize,
+        queue: table.integer("line", 64, 1..=1_000_000) as usize,
         delay: micros(&table, "delay_ms", MS, 0.5, 0.001..=10_000.0),
     };
     let timeout = micros(&table, "timeout_ms", MS, 50.0, 1.0..=10_000.0);
@@ -122,14 +122,14 @@
 pub(super) fn read_clients(root: &Section<'_>, scale: Scale) -> Clients {
     let table = root.section("clients");
     let clients = Clients {
-        accounts: scale.count(table.whole("accounts", 400, 1..=10_000_000)),
+        accounts: scale.count(table.integer("accounts", 400, 1..=10_000_000)),
         skew: table.number("skew", 0.8, 0.0..=5.0),
-        spread: table.whole("spread", 12, 1..=5_000) as u16,
+        spread: table.integer("spread", 12, 1..=5_000) as u16,
         part_skew: table.number("uneven", 1.0, 0.0..=5.0),
         delay: micros(&table, "delay_ms", MS, 0.5, 0.001..=10_000.0),
         detection_delay: micros(&table, "notices_ms", MS, 2_000.0, 0.0..=600_000.0),
         retry_share: table.number("again", 0.5, 0.0..=1.0),
-        max_tries: table.whole("most_tries", 3, 1..=100) as u8,
+        max_tries: table.integer("most_tries", 3, 1..=100) as u8,
         retry_pause: micros(&table, "pause_ms", MS, 400.0, 0.0..=600_000.0),
         retry_after_share: table.number("heed", 0.7, 0.0..=1.0),
     };
@@ -161,7 +161,7 @@
             Arrivals::Open { tries_per_second: 1.0 }
         }
         (true, false) => Arrivals::Closed {
-            clients: scale.count(table.whole("clients", 1, 1..=1_000_000)),
+            clients: scale.count(table.integer("clients", 1, 1..=1_000_000)),
             think: micros(table, "think_ms", MS, 1_000.0, 1.0..=3_600_000.0),
         },
         _ => {
--- a/crates/lab/src/experiment/variants.rs
+++ b/crates/lab/src/experiment/variants.rs
@@ -82,7 +82,7 @@
 fn errors_of_variant(text: &str, name: &str, errors: &Errors) -> Errors {
     let reported = violetyoke_config::read(text, |root| {
         read_experiment(root);
-        for (_, key, reason) in errors.iter() {
+        for violetyoke_config::ConfigError { key, reason, .. } in errors.iter() {
             root.error("vary", format!("{name}: {key}: {reason}"));
         }
     });
--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -179,7 +179,7 @@
     if !section.has("kind") {
         section.error("kind", "is missing");
     }
-    let kind = section.word("kind", FaultKind::KillNodes, &KINDS);
+    let kind = section.choice("kind", FaultKind::KillNodes, &KINDS);
     let time = |key: &'static str, default: f64| {
         (section.number(key, default, 0.0..=MAX_SECONDS) * SECOND) as Micros
     };
@@ -236,7 +236,7 @@
     if !section.has(key) {
         return None;
     }
-    let number = section.whole(key, 0, ..) as usize;
+    let number = section.integer(key, 0, ..) as usize;
     if !is_accepted {
         section.error(key, format!("is not what {kind} hits"));
     } else if number >= count {
--- a/crates/lab/tests/files.rs
+++ b/crates/lab/tests/files.rs
@@ -10,7 +10,7 @@
 /// The errors of the small fleet with further text, as `line: key: reason`.
 fn errors(text: &str) -> Vec<(usize, String, String)> {
     let errors = parse(text).expect_err("it is wrong");
-    errors.iter().map(|(line, key, reason)| (line, key.to_string(), reason.to_string())).collect()
+    errors.iter().map(|error| (error.line, error.key.clone(), error.reason.clone())).collect()
 }
 
 /// The line on which some text stands.
