--- a/crates/violetyoke/tests/ratelimit.rs
+++ b/crates/violetyoke/tests/ratelimit.rs
@@ -56,6 +56,23 @@
     )
 }
 
+/// A running service with one pool of one node, and the address of its rate limit protocol.
+struct Rooms {
+    node: Node,
+    service: Service,
+    address: SocketAddr,
+}
+
+impl Rooms {
+    /// A service whose basic plan has that `rate` and `burst`; `more` is text for its pool.
+    fn start(rate: f64, burst: f64, more: &str) -> Rooms {
+        let node = node();
+        let service = Service::start(&file(&node, rate, burst, more));
+        let address = asked_at(&service);
+        Rooms { node, service, address }
+    }
+}
+
 fn question(descriptors: Vec<proto::RateLimitDescriptor>) -> proto::RateLimitRequest {
     proto::RateLimitRequest { domain: "rooms".into(), descriptors, hits_addend: 0 }
 }
@@ -86,9 +103,7 @@
 
 #[test]
 fn questions_and_requests_draw_from_one_quota() {
-    let node = node();
-    let service = Service::start(&file(&node, 0.01, 6.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node, service, address } = Rooms::start(0.01, 6.0, "");
     block(async {
         let mut client = client(address).await;
         assert!(ok(&mut client, about("h")).await);
@@ -104,9 +119,7 @@
 
 #[test]
 fn answers_have_every_field_that_clients_read() {
-    let node = node();
-    let service = Service::start(&file(&node, 2.0, 3.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } = Rooms::start(2.0, 3.0, "");
     block(async {
         let mut client = client(address).await;
         let answer = ask(&mut client, about("h")).await.unwrap();
@@ -140,9 +153,7 @@
 
 #[test]
 fn several_descriptors_are_all_or_nothing() {
-    let node = node();
-    let service = Service::start(&file(&node, 0.01, 2.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } = Rooms::start(0.01, 2.0, "");
     block(async {
         let mut client = client(address).await;
         let both = || question(vec![descriptor(&[("account", "a")]), descriptor(&[("account", "b")])]);
@@ -161,9 +172,7 @@
 
 #[test]
 fn what_is_not_known_gets_the_answer_that_the_file_states() {
-    let node = node();
-    let service = Service::start(&file(&node, 0.01, 2.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } = Rooms::start(0.01, 2.0, "");
     block(async {
         let mut client = client(address).await;
         for _ in 0..4 {
@@ -175,9 +184,7 @@
 
 #[test]
 fn bad_questions_get_a_status_that_names_the_fault_and_count_nothing() {
-    let node = node();
-    let service = Service::start(&file(&node, 0.01, 2.0, "largest_request = 10"));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } = Rooms::start(0.01, 2.0, "largest_request = 10");
     block(async {
         let mut client = client(address).await;
         let good = || descriptor(&[("account", "a")]);
@@ -221,9 +228,7 @@
 
 #[test]
 fn a_question_with_unknown_fields_is_answered_and_one_with_broken_text_is_not() {
-    let node = node();
-    let service = Service::start(&file(&node, 0.01, 5.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } = Rooms::start(0.01, 5.0, "");
     // rooms / (account, a) by hand, then with a field 99 behind it, then with a byte that is no UTF-8.
     let good = b"\x0a\x05rooms\x12\x0e\x0a\x0c\x0a\x07account\x12\x01a".to_vec();
     let unknown = [good.as_slice(), b"\x9a\x06\x02hi"].concat();
@@ -298,9 +303,7 @@
 
 #[test]
 fn a_name_is_no_way_past_a_quota() {
-    let node = node();
-    let service = Service::start(&file(&node, 0.01, 3.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node, service, address } = Rooms::start(0.01, 3.0, "");
     let named = |account: &str| question(vec![descriptor(&[("account", account), ("try", "same")])]);
     block(async {
         let mut client = client(address).await;
@@ -318,10 +321,9 @@
 
 #[test]
 fn a_claim_that_is_lost_counts_again_and_never_not_at_all() {
-    let node = node();
     let counter = Counter::start();
-    let service = Service::start(&file(&node, 0.01, 3.0, &format!("counter = \"{}\"", counter.address)));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } =
+        Rooms::start(0.01, 3.0, &format!("counter = \"{}\"", counter.address));
     let named = || question(vec![descriptor(&[("account", "h"), ("try", "t")])]);
     block(async {
         let mut client = client(address).await;
@@ -338,9 +340,7 @@
 
 #[test]
 fn ten_thousand_questions_on_one_connection_at_once() {
-    let node = node();
-    let service = Service::start(&file(&node, 1_000_000.0, 1_000_000.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service, address } = Rooms::start(1_000_000.0, 1_000_000.0, "");
     block(async {
         let client = client(address).await;
         let all = (0..10_000).map(|number| {
@@ -362,9 +362,7 @@
 
 #[test]
 fn a_client_that_opens_and_resets_at_full_speed_is_cut_off_and_others_are_served() {
-    let node = node();
-    let service = Service::start(&file(&node, 1_000_000.0, 1_000_000.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } = Rooms::start(1_000_000.0, 1_000_000.0, "");
     let mut stream = std::net::TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let frame = |kind: u8, flags: u8, id: u32, payload: &[u8]| {
@@ -434,9 +432,7 @@
 
 #[test]
 fn health_and_reflection_answer_too() {
-    let node = node();
-    let service = Service::start(&file(&node, 10.0, 10.0, ""));
-    let address = asked_at(&service);
+    let Rooms { node: _node, service: _service, address } = Rooms::start(10.0, 10.0, "");
     block(async {
         use tonic_health::pb::health_check_response::ServingStatus;
         use tonic_health::pb::{health_client::HealthClient, HealthCheckRequest};
