--- a/crates/account/src/interval.rs
+++ b/crates/account/src/interval.rs
@@ -1,6 +1,6 @@
 //! Sums over the records of one interval of time, of all processes.
 
-use crate::record::{Belief, NodeState, Record};
+use crate::record::{NodeHealth, NodeState, Record};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct LossCause {
     /// How the request ended: `served` (too late), `refused`, `failed` or `gone`.
-    pub end: String,
+    pub outcome: String,
     /// The rule that rejected or failed it; empty where it was served.
-    pub why: String,
+    pub reason: String,
     /// Name of its class.
     pub class: String,
 }
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LossSum {
     pub(crate) requests: u32,
-    pub(crate) worth: f64,
+    pub(crate) value: f64,
 }
 
 /// Sums of one interval.
@@ -33,7 +33,7 @@
     pub(crate) in_time: f64,
     pub(crate) losses: BTreeMap<LossCause, LossSum>,
     nodes: BTreeMap<String, NodeSums>,
-    calls: [u32; 3],
+    counter_calls: [u32; 3],
     states: StateSums,
 }
 
@@ -41,10 +41,10 @@
 #[derive(Default)]
 struct StateSums {
     records: u32,
-    room: f64,
-    out: f64,
-    pace: f64,
-    spacing: f64,
+    concurrency_limit: f64,
+    in_flight: f64,
+    relative_latency: f64,
+    counter_interval: f64,
 }
 
 /// Attempts at a node, and what was believed of it.
@@ -54,31 +54,41 @@
     served: u32,
     timeouts: u32,
     /// Microseconds, of the attempts that were served.
-    waited: u64,
-    beliefs: BTreeMap<Belief, u32>,
-    slow: f64,
+    duration: u64,
+    health: BTreeMap<NodeHealth, u32>,
+    relative_latency: f64,
 }
 
 impl Interval {
     pub(crate) fn add(&mut self, record: Record) {
         match record {
-            Record::Final { class, worth, end, why, age, aim, .. } => {
-                self.offered += worth;
-                if end == "served" && age <= aim {
-                    self.in_time += worth;
+            Record::Final { class, value, outcome, reason, latency, latency_target, .. } => {
+                self.offered += value;
+                if outcome == "served" && latency <= latency_target {
+                    self.in_time += value;
                 } else {
-                    self.losses.entry(LossCause { end, why, class }).or_default().add(1, worth);
+                    self.losses.entry(LossCause { outcome, reason, class }).or_default().add(1, value);
                 }
             }
-            Record::Attempt { node, outcome, waited, .. } => {
-                self.nodes.entry(node).or_default().add_attempt(&outcome, waited);
+            Record::Attempt { node, outcome, duration, .. } => {
+                self.nodes.entry(node).or_default().add_attempt(&outcome, duration);
             }
-            Record::State { room, out, pace, spacing, calls, nodes, .. } => {
+            Record::State {
+                concurrency_limit,
+                in_flight,
+                relative_latency,
+                counter_interval,
+                counter_calls,
+                nodes,
+                ..
+            } => {
                 let sums = &mut self.states;
                 sums.records += 1;
-                (sums.room, sums.out) = (sums.room + room, sums.out + out as f64);
-                (sums.pace, sums.spacing) = (sums.pace + pace, sums.spacing + spacing);
-                self.calls.iter_mut().zip(calls).for_each(|(all, new)| *all += new);
+                (sums.concurrency_limit, sums.in_flight) =
+                    (sums.concurrency_limit + concurrency_limit, sums.in_flight + in_flight as f64);
+                (sums.relative_latency, sums.counter_interval) =
+                    (sums.relative_latency + relative_latency, sums.counter_interval + counter_interval);
+                self.counter_calls.iter_mut().zip(counter_calls).for_each(|(sum, new)| *sum += new);
                 self.add_node_states(nodes);
             }
         }
@@ -86,27 +96,27 @@
 
     fn add_node_states(&mut self, nodes: Vec<NodeState>) {
         for node in nodes {
-            let sums = self.nodes.entry(node.node).or_default();
-            *sums.beliefs.entry(node.belief).or_default() += 1;
-            sums.slow += node.slow;
+            let sums = self.nodes.entry(node.name).or_default();
+            *sums.health.entry(node.health).or_default() += 1;
+            sums.relative_latency += node.relative_latency;
         }
     }
 }
 
 impl LossSum {
-    pub(crate) fn add(&mut self, requests: u32, worth: f64) {
+    pub(crate) fn add(&mut self, requests: u32, value: f64) {
         self.requests += requests;
-        self.worth += worth;
+        self.value += value;
     }
 }
 
 impl NodeSums {
-    fn add_attempt(&mut self, outcome: &str, waited: u64) {
+    fn add_attempt(&mut self, outcome: &str, duration: u64) {
         self.attempts += 1;
         match outcome {
             "Ok" => {
                 self.served += 1;
-                self.waited += waited;
+                self.duration += duration;
             }
             "Timeout" => self.timeouts += 1,
             _ => {}
@@ -118,19 +128,19 @@
 impl fmt::Display for Interval {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let in_time = if self.offered > 0.0 { self.in_time / self.offered * 100.0 } else { 100.0 };
-        let [calls, unanswered, failed] = self.calls;
+        let [calls, unanswered, failed] = self.counter_calls;
         let states = &self.states;
         writeln!(
             f,
             "in time {in_time:.1}%  {states}  calls {calls} unanswered {unanswered} failed {failed}"
         )?;
         let mut losses: Vec<_> = self.losses.iter().collect();
-        losses.sort_by(|a, b| b.1.worth.total_cmp(&a.1.worth));
-        for (LossCause { end, why, class }, LossSum { requests, worth }) in
+        losses.sort_by(|a, b| b.1.value.total_cmp(&a.1.value));
+        for (LossCause { outcome, reason, class }, LossSum { requests, value }) in
             losses.into_iter().take(SHOWN_LOSSES)
         {
-            let share = worth / self.offered * 100.0;
-            writeln!(f, "    lost {share:5.1}%  {requests:5} times  {end:8} {why:10} {class}")?;
+            let share = value / self.offered * 100.0;
+            writeln!(f, "    lost {share:5.1}%  {requests:5} times  {outcome:8} {reason:10} {class}")?;
         }
         for (node, sums) in &self.nodes {
             writeln!(f, "    {node:12} {sums}")?;
@@ -145,28 +155,28 @@
         write!(
             f,
             "room {:.1} out {:.1} pace {:.1} spacing {:.0} ms",
-            self.room / records,
-            self.out / records,
-            self.pace / records,
-            self.spacing / records / 1e3
+            self.concurrency_limit / records,
+            self.in_flight / records,
+            self.relative_latency / records,
+            self.counter_interval / records / 1e3
         )
     }
 }
 
 impl fmt::Display for NodeSums {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let states: u32 = self.beliefs.values().sum();
-        let beliefs: Vec<_> =
-            self.beliefs.iter().map(|(belief, times)| format!("{belief:?} {times}")).collect();
+        let states: u32 = self.health.values().sum();
+        let health: Vec<_> =
+            self.health.iter().map(|(health, times)| format!("{health:?} {times}")).collect();
         write!(
             f,
             "attempts {:5} served {:5} timeouts {:5}  mean {:4} ms  slow {:4.1}  {}",
             self.attempts,
             self.served,
             self.timeouts,
-            self.waited / u64::from(self.served.max(1)) / 1000,
-            self.slow / f64::from(states.max(1)),
-            beliefs.join(", ")
+            self.duration / u64::from(self.served.max(1)) / 1000,
+            self.relative_latency / f64::from(states.max(1)),
+            health.join(", ")
         )
     }
 }
--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -11,11 +11,11 @@
 //! use violetyoke_account::{LossReport, Record};
 //!
 //! let record = Record::Attempt {
-//!     at: 1_000_000,
+//!     timestamp: 1_000_000,
 //!     process: 7,
 //!     node: "n1".into(),
 //!     outcome: "Ok".into(),
-//!     waited: 20_000,
+//!     duration: 20_000,
 //! };
 //! let line = record.to_log_line().unwrap();
 //! assert!(line.starts_with("account={\"kind\":\"attempt\","));
@@ -27,5 +27,5 @@
 mod record;
 mod report;
 
-pub use record::{Belief, NodeState, Record, RECORD_PREFIX};
+pub use record::{NodeHealth, NodeState, Record, RECORD_PREFIX};
 pub use report::{Loss, LossCause, LossReport, Totals};
--- a/crates/account/src/record.rs
+++ b/crates/account/src/record.rs
@@ -12,7 +12,8 @@
     /// A request has got its final response.
     Final {
         /// When.
-        at: u64,
+        #[serde(rename = "at")]
+        timestamp: u64,
         /// Process id of the ingress.
         process: u32,
         /// Name of the request's class.
@@ -20,22 +21,28 @@
         /// Name of the customer's plan.
         plan: String,
         /// Value of its class times priority weight of its plan times its units.
-        worth: f64,
+        #[serde(rename = "worth")]
+        value: f64,
         /// `served`, `refused`, `failed` or `gone` (the client went away).
-        end: String,
+        #[serde(rename = "end")]
+        outcome: String,
         /// The rule that rejected or failed it; empty where it was served.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
         /// From its last byte to the response.
-        age: u64,
+        #[serde(rename = "age")]
+        latency: u64,
         /// Latency target of its class.
-        aim: u64,
+        #[serde(rename = "aim")]
+        latency_target: u64,
         /// Attempts made for it.
         attempts: u8,
     },
     /// An attempt has ended.
     Attempt {
         /// When.
-        at: u64,
+        #[serde(rename = "at")]
+        timestamp: u64,
         /// Process id of the ingress.
         process: u32,
         /// Name of the node.
@@ -43,26 +50,34 @@
         /// The outcome, as the decision module names it: `Ok`, `Timeout` and others.
         outcome: String,
         /// From its sending to its end.
-        waited: u64,
+        #[serde(rename = "waited")]
+        duration: u64,
     },
     /// What the process believes, once a second.
     State {
         /// When.
-        at: u64,
+        #[serde(rename = "at")]
+        timestamp: u64,
         /// Process id of the ingress.
         process: u32,
         /// Limit of attempts in flight; 0: none yet.
-        room: f64,
+        #[serde(rename = "room")]
+        concurrency_limit: f64,
         /// Attempts in flight.
-        out: usize,
+        #[serde(rename = "out")]
+        in_flight: usize,
         /// Response times against the best ones of all nodes.
-        pace: f64,
+        #[serde(rename = "pace")]
+        relative_latency: f64,
         /// Time between a customer's calls to the counting service, from which on each request calls it.
-        spacing: f64,
+        #[serde(rename = "spacing")]
+        counter_interval: f64,
         /// Errors of the counting service in a row.
-        bad: u32,
+        #[serde(rename = "bad")]
+        counter_errors: u32,
         /// Calls to the counting service that ended since the last record: all, timed out, and rejected or failed.
-        calls: [u32; 3],
+        #[serde(rename = "calls")]
+        counter_calls: [u32; 3],
         /// Each node.
         nodes: Vec<NodeState>,
     },
@@ -72,21 +87,26 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct NodeState {
     /// Its name.
-    pub node: String,
+    #[serde(rename = "node")]
+    pub name: String,
     /// Whether it is used.
-    pub belief: Belief,
+    #[serde(rename = "belief")]
+    pub health: NodeHealth,
     /// Its response times against the usual ones of all nodes.
-    pub slow: f64,
+    #[serde(rename = "slow")]
+    pub relative_latency: f64,
     /// Its share of failures.
-    pub fails: f64,
+    #[serde(rename = "fails")]
+    pub failure_rate: f64,
     /// Attempts in flight to it.
-    pub out: u32,
+    #[serde(rename = "out")]
+    pub in_flight: u32,
 }
 
 /// Whether a process uses a node. The names stand in records and in reports.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Belief {
+pub enum NodeHealth {
     /// It gets its share.
     Ready,
     /// It is warming up, and gets less (slow start).
@@ -99,9 +119,11 @@
 
 impl Record {
     /// When it was written, in microseconds of Unix time.
-    pub fn at(&self) -> u64 {
+    pub fn timestamp(&self) -> u64 {
         match self {
-            Record::Final { at, .. } | Record::Attempt { at, .. } | Record::State { at, .. } => *at,
+            Record::Final { timestamp, .. }
+            | Record::Attempt { timestamp, .. }
+            | Record::State { timestamp, .. } => *timestamp,
         }
     }
 
--- a/crates/account/src/report.rs
+++ b/crates/account/src/report.rs
@@ -38,7 +38,7 @@
     /// Number of requests.
     pub requests: u32,
     /// Their value.
-    pub worth: f64,
+    pub value: f64,
 }
 
 impl LossReport {
@@ -69,11 +69,11 @@
 
     /// Adds one record.
     pub fn add(&mut self, record: Record) {
-        self.first = self.first.min(record.at());
+        self.first = self.first.min(record.timestamp());
         if let Record::Final { process, .. } = &record {
             self.processes.insert(*process);
         }
-        self.intervals.entry(record.at() / self.interval).or_default().add(record);
+        self.intervals.entry(record.timestamp() / self.interval).or_default().add(record);
     }
 
     /// Records that could not be read: a log may be cut off in the middle of one.
@@ -88,16 +88,16 @@
         for interval in self.intervals.values() {
             (offered, in_time) = (offered + interval.offered, in_time + interval.in_time);
             for (cause, sum) in &interval.losses {
-                losses.entry(cause).or_default().add(sum.requests, sum.worth);
+                losses.entry(cause).or_default().add(sum.requests, sum.value);
             }
         }
         let loss = |(cause, sum): (&LossCause, LossSum)| Loss {
             cause: cause.clone(),
             requests: sum.requests,
-            worth: sum.worth,
+            value: sum.value,
         };
         let mut losses: Vec<Loss> = losses.into_iter().map(loss).collect();
-        losses.sort_by(|a, b| b.worth.total_cmp(&a.worth));
+        losses.sort_by(|a, b| b.value.total_cmp(&a.value));
         Totals { offered, in_time, losses }
     }
 }
@@ -105,11 +105,11 @@
 impl fmt::Display for LossReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Totals { offered, in_time, losses } = self.totals();
-        let percent = |worth: f64| if offered > 0.0 { worth / offered * 100.0 } else { 0.0 };
+        let percent = |value: f64| if offered > 0.0 { value / offered * 100.0 } else { 0.0 };
         writeln!(f, "processes={} unread={}", self.processes.len(), self.unreadable)?;
         writeln!(f, "worth asked for {offered:.0}, in time {:.1}%; lost:", percent(in_time))?;
-        for Loss { cause: LossCause { end, why, class }, requests, worth } in &losses {
-            writeln!(f, "  {:5.1}%  {requests:6} times  {end:8} {why:10} {class}", percent(*worth))?;
+        for Loss { cause: LossCause { outcome, reason, class }, requests, value } in &losses {
+            writeln!(f, "  {:5.1}%  {requests:6} times  {outcome:8} {reason:10} {class}", percent(*value))?;
         }
         for (number, interval) in &self.intervals {
             let from = (number * self.interval).saturating_sub(self.first) as f64 / 1e6;
--- a/crates/account/tests/loss_report.rs
+++ b/crates/account/tests/loss_report.rs
@@ -1,12 +1,23 @@
 //! The report made of a log: what is counted, and what is passed over.
 
 use std::time::Duration;
-use violetyoke_account::{Belief, Loss, LossCause, LossReport, NodeState, Record};
+use violetyoke_account::{Loss, LossCause, LossReport, NodeHealth, NodeState, Record};
 
-fn final_record(at: u64, end: &str, why: &str, age: u64, worth: f64) -> Record {
+fn final_record(timestamp: u64, outcome: &str, reason: &str, latency: u64, value: f64) -> Record {
     let (class, plan) = ("read".to_string(), "basic".to_string());
-    let (end, why) = (end.to_string(), why.to_string());
-    Record::Final { at, process: 1, class, plan, worth, end, why, age, aim: 500_000, attempts: 1 }
+    let (outcome, reason) = (outcome.to_string(), reason.to_string());
+    Record::Final {
+        timestamp,
+        process: 1,
+        class,
+        plan,
+        value,
+        outcome,
+        reason,
+        latency,
+        latency_target: 500_000,
+        attempts: 1,
+    }
 }
 
 #[test]
@@ -23,9 +34,9 @@
     assert_eq!(report.add_log(&log), 4);
     let totals = report.totals();
     assert_eq!((totals.offered, totals.in_time), (10.0, 2.0));
-    let loss = |end: &str, why: &str, requests: u32, worth: f64| {
-        let cause = LossCause { end: end.into(), why: why.into(), class: "read".into() };
-        Loss { cause, requests, worth }
+    let loss = |outcome: &str, reason: &str, requests: u32, value: f64| {
+        let cause = LossCause { outcome: outcome.into(), reason: reason.into(), class: "read".into() };
+        Loss { cause, requests, value }
     };
     assert_eq!(totals.losses, [loss("refused", "Held", 2, 5.0), loss("served", "", 1, 3.0)]);
 }
@@ -41,22 +52,45 @@
 
 #[test]
 fn state_record_reads_back_as_it_was_written() {
-    let nodes = vec![NodeState { node: "n1".into(), belief: Belief::Cold, slow: 1.5, fails: 0.25, out: 3 }];
-    let (room, pace, spacing, calls) = (8.0, 1.25, 0.0, [3, 2, 1]);
-    let state = Record::State { at: 7, process: 2, room, out: 4, pace, spacing, bad: 1, calls, nodes };
+    let nodes = vec![NodeState {
+        name: "n1".into(),
+        health: NodeHealth::Cold,
+        relative_latency: 1.5,
+        failure_rate: 0.25,
+        in_flight: 3,
+    }];
+    let (concurrency_limit, relative_latency, counter_interval, counter_calls) = (8.0, 1.25, 0.0, [3, 2, 1]);
+    let state = Record::State {
+        timestamp: 7,
+        process: 2,
+        concurrency_limit,
+        in_flight: 4,
+        relative_latency,
+        counter_interval,
+        counter_errors: 1,
+        counter_calls,
+        nodes,
+    };
     assert_eq!(Record::parse_log_line(&state.to_log_line().unwrap()).unwrap().unwrap(), state);
 }
 
 #[test]
 fn report_shows_losses_and_nodes_by_interval() {
-    let nodes = vec![NodeState { node: "n1".into(), belief: Belief::Cold, slow: 1.5, fails: 0.25, out: 3 }];
-    let (room, pace, spacing, calls) = (8.0, 1.25, 2_000.0, [3, 2, 1]);
-    let attempt = |outcome: &str, waited: u64| Record::Attempt {
-        at: 1_200_000,
+    let nodes = vec![NodeState {
+        name: "n1".into(),
+        health: NodeHealth::Cold,
+        relative_latency: 1.5,
+        failure_rate: 0.25,
+        in_flight: 3,
+    }];
+    let (concurrency_limit, relative_latency, counter_interval, counter_calls) =
+        (8.0, 1.25, 2_000.0, [3, 2, 1]);
+    let attempt = |outcome: &str, duration: u64| Record::Attempt {
+        timestamp: 1_200_000,
         process: 1,
         node: "n1".into(),
         outcome: outcome.into(),
-        waited,
+        duration,
     };
     let mut report = LossReport::new(Duration::from_secs(1));
     for record in [
@@ -64,7 +98,17 @@
         final_record(1_100_000, "served", "", 600_000, 3.0),
         attempt("Ok", 30_000),
         attempt("Timeout", 50_000),
-        Record::State { at: 1_300_000, process: 1, room, out: 4, pace, spacing, bad: 1, calls, nodes },
+        Record::State {
+            timestamp: 1_300_000,
+            process: 1,
+            concurrency_limit,
+            in_flight: 4,
+            relative_latency,
+            counter_interval,
+            counter_errors: 1,
+            counter_calls,
+            nodes,
+        },
         final_record(2_500_000, "refused", "Held", 100, 1.0),
     ] {
         report.add(record);
--- a/crates/ingress/src/account.rs
+++ b/crates/ingress/src/account.rs
@@ -2,7 +2,7 @@
 
 use crate::ClientRequest;
 use std::collections::HashMap;
-use violetyoke_account::{Belief, NodeState, Record};
+use violetyoke_account::{NodeHealth, NodeState, Record};
 use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RequestId, Settings, Why};
 use violetyoke_decision::view::{BackendView, FleetView};
 
@@ -58,22 +58,22 @@
         let (class, value, aim) = self.classes.get(usize::from(begun.class)).cloned().unwrap_or_default();
         let (plan, price) = self.plans.get(usize::from(begun.plan)).cloned().unwrap_or_default();
         write(&Record::Final {
-            at,
+            timestamp: at,
             process: self.process,
             class,
             plan,
-            worth: value * price * begun.units,
-            end: end.into(),
-            why: why.map(|why| format!("{why:?}")).unwrap_or_default(),
-            age: at.saturating_sub(begun.arrived),
-            aim,
+            value: value * price * begun.units,
+            outcome: end.into(),
+            reason: why.map(|why| format!("{why:?}")).unwrap_or_default(),
+            latency: at.saturating_sub(begun.arrived),
+            latency_target: aim,
             attempts,
         });
     }
 
     pub fn attempt(&self, at: Micros, node: &str, end: &AttemptEnd) {
         let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.waited);
-        write(&Record::Attempt { at, process: self.process, node, outcome, waited });
+        write(&Record::Attempt { timestamp: at, process: self.process, node, outcome, duration: waited });
     }
 
     pub fn call(&mut self, outcome: Outcome) {
@@ -84,20 +84,30 @@
 
     pub fn state(&mut self, at: Micros, view: FleetView, name: impl Fn(u32) -> String) {
         let node = |backend: &BackendView| NodeState {
-            node: name(backend.id),
-            belief: match backend {
-                BackendView { away: true, .. } => Belief::Away,
-                BackendView { left_out: true, .. } => Belief::LeftOut,
-                BackendView { cold: true, .. } => Belief::Cold,
-                _ => Belief::Ready,
+            name: name(backend.id),
+            health: match backend {
+                BackendView { away: true, .. } => NodeHealth::Away,
+                BackendView { left_out: true, .. } => NodeHealth::LeftOut,
+                BackendView { cold: true, .. } => NodeHealth::Cold,
+                _ => NodeHealth::Ready,
             },
-            slow: backend.slow,
-            fails: backend.fails,
-            out: backend.out,
+            relative_latency: backend.slow,
+            failure_rate: backend.fails,
+            in_flight: backend.out,
         };
         let FleetView { room, out, pace, spacing, bad, backends } = view;
         let (nodes, calls) = (backends.iter().map(node).collect(), std::mem::take(&mut self.calls));
-        write(&Record::State { at, process: self.process, room, out, pace, spacing, bad, calls, nodes });
+        write(&Record::State {
+            timestamp: at,
+            process: self.process,
+            concurrency_limit: room,
+            in_flight: out,
+            relative_latency: pace,
+            counter_interval: spacing,
+            counter_errors: bad,
+            counter_calls: calls,
+            nodes,
+        });
     }
 }
 
--- a/crates/violetyoke/tests/account.rs
+++ b/crates/violetyoke/tests/account.rs
@@ -42,8 +42,8 @@
             log.iter().filter_map(|line| Record::parse_log_line(line)).map(Result::unwrap).collect();
         let has = |of: &dyn Fn(&Record) -> bool| records.iter().any(of);
         has(&|record| {
-            matches!(record, Record::Final { end, class, worth, .. }
-                if end == "served" && !class.is_empty() && *worth > 0.0)
+            matches!(record, Record::Final { outcome, class, value, .. }
+                if outcome == "served" && !class.is_empty() && *value > 0.0)
         }) && has(&|record| {
             matches!(record, Record::Attempt { node, outcome, .. }
                 if node == "s-0" && outcome == "Ok")
