--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -138,7 +138,7 @@
     /// Attempts that the decision module asked for.
     pub attempts: u8,
     /// The rule that gave the request up, if one did.
-    pub why: Option<Why>,
+    pub reason: Option<Why>,
     /// The state of its customer's quota, for a client that wants it ([`Port::wants_quota`]).
     pub quota: Option<Standing>,
 }
--- a/crates/exchange/src/requests.rs
+++ b/crates/exchange/src/requests.rs
@@ -67,12 +67,12 @@
         now: Micros,
         request: RequestId,
         response: FinalResponse<P::Response>,
-        why: Option<Why>,
+        reason: Option<Why>,
     ) {
         let Some(open) = self.requests.remove(&request) else { return };
         let wants_quota = self.port.wants_quota(&open.client);
         let quota = if wants_quota { self.gateway.standing(open.customer) } else { None };
-        let summary = RequestSummary { request, attempts: open.attempts, why, quota };
+        let summary = RequestSummary { request, attempts: open.attempts, reason, quota };
         self.port.respond(now, summary, open.client, response);
         if let Some(in_flight) = open.in_flight {
             self.cancel(now, request, in_flight, Outcome::Cancelled);
--- a/crates/ingress/src/port.rs
+++ b/crates/ingress/src/port.rs
@@ -187,7 +187,7 @@
         response: FinalResponse<Answer>,
     ) {
         if let Some(account) = &mut self.account {
-            account.over(now, summary.request, summary.attempts, response.kind(), summary.why);
+            account.over(now, summary.request, summary.attempts, response.kind(), summary.reason);
         }
         let answer = match response {
             FinalResponse::Served(answer) => answer,
--- a/crates/lab/src/reference.rs
+++ b/crates/lab/src/reference.rs
@@ -34,7 +34,7 @@
 
     fn answer(&mut self, request: RequestId, why: Option<Why>, response: FinalResponse<()>) {
         let attempts = self.open.remove(&request).map_or(0, |open| open.attempts);
-        let summary = RequestSummary { request, attempts, why, quota: None };
+        let summary = RequestSummary { request, attempts, reason: why, quota: None };
         self.wires.out.push(Command::Answer { summary, response });
     }
 
--- a/crates/lab/src/world/ingresses.rs
+++ b/crates/lab/src/world/ingresses.rs
@@ -236,7 +236,7 @@
                 }
                 Command::Answer { summary, response } => {
                     // Only this rule speaks of a total.
-                    let refused = (summary.why == Some(Why::Quota)).then_some(false);
+                    let refused = (summary.reason == Some(Why::Quota)).then_some(false);
                     self.believed(number, AttemptId { request: summary.request, number: 0 }, refused);
                     self.ingresses[number].open.remove(&summary.request);
                     self.checker.on_answered(self.now, summary.request);
@@ -248,9 +248,9 @@
                         match response {
                             FinalResponse::Served(()) | FinalResponse::Admitted => Got::Served,
                             FinalResponse::Refused { retry_after } => {
-                                Got::Refused { retry_after, why: summary.why }
+                                Got::Refused { retry_after, why: summary.reason }
                             }
-                            FinalResponse::Failed => Got::Failed { why: summary.why },
+                            FinalResponse::Failed => Got::Failed { why: summary.reason },
                         },
                     );
                 }
