--- a/crates/account/src/interval.rs
+++ b/crates/account/src/interval.rs
@@ -1,43 +1,45 @@
-//! Sums over the records of one interval of time, of all processes.
+//! Sums over the records of all processes in one interval of time.
 
 use crate::record::{NodeHealth, NodeState, Record};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Lines of an interval that name causes of loss; the largest are shown.
+/// At most this many causes of loss are listed for each interval, the largest first.
 const SHOWN_LOSSES: usize = 5;
 
-/// A way in which value is lost.
+/// How value was lost: the requests with this outcome, reason and class.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct LossCause {
     /// How the request ended: `served` (too late), `refused`, `failed` or `gone`.
     pub outcome: String,
-    /// The rule that rejected or failed it; empty where it was served.
+    /// The rule that rejected or failed the request; empty if it was served.
     pub reason: String,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
 }
 
-/// Requests, and the value that was lost with them.
+/// Number of requests and their lost value.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LossSum {
     pub(crate) requests: u32,
     pub(crate) value: f64,
 }
 
-/// Sums of one interval.
+/// Sums over the records of one interval.
 #[derive(Default)]
 pub(crate) struct Interval {
-    /// Value of all requests, and of those that were answered within their latency target.
+    /// Value of all requests.
     pub(crate) offered: f64,
+    /// Value of the requests that were answered within their latency target.
     pub(crate) in_time: f64,
     pub(crate) losses: BTreeMap<LossCause, LossSum>,
     nodes: BTreeMap<String, NodeSums>,
+    /// Calls to the counter service: all, timed out, and rejected or failed.
     counter_calls: [u32; 3],
     states: StateSums,
 }
 
-/// Sums over records of state, for means.
+/// Sums over [`Record::State`] records, from which means are computed.
 #[derive(Default)]
 struct StateSums {
     records: u32,
@@ -47,15 +49,17 @@
     counter_interval: f64,
 }
 
-/// Attempts at a node, and what was believed of it.
+/// Attempts sent to a node, and the health that ingresses recorded for it.
 #[derive(Default)]
 struct NodeSums {
     attempts: u32,
     served: u32,
     timeouts: u32,
-    /// Microseconds, of the attempts that were served.
+    /// Total duration of the served attempts (µs).
     duration: u64,
+    /// Number of records with each state of health.
     health: BTreeMap<NodeHealth, u32>,
+    /// Sum over all records of the node's relative latency.
     relative_latency: f64,
 }
 
@@ -124,7 +128,7 @@
     }
 }
 
-/// Everything but the time at which the interval begins, which the report knows.
+/// The text of an interval without its start time, which the report writes.
 impl fmt::Display for Interval {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let in_time = if self.offered > 0.0 { self.in_time / self.offered * 100.0 } else { 100.0 };
@@ -165,9 +169,9 @@
 
 impl fmt::Display for NodeSums {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let states: u32 = self.health.values().sum();
+        let records: u32 = self.health.values().sum();
         let health: Vec<_> =
-            self.health.iter().map(|(health, times)| format!("{health:?} {times}")).collect();
+            self.health.iter().map(|(health, records)| format!("{health:?} {records}")).collect();
         write!(
             f,
             "attempts {:5} served {:5} timeouts {:5}  mean {:4} ms  slow {:4.1}  {}",
@@ -175,7 +179,7 @@
             self.served,
             self.timeouts,
             self.duration / u64::from(self.served.max(1)) / 1000,
-            self.relative_latency / f64::from(states.max(1)),
+            self.relative_latency / f64::from(records.max(1)),
             health.join(", ")
         )
     }
--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decision log: what an ingress decided, and why.
+//! The decision log: the decisions of an ingress and the reasons for them.
 //!
-//! An ingress writes [`Record`]s to its log where it is asked to (the environment variable `VIOLETYOKE_ACCOUNT` is set).
-//! A [`LossReport`] is made of the logs of all ingresses, and shows operators which value was lost, by which rule and
-//! when. Taking the decisions belongs to `violetyoke_decision`, and observing them to the ingress.
+//! An ingress writes [`Record`]s to its log if the environment variable `VIOLETYOKE_ACCOUNT` is set. A [`LossReport`]
+//! summarizes the logs of all ingresses for operators: how much value was lost, by which rule and when. The decisions are
+//! made in `violetyoke_decision` and observed by the ingress; this crate only defines the log and the report.
 //!
-//! A record is one line of the log: [`RECORD_PREFIX`], then JSON. Other lines of a log are passed over.
+//! A record is one line of the log: [`RECORD_PREFIX`], then JSON. Lines without a record are skipped.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/account/src/record.rs
+++ b/crates/account/src/record.rs
@@ -1,17 +1,17 @@
-//! The records of the decision log, and their form in a line of it. The names of fields are keys of that form.
+//! The records of the decision log, and their encoding as lines of text. The JSON keys are part of the log's format.
 
 use serde::{Deserialize, Serialize};
 
-/// What a record begins with. A log may put a time or a name before it.
+/// The prefix of a record's JSON. A logger may put a time or a name before it.
 pub const RECORD_PREFIX: &str = "account=";
 
 /// One record. Points in time are microseconds of Unix time, durations are microseconds.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
-    /// A request has got its final response.
+    /// The final response to a request.
     Final {
-        /// When.
+        /// When the response was sent, or the client disconnected.
         #[serde(rename = "at")]
         timestamp: u64,
         /// Process id of the ingress.
@@ -20,27 +20,27 @@
         class: String,
         /// Name of the customer's plan.
         plan: String,
-        /// Value of its class times priority weight of its plan times its units.
+        /// Value of the class, times the priority weight of the plan, times the request's units.
         #[serde(rename = "worth")]
         value: f64,
-        /// `served`, `refused`, `failed` or `gone` (the client went away).
+        /// `served`, `refused`, `failed` or `gone` (the client disconnected).
         #[serde(rename = "end")]
         outcome: String,
-        /// The rule that rejected or failed it; empty where it was served.
+        /// The rule that rejected or failed the request; empty if it was served.
         #[serde(rename = "why")]
         reason: String,
-        /// From its last byte to the response.
+        /// Time from the last byte of the request to the response.
         #[serde(rename = "age")]
         latency: u64,
-        /// Latency target of its class.
+        /// Latency target of the class.
         #[serde(rename = "aim")]
         latency_target: u64,
-        /// Attempts made for it.
+        /// Attempts made for the request.
         attempts: u8,
     },
-    /// An attempt has ended.
+    /// The end of an attempt.
     Attempt {
-        /// When.
+        /// When the attempt ended.
         #[serde(rename = "at")]
         timestamp: u64,
         /// Process id of the ingress.
@@ -49,76 +49,76 @@
         node: String,
         /// The outcome, as the decision module names it: `Ok`, `Timeout` and others.
         outcome: String,
-        /// From its sending to its end.
+        /// Time from the last byte sent to the node to the end of the attempt.
         #[serde(rename = "waited")]
         duration: u64,
     },
-    /// What the process believes, once a second.
+    /// The state of an ingress, written once a second.
     State {
-        /// When.
+        /// When the state was read.
         #[serde(rename = "at")]
         timestamp: u64,
         /// Process id of the ingress.
         process: u32,
-        /// Limit of attempts in flight; 0: none yet.
+        /// Limit on attempts in flight; 0: none yet.
         #[serde(rename = "room")]
         concurrency_limit: f64,
         /// Attempts in flight.
         #[serde(rename = "out")]
         in_flight: usize,
-        /// Response times against the best ones of all nodes.
+        /// Response times of all nodes relative to their best ones.
         #[serde(rename = "pace")]
         relative_latency: f64,
-        /// Time between a customer's calls to the counting service, from which on each request calls it.
+        /// Time since a customer's last call to the counter service after which each of its requests makes a call.
         #[serde(rename = "spacing")]
         counter_interval: f64,
-        /// Errors of the counting service in a row.
+        /// Errors of the counter service in a row.
         #[serde(rename = "bad")]
         counter_errors: u32,
-        /// Calls to the counting service that ended since the last record: all, timed out, and rejected or failed.
+        /// Calls to the counter service that ended since the last record: all, timed out, and rejected or failed.
         #[serde(rename = "calls")]
         counter_calls: [u32; 3],
-        /// Each node.
+        /// The state of each node.
         nodes: Vec<NodeState>,
     },
 }
 
-/// What a process believes of one node.
+/// The state of a node as an ingress sees it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct NodeState {
-    /// Its name.
+    /// Name of the node.
     #[serde(rename = "node")]
     pub name: String,
-    /// Whether it is used.
+    /// Whether the ingress uses the node.
     #[serde(rename = "belief")]
     pub health: NodeHealth,
-    /// Its response times against the usual ones of all nodes.
+    /// Response times of the node relative to the usual ones of all nodes.
     #[serde(rename = "slow")]
     pub relative_latency: f64,
-    /// Its share of failures.
+    /// Fraction of attempts that failed.
     #[serde(rename = "fails")]
     pub failure_rate: f64,
-    /// Attempts in flight to it.
+    /// Attempts in flight to the node.
     #[serde(rename = "out")]
     pub in_flight: u32,
 }
 
-/// Whether a process uses a node. The names stand in records and in reports.
+/// Whether an ingress uses a node. The names of the variants appear in records and in reports.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeHealth {
-    /// It gets its share.
+    /// The node gets its full share of requests.
     Ready,
-    /// It is warming up, and gets less (slow start).
+    /// The node is warming up and gets a smaller share (slow start).
     Cold,
-    /// It is ejected as it failed, or gets a single attempt after that.
+    /// The node is ejected because of failures, or gets a single attempt after that.
     LeftOut,
-    /// It is draining, removed or ejected by an operator.
+    /// The node is draining, was removed, or was ejected by an operator.
     Away,
 }
 
 impl Record {
-    /// When it was written, in microseconds of Unix time.
+    /// When the record was written, in microseconds of Unix time.
     pub fn timestamp(&self) -> u64 {
         match self {
             Record::Final { timestamp, .. }
@@ -127,18 +127,18 @@
         }
     }
 
-    /// The line of a log for it, without an end of line.
+    /// Encodes the record as a line of a log, without an end of line.
     ///
     /// # Errors
-    /// If it can't be encoded, which no value of this type is known to bring about.
+    /// If the record can't be encoded, which is not known to happen for any value of this type.
     pub fn to_log_line(&self) -> serde_json::Result<String> {
         Ok(format!("{RECORD_PREFIX}{}", serde_json::to_string(self)?))
     }
 
-    /// Reads a line of a log. `None`: it is no record.
+    /// Decodes a line of a log. `None`: the line contains no record.
     ///
     /// # Errors
-    /// If the line is a record that is cut off or damaged.
+    /// If the record in the line is truncated or damaged.
     pub fn parse_log_line(line: &str) -> Option<serde_json::Result<Record>> {
         let (_, record) = line.split_once(RECORD_PREFIX)?;
         Some(serde_json::from_str(record))
--- a/crates/account/src/report.rs
+++ b/crates/account/src/report.rs
@@ -1,4 +1,4 @@
-//! The report made of the decision logs of all ingresses: which value was lost, by which rule, where and when.
+//! The loss report over the decision logs of all ingresses: the lost value by cause, node and time.
 
 use crate::interval::{Interval, LossSum};
 use crate::record::Record;
@@ -8,14 +8,16 @@
 
 pub use crate::interval::LossCause;
 
-/// Sums of records by intervals of time. Its [`Display`](fmt::Display) is the report as text.
+/// Sums over records by interval of time. [`Display`](fmt::Display) writes the report as text.
 pub struct LossReport {
-    /// Length of an interval, in microseconds.
-    interval: u64,
-    /// By the number of the interval since the beginning of Unix time.
+    /// Length of an interval (µs).
+    interval_us: u64,
+    /// Intervals by their number, counted from the start of Unix time.
     intervals: BTreeMap<u64, Interval>,
-    first: u64,
+    /// Time of the earliest record (µs of Unix time).
+    first_timestamp: u64,
     processes: BTreeSet<u32>,
+    /// Records that could not be decoded.
     unreadable: u32,
 }
 
@@ -26,35 +28,35 @@
     pub offered: f64,
     /// Value of the requests that were answered within their latency target.
     pub in_time: f64,
-    /// What was lost, the largest value first.
+    /// Losses by cause, the largest value first.
     pub losses: Vec<Loss>,
 }
 
-/// What was lost by one cause.
+/// The loss from one cause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Loss {
     /// The cause.
     pub cause: LossCause,
-    /// Number of requests.
+    /// Number of requests lost.
     pub requests: u32,
-    /// Their value.
+    /// Value of these requests.
     pub value: f64,
 }
 
 impl LossReport {
-    /// An empty report by intervals of this length, of 1 µs at least.
+    /// Creates an empty report with intervals of this length, at least 1 µs.
     pub fn new(interval: Duration) -> LossReport {
-        let interval = u64::try_from(interval.as_micros()).unwrap_or(u64::MAX).max(1);
+        let interval_us = u64::try_from(interval.as_micros()).unwrap_or(u64::MAX).max(1);
         LossReport {
-            interval,
+            interval_us,
             intervals: BTreeMap::new(),
-            first: u64::MAX,
+            first_timestamp: u64::MAX,
             processes: BTreeSet::new(),
             unreadable: 0,
         }
     }
 
-    /// Adds each record of a log; returns their number, with those that could not be read.
+    /// Adds all records of a log. Returns their number, which includes records that could not be decoded.
     pub fn add_log(&mut self, log: &str) -> usize {
         let mut records = 0;
         for record in log.lines().filter_map(Record::parse_log_line) {
@@ -69,14 +71,14 @@
 
     /// Adds one record.
     pub fn add(&mut self, record: Record) {
-        self.first = self.first.min(record.timestamp());
+        self.first_timestamp = self.first_timestamp.min(record.timestamp());
         if let Record::Final { process, .. } = &record {
             self.processes.insert(*process);
         }
-        self.intervals.entry(record.timestamp() / self.interval).or_default().add(record);
+        self.intervals.entry(record.timestamp() / self.interval_us).or_default().add(record);
     }
 
-    /// Records that could not be read: a log may be cut off in the middle of one.
+    /// Number of records that could not be decoded: a log may be truncated in the middle of a record.
     pub fn unreadable(&self) -> u32 {
         self.unreadable
     }
@@ -112,8 +114,8 @@
             writeln!(f, "  {:5.1}%  {requests:6} times  {outcome:8} {reason:10} {class}", percent(*value))?;
         }
         for (number, interval) in &self.intervals {
-            let from = (number * self.interval).saturating_sub(self.first) as f64 / 1e6;
-            write!(f, "from {from:.1} s: {interval}")?;
+            let start_s = (number * self.interval_us).saturating_sub(self.first_timestamp) as f64 / 1e6;
+            write!(f, "from {start_s:.1} s: {interval}")?;
         }
         Ok(())
     }
--- a/crates/account/tests/loss_report.rs
+++ b/crates/account/tests/loss_report.rs
@@ -1,4 +1,4 @@
-//! The report made of a log: what is counted, and what is passed over.
+//! The loss report over a decision log: which records are counted and which lines are skipped.
 
 use std::time::Duration;
 use violetyoke_account::{Loss, LossCause, LossReport, NodeHealth, NodeState, Record};
@@ -42,16 +42,16 @@
 }
 
 #[test]
-fn other_lines_are_passed_over_and_a_truncated_record_is_counted() {
+fn lines_without_a_record_are_skipped_and_a_truncated_record_is_counted_as_unreadable() {
     let mut report = LossReport::new(Duration::from_secs(1));
-    let whole = final_record(1_000_000, "served", "", 1, 1.0).to_log_line().unwrap();
-    let log = format!("by hand: n1 is out\nno account 7 here\n{whole}\n{}", &whole[..whole.len() - 4]);
+    let record = final_record(1_000_000, "served", "", 1, 1.0).to_log_line().unwrap();
+    let log = format!("by hand: n1 is out\nno account 7 here\n{record}\n{}", &record[..record.len() - 4]);
     assert_eq!((report.add_log(&log), report.unreadable()), (2, 1));
     assert_eq!(report.totals().offered, 1.0);
 }
 
 #[test]
-fn state_record_reads_back_as_it_was_written() {
+fn state_record_round_trips_through_a_log_line() {
     let nodes = vec![NodeState {
         name: "n1".into(),
         health: NodeHealth::Cold,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn report_shows_losses_and_nodes_by_interval() {
+fn report_text_lists_losses_and_nodes_by_interval() {
     let nodes = vec![NodeState {
         name: "n1".into(),
         health: NodeHealth::Cold,
