--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decision log: the decisions of an ingress and the reasons for them.
 //!
 //! An ingress writes [`Record`]s to its log if the environment variable `VIOLETYOKE_ACCOUNT` is set. A [`LossReport`]
-//! summarizes the logs of all ingresses for operators: how much value was lost, by which rule and when. The decisions are
-//! made in `violetyoke_decision` and observed by the ingress; this crate only defines the log and the report.
+//! summarizes the logs of all ingresses for operators: how much value was lost, by which rule and when. The decisions
+//! are made in `violetyoke_decision` and observed by the ingress; this crate only defines the log and the report.
 //!
 //! A record is one line of the log: [`RECORD_PREFIX`], then JSON. Lines without a record are skipped.
 //!
--- a/crates/shares/src/capacity_pool.rs
+++ b/crates/shares/src/capacity_pool.rs
@@ -1,17 +1,17 @@
-//! A bounded resource with a part of it guaranteed to each member, and the rest for whoever comes first.
+//! A bounded resource with a guaranteed amount for each member; the rest is first come, first served.
 //!
-//! What is guaranteed to one member is never lent to another: it must be available at once when a burst begins, and
-//! neither a connection nor a body can be taken back.
+//! A member's guaranteed amount is never lent to another: it must be available at once when a burst begins, and
+//! neither a connection nor a buffered body can be revoked.
 
 use crate::Member;
 use std::collections::BTreeMap;
 
-/// How much each member has acquired. Every call is O(log n) in members.
+/// The amounts that members have acquired. Every call is O(log n) in the number of members.
 #[derive(Debug, Default)]
 pub struct CapacityPool {
     total: u64,
     members: BTreeMap<Member, Allocation>,
-    /// The sum over the members of what each uses or is guaranteed, whichever is more.
+    /// The sum over all members of the amount in use or the guaranteed amount, whichever is greater.
     committed: u64,
 }
 
@@ -29,35 +29,35 @@
 }
 
 impl CapacityPool {
-    /// A pool of `total` units, without members.
+    /// Creates a pool of `total` units, without members.
     #[must_use]
     pub fn new(total: u64) -> CapacityPool {
         CapacityPool { total, ..CapacityPool::default() }
     }
 
-    /// Changes the total; what is in use beyond it stays in use until it is released.
+    /// Changes the total. An excess that is in use stays in use until it is released.
     pub fn resize(&mut self, total: u64) {
         self.total = total;
     }
 
-    /// Adds a member or changes its limits: `guaranteed` is always available to it, and `max` what it may use in all.
-    /// It keeps what it has acquired.
+    /// Adds a member or changes its limits: `guaranteed` units are always available to it, and it may use at most
+    /// `max`. The member keeps what it has acquired.
     pub fn set_limits(&mut self, member: Member, guaranteed: u64, max: u64) {
         self.change(member, |allocation| (allocation.guaranteed, allocation.max) = (guaranteed, max));
     }
 
-    /// Removes a member. Its part is available to the others once it has released what it uses.
+    /// Removes a member. Its guaranteed amount is available to the others at once, what it uses after its release.
     pub fn retire(&mut self, member: Member) {
         self.set_limits(member, 0, 0);
     }
 
-    /// What a member uses now.
+    /// The amount that a member uses now.
     #[must_use]
     pub fn used(&self, member: Member) -> u64 {
         self.members.get(&member).map_or(0, |allocation| allocation.used)
     }
 
-    /// What a member could acquire now.
+    /// The amount that a member could acquire now.
     #[must_use]
     pub fn available(&self, member: Member) -> u64 {
         let Some(allocation) = self.members.get(&member) else { return 0 };
@@ -66,7 +66,7 @@
         free.min(allocation.max.saturating_sub(allocation.used))
     }
 
-    /// Acquires `amount` for a member, all of it or nothing; whether it did.
+    /// Acquires `amount` for a member, either completely or not at all. Returns whether it was acquired.
     #[must_use]
     pub fn try_acquire(&mut self, member: Member, amount: u64) -> bool {
         let fits = amount <= self.available(member);
@@ -76,12 +76,12 @@
         fits
     }
 
-    /// Counts `amount` for a member whether or not it fits: it is in use already.
+    /// Adds `amount` to a member's use even if it exceeds the limits, for what is in use already.
     pub fn acquire_unchecked(&mut self, member: Member, amount: u64) {
         self.change(member, |allocation| allocation.used += amount);
     }
 
-    /// Gives back what a member has acquired.
+    /// Releases `amount` of what a member has acquired.
     pub fn release(&mut self, member: Member, amount: u64) {
         self.change(member, |allocation| allocation.used = allocation.used.saturating_sub(amount));
     }
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -1,7 +1,8 @@
-//! How several pools or tenants share one process, without I/O and without a clock.
+//! Sharing of one process between several pools or tenants, without I/O and without a clock.
 //!
-//! [`FairScheduler`] says whose turn on the core is next, by weight. [`CapacityPool`] says who may acquire more of a
-//! bounded resource (descriptors, buffered bytes, open requests), with a guaranteed part for each.
+//! [`FairScheduler`] selects the member that runs next on the CPU core, by weight. [`CapacityPool`] decides which
+//! member may acquire more of a bounded resource (file descriptors, buffered bytes, open requests); each has a
+//! guaranteed amount.
 //!
 //! ```
 //! use violetyoke_shares::CapacityPool;
@@ -9,7 +10,7 @@
 //! let mut descriptors = CapacityPool::new(100);
 //! descriptors.set_limits(1, 20, 100);
 //! descriptors.set_limits(2, 30, 100);
-//! // What is guaranteed to the second member is not lent to the first.
+//! // The first member can't use what is guaranteed to the second.
 //! assert!(descriptors.try_acquire(1, 70));
 //! assert!(!descriptors.try_acquire(1, 1));
 //! assert!(descriptors.try_acquire(2, 30));
@@ -21,5 +22,5 @@
 pub use capacity_pool::CapacityPool;
 pub use fair_scheduler::FairScheduler;
 
-/// One of those who share. Numbers are given by the caller and may be given again once removed.
+/// A member of a pool or scheduler. The caller assigns the numbers and may reuse one after its member was removed.
 pub type Member = usize;
--- a/crates/shares/tests/capacity_pool.rs
+++ b/crates/shares/tests/capacity_pool.rs
@@ -1,4 +1,4 @@
-//! What is guaranteed is always there, and nothing is given out twice.
+//! Guaranteed amounts are always available, and the total is never exceeded.
 
 use proptest::prelude::*;
 use violetyoke_shares::CapacityPool;
@@ -43,11 +43,11 @@
 }
 
 #[test]
-fn unchecked_acquisitions_count_even_where_they_do_not_fit() {
+fn unchecked_acquisitions_count_even_if_they_exceed_the_limits() {
     let mut pool = pool();
     pool.acquire_unchecked(1, 90);
     assert_eq!(pool.available(1), 0);
-    // The other's guaranteed part is short by what was forced, but not below nothing.
+    // The unchecked excess reduces what the other member can acquire of its guaranteed amount.
     assert_eq!(pool.available(2), 10);
     pool.release(1, 90);
     assert_eq!(pool.available(2), 80);
@@ -60,20 +60,20 @@
         steps in prop::collection::vec((0usize..4, 1u64..40, any::<bool>()), 0..200),
     ) {
         let mut pool = CapacityPool::new(100);
-        for (member, part) in guaranteed.iter().enumerate() {
-            pool.set_limits(member, *part, 100);
+        for (member, amount) in guaranteed.iter().enumerate() {
+            pool.set_limits(member, *amount, 100);
         }
-        for (member, amount, takes) in steps {
-            if takes {
+        for (member, amount, acquires) in steps {
+            if acquires {
                 let fits = amount <= pool.available(member);
                 prop_assert_eq!(pool.try_acquire(member, amount), fits);
             } else {
                 pool.release(member, amount.min(pool.used(member)));
             }
-            let all: u64 = (0..4).map(|member| pool.used(member)).sum();
-            prop_assert!(all <= 100);
-            for (member, part) in guaranteed.iter().enumerate() {
-                prop_assert!(pool.used(member) + pool.available(member) >= *part, "{} of {:?}", member, pool);
+            let total_used: u64 = (0..4).map(|member| pool.used(member)).sum();
+            prop_assert!(total_used <= 100);
+            for (member, amount) in guaranteed.iter().enumerate() {
+                prop_assert!(pool.used(member) + pool.available(member) >= *amount, "{} of {:?}", member, pool);
             }
         }
     }
--- a/crates/shares/tests/fair_scheduler.rs
+++ b/crates/shares/tests/fair_scheduler.rs
@@ -1,4 +1,4 @@
-//! Turns by weight: parts, bounds, and that neither idling nor debt is of use to anyone.
+//! Shares by weight, the stated bounds, and that no member gains by idling or by overrunning its credit.
 
 #![cfg(test)]
 
@@ -6,10 +6,14 @@
 use std::collections::BTreeMap;
 use violetyoke_shares::FairScheduler;
 
-/// Plays `rounds` turns of members that always have more to do.
-fn play(scheduler: &mut FairScheduler, cost: impl Fn(usize) -> u64, rounds: usize) -> BTreeMap<usize, u64> {
+/// Runs `turns` turns of members that always have more work. Returns the cost that each member used.
+fn run_turns(
+    scheduler: &mut FairScheduler,
+    cost: impl Fn(usize) -> u64,
+    turns: usize,
+) -> BTreeMap<usize, u64> {
     let mut used = BTreeMap::new();
-    for _ in 0..rounds {
+    for _ in 0..turns {
         let member = scheduler.next_turn().unwrap();
         scheduler.end_turn(member, cost(member), true);
         *used.entry(member).or_default() += cost(member);
@@ -24,8 +28,8 @@
     scheduler.set_weight(2, 3);
     scheduler.mark_ready(1);
     scheduler.mark_ready(2);
-    // The one of less weight has turns that cost ten times as much.
-    let used = play(&mut scheduler, |member| if member == 1 { 100 } else { 10 }, 20_000);
+    // Turns of the member with less weight cost ten times as much.
+    let used = run_turns(&mut scheduler, |member| if member == 1 { 100 } else { 10 }, 20_000);
     let ratio = used[&2] as f64 / used[&1] as f64;
     assert!((2.95..3.05).contains(&ratio), "{ratio}");
 }
@@ -51,27 +55,27 @@
     scheduler.set_weight(1, 1);
     scheduler.set_weight(2, 1);
     scheduler.mark_ready(1);
-    let used = play(&mut scheduler, |_| 70, 1_000);
+    let used = run_turns(&mut scheduler, |_| 70, 1_000);
     assert_eq!(used, BTreeMap::from([(1, 70_000)]));
-    // And what it had alone is not held against it when the other comes, nor for it.
+    // What it used while it was alone counts neither for it nor against it once the other is ready.
     scheduler.mark_ready(2);
-    let used = play(&mut scheduler, |_| 70, 2_000);
+    let used = run_turns(&mut scheduler, |_| 70, 2_000);
     assert!(used[&1].abs_diff(used[&2]) <= 2 * 170, "{used:?}");
 }
 
 #[test]
-fn becoming_ready_again_clears_no_debt() {
+fn becoming_ready_again_does_not_clear_negative_credit() {
     let mut scheduler = FairScheduler::new(100);
     scheduler.set_weight(1, 1);
     scheduler.set_weight(2, 1);
     scheduler.mark_ready(1);
     scheduler.mark_ready(2);
-    let (mut coming, mut steady) = (0, 0);
+    let (mut bursty, mut steady) = (0, 0);
     for _ in 0..10_000 {
         match scheduler.next_turn().unwrap() {
-            // Far more than its credit, and then it has nothing to do for a moment.
+            // Uses far more than its credit, then is idle for a moment.
             1 => {
-                coming += 900;
+                bursty += 900;
                 scheduler.end_turn(1, 900, false);
                 scheduler.mark_ready(1);
             }
@@ -81,20 +85,20 @@
             }
         }
     }
-    let ratio = f64::from(coming) / f64::from(steady);
+    let ratio = f64::from(bursty) / f64::from(steady);
     assert!((0.9..1.1).contains(&ratio), "{ratio}");
 }
 
 proptest! {
-    /// The stated bound on the wait of one that becomes ready.
+    /// The documented bound on the wait of a member that becomes ready.
     #[test]
     fn the_wait_for_a_turn_is_bounded(
         weights in prop::collection::vec(1u64..8, 2..12),
         costs in prop::collection::vec(1u64..400, 1..200),
-        before in 0usize..300,
+        turns_before in 0usize..300,
     ) {
         const QUANTUM: u64 = 200;
-        const MOST: u64 = 400;
+        const MAX_COST: u64 = 400;
         let mut scheduler = FairScheduler::new(QUANTUM);
         for (member, weight) in weights.iter().enumerate() {
             scheduler.set_weight(member, *weight);
@@ -103,7 +107,7 @@
             scheduler.mark_ready(member);
         }
         let mut costs = costs.iter().cycle();
-        for _ in 0..before {
+        for _ in 0..turns_before {
             let member = scheduler.next_turn().unwrap();
             scheduler.end_turn(member, *costs.next().unwrap(), true);
         }
@@ -118,26 +122,26 @@
             waited += cost;
             scheduler.end_turn(member, cost, true);
         }
-        let bound: u64 = weights[1..].iter().map(|weight| QUANTUM * weight + MOST).sum();
+        let bound: u64 = weights[1..].iter().map(|weight| QUANTUM * weight + MAX_COST).sum();
         prop_assert!(waited <= bound, "{} > {}", waited, bound);
     }
 
-    /// Parts of members that are always ready, to within the stated difference.
+    /// Members that are always ready get shares by weight, up to the documented difference.
     #[test]
-    fn shares_follow_weights(weights in prop::collection::vec(1u64..8, 2..8), costs in prop::collection::vec(1u64..200, 8)) {
+    fn shares_of_ready_members_follow_weights(weights in prop::collection::vec(1u64..8, 2..8), costs in prop::collection::vec(1u64..200, 8)) {
         const QUANTUM: u64 = 200;
         let mut scheduler = FairScheduler::new(QUANTUM);
         for (member, weight) in weights.iter().enumerate() {
             scheduler.set_weight(member, *weight);
             scheduler.mark_ready(member);
         }
-        let used = play(&mut scheduler, |member| costs[member % costs.len()], 5_000);
-        let parts: Vec<f64> = weights.iter().enumerate().map(|(member, weight)| {
+        let used = run_turns(&mut scheduler, |member| costs[member % costs.len()], 5_000);
+        let costs_per_weight: Vec<f64> = weights.iter().enumerate().map(|(member, weight)| {
             used.get(&member).copied().unwrap_or(0) as f64 / *weight as f64
         }).collect();
-        for a in &parts {
-            for b in &parts {
-                prop_assert!((a - b).abs() <= 2.0 * (QUANTUM + 200) as f64, "{:?}", parts);
+        for a in &costs_per_weight {
+            for b in &costs_per_weight {
+                prop_assert!((a - b).abs() <= 2.0 * (QUANTUM + 200) as f64, "{:?}", costs_per_weight);
             }
         }
     }
