--- a/crates/succession/src/lib.rs
+++ b/crates/succession/src/lib.rs
@@ -1,15 +1,15 @@
-//! Hot restart: one process of an ingress takes the place of another, without I/O and without a clock.
+//! Hot restart: a new process of an ingress replaces the old one, without I/O and without a clock.
 //!
-//! [`seal`] and [`open`] encode the state that is handed over, in a form that shows whether it is complete and meant for
-//! this process. [`StateHandover`] decides when the older process hands its state over and takes it back, and
-//! [`Predecessor`] when the newer one is alone.
+//! [`seal`] and [`open`] encode and decode the state that is handed over; the encoding shows whether it is complete and
+//! meant for this process. [`StateHandover`] decides when the old process hands over its state and takes it back, and
+//! [`Predecessor`] whether the old process is still alive.
 //!
 //! ```text
-//!   new: requests --------------> old: hands its state over; both use it
-//!   new: accepts it or does not
-//!   new: serves ----------------> old: was taken over, completes what it has
-//!   new: alone <----------------- old: reports its end
-//!   (new: never serves) --------> old: takes back, goes on
+//!   new: requests the state ----> old: hands over its state; both processes use it
+//!   new: accepts or rejects it
+//!   new: serves ----------------> old: accepts no more work, completes its open requests
+//!   new: is alone <-------------- old: reports its end
+//!   (new: never serves) --------> old: takes the state back and continues to serve
 //! ```
 
 mod handover;
@@ -20,5 +20,5 @@
 };
 pub use sealed::{open, seal, Header, OpenError, SealError, VERSION};
 
-/// Microseconds of Unix time, or a span.
+/// Microseconds: a point of Unix time, or a duration.
 pub type Micros = u64;
