--- a/crates/idempotency/src/bucket.rs
+++ b/crates/idempotency/src/bucket.rs
@@ -1,4 +1,4 @@
-//! Groups of records with successive claims, by whose digests stores find out what differs between them.
+//! Buckets of records with successive claims. Stores compare the digests of buckets to find the records that differ.
 
 use crate::entry::Entry;
 use siphasher::sip::SipHasher13;
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use violetyoke_transport::messages::{BucketDigest, BucketId, ClaimId, OperationKey};
 
-/// How many successive claims a bucket covers. Part of the protocol: stores that compare digests use the same.
+/// Number of successive claims that a bucket covers. Part of the protocol: all stores must use the same value.
 const CLAIMS_PER_BUCKET: u64 = 64;
 
-/// The bucket of the records with a claim.
+/// The bucket that contains the record with this claim.
 #[must_use]
 pub fn bucket_of(claim: ClaimId) -> BucketId {
     BucketId { epoch: claim.epoch, number: claim.sequence / CLAIMS_PER_BUCKET }
@@ -18,12 +18,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct Bucket {
-    /// The sum of the hashes of its records, so that their order makes no difference.
+    /// The wrapping sum of the hashes of the records, so that their order makes no difference.
     digest: u64,
     keys: BTreeSet<Arc<OperationKey>>,
 }
 
-/// The operations of a table by bucket.
+/// The keys of a table's operations by bucket, with a digest for each bucket.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BucketIndex(BTreeMap<BucketId, Bucket>);
 
@@ -44,23 +44,23 @@
         }
     }
 
-    /// The digests of all buckets, in ascending order.
+    /// The digests of all buckets, in ascending order of their ids.
     pub(crate) fn digests(&self) -> impl Iterator<Item = BucketDigest> + '_ {
         self.0.iter().map(|(id, bucket)| BucketDigest { bucket: *id, digest: bucket.digest })
     }
 
-    /// The digest of a bucket that is not empty.
+    /// The digest of a bucket; `None`: the bucket is empty.
     pub(crate) fn digest(&self, id: BucketId) -> Option<u64> {
         self.0.get(&id).map(|bucket| bucket.digest)
     }
 
-    /// The operations of a bucket.
+    /// The keys of the operations in a bucket.
     pub(crate) fn keys(&self, id: BucketId) -> impl Iterator<Item = &Arc<OperationKey>> {
         self.0.get(&id).into_iter().flat_map(|bucket| &bucket.keys)
     }
 }
 
-/// A hash of what stores have to agree on. Part of the protocol, like the size of a bucket.
+/// A hash of the fields of a record on which stores have to agree. Part of the protocol, like the size of a bucket.
 fn record_hash(key: &OperationKey, entry: &Entry) -> u64 {
     let mut hasher = SipHasher13::new();
     for text in [&key.tenant, &key.key] {
--- a/crates/idempotency/src/decision.rs
+++ b/crates/idempotency/src/decision.rs
@@ -1,39 +1,39 @@
-//! Claims, and what a table decides on them.
+//! Claims, and the decisions of a table on them.
 
 use violetyoke_transport::messages::{ClaimHolder, OperationKey, OperationRecord};
 
 /// A request that claims an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Which operation.
+    /// The operation.
     pub key: OperationKey,
-    /// Who claims it.
+    /// The request that claims the operation, and the incarnation of its process.
     pub holder: ClaimHolder,
-    /// How long the holder may take from now on (ms).
+    /// How long the holder may take to execute the operation, from now on (ms).
     pub timeout_ms: u32,
-    /// The service keeps its own record of keys: an operation of unknown outcome may be executed again.
+    /// The service deduplicates requests by key itself, so an operation with unknown outcome may be executed again.
     pub is_self_deduplicating: bool,
 }
 
-/// What becomes of a claim.
+/// The decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The holder may execute the operation once this record is replicated: a new claim, which is in the table already, or
-    /// the same holder's claim again while it stands.
+    /// The claim is granted: the holder may execute the operation once this record is replicated. The table already
+    /// contains the record, which is that of a new claim or of the same holder's earlier one.
     Replicate(OperationRecord),
-    /// Another holder's claim is within its timeout.
+    /// Another holder has claimed the operation, and its timeout has not passed.
     InProgress {
-        /// What is left of the timeout (ms).
+        /// The remaining timeout of that claim (ms).
         retry_after_ms: u32,
     },
-    /// The operation was executed.
+    /// The operation was executed and has a response.
     Executed {
-        /// Who received the response.
+        /// The request that received the response.
         holder: ClaimHolder,
     },
-    /// The operation may have been executed: it ended without a response, or another holder claimed it longer ago than
-    /// the claim's timeout.
+    /// The operation may have been executed: its claim ended without a response, or the timeout of another holder's
+    /// claim has passed.
     Unknown,
-    /// The holder has released this claim before, or there is no space for another record.
+    /// The holder has already released its claim, the id of the new claim is not the highest, or the table is full.
     Refused,
 }
--- a/crates/idempotency/src/entry.rs
+++ b/crates/idempotency/src/entry.rs
@@ -1,10 +1,10 @@
-//! What a table keeps of one operation.
+//! The entry of one operation in a table.
 
 use crate::precedence::{Precedence, Rank};
 use crate::Millis;
 use violetyoke_transport::messages::{ClaimHolder, ClaimId, OperationKey, OperationRecord, OperationState};
 
-/// The record of an operation, with the time of its expiry in place of a remaining one.
+/// The record of an operation without its key, with an absolute time of expiry in place of the remaining time.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) claim: ClaimId,
@@ -15,7 +15,7 @@
 }
 
 impl Entry {
-    /// Splits a record that arrives now.
+    /// Splits a record that is received at `now` into its key and its entry.
     pub(crate) fn from_record(now: Millis, record: OperationRecord) -> (OperationKey, Entry) {
         let entry = Entry {
             claim: record.claim,
@@ -27,7 +27,7 @@
         (record.key, entry)
     }
 
-    /// The record as it is sent now.
+    /// The record as it is sent at `now`.
     pub(crate) fn to_record(&self, now: Millis, key: &OperationKey) -> OperationRecord {
         OperationRecord {
             key: key.clone(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Which of two entries of an operation replaces the other.
+    /// The precedence, by which one of two entries of an operation replaces the other.
     pub(crate) fn precedence(&self) -> Precedence {
         Precedence { claim: self.claim, rank: Rank::of(self.state) }
     }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,21 +1,23 @@
-//! Records of operations that are executed once: without I/O and without a clock.
-//!
-//! An operation is all requests of a tenant with the same key. A request is forwarded only under a claim, and the record of
-//! the claim, then of its end, decides what every other request of the operation gets. [`OperationTable`] has the records
-//! of one store:
-//!
-//! - At the leading store it answers claims ([`OperationTable::claim`]) and takes their ends
-//!   ([`OperationTable::complete`], [`OperationTable::release`]). Each gives a record, which counts once other stores
-//!   have it too.
-//! - Records of other stores and of the disk are merged ([`OperationTable::merge`]). For each operation they form a
-//!   lattice: the higher claim wins, and under one claim the higher state (claimed, released, unknown, executed). So the
-//!   order in which stores learn of records makes no difference, and the union of what a majority has is complete. This
-//!   rests on ids that are never used twice: a [`ClaimId`] names one holder, which has the response.
-//! - Stores compare what they have by digests of buckets ([`OperationTable::digests`]).
-//!
-//! No time-out frees a claim: an operation that was claimed and never ended counts as one that may have been executed. A
-//! record is kept for the window in which no second execution may start, measured from the last moment at which the holder
-//! may have started the first. At the bound of its size a table refuses new claims; it forgets nothing early.
+//! Idempotency records, which prevent a second execution of an operation. Without I/O and without a clock.
+//!
+//! All requests of a tenant with the same idempotency key belong to one operation. A request is forwarded only under a
+//! claim. The record of the claim, and later of its outcome, decides what every other request of the operation gets.
+//! [`OperationTable`] contains the records of one store:
+//!
+//! - At the leader it decides on claims ([`OperationTable::claim`]) and records their outcomes
+//!   ([`OperationTable::complete`], [`OperationTable::abandon`], [`OperationTable::release`]). Each returns a record,
+//!   which takes effect once it is replicated to other stores.
+//! - Records from other stores and from the disk are merged ([`OperationTable::merge`]). The records of an operation
+//!   form a lattice: the higher claim wins, and under the same claim the higher state (claimed, released, unknown,
+//!   executed). So the order in which stores receive records makes no difference, and the union of the records of a
+//!   majority is complete. This requires that ids are never reused: a [`ClaimId`] identifies one holder, which has
+//!   the response.
+//! - Stores compare their records by digests of buckets ([`OperationTable::digests`]).
+//!
+//! A claim is not released by a time-out: an operation that was claimed and has no outcome may have been executed. A
+//! record is kept for the window in which no second execution may start, measured from the last moment at which the
+//! holder may have started the first. A table that has reached its maximum size refuses new claims; it evicts nothing
+//! early.
 //!
 //! ```
 //! use violetyoke_idempotency::{ClaimRequest, Decision, OperationTable, TableOptions};
@@ -31,11 +33,11 @@
 //! };
 //! let id = |sequence| ClaimId { epoch: Epoch(1), sequence };
 //!
-//! // The first request gets the claim, once its record is replicated; a repeat has to wait.
+//! // The first request gets the claim once its record is replicated; a repeated one has to wait.
 //! assert!(matches!(table.claim(1_000, id(1), &claim_of(1)), Decision::Replicate(_)));
 //! assert_eq!(table.claim(1_500, id(2), &claim_of(2)), Decision::InProgress { retry_after_ms: 1_500 });
 //!
-//! // Once the first has a response, each repeat within the window learns where that is.
+//! // Once the first request has a response, each repeated one within the window learns which process has it.
 //! let holder = claim_of(1).holder;
 //! assert!(table.complete(1_600, &key, holder).is_some());
 //! assert_eq!(table.claim(60_000, id(3), &claim_of(3)), Decision::Executed { holder });
@@ -52,7 +54,7 @@
 mod table;
 mod totals;
 
-/// Milliseconds of a steady clock of this process, with any origin.
+/// Milliseconds of a monotonic clock of this process, with an arbitrary origin.
 pub type Millis = u64;
 
 pub use bucket::bucket_of;
--- a/crates/idempotency/src/merge.rs
+++ b/crates/idempotency/src/merge.rs
@@ -1,4 +1,4 @@
-//! The records of other stores and of the disk: their merge, and the comparison by digests.
+//! Merging of records from other stores and from the disk, and comparison of stores by digests.
 
 use crate::entry::Entry;
 use crate::precedence::Precedence;
@@ -8,8 +8,8 @@
 use violetyoke_transport::messages::{BucketContents, BucketDigest, BucketId, OperationKey, OperationRecord};
 
 impl OperationTable {
-    /// Merges a record: the higher claim wins, and under one claim the higher state. It is kept until the later of both
-    /// expiries. Returns whether the claim or the state changed.
+    /// Merges a record: the higher claim wins, and under the same claim the higher state. The result expires at the
+    /// later of both expiries. Returns whether the claim or the state changed.
     pub fn merge(&mut self, now: Millis, record: OperationRecord) -> bool {
         self.expire(now);
         let (key, arriving) = Entry::from_record(now, record);
@@ -30,10 +30,11 @@
         is_newer
     }
 
-    /// Makes a bucket what another store has in it: drops what else this table has there, also a higher claim or state
-    /// of an operation, and merges these records. Returns the records that changed.
+    /// Replaces a bucket with the contents of another store's bucket: drops all other records of this table in the
+    /// bucket, also those with a higher claim or state, and merges the contents. Returns the records that changed.
     ///
-    /// Only the leader's contents may be taken so, and in the order in which the leader sent them and its new records.
+    /// Only contents from the leader may be applied in this way, in the order in which the leader sent them and its new
+    /// records.
     pub fn replace_bucket(&mut self, now: Millis, contents: BucketContents) -> Vec<OperationRecord> {
         self.expire(now);
         self.drop_others(&contents);
@@ -48,7 +49,7 @@
         changed
     }
 
-    /// Drops the records of a bucket that a merge with these contents would leave as they are.
+    /// Drops the records of a bucket that are absent from these contents or have a higher precedence than there.
     fn drop_others(&mut self, contents: &BucketContents) {
         let theirs = contents.records.iter().map(|record| (&record.key, Precedence::of(record)));
         let theirs: HashMap<&OperationKey, Precedence> = theirs.collect();
@@ -62,29 +63,30 @@
         }
     }
 
-    /// The digests of all buckets that have records, in ascending order.
+    /// The digests of all buckets that contain records, in ascending order of their ids.
     #[must_use]
     pub fn digests(&self) -> Vec<BucketDigest> {
         self.records.buckets().digests().collect()
     }
 
-    /// The buckets of `theirs` in which this table has something else, or nothing.
+    /// The buckets of `theirs` that differ in this table or are empty in it.
     #[must_use]
     pub fn differing(&self, theirs: &[BucketDigest]) -> Vec<BucketId> {
         let buckets = self.records.buckets();
-        let differing = theirs.iter().filter(|it| buckets.digest(it.bucket) != Some(it.digest));
-        differing.map(|it| it.bucket).collect()
+        let differing =
+            theirs.iter().filter(|offered| buckets.digest(offered.bucket) != Some(offered.digest));
+        differing.map(|offered| offered.bucket).collect()
     }
 
-    /// The buckets in which this table has records and `theirs` has none.
+    /// The buckets that contain records in this table and are absent from `theirs`.
     #[must_use]
     pub fn absent_in(&self, theirs: &[BucketDigest]) -> Vec<BucketId> {
-        let theirs: HashSet<BucketId> = theirs.iter().map(|it| it.bucket).collect();
-        let ours = self.records.buckets().digests().map(|it| it.bucket);
+        let theirs: HashSet<BucketId> = theirs.iter().map(|digest| digest.bucket).collect();
+        let ours = self.records.buckets().digests().map(|digest| digest.bucket);
         ours.filter(|bucket| !theirs.contains(bucket)).collect()
     }
 
-    /// The records of a bucket, each with the time for which it is still kept.
+    /// The records of a bucket that have not expired, each with its remaining time.
     #[must_use]
     pub fn bucket(&self, now: Millis, bucket: BucketId) -> BucketContents {
         let keys = self.records.buckets().keys(bucket);
--- a/crates/idempotency/src/precedence.rs
+++ b/crates/idempotency/src/precedence.rs
@@ -1,8 +1,8 @@
-//! Which of two records of an operation replaces the other.
+//! The order that decides which of two records of an operation replaces the other.
 
 use violetyoke_transport::messages::{ClaimId, OperationRecord, OperationState};
 
-/// The order in which one state replaces another under the same claim. The numbers are part of digests.
+/// The order of states under the same claim: the higher one replaces the lower one. Digests include the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Rank {
     Claimed = 0,
--- a/crates/idempotency/src/records.rs
+++ b/crates/idempotency/src/records.rs
@@ -1,4 +1,4 @@
-//! The records of a table with their indexes, which each change keeps consistent.
+//! The records of a table with their indexes, which are kept consistent by every change.
 
 use crate::bucket::BucketIndex;
 use crate::entry::Entry;
@@ -11,7 +11,7 @@
 /// Entries by operation, by bucket and by expiry.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Records {
-    /// Boxed, as a part of the places of a hash table is empty.
+    /// Entries are boxed because a hash table keeps a part of its slots empty.
     entries: HashMap<Arc<OperationKey>, Box<Entry>>,
     by_expiry: BTreeSet<(Millis, Arc<OperationKey>)>,
     buckets: BucketIndex,
@@ -35,7 +35,7 @@
         self.entries.get(key).map(Box::as_ref)
     }
 
-    /// Puts an entry in place of the one that the operation had.
+    /// Inserts the entry of an operation, or replaces the existing one.
     pub(crate) fn put(&mut self, key: OperationKey, entry: Entry) {
         let key = self.remove(&key).unwrap_or_else(|| Arc::new(key));
         self.by_expiry.insert((entry.expires_at, Arc::clone(&key)));
@@ -44,25 +44,25 @@
         self.entries.insert(key, Box::new(entry));
     }
 
-    /// Changes when an entry expires.
+    /// Changes the expiry of an entry.
     pub(crate) fn keep_until(&mut self, key: &OperationKey, expires_at: Millis) {
         let Some((shared, entry)) = self.entries.get_key_value(key) else { return };
-        let place = (entry.expires_at, Arc::clone(shared));
-        self.by_expiry.remove(&place);
-        self.by_expiry.insert((expires_at, place.1));
+        let index_entry = (entry.expires_at, Arc::clone(shared));
+        self.by_expiry.remove(&index_entry);
+        self.by_expiry.insert((expires_at, index_entry.1));
         if let Some(entry) = self.entries.get_mut(key) {
             entry.expires_at = expires_at;
         }
     }
 
-    /// Removes the entry of an operation; returns the key that the indexes shared.
+    /// Removes the entry of an operation. Returns the key that the indexes shared.
     pub(crate) fn remove(&mut self, key: &OperationKey) -> Option<Arc<OperationKey>> {
         let (key, entry) = self.entries.remove_entry(key)?;
         self.buckets.remove(&key, &entry);
         self.totals.subtract(&key, &entry);
-        let place = (entry.expires_at, key);
-        self.by_expiry.remove(&place);
-        Some(place.1)
+        let index_entry = (entry.expires_at, key);
+        self.by_expiry.remove(&index_entry);
+        Some(index_entry.1)
     }
 
     /// Removes all entries that have expired.
--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -1,4 +1,4 @@
-//! Claims of operations and their ends, as the leading store decides on them.
+//! Claims of operations and their outcomes, as the leader decides on them.
 
 use crate::decision::{ClaimRequest, Decision};
 use crate::entry::{saturating_u32, Entry};
@@ -8,20 +8,20 @@
 use crate::Millis;
 use violetyoke_transport::messages::{ClaimHolder, ClaimId, OperationKey, OperationRecord, OperationState};
 
-/// How much longer than its window and the claim's timeout a record is kept: for the time that the request of a holder
-/// may spend on its way to a backend, and for clocks that run at slightly different speeds.
+/// Added to the window and the claim's timeout in the expiry of a record. Covers the time that a holder's request may
+/// take to reach a backend, and clocks that run at slightly different speeds.
 pub const EXPIRY_SLACK_MS: Millis = 10_000;
 
-/// How long and how much a table keeps.
+/// Limits on the age and the size of a table's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableOptions {
-    /// For how long after the first execution was started no second one may be (ms).
+    /// How long after the start of the first execution no second one may start (ms).
     pub window_ms: Millis,
-    /// Above this size, in bytes, no operation is claimed anew.
+    /// The size above which new claims are refused (bytes).
     pub max_bytes: usize,
 }
 
-/// The records of operations that one store has.
+/// The records of operations in one store.
 #[derive(Clone, Debug)]
 pub struct OperationTable {
     pub(crate) options: TableOptions,
@@ -29,13 +29,13 @@
 }
 
 impl OperationTable {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(options: TableOptions) -> OperationTable {
         OperationTable { options, records: Records::default() }
     }
 
-    /// Decides on a claim. A new claim gets the id `next`, which has to be higher than all that were used before.
+    /// Decides on a claim. A new claim gets the id `next`, which must be higher than all ids that were used before.
     pub fn claim(&mut self, now: Millis, next: ClaimId, request: &ClaimRequest) -> Decision {
         self.expire(now);
         let existing = self.records.get(&request.key);
@@ -58,7 +58,7 @@
         Decision::Replicate(record)
     }
 
-    /// What an existing record decides; `None` where the operation may be claimed anew.
+    /// The decision that follows from an existing record; `None`: the operation may be claimed again.
     fn decide(&self, now: Millis, entry: &Entry, request: &ClaimRequest) -> Option<Decision> {
         let is_holder = entry.holder == request.holder;
         let may_run_again = request.is_self_deduplicating && !is_holder;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The holder has executed the operation to its end. Returns the record to be replicated, if something changes: only
-    /// the holder of the newest claim has a say, and an end that is repeated changes nothing.
+    /// Records that the holder has executed the operation and has a response. Returns the record to be replicated if it
+    /// changed: only the holder of the newest claim can change it, and a repeated call changes nothing.
     pub fn complete(
         &mut self,
         now: Millis,
@@ -86,11 +86,11 @@
         holder: ClaimHolder,
     ) -> Option<OperationRecord> {
         self.expire(now);
-        self.end(now, key, holder, OperationState::Executed)
+        self.set_outcome(now, key, holder, OperationState::Executed)
     }
 
-    /// The holder may have executed the operation, and there is no response. Returns the record as [`Self::complete`]
-    /// does.
+    /// Records that the holder may have executed the operation and there is no response. Returns the record to be
+    /// replicated if it changed, as [`Self::complete`] does.
     pub fn abandon(
         &mut self,
         now: Millis,
@@ -98,13 +98,14 @@
         holder: ClaimHolder,
     ) -> Option<OperationRecord> {
         self.expire(now);
-        self.end(now, key, holder, OperationState::Unknown)
+        self.set_outcome(now, key, holder, OperationState::Unknown)
     }
 
-    /// The holder has not executed the operation and never will. Returns the record to be replicated, if something changes.
+    /// Records that the holder has not executed the operation and never will. Returns the record to be replicated if it
+    /// changed.
     ///
-    /// A release that has overtaken its claim leaves a record with the id `next`, so that the claim is refused once it
-    /// arrives; unless there is no space for it.
+    /// If the release arrives before its claim, a record with the id `next` is stored so that the claim is refused
+    /// when it arrives, unless the table is full.
     pub fn release(
         &mut self,
         now: Millis,
@@ -114,7 +115,7 @@
     ) -> Option<OperationRecord> {
         self.expire(now);
         if self.records.get(key).is_some() {
-            return self.end(now, key, holder, OperationState::Released);
+            return self.set_outcome(now, key, holder, OperationState::Released);
         }
         if !self.has_space_for(key) {
             return None;
@@ -127,8 +128,8 @@
         Some(record)
     }
 
-    /// Ends the claim of a holder: a state only ever replaces a lower one.
-    fn end(
+    /// Records the outcome of a holder's claim. A state replaces only a lower one.
+    fn set_outcome(
         &mut self,
         now: Millis,
         key: &OperationKey,
@@ -145,7 +146,7 @@
         Some(record)
     }
 
-    /// Forgets the records whose time has passed.
+    /// Removes the records that have expired.
     pub fn expire(&mut self, now: Millis) {
         self.records.expire(now);
     }
@@ -156,42 +157,42 @@
         self.records.get(key).map(|entry| entry.state)
     }
 
-    /// How many operations are in each state.
+    /// The number of operations in each state.
     #[must_use]
     pub fn counts(&self) -> StateCounts {
         self.records.totals().counts
     }
 
-    /// How many records there are.
+    /// The number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// There are no records.
+    /// Whether the table has no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// What the records occupy (bytes): keys, and an estimate of the overhead of each record.
+    /// The size of the records (bytes): their keys, and an estimate of the overhead of each record.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.records.totals().bytes
     }
 
-    /// Until when a claim that is made now is kept: its holder may start the execution at the very end of its timeout.
+    /// The expiry of a claim that is made at `now`. Its holder may start the execution at the very end of its timeout.
     fn expiry(&self, now: Millis, timeout_ms: u32) -> Millis {
         now + self.options.window_ms + Millis::from(timeout_ms) + EXPIRY_SLACK_MS
     }
 
-    /// When the timeout of a claim is over. It follows from the expiry, so that a record that was read from disk, whose
-    /// age nobody knows, has its whole timeout again.
+    /// When the timeout of a claim ends. It is computed from the expiry, so that a record that was read from disk,
+    /// whose age is not known, gets its full timeout again.
     fn overdue_at(&self, entry: &Entry) -> Millis {
         entry.expires_at.saturating_sub(self.options.window_ms + EXPIRY_SLACK_MS)
     }
 
-    /// Another claim of this operation stays within the bound.
+    /// Whether another claim of this operation stays within the maximum size.
     fn has_space_for(&self, key: &OperationKey) -> bool {
         let added = if self.records.get(key).is_some() { 0 } else { record_bytes(key) };
         self.bytes() + added <= self.options.max_bytes
--- a/crates/idempotency/tests/support/mod.rs
+++ b/crates/idempotency/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Short names for what the tests of records use.
+//! Constructors of the values that the tests use.
 
 use violetyoke_idempotency::{ClaimRequest, OperationTable, TableOptions};
 use violetyoke_transport::messages::{ClaimHolder, ClaimId, Epoch, OperationKey};
