--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -2,7 +2,7 @@
 
 use crate::pool::Pool;
 use crate::section::Section;
-use violetyoke_routes::{Host, Path, Route as TableRoute, RouteTable};
+use violetyoke_routes::{HostPattern, PathPattern, Route as TableRoute, RouteTable};
 
 const METHODS: [&str; 5] = ["GET", "POST", "PUT", "PATCH", "DELETE"];
 
@@ -42,11 +42,11 @@
 }
 
 fn read_route(section: &Section<'_>, pools: &[Pool]) -> Option<Route> {
-    let host = section.text("host").map_or(Some(Host::Any), |text| {
-        text.parse::<Host>().map_err(|error| section.error("host", error)).ok()
+    let host = section.text("host").map_or(Some(HostPattern::Any), |text| {
+        text.parse::<HostPattern>().map_err(|error| section.error("host", error)).ok()
     });
     let path = section.text("path").unwrap_or_else(|| "/*".into());
-    let path = path.parse::<Path>().map_err(|error| section.error("path", error)).ok();
+    let path = path.parse::<PathPattern>().map_err(|error| section.error("path", error)).ok();
     let method = section.text("method");
     if method.as_ref().is_some_and(|method| !METHODS.contains(&method.as_str())) {
         section.error("method", "is none of GET, POST, PUT, PATCH, DELETE");
--- a/crates/routes/src/host.rs
+++ b/crates/routes/src/host.rs
@@ -13,36 +13,36 @@
 
 /// Which hosts a route is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Host {
+pub enum HostPattern {
     /// This name.
     Name(String),
     /// Every name below this one (`*.example.org`: one label or more), not the name itself.
-    Below(String),
+    Subdomains(String),
     /// Every name.
     Any,
 }
 
 /// Reads `avail.example.org`, `*.example.org` or `*`. Names are turned to lower case, and have no port.
-impl FromStr for Host {
+impl FromStr for HostPattern {
     type Err = HostError;
 
-    fn from_str(text: &str) -> Result<Host, HostError> {
+    fn from_str(text: &str) -> Result<HostPattern, HostError> {
         if text == "*" {
-            return Ok(Host::Any);
+            return Ok(HostPattern::Any);
         }
         let (is_below, name) = text.strip_prefix("*.").map_or((false, text), |name| (true, name));
         let name = name.to_ascii_lowercase();
         check(&name).map_err(|reason| HostError { text: text.to_string(), reason })?;
-        Ok(if is_below { Host::Below(name) } else { Host::Name(name) })
+        Ok(if is_below { HostPattern::Subdomains(name) } else { HostPattern::Name(name) })
     }
 }
 
-impl fmt::Display for Host {
+impl fmt::Display for HostPattern {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Host::Name(name) => f.write_str(name),
-            Host::Below(name) => write!(f, "*.{name}"),
-            Host::Any => f.write_str("*"),
+            HostPattern::Name(name) => f.write_str(name),
+            HostPattern::Subdomains(name) => write!(f, "*.{name}"),
+            HostPattern::Any => f.write_str("*"),
         }
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -29,7 +29,7 @@
 mod table;
 mod target;
 
-pub use host::{Host, HostError};
-pub use path::{Path, PathError};
+pub use host::{HostError, HostPattern};
+pub use path::{PathError, PathPattern};
 pub use table::{Conflict, Route, RouteTable};
 pub use target::{authority, target, Target, TargetError};
--- a/crates/routes/src/path.rs
+++ b/crates/routes/src/path.rs
@@ -14,7 +14,7 @@
 
 /// Which paths a route is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Path {
+pub struct PathPattern {
     pub(crate) segments: Vec<Segment>,
     /// Whether further segments may follow.
     pub(crate) is_prefix: bool,
@@ -32,17 +32,17 @@
 pub(crate) type Rank = Vec<u8>;
 
 /// Reads `/hotels/{hotel}/rooms`, or a prefix that ends with `/*`: `/hotels/*` is `/hotels` and everything below.
-impl FromStr for Path {
+impl FromStr for PathPattern {
     type Err = PathError;
 
-    fn from_str(text: &str) -> Result<Path, PathError> {
+    fn from_str(text: &str) -> Result<PathPattern, PathError> {
         parse(text).map_err(|reason| PathError { text: text.to_string(), reason })
     }
 }
 
 const MISPLACED_WILDCARD: &str = "has a * that is not its last segment";
 
-fn parse(text: &str) -> Result<Path, &'static str> {
+fn parse(text: &str) -> Result<PathPattern, &'static str> {
     let rest = text.strip_prefix('/').ok_or("does not begin with /")?;
     let (rest, is_prefix) = match rest.strip_suffix('*') {
         Some("") => ("", true),
@@ -50,10 +50,10 @@
         None => (rest, false),
     };
     if rest.is_empty() {
-        return Ok(Path { segments: Vec::new(), is_prefix });
+        return Ok(PathPattern { segments: Vec::new(), is_prefix });
     }
     let segments = rest.split('/').map(parse_segment).collect::<Result<Vec<_>, _>>()?;
-    let path = Path { segments, is_prefix };
+    let path = PathPattern { segments, is_prefix };
     // Anything else could never match: requests come in normal form.
     let sample = path.segments.iter().map(|segment| match segment {
         Segment::Literal(text) => format!("/{text}"),
@@ -84,7 +84,7 @@
     }
 }
 
-impl Path {
+impl PathPattern {
     pub(crate) fn rank(&self) -> Rank {
         let mut rank: Rank = self
             .segments
@@ -124,7 +124,7 @@
     }
 }
 
-impl fmt::Display for Path {
+impl fmt::Display for PathPattern {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for segment in &self.segments {
             match segment {
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -2,8 +2,8 @@
 //! class, and are complete paths or prefixes of one length: `matchit` does not accept a prefix beside a parameter, and so
 //! compares only within a kind; between kinds the ranks of the paths decide.
 
-use crate::host::Host;
-use crate::path::{Path, Rank};
+use crate::host::HostPattern;
+use crate::path::{PathPattern, Rank};
 use matchit::Router;
 use std::collections::HashMap;
 
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug)]
 pub struct Route {
     /// The hosts that it is for.
-    pub host: Host,
+    pub host: HostPattern,
     /// The paths that it is for.
-    pub path: Path,
+    pub path: PathPattern,
     /// Only requests of this method; `None`: of any.
     pub method: Option<String>,
     /// Only requests whose class header says this; `None`: whatever it says.
@@ -61,7 +61,7 @@
     pub fn build(routes: &[Route]) -> Result<RouteTable, Vec<Conflict>> {
         let mut conflicts = Vec::new();
         // The route of each pattern of each host and kind, before the matchers are filled.
-        let mut slots: HashMap<(&Host, Kind, String), (usize, Rank)> = HashMap::new();
+        let mut slots: HashMap<(&HostPattern, Kind, String), (usize, Rank)> = HashMap::new();
         for (number, route) in routes.iter().enumerate() {
             let rank = route.path.rank();
             for pattern in route.path.patterns() {
@@ -85,9 +85,9 @@
         slots.sort_by(|a, b| (a.1 .0, &a.0 .2).cmp(&(b.1 .0, &b.0 .2)));
         for ((host, kind, pattern), value) in slots {
             let paths = match host {
-                Host::Name(name) => table.names.entry(name.clone()).or_default(),
-                Host::Below(name) => table.below.entry(name.clone()).or_default(),
-                Host::Any => &mut table.any,
+                HostPattern::Name(name) => table.names.entry(name.clone()).or_default(),
+                HostPattern::Subdomains(name) => table.below.entry(name.clone()).or_default(),
+                HostPattern::Any => &mut table.any,
             };
             let (first, second) = (value.0, value.0);
             // Patterns are in the matcher's own syntax, each of them once: this cannot fail.
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -4,7 +4,7 @@
 #![cfg(test)]
 
 use proptest::prelude::*;
-use violetyoke_routes::{Conflict, Host, HostError, Path, PathError, Route, RouteTable};
+use violetyoke_routes::{Conflict, HostError, HostPattern, PathError, PathPattern, Route, RouteTable};
 
 fn rule(host: &str, path: &str, method: Option<&str>, class: Option<&str>) -> Route {
     Route {
@@ -101,15 +101,15 @@
         "/{a-b}",
         "/a/./b",
     ] {
-        let error: PathError = path.parse::<Path>().unwrap_err();
+        let error: PathError = path.parse::<PathPattern>().unwrap_err();
         assert!(error.to_string().starts_with("path "), "{path}: {error}");
     }
     for host in ["", "*.", "*.*.a", "a..b", "a b", "a:80", "*a"] {
-        let error: HostError = host.parse::<Host>().unwrap_err();
+        let error: HostError = host.parse::<HostPattern>().unwrap_err();
         assert!(error.to_string().starts_with("host "), "{host}: {error}");
     }
     for path in ["/", "/*", "/a/{b}/c", "/a/{b}/*", "/a.b"] {
-        assert_eq!(path.parse::<Path>().unwrap().to_string(), path);
+        assert_eq!(path.parse::<PathPattern>().unwrap().to_string(), path);
     }
 }
 
@@ -122,9 +122,11 @@
     class: Option<&str>,
 ) -> Option<(usize, Vec<u8>, bool, bool)> {
     let host = match &rule.host {
-        Host::Name(name) => (name == host).then_some(usize::MAX)?,
-        Host::Below(name) => host.strip_suffix(name.as_str())?.ends_with('.').then_some(name.len())?,
-        Host::Any => 0,
+        HostPattern::Name(name) => (name == host).then_some(usize::MAX)?,
+        HostPattern::Subdomains(name) => {
+            host.strip_suffix(name.as_str())?.ends_with('.').then_some(name.len())?
+        }
+        HostPattern::Any => 0,
     };
     let stated = rule.path.to_string();
     let (stated, open) = stated.strip_suffix("/*").map_or((stated.as_str(), false), |stated| (stated, true));
--- a/crates/tenants/src/model/validation.rs
+++ b/crates/tenants/src/model/validation.rs
@@ -3,7 +3,9 @@
 use super::field_error::FieldError;
 use super::resource::{Account, Limits, Plan, Resource, Route, Tenant};
 use thiserror::Error;
-use violetyoke_routes::{Conflict, Host, HostError, Path, PathError, Route as TableRoute, RouteTable};
+use violetyoke_routes::{
+    Conflict, HostError, HostPattern, PathError, PathPattern, Route as TableRoute, RouteTable,
+};
 
 /// Names that stand in paths, file names and logs.
 fn check_name(field: &str, name: &str) -> Option<FieldError> {
@@ -64,8 +66,8 @@
     let mut errors = Vec::new();
     for (number, host) in hosts.iter().enumerate() {
         let field = format!("hosts[{number}]");
-        match host.parse::<Host>() {
-            Ok(Host::Any) => errors.push(FieldError::new(field, "must name a host or a domain")),
+        match host.parse::<HostPattern>() {
+            Ok(HostPattern::Any) => errors.push(FieldError::new(field, "must name a host or a domain")),
             Ok(_) if hosts[..number].contains(host) => {
                 errors.push(FieldError::new(field, "stands there twice"));
             }
@@ -139,10 +141,10 @@
     fn validate(&self) -> Vec<FieldError> {
         let mut errors: Vec<FieldError> = check_name("name", &self.name).into_iter().collect();
         errors.extend(
-            self.host.parse::<Host>().err().map(|reason| FieldError::new("host", reason.to_string())),
+            self.host.parse::<HostPattern>().err().map(|reason| FieldError::new("host", reason.to_string())),
         );
         errors.extend(
-            self.path.parse::<Path>().err().map(|reason| FieldError::new("path", reason.to_string())),
+            self.path.parse::<PathPattern>().err().map(|reason| FieldError::new("path", reason.to_string())),
         );
         let known = ["GET", "POST", "PUT", "PATCH", "DELETE"];
         if self.method.as_ref().is_some_and(|method| !known.contains(&method.as_str())) {
