--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/front.rs
@@ -10,7 +10,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
-use violetyoke_routes::{target, RouteTable, TargetError};
+use violetyoke_routes::{normalize_target, RouteTable, TargetError};
 
 /// The table in force.
 pub struct Front {
@@ -82,17 +82,16 @@
         let origin = head.uri.path_and_query().ok_or(bad("path: must begin with /"))?;
         let absolute = head.uri.authority().map(|authority| authority.as_str());
         let hosts = head.headers.get_all(HOST).iter().map(|value| value.as_bytes());
-        let target = target(absolute, hosts, origin.path()).map_err(why)?;
+        let target = normalize_target(absolute, hosts, origin.path()).map_err(why)?;
         let class = head.headers.get(crate::request::REQ_KIND).and_then(|class| class.to_str().ok());
         let number = table.find(&target.host, &target.path, head.method.as_str(), class);
         const NONE: Rejection = Rejection { code: StatusCode::NOT_FOUND, why: "path: no route" };
         let route = number.and_then(|number| routes.get(number)).ok_or(NONE)?;
         let uri = match origin.query() {
             _ if target.path == origin.path() => Uri::from(origin.clone()),
-            Some(query) => {
-                Uri::try_from(format!("{}?{query}", target.path)).map_err(|_| why(TargetError::Encoding))?
-            }
-            None => Uri::try_from(target.path).map_err(|_| why(TargetError::Encoding))?,
+            Some(query) => Uri::try_from(format!("{}?{query}", target.path))
+                .map_err(|_| why(TargetError::AmbiguousEncoding))?,
+            None => Uri::try_from(target.path).map_err(|_| why(TargetError::AmbiguousEncoding))?,
         };
         let class = route.class.as_ref().and_then(|class| route.pool.rules().class(class));
         Ok(Matched { pool: route.pool.clone(), uri, class, guest: route.guest.clone() })
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,7 +1,7 @@
 //! The route table of the ingress: which pool a request belongs to, by host, path, method and class. It does no I/O, reads
 //! no clock and knows no pools: a look-up gives the number of the route that matched.
 //!
-//! What a request is matched by is its [`Target`], in the one normal form that [`target`] describes; the same
+//! What a request is matched by is its [`Target`], in the one normal form that [`normalize_target`] describes; the same
 //! form goes on to the node, so that nothing can be matched as one path and served as another.
 //!
 //! The most specific route wins: first by host (a name, then the longest suffix, then any), then by path,
@@ -32,4 +32,4 @@
 pub use host::{HostError, HostPattern};
 pub use path::{PathError, PathPattern};
 pub use table::{Conflict, Route, RouteTable};
-pub use target::{authority, target, Target, TargetError};
+pub use target::{host_from_authority, normalize_target, Target, TargetError};
--- a/crates/routes/src/path.rs
+++ b/crates/routes/src/path.rs
@@ -60,7 +60,7 @@
         Segment::Parameter(_) => "/x".to_string(),
     });
     let sample: String = sample.collect();
-    if target::path(&sample).is_ok_and(|normal| normal == sample) {
+    if target::normalize_path(&sample).is_ok_and(|normal| normal == sample) {
         Ok(path)
     } else {
         Err("is not in normal form")
--- a/crates/routes/src/target.rs
+++ b/crates/routes/src/target.rs
@@ -28,17 +28,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetError {
     /// No `Host` field, or more than one.
-    Host,
+    MissingOrRepeatedHost,
     /// The host is no host name.
-    HostName,
+    InvalidHost,
     /// The absolute target names another host than the `Host` field.
-    TwoHosts,
+    HostMismatch,
     /// The path does not begin with a slash.
-    Form,
+    NotAPath,
     /// The path has an encoding that servers read differently.
-    Encoding,
+    AmbiguousEncoding,
     /// The path leads above the root, or hides dots.
-    Dots,
+    InvalidDotSegments,
 }
 
 impl TargetError {
@@ -46,12 +46,12 @@
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
-            TargetError::Host => "host: there must be one Host field",
-            TargetError::HostName => "host: not a host name",
-            TargetError::TwoHosts => "host: the target and the Host field differ",
-            TargetError::Form => "path: must begin with /",
-            TargetError::Encoding => "path: an encoding that servers read differently",
-            TargetError::Dots => "path: leads above the root or hides dots",
+            TargetError::MissingOrRepeatedHost => "host: there must be one Host field",
+            TargetError::InvalidHost => "host: not a host name",
+            TargetError::HostMismatch => "host: the target and the Host field differ",
+            TargetError::NotAPath => "path: must begin with /",
+            TargetError::AmbiguousEncoding => "path: an encoding that servers read differently",
+            TargetError::InvalidDotSegments => "path: leads above the root or hides dots",
         }
     }
 }
@@ -69,37 +69,39 @@
 ///
 /// # Errors
 /// When servers on the way could read the target in different ways.
-pub fn target<'a>(
+pub fn normalize_target<'a>(
     absolute: Option<&str>,
     hosts: impl IntoIterator<Item = &'a [u8]>,
     raw_path: &str,
 ) -> Result<Target, TargetError> {
     let mut hosts = hosts.into_iter();
-    let (Some(stated), None) = (hosts.next(), hosts.next()) else { return Err(TargetError::Host) };
-    let stated = std::str::from_utf8(stated).map_err(|_| TargetError::HostName)?;
-    let host = authority(stated.trim())?;
+    let (Some(stated), None) = (hosts.next(), hosts.next()) else {
+        return Err(TargetError::MissingOrRepeatedHost);
+    };
+    let stated = std::str::from_utf8(stated).map_err(|_| TargetError::InvalidHost)?;
+    let host = host_from_authority(stated.trim())?;
     if let Some(absolute) = absolute {
         // A server in front may have followed the one, a node behind may follow the other.
-        if authority(absolute)? != host {
-            return Err(TargetError::TwoHosts);
+        if host_from_authority(absolute)? != host {
+            return Err(TargetError::HostMismatch);
         }
     }
-    Ok(Target { host, path: path(raw_path)? })
+    Ok(Target { host, path: normalize_path(raw_path)? })
 }
 
 /// The host of an authority: lower case, without port and root dot. User names in it are refused.
 ///
 /// # Errors
 /// When it is no host name with an optional port.
-pub fn authority(text: &str) -> Result<String, TargetError> {
+pub fn host_from_authority(text: &str) -> Result<String, TargetError> {
     let (name, port) = match text.strip_prefix('[') {
         Some(rest) => {
-            let end = rest.find(']').ok_or(TargetError::HostName)?;
+            let end = rest.find(']').ok_or(TargetError::InvalidHost)?;
             let port = &rest[end + 1..];
             let port = if port.is_empty() {
                 None
             } else {
-                Some(port.strip_prefix(':').ok_or(TargetError::HostName)?)
+                Some(port.strip_prefix(':').ok_or(TargetError::InvalidHost)?)
             };
             (&text[..end + 2], port)
         }
@@ -107,16 +109,16 @@
     };
     // An empty port is a port by RFC 3986, and means the usual one.
     if port.is_some_and(|port| port.len() > 5 || !port.bytes().all(|byte| byte.is_ascii_digit())) {
-        return Err(TargetError::HostName);
+        return Err(TargetError::InvalidHost);
     }
     let name = name.strip_suffix('.').unwrap_or(name).to_ascii_lowercase();
-    host::check(&name).map_err(|_| TargetError::HostName)?;
+    host::check(&name).map_err(|_| TargetError::InvalidHost)?;
     Ok(name)
 }
 
 /// The normal form of a path.
-pub(crate) fn path(raw: &str) -> Result<String, TargetError> {
-    let Some(rest) = raw.strip_prefix('/') else { return Err(TargetError::Form) };
+pub(crate) fn normalize_path(raw: &str) -> Result<String, TargetError> {
+    let Some(rest) = raw.strip_prefix('/') else { return Err(TargetError::NotAPath) };
     // Most paths are in normal form already.
     let plain =
         |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'%' | b'\\' | b'.' | b';' | b'?' | b'#');
@@ -129,12 +131,12 @@
         let segment = decoded(segment)?;
         let name = segment.split(';').next().unwrap_or_default();
         if matches!(name, "." | "..") && name != segment {
-            return Err(TargetError::Dots);
+            return Err(TargetError::InvalidDotSegments);
         }
         ends_open = matches!(segment.as_str(), "" | "." | "..");
         match segment.as_str() {
             "" | "." => {}
-            ".." => normal.truncate(normal.rfind('/').ok_or(TargetError::Dots)?),
+            ".." => normal.truncate(normal.rfind('/').ok_or(TargetError::InvalidDotSegments)?),
             segment => {
                 normal.push('/');
                 normal.push_str(segment);
@@ -155,11 +157,11 @@
     while at < bytes.len() {
         match bytes[at] {
             b'%' => {
-                let digits = bytes.get(at + 1..at + 3).ok_or(TargetError::Encoding)?;
-                let digit = |byte: u8| (byte as char).to_digit(16).ok_or(TargetError::Encoding);
+                let digits = bytes.get(at + 1..at + 3).ok_or(TargetError::AmbiguousEncoding)?;
+                let digit = |byte: u8| (byte as char).to_digit(16).ok_or(TargetError::AmbiguousEncoding);
                 let byte = (digit(digits[0])? * 16 + digit(digits[1])?) as u8;
                 match byte {
-                    b'/' | b'\\' | 0..=0x1f | 0x7f => return Err(TargetError::Encoding),
+                    b'/' | b'\\' | 0..=0x1f | 0x7f => return Err(TargetError::AmbiguousEncoding),
                     b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => {
                         text.push(byte as char);
                     }
@@ -167,12 +169,12 @@
                 }
                 at += 3;
             }
-            b'\\' | b'?' | b'#' => return Err(TargetError::Encoding),
+            b'\\' | b'?' | b'#' => return Err(TargetError::AmbiguousEncoding),
             byte if byte.is_ascii_graphic() => {
                 text.push(byte as char);
                 at += 1;
             }
-            _ => return Err(TargetError::Encoding),
+            _ => return Err(TargetError::AmbiguousEncoding),
         }
     }
     Ok(text)
--- a/crates/routes/tests/normal_form.rs
+++ b/crates/routes/tests/normal_form.rs
@@ -1,10 +1,10 @@
 //! The normal form of hosts and paths, and what is refused because servers read it differently.
 
 use proptest::prelude::*;
-use violetyoke_routes::{authority, target, TargetError};
+use violetyoke_routes::{host_from_authority, normalize_target, TargetError};
 
 fn path(raw: &str) -> Result<String, TargetError> {
-    target(None, [b"a.example".as_slice()], raw).map(|target| target.path)
+    normalize_target(None, [b"a.example".as_slice()], raw).map(|target| target.path)
 }
 
 #[test]
@@ -39,24 +39,24 @@
     for raw in
         ["/a%2fb", "/a%2Fb", "/a%5cb", "/a\\b", "/a%00", "/a%0d%0aX", "/a%7f", "/a%", "/a%2", "/a%zz", "/a b"]
     {
-        assert_eq!(path(raw), Err(TargetError::Encoding), "{raw}");
+        assert_eq!(path(raw), Err(TargetError::AmbiguousEncoding), "{raw}");
     }
     for raw in ["/..", "/../a", "/a/../../b", "/%2e%2e/a", "/a/..;/b", "/a/..;x=1", "/a/.;/b", "/a/%2e%2e;/b"]
     {
-        assert_eq!(path(raw), Err(TargetError::Dots), "{raw}");
+        assert_eq!(path(raw), Err(TargetError::InvalidDotSegments), "{raw}");
     }
     for raw in ["", "a", "*", "a.example:443"] {
-        assert_eq!(path(raw), Err(TargetError::Form), "{raw}");
+        assert_eq!(path(raw), Err(TargetError::NotAPath), "{raw}");
     }
 }
 
 #[test]
 fn hosts_have_one_normal_form() {
     for text in ["Avail.Example.ORG", "avail.example.org:8080", "avail.example.org.", "avail.example.org:"] {
-        assert_eq!(authority(text).as_deref(), Ok("avail.example.org"), "{text}");
+        assert_eq!(host_from_authority(text).as_deref(), Ok("avail.example.org"), "{text}");
     }
-    assert_eq!(authority("[::1]:80").as_deref(), Ok("[::1]"));
-    assert_eq!(authority("127.0.0.1:80").as_deref(), Ok("127.0.0.1"));
+    assert_eq!(host_from_authority("[::1]:80").as_deref(), Ok("[::1]"));
+    assert_eq!(host_from_authority("127.0.0.1:80").as_deref(), Ok("127.0.0.1"));
     for text in [
         "",
         ":80",
@@ -70,22 +70,22 @@
         "é",
         "a/b",
     ] {
-        assert_eq!(authority(text), Err(TargetError::HostName), "{text}");
+        assert_eq!(host_from_authority(text), Err(TargetError::InvalidHost), "{text}");
     }
 }
 
 #[test]
 fn there_is_one_host_and_no_other() {
     let with = |absolute, hosts: &[&str]| {
-        target(absolute, hosts.iter().map(|host| host.as_bytes()), "/x").map(|target| target.host)
+        normalize_target(absolute, hosts.iter().map(|host| host.as_bytes()), "/x").map(|target| target.host)
     };
     assert_eq!(with(None, &["A.example:80"]).as_deref(), Ok("a.example"));
-    assert_eq!(with(None, &[]), Err(TargetError::Host));
-    assert_eq!(with(None, &["a.example", "a.example"]), Err(TargetError::Host));
-    assert_eq!(with(None, &["a.example, b.example"]), Err(TargetError::HostName));
+    assert_eq!(with(None, &[]), Err(TargetError::MissingOrRepeatedHost));
+    assert_eq!(with(None, &["a.example", "a.example"]), Err(TargetError::MissingOrRepeatedHost));
+    assert_eq!(with(None, &["a.example, b.example"]), Err(TargetError::InvalidHost));
     assert_eq!(with(Some("a.example:8080"), &["a.example"]).as_deref(), Ok("a.example"));
-    assert_eq!(with(Some("b.example"), &["a.example"]), Err(TargetError::TwoHosts));
-    assert_eq!(with(Some("a.example"), &[]), Err(TargetError::Host));
+    assert_eq!(with(Some("b.example"), &["a.example"]), Err(TargetError::HostMismatch));
+    assert_eq!(with(Some("a.example"), &[]), Err(TargetError::MissingOrRepeatedHost));
 }
 
 proptest! {
