--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -171,7 +171,7 @@
     /// Begins with what an older process knew. Its list of nodes is newer than the configuration's.
     #[cold]
     fn inherit(&mut self, mut inherited: Inheritance) {
-        self.ejections.inherit_restored(std::mem::take(&mut inherited.back));
+        self.ejections.import_restored(std::mem::take(&mut inherited.back));
         if let Some(list) = inherited.list() {
             self.targets(list);
             self.exchange.process_events(self.clock.now());
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -132,7 +132,7 @@
             () = shared.clients.freed.notified(), if !room => {}
             _ = tidy.tick() => {
                 shared.clients.tidy();
-                if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseQuiet {
+                if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseWithoutInput {
                     shared.clients.close_quiet();
                 }
             }
--- a/crates/operations/src/manual_ejections.rs
+++ b/crates/operations/src/manual_ejections.rs
@@ -26,7 +26,7 @@
     }
 
     /// Takes over the nodes that an earlier process has restored. One that is ejected here stays so.
-    pub fn inherit_restored(&mut self, restored: BTreeMap<String, (Micros, Micros)>) {
+    pub fn import_restored(&mut self, restored: BTreeMap<String, (Micros, Micros)>) {
         let restored = restored.into_iter().filter(|(id, _)| !self.ejected.contains_key(id));
         self.restored.extend(restored.collect::<Vec<_>>());
     }
--- a/crates/operations/src/serving_state.rs
+++ b/crates/operations/src/serving_state.rs
@@ -23,7 +23,7 @@
     /// They are kept.
     Keep,
     /// Those without a byte of a request are closed, a few at a time.
-    CloseQuiet,
+    CloseWithoutInput,
     /// All of them are closed at once.
     CloseAll,
 }
@@ -121,7 +121,9 @@
     #[must_use]
     pub fn idle_policy(&self, now: Micros) -> IdlePolicy {
         match self {
-            ServingState::Draining { since } if now >= since + DRAIN_NOTICED_AFTER => IdlePolicy::CloseQuiet,
+            ServingState::Draining { since } if now >= since + DRAIN_NOTICED_AFTER => {
+                IdlePolicy::CloseWithoutInput
+            }
             ServingState::Ending { since, was_taken_over: true } if now < since + KEEP_IDLE_AFTER_SIGTERM => {
                 IdlePolicy::Keep
             }
--- a/crates/operations/tests/serving_state.rs
+++ b/crates/operations/tests/serving_state.rs
@@ -10,10 +10,10 @@
     state.drain(1_000_000);
     assert!(!state.is_ready() && !state.keeps_connections() && state.accepts_connections(1_000_000));
     assert_eq!(state.idle_policy(1_399_999), IdlePolicy::Keep);
-    assert_eq!(state.idle_policy(1_400_000), IdlePolicy::CloseQuiet);
+    assert_eq!(state.idle_policy(1_400_000), IdlePolicy::CloseWithoutInput);
     // A second call does not begin anew.
     state.drain(1_300_000);
-    assert_eq!(state.idle_policy(1_400_000), IdlePolicy::CloseQuiet);
+    assert_eq!(state.idle_policy(1_400_000), IdlePolicy::CloseWithoutInput);
     state.resume();
     assert_eq!(state, ServingState::Serving);
 }
