--- a/crates/ingress/src/account.rs
+++ b/crates/ingress/src/account.rs
@@ -14,7 +14,7 @@
     class: u16,
     plan: u16,
     units: f64,
-    arrived: Micros,
+    arrived_at: Micros,
 }
 
 pub struct Account {
@@ -49,8 +49,8 @@
     }
 
     pub fn begun(&mut self, request: &ClientRequest) {
-        let ClientRequest { id, class, plan, units, arrived, .. } = *request;
-        self.begun.insert(id, Begun { class, plan, units, arrived });
+        let ClientRequest { id, class, plan, units, arrived_at, .. } = *request;
+        self.begun.insert(id, Begun { class, plan, units, arrived_at });
     }
 
     pub fn over(&mut self, at: Micros, request: RequestId, attempts: u8, end: &str, why: Option<Why>) {
@@ -65,7 +65,7 @@
             worth: value * price * begun.units,
             end: end.into(),
             why: why.map(|why| format!("{why:?}")).unwrap_or_default(),
-            age: at.saturating_sub(begun.arrived),
+            age: at.saturating_sub(begun.arrived_at),
             aim,
             attempts,
         });
--- a/crates/ingress/src/backend.rs
+++ b/crates/ingress/src/backend.rs
@@ -1,9 +1,11 @@
 //! Backends: their connections, and one attempt on one of them.
 
-use super::long::{gather, rest, Gathered, Outgoing, Pieces, Rest, LONGEST};
-use super::pool::Shared;
+use super::pool::SharedCapacity;
 use super::socket::Socket;
-use super::{Forward, LARGEST_BODY};
+use super::streaming::{
+    gather, rest, AttemptBody, ChunkSender, PartialBody, ResponseRemainder, MAX_STREAMED_BODY,
+};
+use super::{ForwardedRequest, MAX_BUFFERED_BODY};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -48,32 +50,32 @@
     pub accepting: Cell<bool>,
     /// Discovery names it no longer.
     pub gone: Cell<bool>,
-    idle: RefCell<Vec<Link>>,
-    budget: Rc<Budget>,
+    idle: RefCell<Vec<BackendConnection>>,
+    budget: Rc<ConnectionBudget>,
 }
 
 /// Connections to all backends together: their part of what there is of descriptors.
-pub struct Budget {
-    capacity: Shared,
+pub struct ConnectionBudget {
+    capacity: SharedCapacity,
     member: Member,
     backends: RefCell<Vec<Weak<Backend>>>,
 }
 
-impl Budget {
+impl ConnectionBudget {
     /// Of a process that has nothing else to share with.
-    pub fn alone(most: usize) -> Rc<Budget> {
+    pub fn standalone(most: usize) -> Rc<ConnectionBudget> {
         let mut capacity = CapacityPool::new(most as u64);
         capacity.set_limits(0, 0, most as u64);
-        Budget::new(Rc::new(RefCell::new(capacity)), 0)
+        ConnectionBudget::new(Rc::new(RefCell::new(capacity)), 0)
     }
 
-    pub fn new(capacity: Shared, member: Member) -> Rc<Budget> {
-        Rc::new(Budget { capacity, member, backends: RefCell::default() })
+    pub fn new(capacity: SharedCapacity, member: Member) -> Rc<ConnectionBudget> {
+        Rc::new(ConnectionBudget { capacity, member, backends: RefCell::default() })
     }
 
     /// A place for one more connection. Where there is none, the longest idle connection to any backend has to
     /// go: it is of less use than the request at hand.
-    fn place(self: &Rc<Budget>) -> Option<Slot> {
+    fn place(self: &Rc<ConnectionBudget>) -> Option<ConnectionPermit> {
         if self.capacity.borrow().available(self.member) == 0 {
             let backends = self.backends.borrow();
             let oldest = backends.iter().filter_map(Weak::upgrade).filter_map(|backend| {
@@ -83,38 +85,44 @@
             let (_, backend) = oldest.min_by_key(|(since, _)| *since)?;
             drop(backend.idle.borrow_mut().remove(0));
         }
-        self.capacity.borrow_mut().try_acquire(self.member, 1).then(|| Slot(self.clone()))
+        self.capacity.borrow_mut().try_acquire(self.member, 1).then(|| ConnectionPermit(self.clone()))
     }
 }
 
 /// A connection that carries no request. Nothing drives it while it is idle: it is polled when it is taken.
-struct Link {
-    sender: SendRequest<Outgoing>,
-    connection: Connection<TokioIo<Socket>, Outgoing>,
+struct BackendConnection {
+    sender: SendRequest<AttemptBody>,
+    connection: Connection<TokioIo<Socket>, AttemptBody>,
     socket: Socket,
     address: SocketAddr,
     since: Micros,
-    _slot: Slot,
+    _slot: ConnectionPermit,
 }
 
 /// What became of an attempt.
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub report: Report,
     pub body: Bytes,
     /// What is to be told of the connection, where it carried the request.
-    pub carried: Option<Event>,
+    pub connection_event: Option<Event>,
     whole: bool,
 }
 
-impl Ended {
-    fn without_answer(outcome: Outcome) -> Ended {
-        Ended { outcome, report: Report::new(), body: Bytes::new(), carried: None, whole: false }
+impl AttemptResult {
+    fn without_answer(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            report: Report::new(),
+            body: Bytes::new(),
+            connection_event: None,
+            whole: false,
+        }
     }
 }
 
 impl Backend {
-    pub fn new(address: SocketAddr, budget: Rc<Budget>) -> Rc<Backend> {
+    pub fn new(address: SocketAddr, budget: Rc<ConnectionBudget>) -> Rc<Backend> {
         let backend = Rc::new(Backend {
             address: Cell::new(address),
             accepting: Cell::new(false),
@@ -140,17 +148,17 @@
 
     /// The newest idle connection that the peer has neither closed nor written to: bytes that come unasked
     /// would be taken for the answer to the next request.
-    fn take(&self, cx: &mut Context<'_>) -> Option<Link> {
+    fn take(&self, cx: &mut Context<'_>) -> Option<BackendConnection> {
         loop {
             let mut link = self.idle.borrow_mut().pop()?;
-            let alive = Pin::new(&mut link.connection).poll(cx).is_pending() && link.socket.quiet();
+            let alive = Pin::new(&mut link.connection).poll(cx).is_pending() && link.socket.has_no_input();
             if alive && link.sender.is_ready() && link.address == self.address.get() {
                 return Some(link);
             }
         }
     }
 
-    async fn connect(&self, slot: Slot) -> io::Result<Link> {
+    async fn connect(&self, slot: ConnectionPermit) -> io::Result<BackendConnection> {
         let address = self.address.get();
         let socket = Socket::new(TcpStream::connect(address).await?);
         let (sender, connection) = http1::Builder::new()
@@ -158,10 +166,10 @@
             .handshake(TokioIo::new(socket.clone()))
             .await
             .map_err(io::Error::other)?;
-        Ok(Link { sender, connection, socket, address, since: 0, _slot: slot })
+        Ok(BackendConnection { sender, connection, socket, address, since: 0, _slot: slot })
     }
 
-    fn keep(&self, link: Link) {
+    fn keep(&self, link: BackendConnection) {
         let mut idle = self.idle.borrow_mut();
         if self.accepting.get() && link.address == self.address.get() {
             if idle.len() >= MOST_IDLE {
@@ -175,13 +183,13 @@
 /// One attempt. `sent` turns true no later than the request's first byte can go out.
 pub async fn attempt(
     backend: Rc<Backend>,
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     time_left: Micros,
     sent: Rc<Cell<bool>>,
     fields: Rc<[ReportField]>,
     now: impl Fn() -> Micros,
-    begin: impl Fn(Report, Bytes, Rest),
-) -> Ended {
+    begin: impl Fn(Report, Bytes, ResponseRemainder),
+) -> AttemptResult {
     loop {
         let idle = poll_fn(|cx| Poll::Ready(backend.take(cx))).await;
         let reused = idle.is_some();
@@ -189,16 +197,16 @@
             Some(link) => link,
             // Want of descriptors and news of a drain are no fault of the backend's.
             None => match backend.budget.place() {
-                None => return Ended::without_answer(Outcome::Withheld),
+                None => return AttemptResult::without_answer(Outcome::Withheld),
                 Some(slot) => match backend.connect(slot).await {
                     Ok(link) => link,
-                    Err(_) => return Ended::without_answer(Outcome::ConnectFailed),
+                    Err(_) => return AttemptResult::without_answer(Outcome::ConnectFailed),
                 },
             },
         };
         // A drain told while the connection came up: nothing new may go there.
         if !backend.accepting.get() || link.address != backend.address.get() {
-            return Ended::without_answer(Outcome::Withheld);
+            return AttemptResult::without_answer(Outcome::Withheld);
         }
         sent.set(true);
         let unused = reused.then(|| now().saturating_sub(link.since));
@@ -209,16 +217,16 @@
             backend.keep(link);
         }
         if !unwritten {
-            if let Some(upload) = forward.body.upload().filter(|upload| upload.ended().is_none()) {
+            if let Some(upload) = forward.body.upload().filter(|upload| upload.ended_at().is_none()) {
                 // Its last byte has not gone out: it has not run, unless the node says otherwise.
                 ended.outcome = match ended.outcome {
-                    _ if upload.broken() => Outcome::Withheld,
+                    _ if upload.is_broken() => Outcome::Withheld,
                     Outcome::Reset => Outcome::ConnectFailed,
                     outcome => outcome,
                 };
             }
             let broke = !answered && ended.outcome == Outcome::Reset;
-            ended.carried = Some(Event::Carried { unused, broke });
+            ended.connection_event = Some(Event::Carried { unused, broke });
             if reused && broke {
                 ended.outcome = Outcome::Stale;
             }
@@ -226,16 +234,16 @@
         }
         sent.set(false);
         // What was taken of a long body for this connection is gone with it: sent again, it would lack that.
-        let taken = forward.body.upload().is_some_and(|upload| !upload.untouched());
+        let taken = forward.body.upload().is_some_and(|upload| !upload.is_unsent());
         if !reused || taken {
-            return Ended::without_answer(Outcome::ConnectFailed);
+            return AttemptResult::without_answer(Outcome::ConnectFailed);
         }
         // The peer closed an idle connection just now; not a byte of the request went out on it.
     }
 }
 
-fn request(forward: &Forward, address: SocketAddr, time_left: Micros) -> Request<Outgoing> {
-    let mut request = Request::new(Outgoing::new(&forward.body));
+fn request(forward: &ForwardedRequest, address: SocketAddr, time_left: Micros) -> Request<AttemptBody> {
+    let mut request = Request::new(AttemptBody::new(&forward.body));
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
     let headers = request.headers_mut();
@@ -249,12 +257,12 @@
 /// Sends the request and takes the whole answer. Tells whether provably not a byte went out and whether one
 /// came back, and gives the connection back if it can carry another request.
 async fn exchange(
-    mut link: Link,
-    request: Request<Outgoing>,
+    mut link: BackendConnection,
+    request: Request<AttemptBody>,
     fields: &[ReportField],
-    begin: &dyn Fn(Report, Bytes, Rest),
-) -> (Ended, bool, bool, Option<Link>) {
-    let (written, read) = (link.socket.written(), link.socket.read());
+    begin: &dyn Fn(Report, Bytes, ResponseRemainder),
+) -> (AttemptResult, bool, bool, Option<BackendConnection>) {
+    let (written, read) = (link.socket.bytes_written(), link.socket.bytes_read());
     let mut alive = true;
     let long = Cell::new(false);
     let begun = |report, first, rest| {
@@ -269,7 +277,7 @@
                 Err(mut error) => {
                     let unsent = error.take_message().is_some();
                     let outcome = if unsent { Outcome::Reset } else { spoilt_or_reset(error.error()) };
-                    (Ended::without_answer(outcome), unsent)
+                    (AttemptResult::without_answer(outcome), unsent)
                 }
             }
         });
@@ -290,13 +298,13 @@
                         return Poll::Ready(ended);
                     }
                     // One that has begun and does not end has a length that is a lie, or a head without end.
-                    if socket.read() > seen {
-                        seen = socket.read();
+                    if socket.bytes_read() > seen {
+                        seen = socket.bytes_read();
                         late.set(Some(sleep(ANSWER_PAUSE)));
                     }
                     let stalled = !long.get()
                         && late.as_mut().as_pin_mut().is_some_and(|late| late.poll(cx).is_ready());
-                    let spoilt = (Ended::without_answer(Outcome::Error), false);
+                    let spoilt = (AttemptResult::without_answer(Outcome::Error), false);
                     return if stalled { Poll::Ready(spoilt) } else { Poll::Pending };
                 }
             }
@@ -304,13 +312,13 @@
         .await
     };
     let broken = ended.outcome == Outcome::Reset;
-    let unwritten = broken && (returned || link.socket.written() == written);
+    let unwritten = broken && (returned || link.socket.bytes_written() == written);
     let reusable = ended.whole
         && alive
         && poll_fn(|cx| Poll::Ready(Pin::new(&mut link.connection).poll(cx).is_pending())).await
-        && link.socket.quiet()
+        && link.socket.has_no_input()
         && link.sender.is_ready();
-    let answered = link.socket.read() > read;
+    let answered = link.socket.bytes_read() > read;
     (ended, unwritten, answered, reusable.then_some(link))
 }
 
@@ -336,8 +344,8 @@
 async fn whole(
     response: Response<Incoming>,
     fields: &[ReportField],
-    begin: &dyn Fn(Report, Bytes, Rest),
-) -> Ended {
+    begin: &dyn Fn(Report, Bytes, ResponseRemainder),
+) -> AttemptResult {
     let (head, mut body) = response.into_parts();
     let report = report(&head.headers, fields);
     let declined = head.headers.get(DECLINED).is_some_and(|value| value == "1");
@@ -351,30 +359,31 @@
         head.headers.get(CONNECTION).is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
     let length = body.size_hint().exact();
     let framed = length.is_some() || closes || head.headers.contains_key(TRANSFER_ENCODING);
-    let fits = body.size_hint().lower() <= LONGEST;
+    let fits = body.size_hint().lower() <= MAX_STREAMED_BODY;
     if !framed || !fits || head.status == StatusCode::SWITCHING_PROTOCOLS {
-        return Ended::without_answer(Outcome::Error);
+        return AttemptResult::without_answer(Outcome::Error);
     }
-    let broken = |error: hyper::Error| Ended::without_answer(spoilt_or_reset(&error));
-    let most = if length.is_some_and(|length| length > LARGEST_BODY as u64) { 0 } else { LARGEST_BODY };
+    let broken = |error: hyper::Error| AttemptResult::without_answer(spoilt_or_reset(&error));
+    let most =
+        if length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64) { 0 } else { MAX_BUFFERED_BODY };
     match gather(&mut body, most).await {
-        Ok(Gathered { bytes, whole: true }) => {
-            Ended { outcome, report, body: bytes, carried: None, whole: true }
+        Ok(PartialBody { bytes, whole: true }) => {
+            AttemptResult { outcome, report, body: bytes, connection_event: None, whole: true }
         }
-        Ok(_) if outcome != Outcome::Ok => Ended::without_answer(Outcome::Error),
-        Ok(Gathered { bytes, .. }) => {
+        Ok(_) if outcome != Outcome::Ok => AttemptResult::without_answer(Outcome::Error),
+        Ok(PartialBody { bytes, .. }) => {
             let passed = bytes.len() as u64;
             let (pieces, rest) = rest(length);
             begin(report, bytes, rest);
             let whole = pass_on(body, passed, pieces).await;
-            Ended { whole, ..Ended::without_answer(Outcome::Ok) }
+            AttemptResult { whole, ..AttemptResult::without_answer(Outcome::Ok) }
         }
         Err(error) => broken(error),
     }
 }
 
 /// Passes the rest of a long answer on, as fast as its client takes it; whether it came to its end.
-async fn pass_on(mut body: Incoming, mut passed: u64, pieces: Pieces) -> bool {
+async fn pass_on(mut body: Incoming, mut passed: u64, pieces: ChunkSender) -> bool {
     loop {
         let frame = tokio::select! {
             frame = timeout(LONG_PAUSE, body.frame()) => frame,
@@ -395,7 +404,7 @@
         };
         let Ok(data) = data else { continue };
         passed += data.len() as u64;
-        if passed > LONGEST {
+        if passed > MAX_STREAMED_BODY {
             let _ = pieces.send(Err(io::ErrorKind::FileTooLarge.into())).await;
             return false;
         }
@@ -430,9 +439,9 @@
 }
 
 /// A place in the budget, given back when the connection is gone.
-struct Slot(Rc<Budget>);
+struct ConnectionPermit(Rc<ConnectionBudget>);
 
-impl Drop for Slot {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.capacity.borrow_mut().release(self.0.member, 1);
     }
--- a/crates/ingress/src/slots.rs
+++ b/crates/ingress/src/class_plan_indices.rs
@@ -1,6 +1,6 @@
 //! A pool's classes and plans at the numbers that its module knows them by.
 
-use crate::request::{Form, Rules};
+use crate::request::{RequestFormat, Rules};
 use std::collections::HashMap;
 use violetyoke_config as file;
 use violetyoke_decision::interface::{self as words, Plan};
@@ -12,17 +12,17 @@
 
 /// Numbers are never given to anything else: requests that are open go by them.
 #[derive(Clone, Default)]
-pub struct Slots {
+pub struct ClassPlanIndices {
     classes: Vec<(String, words::Class)>,
     plans: Vec<(String, Plan)>,
     /// The numbers of plans that are tenants', by their names.
-    pub hosted: HashMap<String, u16>,
+    pub tenant_plans: HashMap<String, u16>,
 }
 
-impl Slots {
+impl ClassPlanIndices {
     /// Finds places for a pool's classes and plans. A class that would have other effects than the one of its
     /// name before is another class: what is open ends by the rules that it came under.
-    pub fn take(&mut self, config: &file::Pool, hosted: &[(String, Plan)]) {
+    pub fn update(&mut self, config: &file::Pool, tenant_plans: &[(String, Plan)]) {
         for class in &config.classes {
             let alike = |old: &words::Class| {
                 (old.effect, old.group, old.repeat_window)
@@ -46,9 +46,9 @@
                 None => self.plans.push((name.clone(), plan.clone())),
             }
         }
-        for (name, plan) in hosted {
+        for (name, plan) in tenant_plans {
             let next = self.plans.len() as u16;
-            let number = *self.hosted.entry(name.clone()).or_insert(next);
+            let number = *self.tenant_plans.entry(name.clone()).or_insert(next);
             match self.plans.get_mut(usize::from(number)) {
                 Some(slot) => slot.1 = plan.clone(),
                 None => self.plans.push((name.clone(), plan.clone())),
@@ -90,7 +90,8 @@
         };
         let plan = place(&plans, &config.default_plan);
         let class = place(&classes, &config.default_class);
-        let free = self.plans.iter().position(|(name, _)| name == FREE).unwrap_or(0);
-        Rules::new(&self.settings(config), classes, plans, Form::Open { plan, class }).with_free(free as u16)
+        let uncounted_plan = self.plans.iter().position(|(name, _)| name == FREE).unwrap_or(0);
+        Rules::new(&self.settings(config), classes, plans, RequestFormat::Service { plan, class })
+            .with_uncounted_plan(uncounted_plan as u16)
     }
 }
--- a/crates/ingress/src/console.rs
+++ b/crates/ingress/src/console.rs
@@ -32,7 +32,7 @@
 const LARGEST_HEAD: usize = 8 * 1024;
 
 pub struct Console {
-    pub shared: Rc<server::Shared>,
+    pub shared: Rc<server::ServerState>,
     pub pool: Rc<Pool>,
     pub handover: Option<Rc<Handover>>,
     /// Most callers at once.
@@ -106,19 +106,19 @@
             return StatusCode::METHOD_NOT_ALLOWED;
         }
         match (path, node) {
-            ("/-/drain", _) => self.shared.turn(ServingState::drain),
-            ("/-/resume", _) => self.shared.turn(|state, _| state.resume()),
+            ("/-/drain", _) => self.shared.update_state(ServingState::drain),
+            ("/-/resume", _) => self.shared.update_state(|state, _| state.resume()),
             (_, Some((node, call))) => return self.by_hand(node, call == "disable").await,
-            _ if self.shared.ready() => {}
+            _ if self.shared.is_ready() => {}
             _ => return StatusCode::SERVICE_UNAVAILABLE,
         }
         StatusCode::OK
     }
 
-    async fn by_hand(&self, node: &str, out: bool) -> StatusCode {
+    async fn by_hand(&self, node: &str, ejected: bool) -> StatusCode {
         let Ok(node) = percent_decode_str(node).decode_utf8() else { return StatusCode::BAD_REQUEST };
         let (reply, heeded) = oneshot::channel();
-        if !self.pool.send(Message::Hand { node: node.to_string(), out, reply }) {
+        if !self.pool.send(Message::SetManualEjection { node: node.to_string(), ejected, reply }) {
             return StatusCode::SERVICE_UNAVAILABLE;
         }
         match timeout(HEED_TIME, heeded).await {
@@ -126,7 +126,7 @@
             Ok(Ok(false)) => return StatusCode::NOT_FOUND,
             _ => return StatusCode::SERVICE_UNAVAILABLE,
         }
-        if let Some(Err(error)) = self.handover.as_ref().map(|handover| handover.set_out(&node, out)) {
+        if let Some(Err(error)) = self.handover.as_ref().map(|handover| handover.set_out(&node, ejected)) {
             // In force here; a successor will not know.
             eprintln!("console: {node}: {error}");
         }
--- a/crates/ingress/src/consult.rs
+++ b/crates/ingress/src/consult.rs
@@ -1,9 +1,9 @@
 //! Questions to an outside rate limit server, on one HTTP/2 connection. Whether to ask, what silence means and
 //! what becomes of a late answer is decided in `violetyoke-ratelimit::consult`, free of I/O.
 
-use crate::gate::About;
-use crate::pool::Shared;
-use crate::tasks::{self, Local, Set};
+use crate::pool::SharedCapacity;
+use crate::precheck::PrecheckRequest;
+use crate::tasks::{self, LocalExecutor, TaskSet};
 use crate::Clock;
 use hyper_util::rt::TokioIo;
 use siphasher::sip::SipHasher13;
@@ -41,10 +41,10 @@
     /// Held by the one that opens a connection.
     opening: Mutex<()>,
     clock: Clock,
-    descriptors: Shared,
+    descriptors: SharedCapacity,
     member: Member,
     /// Where its tasks take their turns.
-    set: Rc<Set>,
+    set: Rc<TaskSet>,
     pool: String,
 }
 
@@ -52,9 +52,9 @@
     pub fn new(
         file: Consult,
         clock: Clock,
-        descriptors: Shared,
+        descriptors: SharedCapacity,
         member: Member,
-        set: Rc<Set>,
+        set: Rc<TaskSet>,
         pool: String,
     ) -> Rc<Consulting> {
         let outside = ExternalLimiter::new(file.settings, clock.now() ^ (member as u64) << 40);
@@ -88,8 +88,8 @@
     }
 
     /// Asks, and returns by the time that the answer counts until, whatever the server does.
-    pub async fn ask(self: &Rc<Consulting>, about: &About) -> (Decision, Option<Asked>) {
-        let deadline = about.arrived.saturating_add(about.budget);
+    pub async fn ask(self: &Rc<Consulting>, about: &PrecheckRequest) -> (Decision, Option<Asked>) {
+        let deadline = about.arrived_at.saturating_add(about.budget);
         let ask = self.outside.borrow_mut().start(self.clock.now(), deadline, key_of(about));
         let (number, until) = match ask {
             Start::Credited { id: number } => return (Decision::Proceed, Some(Asked::new(self, number))),
@@ -184,7 +184,7 @@
         let stream = timeout(CONNECT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         let uri = format!("http://{address}").parse().map_err(io::Error::other)?;
-        let opened = Channel::open(TokioIo::new(stream), Local, uri).await;
+        let opened = Channel::open(TokioIo::new(stream), LocalExecutor, uri).await;
         let (channel, connection) = opened.map_err(io::Error::other)?;
         tasks::spawn_in(&self.set, async move {
             let _place = place;
@@ -219,7 +219,7 @@
         result
     }
 
-    fn question(&self, about: &About) -> proto::RateLimitRequest {
+    fn question(&self, about: &PrecheckRequest) -> proto::RateLimitRequest {
         let file = self.file.borrow();
         let entry = |key: &str, value: &str| proto::Entry { key: key.to_string(), value: value.to_string() };
         let mut entries: Vec<_> = file.with.iter().map(|(key, value)| entry(key, value)).collect();
@@ -227,7 +227,7 @@
         let said = [
             (&file.plan_key, Some(&about.plan)),
             (&file.class_key, about.class.as_ref()),
-            (&file.try_key, about.named.as_ref()),
+            (&file.try_key, about.attempt_name.as_ref()),
         ];
         for (key, value) in said {
             if let (Some(key), Some(value)) = (key, value) {
@@ -244,7 +244,7 @@
 }
 
 /// What a question is about, but for its try: units counted for one serve another about the same.
-fn key_of(about: &About) -> u64 {
+fn key_of(about: &PrecheckRequest) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(2, 0);
     for text in [about.account.as_str(), &about.plan, about.class.as_deref().unwrap_or_default()] {
         hasher.write_u64(text.len() as u64);
@@ -305,7 +305,7 @@
 
 /// The connection's descriptor, given back when its task ends.
 struct Place {
-    descriptors: Shared,
+    descriptors: SharedCapacity,
     member: Member,
 }
 
--- a/crates/ingress/src/counter.rs
+++ b/crates/ingress/src/counter.rs
@@ -53,7 +53,7 @@
 impl Shared {
     fn end(&self, call: u64, outcome: Outcome, total: f64) {
         self.held.set(self.held.get() - 1);
-        let _ = self.messages.send(Message::Counted { call, outcome, total });
+        let _ = self.messages.send(Message::CounterCallEnded { call, outcome, total });
     }
 }
 
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -1,16 +1,16 @@
 //! The one owner of a pool's exchange: hands it what the sockets report, in order, and the lists of nodes.
 
 use super::account::Account;
-use super::backend::{Backend, Budget};
+use super::backend::{Backend, ConnectionBudget};
 use super::config::Names;
 use super::discovery::{Phase, Target, TargetList};
 use super::embedded::Link;
+use super::exchange_port::{PendingClient, SocketPort};
 use super::peers::Peers;
 use super::pool::Pool;
-use super::port::{Client, Sockets};
 use super::sets;
 use super::succession::Inheritance;
-use super::{Answer, ClientRequest, Clock, Message, Messages};
+use super::{ClientAnswer, ClientRequest, Clock, Message, Messages};
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -23,39 +23,49 @@
 const BATCH: usize = 256;
 
 /// What a driver begins with.
-pub struct Setup {
+pub struct DriverSetup {
     pub settings: Settings,
     pub names: Names,
     pub seed: u64,
-    pub budget: Rc<Budget>,
+    pub budget: Rc<ConnectionBudget>,
     /// The list of backends as it was last held.
-    pub known: TargetList,
+    pub initial_targets: TargetList,
     pub counter: Option<Link>,
     pub peers: Option<Peers>,
     /// Nodes that are out by hand.
     pub ejections: ManualEjections,
     /// Whether this one takes the place of a process that still lives, and what that has handed down.
-    pub beside: bool,
-    pub inherited: Option<Box<Inheritance>>,
+    pub predecessor_alive: bool,
+    pub imported_state: Option<Box<Inheritance>>,
 }
 
 pub struct Driver {
     clock: Clock,
-    exchange: Exchange<Sockets>,
+    exchange: Exchange<SocketPort>,
     names: Names,
     pool: Rc<Pool>,
     /// No new requests come.
     retiring: bool,
     ejections: ManualEjections,
-    budget: Rc<Budget>,
+    budget: Rc<ConnectionBudget>,
 }
 
 impl Driver {
-    pub fn new(setup: Setup, clock: Clock, messages: Messages, pool: Rc<Pool>) -> Driver {
-        let Setup { settings, names, seed, budget, known, counter, peers, ejections, beside, inherited } =
-            setup;
+    pub fn new(setup: DriverSetup, clock: Clock, messages: Messages, pool: Rc<Pool>) -> Driver {
+        let DriverSetup {
+            settings,
+            names,
+            seed,
+            budget,
+            initial_targets,
+            counter,
+            peers,
+            ejections,
+            predecessor_alive,
+            imported_state,
+        } = setup;
         let timeout = settings.counter.map_or(0, |counter| counter.timeout);
-        let mut sockets = Sockets {
+        let mut sockets = SocketPort {
             clock,
             messages,
             pool: pool.clone(),
@@ -71,11 +81,11 @@
         sockets.counter = counter.map(|link| sockets.open(link, timeout));
         let exchange = Exchange::new(clock.now(), settings, seed, sockets);
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
-        driver.targets(TargetList { cached: true, complete: true, ..known });
+        driver.targets(TargetList { cached: true, complete: true, ..initial_targets });
         driver.exchange.process_events(clock.now());
-        driver.exchange.gateway_mut().beside(beside);
-        if let Some(inherited) = inherited {
-            driver.inherit(*inherited);
+        driver.exchange.gateway_mut().beside(predecessor_alive);
+        if let Some(imported_state) = imported_state {
+            driver.inherit(*imported_state);
         }
         driver
     }
@@ -96,18 +106,20 @@
                 () = wake.as_mut() => set_for = None,
             }
             for message in batch.drain(..) {
-                let charged = match &message {
-                    Message::Request(request) => request.charged.map(|member| (member, Instant::now())),
+                let charged_member = match &message {
+                    Message::Request(request) => {
+                        request.charged_member.map(|member| (member, Instant::now()))
+                    }
                     _ => None,
                 };
                 let now = self.clock.now();
                 self.take(now, message);
                 self.exchange.process_events(now);
-                if let Some((member, began)) = charged {
+                if let Some((member, began)) = charged_member {
                     sets::charge(member, began.elapsed().as_micros() as u64);
                 }
             }
-            if self.retiring && self.pool.open() == 0 && self.exchange.is_idle() {
+            if self.retiring && self.pool.open_requests() == 0 && self.exchange.is_idle() {
                 return;
             }
             self.exchange.fire_due(self.clock.now());
@@ -119,44 +131,44 @@
         match message {
             Message::Request(request) => self.request(now, request),
             Message::Abandoned(request) => exchange.abandon_request(now, request),
-            Message::AttemptEnded { request, attempt, outcome, report, body, carried } => {
-                carried.into_iter().for_each(|carried| exchange.enqueue(carried));
+            Message::AttemptEnded { request, attempt, outcome, report, body, connection_event } => {
+                connection_event.into_iter().for_each(|connection_event| exchange.enqueue(connection_event));
                 let id = AttemptId { request, number: attempt };
-                exchange.attempt_ended(now, id, outcome, report, Answer::Served(body));
+                exchange.attempt_ended(now, id, outcome, report, ClientAnswer::Complete(body));
             }
-            Message::Begun { request, attempt, report, first, rest } => {
+            Message::StreamingStarted { request, attempt, report, first, rest } => {
                 let id = AttemptId { request, number: attempt };
-                exchange.attempt_ended(now, id, Outcome::Ok, report, Answer::Long(first, rest));
+                exchange.attempt_ended(now, id, Outcome::Ok, report, ClientAnswer::Streaming(first, rest));
             }
-            Message::Counted { call, outcome, total } => {
+            Message::CounterCallEnded { call, outcome, total } => {
                 exchange.counter_call_ended(now, call, outcome, total);
             }
             Message::Targets(list) => self.targets(list),
             // The old one ends by itself once its calls are answered or its connection is closed.
-            Message::CounterMoved(link) => {
+            Message::CounterReplaced(link) => {
                 let counter = exchange.port.open(link, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
                 exchange.gateway_mut().counter_moved();
             }
             Message::Reconfigure(changed) => self.reconfigure(now, changed.0, changed.1),
-            Message::Hand { node, out, reply } => {
-                let _ = reply.send(self.by_hand(&node, out));
+            Message::SetManualEjection { node, ejected, reply } => {
+                let _ = reply.send(self.by_hand(&node, ejected));
             }
-            Message::Out(written) => {
+            Message::ManualEjections(written) => {
                 let moved = self.ejections.update_from(&written, now);
                 moved.iter().for_each(|node| self.tell_again(node));
             }
-            Message::HandDown(reply) => {
+            Message::ExportState(reply) => {
                 if let Err(unheard) = reply.send(self.hand_down()) {
                     self.exchange.gateway_mut().take_back(now, &unheard.belief);
                 }
             }
-            Message::Alone => exchange.gateway_mut().beside(false),
-            Message::TakeBack(lent) => exchange.gateway_mut().take_back(now, &lent.belief),
+            Message::PredecessorEnded => exchange.gateway_mut().beside(false),
+            Message::ReclaimState(lent) => exchange.gateway_mut().take_back(now, &lent.belief),
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
-            Message::Claim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
-            Message::Peer { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
+            Message::AddToClaim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
+            Message::PeerMessage { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
         }
     }
 
@@ -170,13 +182,13 @@
 
     /// Begins with what an older process knew. Its list of nodes is newer than the configuration's.
     #[cold]
-    fn inherit(&mut self, mut inherited: Inheritance) {
-        self.ejections.inherit_restored(std::mem::take(&mut inherited.back));
-        if let Some(list) = inherited.list() {
+    fn inherit(&mut self, mut imported_state: Inheritance) {
+        self.ejections.inherit_restored(std::mem::take(&mut imported_state.back));
+        if let Some(list) = imported_state.list() {
             self.targets(list);
             self.exchange.process_events(self.clock.now());
         }
-        let belief = inherited.belief(self.exchange.port.backend_ids.as_map(), &self.names);
+        let belief = imported_state.belief(self.exchange.port.backend_ids.as_map(), &self.names);
         let ((nodes, accounts), now) = (belief.known(), self.clock.now());
         let age = now.saturating_sub(belief.at()) / 1000;
         let believed = self.exchange.gateway_mut().take_over(now, belief);
@@ -208,16 +220,16 @@
                 customer: request.customer,
                 units: request.units,
                 spread: request.spread,
-                first_gateway: request.first,
+                first_gateway: request.first_ingress,
                 budget: request.budget,
-                repeat: request.repeat,
+                repeat: request.is_retry,
                 write,
             },
-            arrived_at: request.arrived,
+            arrived_at: request.arrived_at,
             is_admission_check: forward.is_none(),
             claim: request.claim,
         };
-        self.exchange.accept_request(now, accepted, Client { reply, forward });
+        self.exchange.accept_request(now, accepted, PendingClient { reply, forward });
     }
 
     // ---- Lists of nodes ----
@@ -249,14 +261,14 @@
     // ---- Nodes taken out by hand ----
 
     /// Whether there is such a node; it is out, or back, from then on.
-    fn by_hand(&mut self, node: &str, out: bool) -> bool {
+    fn by_hand(&mut self, node: &str, ejected: bool) -> bool {
         let now = self.clock.now();
         if self.exchange.port.backend_ids.get(node).is_none() && !self.ejections.is_ejected(node) {
             return false;
         }
-        let moved = if out { self.ejections.eject(node, now) } else { self.ejections.restore(node, now) };
+        let moved = if ejected { self.ejections.eject(node, now) } else { self.ejections.restore(node, now) };
         if moved {
-            eprintln!("by hand: {node} is {}", if out { "out" } else { "back" });
+            eprintln!("by hand: {node} is {}", if ejected { "out" } else { "back" });
             self.tell_again(node);
         }
         true
@@ -273,7 +285,7 @@
     }
 
     fn target(&mut self, target: &Target) -> BackendEntry {
-        let out = self.ejections.is_ejected(&target.id);
+        let ejected = self.ejections.is_ejected(&target.id);
         let sockets = &mut self.exchange.port;
         let id = sockets.backend_ids.get_or_assign(&target.id);
         let budget = &self.budget;
@@ -283,7 +295,7 @@
             backend.close_idle();
         }
         backend.gone.set(target.phase == Phase::Terminated);
-        backend.accepting.set(target.phase == Phase::InService && !out);
+        backend.accepting.set(target.phase == Phase::InService && !ejected);
         let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
         BackendEntry {
             id,
@@ -291,7 +303,7 @@
             kind: place(&self.names.kinds, &target.flavor).map_or(u8::MAX, |kind| kind as u8),
             cell: target.cell,
             condition: match target.phase {
-                Phase::InService if !out => Condition::Ready,
+                Phase::InService if !ejected => Condition::Ready,
                 Phase::InService => Condition::Draining,
                 Phase::Terminating => Condition::Draining,
                 Phase::Terminated => Condition::Gone,
--- a/crates/ingress/src/port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -1,15 +1,15 @@
 //! What an exchange asks for, carried out over sockets.
 
 use super::account::Account;
-use super::backend::{self, Backend, Ended};
+use super::backend::{self, AttemptResult, Backend};
 use super::counter::Counter;
 use super::discovery::Target;
 use super::embedded::Link;
-use super::long::Upload;
 use super::peers::Peers;
 use super::pool::Pool;
-use super::tasks::{self, Handle};
-use super::{Answer, Clock, Forward, Message, Messages, Reply};
+use super::streaming::Upload;
+use super::tasks::{self, TaskHandle};
+use super::{ClientAnswer, Clock, ForwardedRequest, Message, Messages, Reply};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -22,19 +22,19 @@
 };
 
 /// The way to the counter, opened.
-pub(crate) enum Counting {
+pub(crate) enum CounterConnection {
     Remote(Counter),
     Embedded(Link),
 }
 
 /// What is held for a client until its answer.
-pub(crate) struct Client {
+pub(crate) struct PendingClient {
     pub reply: oneshot::Sender<Reply>,
     /// None: it only asks.
-    pub forward: Option<Rc<Forward>>,
+    pub forward: Option<Rc<ForwardedRequest>>,
 }
 
-impl Client {
+impl PendingClient {
     /// A body that was not whole when the request was taken.
     fn upload(&self) -> Option<&Rc<Upload>> {
         self.forward.as_ref().and_then(|forward| forward.body.upload())
@@ -42,19 +42,19 @@
 }
 
 /// An attempt that is out.
-pub(crate) struct Flying {
+pub(crate) struct InFlightAttempt {
     /// Whether a byte of the request may have gone out.
     sent: Rc<Cell<bool>>,
     /// Its request's body, if that is a long one.
     upload: Option<Rc<Upload>>,
-    task: Handle,
+    task: TaskHandle,
 }
 
-pub(crate) struct Sockets {
+pub(crate) struct SocketPort {
     pub clock: Clock,
     pub messages: Messages,
     pub pool: Rc<Pool>,
-    pub counter: Option<Counting>,
+    pub counter: Option<CounterConnection>,
     pub peers: Option<Peers>,
     pub report_fields: Rc<[ReportField]>,
     pub backend_ids: BackendIds,
@@ -67,13 +67,17 @@
     pub account: Option<Box<Account>>,
 }
 
-impl Sockets {
-    pub fn open(&self, link: Link, timeout: Micros) -> Counting {
+impl SocketPort {
+    pub fn open(&self, link: Link, timeout: Micros) -> CounterConnection {
         match link {
-            Link::Remote { address, space } => {
-                Counting::Remote(Counter::open(address, space, timeout, self.clock, self.messages.clone()))
-            }
-            embedded => Counting::Embedded(embedded),
+            Link::Remote { address, space } => CounterConnection::Remote(Counter::open(
+                address,
+                space,
+                timeout,
+                self.clock,
+                self.messages.clone(),
+            )),
+            embedded => CounterConnection::Embedded(embedded),
         }
     }
 
@@ -86,10 +90,10 @@
     }
 }
 
-impl Port for Sockets {
-    type Client = Client;
-    type Response = Answer;
-    type Attempt = Flying;
+impl Port for SocketPort {
+    type Client = PendingClient;
+    type Response = ClientAnswer;
+    type Attempt = InFlightAttempt;
     /// Whether it may have been written.
     type Call = Rc<Cell<bool>>;
     type ClaimWaiter = oneshot::Sender<Option<f64>>;
@@ -99,9 +103,9 @@
         now: Micros,
         id: AttemptId,
         backend: BackendId,
-        client: &Client,
+        client: &PendingClient,
         expires_at: Micros,
-    ) -> Option<Flying> {
+    ) -> Option<InFlightAttempt> {
         let AttemptId { request, number: attempt } = id;
         let backend = self.backends.get(&backend).filter(|backend| backend.accepting.get()).cloned()?;
         let forward = client.forward.clone()?;
@@ -116,18 +120,25 @@
             self.report_fields.clone(),
             move || clock.now(),
             move |report, first, rest| {
-                let _ = begun.send(Message::Begun { request, attempt, report, first, rest });
+                let _ = begun.send(Message::StreamingStarted { request, attempt, report, first, rest });
             },
         );
         let task = tasks::spawn(async move {
-            let Ended { outcome, report, body, carried, .. } = work.await;
-            let _ = messages.send(Message::AttemptEnded { request, attempt, outcome, report, body, carried });
+            let AttemptResult { outcome, report, body, connection_event, .. } = work.await;
+            let _ = messages.send(Message::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                report,
+                body,
+                connection_event,
+            });
         });
-        Some(Flying { sent, upload: client.upload().cloned(), task })
+        Some(InFlightAttempt { sent, upload: client.upload().cloned(), task })
     }
 
-    fn send_progress(&self, attempt: &Flying) -> SendProgress {
-        let ended = attempt.upload.as_ref().map_or(Some(0), |upload| upload.ended());
+    fn send_progress(&self, attempt: &InFlightAttempt) -> SendProgress {
+        let ended = attempt.upload.as_ref().map_or(Some(0), |upload| upload.ended_at());
         match (attempt.sent.get(), ended) {
             (false, _) => SendProgress::Nothing,
             (true, None) => SendProgress::Partial,
@@ -135,15 +146,15 @@
         }
     }
 
-    fn cancel_attempt(&mut self, attempt: Flying) {
+    fn cancel_attempt(&mut self, attempt: InFlightAttempt) {
         attempt.task.abort();
     }
 
-    fn upload(&self, client: &Client) -> Option<violetyoke_exchange::Upload> {
+    fn upload(&self, client: &PendingClient) -> Option<violetyoke_exchange::Upload> {
         client.upload().map(|upload| violetyoke_exchange::Upload {
-            started_at: upload.began,
-            ended_at: upload.ended(),
-            is_unsent: upload.untouched(),
+            started_at: upload.started_at,
+            ended_at: upload.ended_at(),
+            is_unsent: upload.is_unsent(),
         })
     }
 
@@ -156,10 +167,10 @@
         life: Micros,
     ) -> CallStart<Self::Call> {
         match &self.counter {
-            Some(Counting::Remote(counter)) => {
+            Some(CounterConnection::Remote(counter)) => {
                 counter.call(call, now, count, amount, life).map_or(CallStart::NotSent, CallStart::Pending)
             }
-            Some(Counting::Embedded(Link::Embedded { counts, space })) => {
+            Some(CounterConnection::Embedded(Link::Embedded { counts, space })) => {
                 CallStart::Total(counts.add(now, space, count, amount, life))
             }
             _ => CallStart::NotSent,
@@ -175,25 +186,25 @@
         let _ = waiter.send(total);
     }
 
-    fn wants_quota(&self, client: &Client) -> bool {
-        client.forward.is_none() || self.pool.fields.get() != Fields::default()
+    fn wants_quota(&self, client: &PendingClient) -> bool {
+        client.forward.is_none() || self.pool.quota_headers.get() != Fields::default()
     }
 
     fn respond(
         &mut self,
         now: Micros,
         summary: RequestSummary,
-        client: Client,
-        response: FinalResponse<Answer>,
+        client: PendingClient,
+        response: FinalResponse<ClientAnswer>,
     ) {
         if let Some(account) = &mut self.account {
             account.over(now, summary.request, summary.attempts, response.kind(), summary.why);
         }
         let answer = match response {
             FinalResponse::Served(answer) => answer,
-            FinalResponse::Refused { retry_after } => Answer::Refused { retry_after },
-            FinalResponse::Failed => Answer::Failed,
-            FinalResponse::Admitted => Answer::Admitted,
+            FinalResponse::Refused { retry_after } => ClientAnswer::Refused { retry_after },
+            FinalResponse::Failed => ClientAnswer::Failed,
+            FinalResponse::Admitted => ClientAnswer::Admitted,
         };
         // The client may have left meanwhile: then nobody misses the answer.
         let _ = client.reply.send(Reply { answer, standing: summary.quota });
--- a/crates/ingress/src/framing.rs
+++ b/crates/ingress/src/framing.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether the next head in turn is known not to state both.
-    pub fn next_is_plain(&mut self) -> bool {
+    pub fn next_head_is_unambiguous(&mut self) -> bool {
         self.heads.pop_front() == Some(false)
     }
 
--- a/crates/ingress/src/framing/tests.rs
+++ b/crates/ingress/src/framing/tests.rs
@@ -8,7 +8,7 @@
         let mut framing = Framing::default();
         framing.read(&bytes.as_bytes()[..cut]);
         framing.read(&bytes.as_bytes()[cut..]);
-        (0..count).map(|_| framing.next_is_plain()).collect::<Vec<_>>()
+        (0..count).map(|_| framing.next_head_is_unambiguous()).collect::<Vec<_>>()
     };
     let whole = told(0);
     for cut in 0..bytes.len() {
--- a/crates/ingress/src/guest.rs
+++ b/crates/ingress/src/guest.rs
@@ -1,7 +1,7 @@
 //! A tenant, as a request meets it. The platform's program has none: all that is a tenant's is behind this.
 
 use crate::request::Rejection;
-use crate::tasks::Set;
+use crate::tasks::TaskSet;
 use std::any::Any;
 use std::rc::Rc;
 use violetyoke_shares::Member;
@@ -19,7 +19,7 @@
     fn member(&self) -> Member;
 
     /// Where its connections' tasks take their turns.
-    fn set(&self) -> Option<Rc<Set>>;
+    fn set(&self) -> Option<Rc<TaskSet>>;
 
     /// What others are told of an account: two tenants' of one name are two.
     fn account(&self, name: &str) -> String;
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -19,8 +19,9 @@
 
 mod account;
 mod backend;
-mod clients;
+mod class_plan_indices;
 pub mod config;
+mod connections;
 mod console;
 mod consult;
 mod counter;
@@ -28,31 +29,30 @@
 mod driver;
 mod duties;
 mod embedded;
-mod fields;
+mod exchange_port;
 mod follow;
 mod framing;
-mod front;
-mod gate;
 mod guest;
 mod handover;
-mod long;
 mod nodes;
 mod passed;
 mod peers;
 pub mod platform;
 mod pool;
-mod port;
+mod precheck;
 mod prepared;
 mod questions;
+mod quota_headers;
 mod request;
 mod roaming;
+mod router;
 mod running;
 mod server;
 pub mod service;
 mod sets;
-mod slots;
 mod socket;
 mod starting;
+mod streaming;
 mod succession;
 mod takeover;
 mod tasks;
@@ -64,18 +64,18 @@
 use embedded::Link;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
-use long::{Rest, Sending};
-use pool::Held;
+use pool::BytesReservation;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use streaming::{RequestBody, ResponseRemainder};
 use tokio::sync::{mpsc, oneshot};
 use violetyoke_decision::interface::{CustomerId, Event, Micros, Outcome, Report, RequestId, Settings};
 use violetyoke_decision::view::Standing;
 use violetyoke_shares::Member;
 
 /// The largest body that is held whole.
-const LARGEST_BODY: usize = 64 * 1024;
+const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
 /// Microseconds of Unix time, read once and carried on by the monotonic clock. Window starts are part of
 /// the counter's names, so all ingresses must number windows alike: the origin has to be one they share.
@@ -103,44 +103,44 @@
 /// A client's request, checked and with its body whole.
 pub(crate) struct ClientRequest {
     pub id: RequestId,
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     pub budget: Micros,
     pub class: u16,
     pub plan: u16,
     pub customer: CustomerId,
     pub units: f64,
     pub spread: f64,
-    pub first: f64,
-    pub repeat: bool,
+    pub first_ingress: f64,
+    pub is_retry: bool,
     /// None: it only asks.
-    pub forward: Option<Rc<Forward>>,
+    pub forward: Option<Rc<ForwardedRequest>>,
     /// The number of its try's claim, if it is for this request to tell the outcome.
     pub claim: Option<u64>,
     /// The tenant that is charged for what the driver does with it.
-    pub charged: Option<Member>,
+    pub charged_member: Option<Member>,
     pub reply: oneshot::Sender<Reply>,
 }
 
 /// What goes on to a backend unchanged.
-pub(crate) struct Forward {
+pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub wire_id: HeaderValue,
-    pub body: Sending,
+    pub body: RequestBody,
     /// Its body's part of the pool's bytes.
-    pub _held: Option<Held>,
+    pub _held: Option<BytesReservation>,
 }
 
 /// The one final answer to a client, and its quota where the pool tells of that.
 pub(crate) struct Reply {
-    pub answer: Answer,
+    pub answer: ClientAnswer,
     pub standing: Option<Standing>,
 }
 
-pub(crate) enum Answer {
-    Served(Bytes),
+pub(crate) enum ClientAnswer {
+    Complete(Bytes),
     /// Its first bytes, and the rest as it comes.
-    Long(Bytes, Rest),
+    Streaming(Bytes, ResponseRemainder),
     /// Trying again is harmless, after that long (0: nothing is said of it).
     Refused {
         retry_after: Micros,
@@ -160,25 +160,25 @@
         outcome: Outcome,
         report: Report,
         body: Bytes,
-        carried: Option<Event>,
+        connection_event: Option<Event>,
     },
     /// A long answer has begun; it is the client's from here on.
-    Begun {
+    StreamingStarted {
         request: RequestId,
         attempt: u8,
         report: Report,
         first: Bytes,
-        rest: Rest,
+        rest: ResponseRemainder,
     },
-    Counted {
+    CounterCallEnded {
         call: u64,
         outcome: Outcome,
         total: f64,
     },
     Targets(TargetList),
     /// The counter is there from now on.
-    CounterMoved(Link),
-    Peer {
+    CounterReplaced(Link),
+    PeerMessage {
         from: u32,
         data: Vec<u8>,
     },
@@ -187,25 +187,25 @@
     /// One that was let in and sent nowhere is taken back.
     Withdrawn(RequestId),
     /// To be added to a try's claim; who asks gets the total, or none if it is not to be had in time.
-    Claim {
+    AddToClaim {
         claim: u64,
         amount: f64,
         reply: Option<oneshot::Sender<Option<f64>>>,
     },
     /// Takes a node out by hand or puts it back; who asks learns whether there is such a node.
-    Hand {
+    SetManualEjection {
         node: String,
-        out: bool,
+        ejected: bool,
         reply: oneshot::Sender<bool>,
     },
     /// The nodes that are out by hand, as another process of this ingress has left them.
-    Out(BTreeMap<String, Micros>),
+    ManualEjections(BTreeMap<String, Micros>),
     /// All that is known, for a process that takes this one's place.
-    HandDown(oneshot::Sender<Box<succession::Inheritance>>),
+    ExportState(oneshot::Sender<Box<succession::Inheritance>>),
     /// The process whose place this one has taken is no more.
-    Alone,
+    PredecessorEnded,
     /// What was handed down: nobody came for it.
-    TakeBack(Box<succession::Inheritance>),
+    ReclaimState(Box<succession::Inheritance>),
     /// No new requests come: end when all that are open are over.
     Retire,
 }
--- a/crates/ingress/src/nodes.rs
+++ b/crates/ingress/src/nodes.rs
@@ -3,14 +3,14 @@
 use crate::discovery::{self, Phase, Target, TargetList};
 use crate::running::Run;
 use crate::sets::Sets;
-use crate::tasks::Set;
+use crate::tasks::TaskSet;
 use crate::watch::Watch;
 use crate::Message;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use violetyoke_config::{self as file, Nodes};
 
 /// Tells the driver of a static list, or has a discovery watched from now on.
-pub fn watch_nodes(run: &mut Run, sets: &Sets, set: &Set) {
+pub fn watch_nodes(run: &mut Run, sets: &Sets, set: &TaskSet) {
     if let Some(watch) = run.watch.take() {
         watch.abort();
     }
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 
 /// The longest datagram that is allowed.
-const LONGEST: usize = 256;
+const MAX_STREAMED_BODY: usize = 256;
 
 pub struct Peers {
     socket: Rc<UdpSocket>,
@@ -41,20 +41,20 @@
             Some(number) => self.peers.get(usize::from(number)).copied(),
             None => self.all,
         };
-        if let Some(address) = address.filter(|_| data.len() <= LONGEST) {
+        if let Some(address) = address.filter(|_| data.len() <= MAX_STREAMED_BODY) {
             let _ = self.socket.try_send_to(data, address);
         }
     }
 }
 
 async fn receive(socket: Rc<UdpSocket>, peers: Vec<SocketAddr>, messages: Messages) {
-    let mut buffer = [0; LONGEST];
+    let mut buffer = [0; MAX_STREAMED_BODY];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, sender)) => {
                 let Some(from) = peers.iter().position(|peer| *peer == sender) else { continue };
                 let data = buffer[..length].to_vec();
-                let _ = messages.send(Message::Peer { from: from as u32, data });
+                let _ = messages.send(Message::PeerMessage { from: from as u32, data });
             }
             // An earlier datagram's bounce says nothing about the next one.
             Err(_) => tokio::task::yield_now().await,
--- a/crates/ingress/src/platform.rs
+++ b/crates/ingress/src/platform.rs
@@ -1,15 +1,15 @@
 //! One pool in the form that the platform expects: what [`config`] reads from `EDGE_CONFIG`.
 
-use crate::backend::Budget;
-use crate::clients::Clients;
+use crate::backend::ConnectionBudget;
 use crate::config::{self, Config, Names};
+use crate::connections::ConnectionTable;
 use crate::console::{self, Console};
-use crate::driver::{Driver, Setup};
+use crate::driver::{Driver, DriverSetup};
 use crate::embedded::Link;
-use crate::front::{Front, Routing};
 use crate::handover::Handover;
 use crate::pool::Pool;
-use crate::request::{Form, Rules};
+use crate::request::{RequestFormat, Rules};
+use crate::router::{Router, Routing};
 use crate::takeover::{inherited, look, Lender};
 use crate::watch::Watch;
 use crate::{discovery, passed, peers, server, Clock, Message, Messages};
@@ -44,7 +44,7 @@
     let handover = config.passed.and_then(|_| Handover::open(&config.name, own)).map(Rc::new);
     // Asked for only where something can be handed down.
     let fingerprint = Rc::new(Cell::new(handover.as_ref().map_or(0, |_| fingerprint(&config.written))));
-    let (older, inherited) = match &handover {
+    let (older, imported_state) = match &handover {
         Some(handover) => inherited(handover, &config.name, fingerprint.get(), clock).await,
         None => (None, None),
     };
@@ -59,23 +59,25 @@
     let mut indices = StableIndices::default();
     let (settings, names) = assign_indices(&mut indices, config.settings, config.names);
     let longest = Rc::new(Cell::new(longest(&settings)));
-    let rules = Rules::new(&settings, names.classes.clone(), names.plans.clone(), Form::Platform);
-    let pool = Pool::alone(rules, messages.clone());
-    let setup = Setup {
+    let rules = Rules::new(&settings, names.classes.clone(), names.plans.clone(), RequestFormat::Platform);
+    let pool = Pool::standalone(rules, messages.clone());
+    let setup = DriverSetup {
         settings,
         names,
         seed: config.seed,
-        budget: Budget::alone(config.sockets * 5 / 16),
-        known: config.known.unwrap_or_default(),
+        budget: ConnectionBudget::standalone(config.sockets * 5 / 16),
+        initial_targets: config.known.unwrap_or_default(),
         counter,
         peers,
         ejections: ManualEjections::new(handover.iter().flat_map(|handover| handover.out())),
-        beside: older.is_some(),
-        inherited,
+        predecessor_alive: older.is_some(),
+        imported_state,
     };
     // What was handed down need not be the list that the known version names.
-    let told = setup.known.complete && !setup.known.members.is_empty() && setup.inherited.is_none();
-    let version = told.then_some(setup.known.revision);
+    let told = setup.initial_targets.complete
+        && !setup.initial_targets.members.is_empty()
+        && setup.imported_state.is_none();
+    let version = told.then_some(setup.initial_targets.revision);
     let gateways = setup.settings.gateways;
     let driver = Driver::new(setup, clock, messages.clone(), pool.clone());
     let driver = tokio::task::spawn_local(driver.run(inbox));
@@ -94,14 +96,15 @@
         fingerprint: fingerprint.clone(),
     };
     tokio::task::spawn_local(reloads.run(reload));
-    let front = Front::new(Routing::One(pool.clone()));
-    let shared = Rc::new(server::Shared::new(front, clock, Clients::alone(config.sockets), None));
+    let front = Router::new(Routing::SinglePool(pool.clone()));
+    let shared =
+        Rc::new(server::ServerState::new(front, clock, ConnectionTable::standalone(config.sockets), None));
     if let Some(listener) = console {
         let (shared, handover, most) = (shared.clone(), handover.clone(), (config.sockets / 48).max(4));
         tokio::task::spawn_local(console::serve(listener, Console { shared, pool, handover, most }));
     }
     if let Some(handover) = handover.clone() {
-        shared.held_back.set(true);
+        shared.awaiting_takeover.set(true);
         let lender = Lender::new(handover, config.name, fingerprint, clock, messages);
         tokio::task::spawn_local(look(lender, shared.clone(), older));
     }
@@ -167,10 +170,11 @@
         if new.written != self.written {
             let (settings, names) = assign_indices(&mut self.indices, new.settings, new.names);
             self.longest.set(longest(&settings));
-            let rules = Rules::new(&settings, names.classes.clone(), names.plans.clone(), Form::Platform);
+            let rules =
+                Rules::new(&settings, names.classes.clone(), names.plans.clone(), RequestFormat::Platform);
             // The driver first: a request that names a new class must not reach it before it knows the class.
             let _ = self.messages.send(Message::Reconfigure(Box::new((settings, names))));
-            self.pool.change(rules, u32::MAX);
+            self.pool.update(rules, u32::MAX);
             self.written = new.written;
             self.fingerprint.set(fingerprint(&self.written));
         }
@@ -184,7 +188,7 @@
         }
         if let Some(address) = new.counter.filter(|new| self.counter != Some(*new)) {
             self.counter = Some(address);
-            let _ = self.messages.send(Message::CounterMoved(Link::Remote { address, space: None }));
+            let _ = self.messages.send(Message::CounterReplaced(Link::Remote { address, space: None }));
         }
     }
 }
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -1,9 +1,9 @@
 //! One pool as the server sees it: what its requests are checked against, and the way to its driver.
 
-use crate::gate::Gate;
-use crate::long::{Rest, Writing};
+use crate::precheck::Precheck;
 use crate::request::Rules;
-use crate::tasks::Set;
+use crate::streaming::{ResponseInProgress, ResponseRemainder};
+use crate::tasks::TaskSet;
 use crate::{Message, Messages};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -19,7 +19,7 @@
 use violetyoke_shares::{CapacityPool, Member};
 
 /// Something there is only so much of, shared by all pools.
-pub type Shared = Rc<RefCell<CapacityPool>>;
+pub type SharedCapacity = Rc<RefCell<CapacityPool>>;
 
 pub struct Pool {
     pub name: String,
@@ -34,17 +34,17 @@
     pub ready: Cell<bool>,
     open: Cell<u32>,
     most_open: Cell<u32>,
-    pub fields: Cell<Fields>,
-    bytes: Option<Shared>,
+    pub quota_headers: Cell<Fields>,
+    bytes: Option<SharedCapacity>,
     /// Where its tasks take their turns, and its connections' tasks too; none: where they are.
-    pub set: Option<Rc<Set>>,
+    pub set: Option<Rc<TaskSet>>,
     retired: Cell<bool>,
-    gate: RefCell<Option<Rc<dyn Gate>>>,
+    precheck: RefCell<Option<Rc<dyn Precheck>>>,
 }
 
 impl Pool {
     /// The only pool of a process: it shares nothing, and the platform bounds what it may use.
-    pub fn alone(rules: Rules, messages: Messages) -> Rc<Pool> {
+    pub fn standalone(rules: Rules, messages: Messages) -> Rc<Pool> {
         Rc::new(Pool::new(String::new(), 0, rules, messages, u32::MAX, None, None))
     }
 
@@ -54,8 +54,8 @@
         rules: Rules,
         messages: Messages,
         most_open: u32,
-        bytes: Option<Shared>,
-        set: Option<Rc<Set>>,
+        bytes: Option<SharedCapacity>,
+        set: Option<Rc<TaskSet>>,
     ) -> Pool {
         Pool {
             name,
@@ -67,11 +67,11 @@
             ready: Cell::new(false),
             open: Cell::new(0),
             most_open: Cell::new(most_open),
-            fields: Cell::default(),
+            quota_headers: Cell::default(),
             bytes,
             set,
             retired: Cell::new(false),
-            gate: RefCell::default(),
+            precheck: RefCell::default(),
         }
     }
 
@@ -79,23 +79,23 @@
         self.rules.borrow().clone()
     }
 
-    pub fn change(&self, rules: Rules, most_open: u32) {
+    pub fn update(&self, rules: Rules, most_open: u32) {
         *self.rules.borrow_mut() = Rc::new(rules);
         self.most_open.set(most_open);
     }
 
     /// What is found out before its module is asked.
-    pub fn set_gate(&self, gate: Rc<dyn Gate>) {
-        *self.gate.borrow_mut() = Some(gate);
+    pub fn set_precheck(&self, precheck: Rc<dyn Precheck>) {
+        *self.precheck.borrow_mut() = Some(precheck);
     }
 
     /// Its gate, where that has anything to find out about such a request.
-    pub fn gate(&self, named: bool, plan: impl FnOnce() -> u16) -> Option<Rc<dyn Gate>> {
-        let gate = self.gate.borrow();
-        let gate = gate.as_ref()?;
+    pub fn precheck(&self, named: bool, plan: impl FnOnce() -> u16) -> Option<Rc<dyn Precheck>> {
+        let precheck = self.precheck.borrow();
+        let precheck = precheck.as_ref()?;
         let rules = self.rules();
         let plan = rules.plans.get(usize::from(plan())).map_or("", String::as_str);
-        gate.wants(named, plan).then(|| gate.clone())
+        precheck.applies_to(named, plan).then(|| precheck.clone())
     }
 
     /// What it takes no more requests from then on; those that it has are answered.
@@ -115,20 +115,20 @@
 
     /// A place for one more request, for as long as it is open. Bounds the driver's inbox too: a request has
     /// one thing to tell at a time.
-    pub fn enter(self: &Rc<Pool>) -> Option<Entry> {
+    pub fn open_request(self: &Rc<Pool>) -> Option<OpenRequest> {
         if self.open.get() >= self.most_open.get() {
             return None;
         }
         self.open.set(self.open.get() + 1);
-        Some(Entry { pool: self.clone() })
+        Some(OpenRequest { pool: self.clone() })
     }
 
-    pub fn open(&self) -> u32 {
+    pub fn open_requests(&self) -> u32 {
         self.open.get()
     }
 
     /// A number for the driver, of a request that has no name.
-    pub fn number(&self) -> RequestId {
+    pub fn next_request_id(&self) -> RequestId {
         let id = self.next_id.get();
         self.next_id.set(id.wrapping_add(1));
         id
@@ -136,35 +136,37 @@
 
     /// A number for the driver, and the client's own id, which no other open request may have: the same id
     /// twice is one request twice, and the second copy could run beside the first.
-    pub fn name_request(self: &Rc<Pool>, wire_id: &HeaderValue) -> Option<Named> {
+    pub fn register_request(self: &Rc<Pool>, wire_id: &HeaderValue) -> Option<RegisteredRequest> {
         self.wire_ids.borrow_mut().insert(wire_id.clone()).then(|| {
-            let id = self.number();
-            Named { pool: self.clone(), id, wire_id: wire_id.clone(), over: false }
+            let id = self.next_request_id();
+            RegisteredRequest { pool: self.clone(), id, wire_id: wire_id.clone(), over: false }
         })
     }
 
     /// Bytes of a body that is about to be read, of the pool's or of a tenant's; none: there is no room for it.
-    pub fn hold(&self, member: Member, amount: u64) -> Option<Held> {
-        let Some(bytes) = &self.bytes else { return Some(Held { capacity: None, member: 0, amount: 0 }) };
+    pub fn reserve_bytes(&self, member: Member, amount: u64) -> Option<BytesReservation> {
+        let Some(bytes) = &self.bytes else {
+            return Some(BytesReservation { capacity: None, member: 0, amount: 0 });
+        };
         let fits = bytes.borrow_mut().try_acquire(member, amount);
-        fits.then(|| Held { capacity: Some(bytes.clone()), member, amount })
+        fits.then(|| BytesReservation { capacity: Some(bytes.clone()), member, amount })
     }
 
     /// Bytes of an answer that is there already: it is passed on, and what comes next finds less room.
-    pub fn hold_anyway(&self, member: Member, amount: u64) -> Held {
+    pub fn reserve_bytes_unchecked(&self, member: Member, amount: u64) -> BytesReservation {
         if let Some(bytes) = &self.bytes {
             bytes.borrow_mut().acquire_unchecked(member, amount);
         }
-        Held { capacity: self.bytes.clone(), member, amount }
+        BytesReservation { capacity: self.bytes.clone(), member, amount }
     }
 }
 
 /// The place of an open request.
-pub struct Entry {
+pub struct OpenRequest {
     pool: Rc<Pool>,
 }
 
-impl Drop for Entry {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.pool.open.set(self.pool.open.get() - 1);
         if self.pool.retired.get() {
@@ -174,14 +176,14 @@
 }
 
 /// The names of an open request. Dropped before it is over, its client has gone away.
-pub struct Named {
+pub struct RegisteredRequest {
     pool: Rc<Pool>,
     pub id: RequestId,
     wire_id: HeaderValue,
     pub over: bool,
 }
 
-impl Drop for Named {
+impl Drop for RegisteredRequest {
     fn drop(&mut self) {
         self.pool.wire_ids.borrow_mut().remove(&self.wire_id);
         if !self.over {
@@ -191,13 +193,13 @@
 }
 
 /// Bytes that are held, given back when dropped.
-pub struct Held {
-    capacity: Option<Shared>,
+pub struct BytesReservation {
+    capacity: Option<SharedCapacity>,
     member: Member,
     amount: u64,
 }
 
-impl Drop for Held {
+impl Drop for BytesReservation {
     fn drop(&mut self) {
         if let Some(capacity) = &self.capacity {
             capacity.borrow_mut().release(self.member, self.amount);
@@ -207,28 +209,28 @@
 
 /// A whole body on its way to a client, and its part of the pool's bytes until it has been written.
 #[derive(Default)]
-pub struct Whole {
+pub struct ResponseBody {
     bytes: Option<Bytes>,
-    held: Option<Held>,
-    rest: Option<(Rest, Writing)>,
+    held: Option<BytesReservation>,
+    rest: Option<(ResponseRemainder, ResponseInProgress)>,
 }
 
-impl Whole {
+impl ResponseBody {
     /// A long one: its first bytes, and the rest as it comes.
-    pub fn long(first: Bytes, rest: Rest, writing: Writing) -> Whole {
-        Whole { rest: Some((rest, writing)), ..Whole::new(first, None) }
+    pub fn long(first: Bytes, rest: ResponseRemainder, writing: ResponseInProgress) -> ResponseBody {
+        ResponseBody { rest: Some((rest, writing)), ..ResponseBody::new(first, None) }
     }
 
     pub fn is_long(&self) -> bool {
         self.rest.is_some()
     }
 
-    pub fn new(bytes: Bytes, held: Option<Held>) -> Whole {
-        Whole { bytes: Some(bytes).filter(|bytes| !bytes.is_empty()), held, rest: None }
+    pub fn new(bytes: Bytes, held: Option<BytesReservation>) -> ResponseBody {
+        ResponseBody { bytes: Some(bytes).filter(|bytes| !bytes.is_empty()), held, rest: None }
     }
 }
 
-impl Body for Whole {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/ingress/src/questions.rs
+++ b/crates/ingress/src/questions.rs
@@ -1,14 +1,14 @@
 //! The gRPC rate limit service: HTTP/2 connections, and each question on its way to its pool's module. What a
 //! question is about and what becomes of several descriptors is decided in `violetyoke-ratelimit`, free of I/O.
 
-use crate::fields;
-use crate::gate::{About, Gated, Pass};
-use crate::pool::{Pool, Shared};
-use crate::request::account_of;
+use crate::pool::{Pool, SharedCapacity};
+use crate::precheck::{PrecheckOutcome, PrecheckPass, PrecheckRequest};
+use crate::quota_headers;
+use crate::request::customer_id;
 use crate::server::listen;
 use crate::socket::Socket;
-use crate::tasks::{self, Local};
-use crate::{Answer, ClientRequest, Clock, Message, Reply};
+use crate::tasks::{self, LocalExecutor};
+use crate::{ClientAnswer, ClientRequest, Clock, Message, Reply};
 use futures_util::future::join_all;
 use hyper::server::conn::http2;
 use hyper::service::service_fn;
@@ -56,7 +56,7 @@
 pub struct Questions {
     asking: RefCell<Rc<Asking>>,
     clock: Clock,
-    descriptors: Shared,
+    descriptors: SharedCapacity,
     member: Member,
     open: Cell<usize>,
     freed: Notify,
@@ -98,7 +98,7 @@
 }
 
 impl Questions {
-    pub fn new(asking: Asking, clock: Clock, descriptors: Shared, member: Member) -> Rc<Questions> {
+    pub fn new(asking: Asking, clock: Clock, descriptors: SharedCapacity, member: Member) -> Rc<Questions> {
         let most = asking.file.connections;
         descriptors.borrow_mut().set_limits(member, 0, most);
         Rc::new(Questions {
@@ -181,7 +181,7 @@
         let streams = self.asking.borrow().file.streams;
         tasks::spawn(async move {
             let _place = place;
-            let mut builder = http2::Builder::new(Local);
+            let mut builder = http2::Builder::new(LocalExecutor);
             builder
                 .timer(TokioTimer::new())
                 .max_concurrent_streams(streams)
@@ -204,7 +204,7 @@
                     _ = connection.as_mut() => break,
                     () = first.as_mut(), if !begun => {
                         // One that has not even said what it speaks holds its place for no longer.
-                        begun = watched.read() >= 24;
+                        begun = watched.bytes_read() >= 24;
                         if !begun {
                             break;
                         }
@@ -254,7 +254,7 @@
     clock: Clock,
     handing: Handing,
 ) -> Result<proto::RateLimitResponse, Status> {
-    let arrived = clock.now();
+    let arrived_at = clock.now();
     let request = &handing.request;
     let descriptors: Vec<Descriptor> = request.descriptors.iter().map(asked).collect();
     let limits = RequestLimits { descriptors: asking.file.descriptors, ..RequestLimits::default() };
@@ -274,7 +274,7 @@
         match ready {
             Err(UnknownPolicy::Ok) => Answered::known(true),
             Err(UnknownPolicy::OverLimit) => Answered::known(false),
-            Ok(ready) => ready.ask(arrived, budget).await,
+            Ok(ready) => ready.ask(arrived_at, budget).await,
         }
     });
     let mut answers = join_all(asks).await;
@@ -321,72 +321,75 @@
         let rules = pool.rules();
         let plan = match &query.plan {
             Some(name) => rules.plan(name).ok_or_else(|| wrong("no such plan"))?,
-            None => rules.usual_plan().ok_or_else(|| wrong("names no plan, and the pool has no default"))?,
+            None => {
+                rules.default_plan().ok_or_else(|| wrong("names no plan, and the pool has no default"))?
+            }
         };
-        if query.units > rules.largest() {
+        if query.units > rules.max_units() {
             return Err(wrong("hits_addend: more units than one request may have"));
         }
-        let customer = account_of(&query.account).ok_or_else(|| wrong("the account is empty or too long"))?;
-        let class = rules.asks().ok_or_else(|| Status::internal("the pool takes no questions"))?;
-        let (units, spread, named) = (query.units, rules.ingresses(), query.attempt_name);
+        let customer =
+            customer_id(&query.account).ok_or_else(|| wrong("the account is empty or too long"))?;
+        let class = rules.query_class().ok_or_else(|| Status::internal("the pool takes no questions"))?;
+        let (units, spread, named) = (query.units, rules.ingress_count(), query.attempt_name);
         let (pool, account) = (pool.clone(), query.account);
         Ok(Ready { pool, class, plan, customer, units, spread, named, account })
     }
 
-    async fn ask(self, arrived: Micros, budget: Micros) -> Answered {
+    async fn ask(self, arrived_at: Micros, budget: Micros) -> Answered {
         let mut pass = None;
-        if let Some(gate) = self.pool.gate(self.named.is_some(), || self.plan) {
-            let about = About {
+        if let Some(precheck) = self.pool.precheck(self.named.is_some(), || self.plan) {
+            let about = PrecheckRequest {
                 source: Source::Query,
                 customer: self.customer,
                 units: self.units,
-                named: self.named,
+                attempt_name: self.named,
                 account: self.account,
                 plan: self.pool.rules().plans[usize::from(self.plan)].clone(),
                 class: None,
-                arrived,
+                arrived_at,
                 budget,
             };
-            match gate.ask(about).await {
-                Gated::Pass(passed) if passed.counted => return Answered::known(true),
-                Gated::Pass(passed) => pass = Some(passed),
-                Gated::Refused { retry_after } | Gated::Silent { retry_after } => {
+            match precheck.run(about).await {
+                PrecheckOutcome::Pass(passed) if passed.already_counted => return Answered::known(true),
+                PrecheckOutcome::Pass(passed) => pass = Some(passed),
+                PrecheckOutcome::OverLimit { retry_after } | PrecheckOutcome::Unavailable { retry_after } => {
                     let mut refused = Answered::known(false);
                     refused.retry_after = retry_after;
                     return refused;
                 }
             }
         }
-        let Some(_entry) = self.pool.enter() else { return Answered::known(false) };
-        let id = self.pool.number();
+        let Some(_entry) = self.pool.open_request() else { return Answered::known(false) };
+        let id = self.pool.next_request_id();
         let (reply, answered) = oneshot::channel();
         let sent = self.pool.send(Message::Request(ClientRequest {
             id,
-            arrived,
+            arrived_at,
             budget,
             class: self.class,
             plan: self.plan,
             customer: self.customer,
             units: self.units,
             spread: self.spread,
-            first: 0.0,
-            repeat: false,
+            first_ingress: 0.0,
+            is_retry: false,
             forward: None,
             claim: pass.as_ref().and_then(|pass| pass.claim),
-            charged: None,
+            charged_member: None,
             reply,
         }));
         // Dropped here, its stream has been reset: what was asked ends with it.
         let mut asked = Answered::known(false);
         (asked.pool, asked.id, asked.open, asked.pass) = (Some(self.pool.clone()), id, sent, pass);
-        let reply = answered.await.unwrap_or(Reply { answer: Answer::Failed, standing: None });
-        (asked.let_in, asked.standing) = (matches!(reply.answer, Answer::Admitted), reply.standing);
+        let reply = answered.await.unwrap_or(Reply { answer: ClientAnswer::Failed, standing: None });
+        (asked.let_in, asked.standing) = (matches!(reply.answer, ClientAnswer::Admitted), reply.standing);
         asked.open = asked.let_in;
-        if let Answer::Refused { retry_after } = reply.answer {
+        if let ClientAnswer::Refused { retry_after } = reply.answer {
             asked.retry_after = retry_after;
         }
         if let Some(pass) = asked.pass.as_mut().filter(|_| !asked.let_in) {
-            pass.ended(false);
+            pass.finish(false);
         }
         asked
     }
@@ -401,7 +404,7 @@
     id: u32,
     /// The module holds it open.
     open: bool,
-    pass: Option<Pass>,
+    pass: Option<PrecheckPass>,
 }
 
 impl Answered {
@@ -414,10 +417,10 @@
         if let Some(pool) = self.pool.as_ref().filter(|_| self.open) {
             pool.send(Message::Withdrawn(self.id));
             if let Some(pass) = &mut self.pass {
-                pass.ended(false);
+                pass.finish(false);
                 if let Some(claim) = pass.claim {
                     // Its try stands as if nobody had decided it.
-                    pool.send(Message::Claim { claim, amount: -claim::ADMITTED, reply: None });
+                    pool.send(Message::AddToClaim { claim, amount: -claim::ADMITTED, reply: None });
                 }
             }
             self.open = false;
@@ -455,7 +458,7 @@
     /// The fields that tell of the quota, where the pool has them switched on.
     fn headers(&self) -> Option<Vec<proto::HeaderValue>> {
         let mut headers = hyper::HeaderMap::new();
-        fields::write(&mut headers, self.pool.as_ref()?.fields.get(), &self.standing?);
+        quota_headers::write(&mut headers, self.pool.as_ref()?.quota_headers.get(), &self.standing?);
         let value =
             |(name, value): (&hyper::header::HeaderName, &hyper::header::HeaderValue)| proto::HeaderValue {
                 key: name.to_string(),
--- a/crates/ingress/src/roaming.rs
+++ b/crates/ingress/src/roaming.rs
@@ -1,9 +1,9 @@
 //! A connection's task that moves with its requests: it runs in the set of the pool whose request it carries, so
 //! that reading, parsing and writing for a pool are done in that pool's turns.
 
-use crate::clients::Place;
+use crate::connections::ClientConnection;
 use crate::sets;
-use crate::tasks::Set;
+use crate::tasks::TaskSet;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -14,14 +14,14 @@
 /// Polls its work wherever it is, and moves on when the place says so.
 pub struct Roaming {
     work: Option<Work>,
-    place: Rc<Place>,
+    place: Rc<ClientConnection>,
 }
 
 /// Starts a connection's work in a set.
-pub fn start(set: &Set, work: Work, place: Rc<Place>) {
+pub fn start(set: &TaskSet, work: Work, place: Rc<ClientConnection>) {
     if let Some(woken) = sets::woken() {
         let task = set.spawn(&woken, Roaming { work: Some(work), place: place.clone() });
-        place.started(task);
+        place.set_task(task);
     }
 }
 
@@ -30,7 +30,7 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         // It may have been told to move while nothing was to do: the new set polls it, with its own waker.
-        if let Some(set) = self.place.to_move() {
+        if let Some(set) = self.place.take_pending_move() {
             if let Some(work) = self.work.take() {
                 start(&set, work, self.place.clone());
             }
@@ -41,7 +41,7 @@
         if work.as_mut().poll(cx).is_ready() {
             return Poll::Ready(());
         }
-        if let Some(set) = self.place.to_move() {
+        if let Some(set) = self.place.take_pending_move() {
             if let Some(work) = self.work.take() {
                 start(&set, work, self.place.clone());
             }
--- a/crates/ingress/src/front.rs
+++ b/crates/ingress/src/router.rs
@@ -3,7 +3,7 @@
 
 use crate::guest::Guest;
 use crate::pool::Pool;
-use crate::request::{bad, Rejection};
+use crate::request::{bad_request, Rejection};
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use hyper::{StatusCode, Uri};
@@ -13,13 +13,13 @@
 use violetyoke_routes::{target, RouteTable, TargetError};
 
 /// The table in force.
-pub struct Front {
+pub struct Router {
     routing: RefCell<Rc<Routing>>,
 }
 
 pub enum Routing {
     /// Everything goes to one pool, as it came.
-    One(Rc<Pool>),
+    SinglePool(Rc<Pool>),
     Table {
         table: Arc<RouteTable>,
         routes: Vec<Route>,
@@ -31,20 +31,20 @@
     /// Class of requests that state none.
     pub class: Option<String>,
     /// Whose it is.
-    pub guest: Option<Rc<dyn Guest>>,
+    pub tenant: Option<Rc<dyn Guest>>,
 }
 
-pub struct Matched {
+pub struct RouteMatch {
     pub pool: Rc<Pool>,
     /// What goes on to the node.
     pub uri: Uri,
     pub class: Option<u16>,
-    pub guest: Option<Rc<dyn Guest>>,
+    pub tenant: Option<Rc<dyn Guest>>,
 }
 
-impl Front {
-    pub fn new(routing: Routing) -> Front {
-        Front { routing: RefCell::new(Rc::new(routing)) }
+impl Router {
+    pub fn new(routing: Routing) -> Router {
+        Router { routing: RefCell::new(Rc::new(routing)) }
     }
 
     /// Returns what was in force, as far as nobody needs it any more: it may be large.
@@ -53,39 +53,39 @@
     }
 
     /// Whether errors are told in words: the platform's clients want none.
-    pub fn talks(&self) -> bool {
+    pub fn explains_errors(&self) -> bool {
         matches!(**self.routing.borrow(), Routing::Table { .. })
     }
 
     /// Whether every pool knows its nodes.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         match &**self.routing.borrow() {
-            Routing::One(pool) => pool.ready.get(),
+            Routing::SinglePool(pool) => pool.ready.get(),
             Routing::Table { routes, .. } => routes.iter().all(|route| route.pool.ready.get()),
         }
     }
 
-    pub fn find(&self, head: &Parts) -> Result<Matched, Rejection> {
+    pub fn find(&self, head: &Parts) -> Result<RouteMatch, Rejection> {
         let routing = self.routing.borrow();
         let (table, routes) = match &**routing {
-            Routing::One(pool) => {
-                let origin = head.uri.path_and_query().ok_or(bad("path: missing"))?;
-                return Ok(Matched {
+            Routing::SinglePool(pool) => {
+                let origin = head.uri.path_and_query().ok_or(bad_request("path: missing"))?;
+                return Ok(RouteMatch {
                     pool: pool.clone(),
                     uri: Uri::from(origin.clone()),
                     class: None,
-                    guest: None,
+                    tenant: None,
                 });
             }
             Routing::Table { table, routes } => (table, routes),
         };
-        let origin = head.uri.path_and_query().ok_or(bad("path: must begin with /"))?;
+        let origin = head.uri.path_and_query().ok_or(bad_request("path: must begin with /"))?;
         let absolute = head.uri.authority().map(|authority| authority.as_str());
         let hosts = head.headers.get_all(HOST).iter().map(|value| value.as_bytes());
         let target = target(absolute, hosts, origin.path()).map_err(why)?;
         let class = head.headers.get(crate::request::REQ_KIND).and_then(|class| class.to_str().ok());
         let number = table.find(&target.host, &target.path, head.method.as_str(), class);
-        const NONE: Rejection = Rejection { code: StatusCode::NOT_FOUND, why: "path: no route" };
+        const NONE: Rejection = Rejection { code: StatusCode::NOT_FOUND, reason: "path: no route" };
         let route = number.and_then(|number| routes.get(number)).ok_or(NONE)?;
         let uri = match origin.query() {
             _ if target.path == origin.path() => Uri::from(origin.clone()),
@@ -95,10 +95,10 @@
             None => Uri::try_from(target.path).map_err(|_| why(TargetError::Encoding))?,
         };
         let class = route.class.as_ref().and_then(|class| route.pool.rules().class(class));
-        Ok(Matched { pool: route.pool.clone(), uri, class, guest: route.guest.clone() })
+        Ok(RouteMatch { pool: route.pool.clone(), uri, class, tenant: route.tenant.clone() })
     }
 }
 
 fn why(reason: TargetError) -> Rejection {
-    bad(reason.text())
+    bad_request(reason.text())
 }
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -1,15 +1,15 @@
 //! The pools that run: each started, changed and ended as the file and the tenants say.
 
-use crate::clients::{Clients, DOOR};
+use crate::class_plan_indices::ClassPlanIndices;
+use crate::connections::{ConnectionTable, UNASSIGNED};
 use crate::embedded::Counts;
-use crate::front::{Route, Routing};
-use crate::gate::Checks;
-use crate::pool::{Pool, Shared};
+use crate::pool::{Pool, SharedCapacity};
+use crate::precheck::PoolPrecheck;
 use crate::prepared::{HostedRoute, Prepared};
 use crate::questions::Asking;
+use crate::router::{Route, Routing};
 use crate::sets::Sets;
-use crate::slots::Slots;
-use crate::tasks::{Handle, Set};
+use crate::tasks::{TaskHandle, TaskSet};
 use crate::tenants::Tenancy;
 use crate::Clock;
 use std::cell::RefCell;
@@ -23,7 +23,7 @@
 use violetyoke_tenants::snapshot::TenantDirectory;
 
 /// The rate limit service's number among those that share the process.
-pub const ASKING: Member = DOOR + 1;
+pub const ASKING: Member = UNASSIGNED + 1;
 /// Descriptors kept for connections that are yet to say what they want: one part in so many of all.
 const DOOR_PART: u64 = 8;
 
@@ -31,9 +31,9 @@
 pub struct Pools {
     pub clock: Clock,
     pub sets: Rc<Sets>,
-    pub door: Rc<Set>,
-    pub descriptors: Shared,
-    pub bytes: Shared,
+    pub door: Rc<TaskSet>,
+    pub descriptors: SharedCapacity,
+    pub bytes: SharedCapacity,
     pub counts: Rc<Counts>,
     running: BTreeMap<String, Run>,
     pub tenancy: Tenancy,
@@ -45,16 +45,16 @@
     pub pool: Rc<Pool>,
     pub config: file::Pool,
     /// Classes and plans at the numbers that the module knows them by.
-    pub slots: Slots,
-    pub checks: Rc<Checks>,
-    pub watch: Option<Handle>,
+    pub slots: ClassPlanIndices,
+    pub checks: Rc<PoolPrecheck>,
+    pub watch: Option<TaskHandle>,
     pub revision: u64,
     /// Its plans that are tenants'.
     pub hosted: Vec<(String, Plan)>,
 }
 
 impl Pools {
-    pub fn new(config: &file::Service, sets: Rc<Sets>, door: Rc<Set>, uses: UsageCounters) -> Pools {
+    pub fn new(config: &file::Service, sets: Rc<Sets>, door: Rc<TaskSet>, uses: UsageCounters) -> Pools {
         let capacity = |total| Rc::new(RefCell::new(CapacityPool::new(total)));
         let (descriptors, bytes) = (capacity(config.descriptors), capacity(config.buffered_bytes));
         let open = config.control.as_ref().map_or(0, |control| control.open_requests);
@@ -82,7 +82,11 @@
     ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<TenantDirectory>)) {
         let door = config.descriptors / DOOR_PART;
         self.descriptors.borrow_mut().resize(config.descriptors);
-        self.descriptors.borrow_mut().set_limits(DOOR, door.min(self.spare(config)), config.descriptors);
+        self.descriptors.borrow_mut().set_limits(
+            UNASSIGNED,
+            door.min(self.spare(config)),
+            config.descriptors,
+        );
         self.bytes.borrow_mut().resize(config.buffered_bytes);
         let mut pools = Vec::new();
         for pool in &config.pools {
@@ -115,18 +119,18 @@
         let running = &self.running;
         let number = |name: &str| running.get(name).map(|run| run.pool.member);
         let of: HashMap<Member, &Run> = running.values().map(|run| (run.pool.member, run)).collect();
-        let plan_of = |pool: Member, name: &str| of.get(&pool)?.slots.hosted.get(name).copied();
+        let plan_of = |pool: Member, name: &str| of.get(&pool)?.slots.tenant_plans.get(name).copied();
         let left = self.tenancy.apply(config, prepared, member, number, &plan_of);
         let route = |route: &file::Route| Route {
             pool: pools[route.pool].clone(),
             class: route.default_class.clone(),
-            guest: None,
+            tenant: None,
         };
         let mut routes: Vec<Route> = config.routes.iter().map(route).collect();
         routes.extend(hosted.into_iter().map(|route| Route {
             pool: pools[route.pool].clone(),
             class: route.class,
-            guest: self.tenancy.tenant(&route.tenant),
+            tenant: self.tenancy.tenant(&route.tenant),
         }));
         let asking = config.ratelimit.clone().map(|file| Asking { file, pools });
         (Routing::Table { table: prepared.table.clone(), routes }, asking, left)
@@ -143,14 +147,14 @@
     }
 
     /// Ends the pools that the file no longer has, once nothing of theirs is open.
-    pub fn retire(&mut self, config: &file::Service, clients: &Clients) {
+    pub fn retire(&mut self, config: &file::Service, clients: &ConnectionTable) {
         let gone: Vec<String> = self.running.keys().cloned().collect();
         for name in gone.into_iter().filter(|name| !config.pools.iter().any(|pool| pool.name == *name)) {
             let Some(run) = self.running.remove(&name) else { continue };
             if let Some(watch) = run.watch {
                 watch.abort();
             }
-            clients.leave(run.pool.member, &self.door);
+            clients.unassign(run.pool.member, &self.door);
             // Nothing is guaranteed to it any more, but what is open still needs a connection to a node.
             self.descriptors.borrow_mut().set_limits(run.pool.member, 0, config.descriptors);
             self.bytes.borrow_mut().set_limits(run.pool.member, 0, config.buffered_bytes);
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -1,16 +1,16 @@
 //! Clients: their connections, what a well-formed request is, and the end of service on SIGTERM.
 
-use super::clients::{Clients, Place, Stage};
-use super::fields;
-use super::front::{Front, Matched};
-use super::gate::{About, Gated};
-use super::long::Writing;
-use super::pool::{Pool, Whole};
-use super::request::{account_text, bad, body as body_of, check, Rejection, TOO_SLOW};
+use super::connections::{ClientConnection, ConnectionTable, Stage};
+use super::pool::{Pool, ResponseBody};
+use super::precheck::{PrecheckOutcome, PrecheckRequest};
+use super::quota_headers;
+use super::request::{account_name, bad_request, body as body_of, check, Rejection, BODY_TIMED_OUT};
 use super::roaming;
+use super::router::{RouteMatch, Router};
 use super::socket::Socket;
-use super::tasks::{self, Set};
-use super::{Answer, ClientRequest, Clock, Forward, Message, Reply};
+use super::streaming::ResponseInProgress;
+use super::tasks::{self, TaskSet};
+use super::{ClientAnswer, ClientRequest, Clock, ForwardedRequest, Message, Reply};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
@@ -47,40 +47,45 @@
 const COUNTED: u64 = 1 << 63;
 
 /// What all client connections share.
-pub struct Shared {
-    pub front: Front,
+pub struct ServerState {
+    pub router: Router,
     clock: Clock,
-    pub clients: Rc<Clients>,
+    pub connections: Rc<ConnectionTable>,
     /// Where connections are until they carry a request, if their tasks move.
-    door: Option<Rc<Set>>,
+    door: Option<Rc<TaskSet>>,
     /// Ids for requests whose clients gave them none.
     next_name: Cell<u64>,
     /// How this process stands to its clients.
     pub serving_state: Cell<ServingState>,
     /// Set until an older process that serves the same clients has been told to leave them to this one.
-    pub held_back: Cell<bool>,
+    pub awaiting_takeover: Cell<bool>,
     /// Told to connections that are to end with what they have.
     closing: watch::Sender<()>,
 }
 
-impl Shared {
-    pub fn new(front: Front, clock: Clock, clients: Rc<Clients>, door: Option<Rc<Set>>) -> Shared {
+impl ServerState {
+    pub fn new(
+        router: Router,
+        clock: Clock,
+        connections: Rc<ConnectionTable>,
+        door: Option<Rc<TaskSet>>,
+    ) -> ServerState {
         let next_name = Cell::new(clock.now());
         let (closing, _) = watch::channel(());
-        Shared {
-            front,
+        ServerState {
+            router,
             clock,
-            clients,
+            connections,
             door,
             next_name,
             serving_state: Cell::default(),
-            held_back: Cell::new(false),
+            awaiting_takeover: Cell::new(false),
             closing,
         }
     }
 
     /// Changes how this process stands to its clients.
-    pub fn turn(&self, change: impl FnOnce(&mut ServingState, Micros)) {
+    pub fn update_state(&self, change: impl FnOnce(&mut ServingState, Micros)) {
         let mut state = self.serving_state.get();
         change(&mut state, self.clock.now());
         if state != self.serving_state.replace(state) {
@@ -89,8 +94,8 @@
     }
 
     /// Whether it takes clients, as whoever deals them out asks.
-    pub fn ready(&self) -> bool {
-        self.serving_state.get().is_ready() && self.front.ready() && !self.held_back.get()
+    pub fn is_ready(&self) -> bool {
+        self.serving_state.get().is_ready() && self.router.is_ready() && !self.awaiting_takeover.get()
     }
 }
 
@@ -110,15 +115,15 @@
 pub async fn serve(
     listener: TcpListener,
     passed: Option<&dyn Fn() -> bool>,
-    shared: Rc<Shared>,
+    shared: Rc<ServerState>,
     mut terminate: Signal,
     longest: impl Fn() -> Duration,
 ) -> io::Result<()> {
     let mut tidy = interval(TIDY);
     tidy.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let (room, state) = (shared.clients.has_room(), shared.serving_state.get());
-        let takes = state.accepts_connections(shared.clock.now()) && !shared.held_back.get();
+        let (room, state) = (shared.connections.has_room(), shared.serving_state.get());
+        let takes = state.accepts_connections(shared.clock.now()) && !shared.awaiting_takeover.get();
         let closes_at = state.closes_at().map(|at| Instant::from_std(shared.clock.instant(at)));
         tokio::select! {
             accepted = listener.accept(), if room && takes => match accepted {
@@ -129,18 +134,18 @@
                     sleep(Duration::from_millis(5)).await;
                 }
             },
-            () = shared.clients.freed.notified(), if !room => {}
+            () = shared.connections.freed.notified(), if !room => {}
             _ = tidy.tick() => {
-                shared.clients.tidy();
+                shared.connections.close_overdue();
                 if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseQuiet {
-                    shared.clients.close_quiet();
+                    shared.connections.close_idle();
                 }
             }
             _ = terminate.recv(), if !state.is_shutting_down() => {
                 if passed.is_some_and(|taken_over| taken_over()) {
-                    shared.turn(|state, _| state.on_taken_over());
+                    shared.update_state(|state, _| state.on_taken_over());
                 }
-                shared.turn(ServingState::shut_down);
+                shared.update_state(ServingState::shut_down);
                 // Idle connections close now, while a request that crosses this still finds a listener.
                 if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseAll {
                     shared.closing.send_replace(());
@@ -152,8 +157,8 @@
     drop(listener);
     shared.closing.send_replace(());
     let all_ended = async {
-        while shared.clients.count() > 0 {
-            shared.clients.freed.notified().await;
+        while shared.connections.count() > 0 {
+            shared.connections.freed.notified().await;
         }
     };
     // By then all that was taken has its answer: what is left is half a request that may never be whole.
@@ -169,12 +174,12 @@
 }
 
 /// Serves one connection in a task of its own; its failure ends nothing else.
-fn open(stream: TcpStream, shared: &Rc<Shared>, last: bool) {
+fn open(stream: TcpStream, shared: &Rc<ServerState>, last: bool) {
     let mut closing = shared.closing.subscribe();
-    let socket = Socket::of_client(stream);
+    let socket = Socket::for_client(stream);
     let shared = shared.clone();
     // Dropped, the connection is closed: there is nobody among those without a request who could make room.
-    let Some((place, ticket)) = shared.clients.enter(socket.clone()) else { return };
+    let Some((place, ticket)) = shared.connections.register(socket.clone()) else { return };
     let (entry, door) = (place.clone(), shared.door.clone());
     let work = async move {
         let _ticket = ticket;
@@ -183,17 +188,17 @@
             let service = service_fn(|request| {
                 let (shared, place, turned_down) = (shared.clone(), &place, &turned_down);
                 async move {
-                    place.enter(Stage::Open);
+                    place.set_stage(Stage::Open);
                     let answer = answer(&shared, place, turned_down, request).await;
                     if !answer.as_ref().is_ok_and(|response| response.body().is_long()) {
-                        place.enter(Stage::Idle);
+                        place.set_stage(Stage::Idle);
                     }
                     // A kept connection holds its place for 2 s at least, whether or not its client has more to
                     // ask: a table full of those that haven't keeps everybody else waiting. Guards against any
                     // crowd of clients with little to ask each; costs those with much a handshake a request.
                     let answer = match answer {
                         Ok(response)
-                            if shared.clients.crowded()
+                            if shared.connections.is_crowded()
                                 || !shared.serving_state.get().keeps_connections() =>
                         {
                             Ok(close(response))
@@ -226,8 +231,8 @@
             }
         };
         if broken || turned_down.get() {
-            place.enter(Stage::Ending);
-            place.socket.end_sending();
+            place.set_stage(Stage::Draining);
+            place.socket.shutdown_write();
             tokio::select! {
                 () = place.socket.drain(MOST_DRAINED) => {}
                 // Once told to end, the program waits for nobody who was turned down.
@@ -237,40 +242,40 @@
     };
     match door {
         Some(door) => roaming::start(&door, Box::pin(work), entry),
-        None => entry.started(tasks::spawn(work)),
+        None => entry.set_task(tasks::spawn(work)),
     }
 }
 
 /// The answer to a request, or why a bad one is turned down for good.
 async fn answer(
-    shared: &Rc<Shared>,
-    place: &Rc<Place>,
+    shared: &Rc<ServerState>,
+    place: &Rc<ClientConnection>,
     turned_down: &Cell<bool>,
     request: Request<Incoming>,
-) -> Result<Response<Whole>, Rejection> {
+) -> Result<Response<ResponseBody>, Rejection> {
     let (head, body) = request.into_parts();
     // Asked of every head, in their order.
-    if !place.socket.next_is_plain() && head.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(bad("transfer-encoding: beside a content-length"));
+    if !place.socket.next_head_is_unambiguous() && head.headers.contains_key(TRANSFER_ENCODING) {
+        return Err(bad_request("transfer-encoding: beside a content-length"));
     }
     if head.uri.path() == "/-/ready" && !head.headers.contains_key(TRANSFER_ENCODING) {
-        let ready = shared.ready();
+        let ready = shared.is_ready();
         return Ok(status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
     }
-    let Matched { pool, uri, class, guest } = shared.front.find(&head)?;
+    let RouteMatch { pool, uri, class, tenant } = shared.router.find(&head)?;
     // Whose room it takes.
-    let member = guest.as_ref().map_or(pool.member, |guest| guest.member());
-    let set = || guest.as_ref().map_or_else(|| pool.set.clone(), |guest| guest.set());
-    if !shared.clients.settle(place, member, set) {
+    let member = tenant.as_ref().map_or(pool.member, |tenant| tenant.member());
+    let set = || tenant.as_ref().map_or_else(|| pool.set.clone(), |tenant| tenant.set());
+    if !shared.connections.assign(place, member, set) {
         return Ok(close(status(StatusCode::SERVICE_UNAVAILABLE)));
     }
     let rules = pool.rules();
-    let mut terms = check(&rules, &head, class, guest.is_some())?;
+    let mut terms = check(&rules, &head, class, tenant.is_some())?;
     // Held until the answer is there: a table that is replaced meanwhile changes nothing for this request.
-    let Some(_entry) = pool.enter() else { return Ok(status(StatusCode::SERVICE_UNAVAILABLE)) };
-    let _admitted = match &guest {
+    let Some(_entry) = pool.open_request() else { return Ok(status(StatusCode::SERVICE_UNAVAILABLE)) };
+    let _admitted = match &tenant {
         None => None,
-        Some(guest) => match guest.admit(pool.member, &account_text(&head.headers)) {
+        Some(tenant) => match tenant.admit(pool.member, &account_name(&head.headers)) {
             Ok(admitted) => {
                 (terms.plan, terms.customer) = (admitted.plan, admitted.customer);
                 Some(admitted.place)
@@ -281,67 +286,68 @@
             Err(rejection) => return Err(rejection),
         },
     };
-    let Some(held) = pool.hold(member, body.size_hint().lower()) else {
+    let Some(held) = pool.reserve_bytes(member, body.size_hint().lower()) else {
         return Ok(close(status(StatusCode::SERVICE_UNAVAILABLE)));
     };
     let body = body_of(&rules, &head, body, shared.clock).await?;
     let upload = body.upload().cloned();
     // A client's time counts from its request's last byte.
-    let arrived = shared.clock.now();
+    let arrived_at = shared.clock.now();
     let wire_id = terms.wire_id.unwrap_or_else(|| own_name(shared));
-    let Some(mut named) = pool.name_request(&wire_id) else {
-        return Err(Rejection { code: StatusCode::BAD_REQUEST, why: "req-id: that of an open request" });
+    let Some(mut named) = pool.register_request(&wire_id) else {
+        return Err(Rejection { code: StatusCode::BAD_REQUEST, reason: "req-id: that of an open request" });
     };
     let (mut plan, mut customer, mut pass) = (terms.plan, terms.customer, None);
-    if let Some(gate) = pool.gate(terms.named.is_some(), || plan) {
-        let about = About {
+    if let Some(precheck) = pool.precheck(terms.attempt_name.is_some(), || plan) {
+        let about = PrecheckRequest {
             source: Source::Request,
             customer,
             units: terms.units,
-            named: terms.named,
-            account: guest.as_ref().map_or_else(
-                || account_text(&head.headers),
-                |guest| guest.account(&account_text(&head.headers)),
+            attempt_name: terms.attempt_name,
+            account: tenant.as_ref().map_or_else(
+                || account_name(&head.headers),
+                |tenant| tenant.account(&account_name(&head.headers)),
             ),
             plan: rules.plans[usize::from(plan)].clone(),
             class: Some(rules.classes[usize::from(terms.class)].clone()),
-            arrived,
+            arrived_at,
             budget: terms.budget,
         };
-        match gate.ask(about).await {
-            Gated::Pass(passed) => {
-                if passed.counted {
+        match precheck.run(about).await {
+            PrecheckOutcome::Pass(passed) => {
+                if passed.already_counted {
                     // It goes on, under a name of its own that has no quota.
-                    (plan, customer) = (rules.free().unwrap_or(plan), customer ^ COUNTED);
+                    (plan, customer) = (rules.uncounted_plan().unwrap_or(plan), customer ^ COUNTED);
                 }
                 pass = Some(passed);
             }
-            Gated::Refused { retry_after } => {
+            PrecheckOutcome::OverLimit { retry_after } => {
                 named.over = true;
                 return Ok(turned_back(StatusCode::TOO_MANY_REQUESTS, retry_after));
             }
-            Gated::Silent { retry_after } => {
+            PrecheckOutcome::Unavailable { retry_after } => {
                 named.over = true;
                 return Ok(turned_back(StatusCode::SERVICE_UNAVAILABLE, retry_after));
             }
         }
     }
     let (reply, answered) = oneshot::channel();
-    let forward = Some(Rc::new(Forward { method: head.method, uri, wire_id, body, _held: Some(held) }));
+    let forward =
+        Some(Rc::new(ForwardedRequest { method: head.method, uri, wire_id, body, _held: Some(held) }));
     let request = ClientRequest {
         id: named.id,
-        arrived,
+        arrived_at,
         budget: terms.budget,
         class: terms.class,
         plan,
         customer,
         units: terms.units,
         spread: terms.spread,
-        first: terms.first,
-        repeat: terms.repeat,
+        first_ingress: terms.first,
+        is_retry: terms.is_retry,
         forward,
         claim: pass.as_ref().and_then(|pass| pass.claim),
-        charged: guest.as_ref().map(|_| member),
+        charged_member: tenant.as_ref().map(|_| member),
         reply,
     };
     if !pool.send(Message::Request(request)) {
@@ -352,49 +358,56 @@
         None => answered.await,
         Some(upload) => tokio::select! {
             reply = answered => reply,
-            () = upload.stalled() => return Err(TOO_SLOW),
+            () = upload.stalled() => return Err(BODY_TIMED_OUT),
         },
     };
     // What is left of it is read and forgotten: a client that still writes would not see its answer.
-    if upload.is_some_and(|upload| upload.ended().is_none()) {
+    if upload.is_some_and(|upload| upload.ended_at().is_none()) {
         turned_down.set(true);
     }
-    let reply = reply.unwrap_or(Reply { answer: Answer::Failed, standing: None });
+    let reply = reply.unwrap_or(Reply { answer: ClientAnswer::Failed, standing: None });
     named.over = true;
     if let Some(pass) = &mut pass {
         // Refused, it has run nowhere.
-        pass.ended(!matches!(reply.answer, Answer::Refused { .. }));
+        pass.finish(!matches!(reply.answer, ClientAnswer::Refused { .. }));
     }
     let response = written(&pool, member, reply, place);
     Ok(if turned_down.get() { close(response) } else { response })
 }
 
 /// An id of this ingress's own, for a client that gave none.
-fn own_name(shared: &Shared) -> HeaderValue {
+fn own_name(shared: &ServerState) -> HeaderValue {
     let name = shared.next_name.replace(shared.next_name.get() + 1);
     HeaderValue::from_str(&format!("v{name:016x}")).unwrap_or(HeaderValue::from_static("v"))
 }
 
-fn written(pool: &Pool, member: Member, reply: Reply, place: &Rc<Place>) -> Response<Whole> {
+fn written(
+    pool: &Pool,
+    member: Member,
+    reply: Reply,
+    place: &Rc<ClientConnection>,
+) -> Response<ResponseBody> {
     let mut response = match reply.answer {
-        Answer::Served(body) => {
-            let held = pool.hold_anyway(member, body.len() as u64);
-            Response::new(Whole::new(body, Some(held)))
+        ClientAnswer::Complete(body) => {
+            let held = pool.reserve_bytes_unchecked(member, body.len() as u64);
+            Response::new(ResponseBody::new(body, Some(held)))
         }
-        Answer::Long(first, rest) => Response::new(Whole::long(first, rest, Writing(place.clone()))),
-        Answer::Failed | Answer::Admitted => status(StatusCode::BAD_GATEWAY),
-        Answer::Refused { retry_after: 0 } => status(StatusCode::SERVICE_UNAVAILABLE),
+        ClientAnswer::Streaming(first, rest) => {
+            Response::new(ResponseBody::long(first, rest, ResponseInProgress(place.clone())))
+        }
+        ClientAnswer::Failed | ClientAnswer::Admitted => status(StatusCode::BAD_GATEWAY),
+        ClientAnswer::Refused { retry_after: 0 } => status(StatusCode::SERVICE_UNAVAILABLE),
         // The module names a time to come back only where the quota refills by then.
-        Answer::Refused { retry_after } => turned_back(StatusCode::TOO_MANY_REQUESTS, retry_after),
+        ClientAnswer::Refused { retry_after } => turned_back(StatusCode::TOO_MANY_REQUESTS, retry_after),
     };
     if let Some(standing) = &reply.standing {
-        fields::write(response.headers_mut(), pool.fields.get(), standing);
+        quota_headers::write(response.headers_mut(), pool.quota_headers.get(), standing);
     }
     response
 }
 
 /// A refusal, with the time after which to come back where one is known.
-fn turned_back(code: StatusCode, retry_after: Micros) -> Response<Whole> {
+fn turned_back(code: StatusCode, retry_after: Micros) -> Response<ResponseBody> {
     let mut response = status(code);
     if retry_after > 0 {
         let seconds = format!("{:.3}", (retry_after as f64 / 1e3).ceil() / 1e3);
@@ -406,21 +419,21 @@
 }
 
 /// Why a request is turned down: in words too, where clients are not the platform's.
-fn turned_away(shared: &Shared, rejection: Rejection) -> Response<Whole> {
+fn turned_away(shared: &ServerState, rejection: Rejection) -> Response<ResponseBody> {
     let mut response = status(rejection.code);
-    if shared.front.talks() {
-        *response.body_mut() = Whole::new(Bytes::from(format!("{}\n", rejection.why)), None);
+    if shared.router.explains_errors() {
+        *response.body_mut() = ResponseBody::new(Bytes::from(format!("{}\n", rejection.reason)), None);
     }
     response
 }
 
-fn status(code: StatusCode) -> Response<Whole> {
-    let mut response = Response::new(Whole::default());
+fn status(code: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::default());
     *response.status_mut() = code;
     response
 }
 
-fn close(mut response: Response<Whole>) -> Response<Whole> {
+fn close(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -1,10 +1,10 @@
 //! Several pools in one process, by a configuration file of our own: their start, their change by a reload, and
 //! their end.
 
-use crate::clients::{Clients, DOOR};
-use crate::front::{Front, Routing};
+use crate::connections::{ConnectionTable, UNASSIGNED};
 use crate::prepared::Prepared;
 use crate::questions::{Asking, Questions};
+use crate::router::{Router, Routing};
 use crate::running::{Pools, ASKING};
 use crate::sets::{Running, Sets};
 use crate::{duties, follow, server};
@@ -46,7 +46,7 @@
     let listener = server::listen(config.listen)?;
     let address = listener.local_addr()?;
     let (sets, over) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
-    let door = sets.add(DOOR, DOOR_WEIGHT);
+    let door = sets.add(UNASSIGNED, DOOR_WEIGHT);
     let running = Running::new(sets.clone(), over.clone());
     let uses = UsageCounters::default();
     let mut pools = Pools::new(&config, sets.clone(), door.clone(), uses.clone());
@@ -65,8 +65,9 @@
     let (routing, asking, _) = pools.apply(&config, &prepared, routes);
     let questions =
         asking.map(|asking| Questions::new(asking, pools.clock, pools.descriptors.clone(), ASKING));
-    let clients = Clients::shared(pools.descriptors.clone());
-    let shared = Rc::new(server::Shared::new(Front::new(routing), pools.clock, clients, Some(door.clone())));
+    let clients = ConnectionTable::with_shared_capacity(pools.descriptors.clone());
+    let shared =
+        Rc::new(server::ServerState::new(Router::new(routing), pools.clock, clients, Some(door.clone())));
     let longest = config.pools.iter().flat_map(|pool| &pool.classes).map(|class| class.class.deadline).max();
     let longest = Duration::from_micros(longest.unwrap_or(0)) + END_SLACK;
     let asked = match &questions {
@@ -126,7 +127,7 @@
     path: PathBuf,
     in_force: watched::Sender<Arc<file::Service>>,
     mut pools: Pools,
-    shared: Rc<server::Shared>,
+    shared: Rc<server::ServerState>,
     questions: Option<Rc<Questions>>,
     mut reload: tokio::signal::unix::Signal,
     mut offered: mpsc::Receiver<follow::Offered>,
@@ -213,12 +214,12 @@
     pools: &mut Pools,
     config: &file::Service,
     mut prepared: Prepared,
-    shared: &Rc<server::Shared>,
+    shared: &Rc<server::ServerState>,
     questions: Option<&Rc<Questions>>,
 ) {
     let routes = std::mem::take(&mut prepared.routes);
     let (routing, asking, (gone, held)) = pools.apply(config, &prepared, routes);
-    let old = match shared.front.replace(routing) {
+    let old = match shared.router.replace(routing) {
         Some(Routing::Table { table, .. }) => Some(table),
         _ => None,
     };
@@ -226,9 +227,9 @@
         sets_weight(pools, &asking);
         questions.replace(asking);
     }
-    pools.retire(config, &shared.clients);
+    pools.retire(config, &shared.connections);
     for member in gone {
-        shared.clients.leave(member, &pools.door);
+        shared.connections.unassign(member, &pools.door);
         if config.turns {
             // Its connections' tasks go to the door when they are next polled, which is at once.
             let sets = pools.sets.clone();
--- a/crates/ingress/src/sets.rs
+++ b/crates/ingress/src/sets.rs
@@ -2,7 +2,7 @@
 //! of their own; this polls one task after another, of the set that [`Turns`] names, and charges that set for the
 //! time that it took. One pool's flood then lengthens another's wait by a turn, and not by its queue.
 
-use crate::tasks::{Handle, Set};
+use crate::tasks::{TaskHandle, TaskSet};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -70,14 +70,14 @@
 }
 
 enum Change {
-    Add(u64, Rc<Set>),
+    Add(u64, Rc<TaskSet>),
     Weight(Member, u64),
     Remove(Member),
 }
 
 impl Sets {
-    pub fn add(&self, member: Member, weight: u64) -> Rc<Set> {
-        let set = Set::new(member);
+    pub fn add(&self, member: Member, weight: u64) -> Rc<TaskSet> {
+        let set = TaskSet::new(member);
         self.pending.borrow_mut().push(Change::Add(weight, set.clone()));
         set
     }
@@ -91,7 +91,7 @@
         self.pending.borrow_mut().push(Change::Remove(member));
     }
 
-    pub fn spawn(&self, set: &Set, future: impl Future<Output = ()> + 'static) -> Handle {
+    pub fn spawn(&self, set: &TaskSet, future: impl Future<Output = ()> + 'static) -> TaskHandle {
         set.spawn(&self.woken, future)
     }
 }
@@ -100,7 +100,7 @@
 pub struct Running {
     sets: Rc<Sets>,
     scheduler: FairScheduler,
-    runs: BTreeMap<Member, Rc<Set>>,
+    runs: BTreeMap<Member, Rc<TaskSet>>,
     over: Rc<Cell<bool>>,
 }
 
--- a/crates/ingress/src/socket.rs
+++ b/crates/ingress/src/socket.rs
@@ -36,49 +36,49 @@
     }
 
     /// A client's, whose heads are checked.
-    pub fn of_client(stream: TcpStream) -> Socket {
+    pub fn for_client(stream: TcpStream) -> Socket {
         Socket { framing: Some(Rc::default()), ..Socket::new(stream) }
     }
 
     /// Bytes read and written so far.
-    pub fn read(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.traffic.read.get()
     }
 
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.traffic.written.get()
     }
 
     /// Whether the peer has yet to take what was last to be written.
-    pub fn blocked(&self) -> bool {
+    pub fn is_write_blocked(&self) -> bool {
         self.traffic.blocked.get()
     }
 
     /// Whether nothing can be read and the peer has not closed. Asks the kernel: the runtime learns of bytes
     /// only at its next turn, and by then a request would have been written before them.
-    pub fn quiet(&self) -> bool {
+    pub fn has_no_input(&self) -> bool {
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Whether the next head in turn is known not to state both a length and chunks.
-    pub fn next_is_plain(&self) -> bool {
-        self.framing.as_ref().is_none_or(|framing| framing.borrow_mut().next_is_plain())
+    pub fn next_head_is_unambiguous(&self) -> bool {
+        self.framing.as_ref().is_none_or(|framing| framing.borrow_mut().next_head_is_unambiguous())
     }
 
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
     }
 
     /// Reads on until the peer closes or so many bytes have come, and forgets them: closing with bytes unread
     /// would reset the connection, and the peer might lose the answer that it has not read yet.
     pub async fn drain(&self, most: u64) {
-        let until = self.read() + most;
+        let until = self.bytes_read() + most;
         let mut scrap = [0; 16 * 1024];
-        while self.read() < until && self.stream.readable().await.is_ok() {
+        while self.bytes_read() < until && self.stream.readable().await.is_ok() {
             match self.stream.try_read(&mut scrap) {
                 Ok(0) => return,
-                Ok(length) => self.traffic.read.set(self.read() + length as u64),
+                Ok(length) => self.traffic.read.set(self.bytes_read() + length as u64),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
@@ -99,7 +99,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 result => {
                     self.traffic.blocked.set(false);
-                    self.traffic.written.set(self.written() + *result.as_ref().unwrap_or(&0) as u64);
+                    self.traffic.written.set(self.bytes_written() + *result.as_ref().unwrap_or(&0) as u64);
                     return Poll::Ready(result);
                 }
             }
@@ -120,7 +120,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 result => {
                     let length = *result.as_ref().unwrap_or(&0);
-                    self.traffic.read.set(self.read() + length as u64);
+                    self.traffic.read.set(self.bytes_read() + length as u64);
                     if let Some(framing) = &self.framing {
                         framing.borrow_mut().read(&buffer.filled()[before..]);
                     }
@@ -141,7 +141,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.end_sending();
+        self.shutdown_write();
         Poll::Ready(Ok(()))
     }
 
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -1,15 +1,15 @@
 //! One pool's start, and its change while it runs.
 
-use crate::backend::Budget;
+use crate::backend::ConnectionBudget;
+use crate::class_plan_indices::ClassPlanIndices;
 use crate::config::Names;
 use crate::consult::Consulting;
-use crate::driver::{Driver, Setup};
+use crate::driver::{Driver, DriverSetup};
 use crate::embedded::Link;
-use crate::gate::Checks;
 use crate::nodes::{list, watch_nodes};
 use crate::pool::Pool;
+use crate::precheck::PoolPrecheck;
 use crate::running::{Pools, Run};
-use crate::slots::Slots;
 use crate::Message;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -32,8 +32,8 @@
         self.share(config, member, file);
         let own = config.turns.then(|| self.sets.add(member, file.weight));
         let set = own.clone().unwrap_or_else(|| self.door.clone());
-        let mut slots = Slots::default();
-        slots.take(file, hosted);
+        let mut slots = ClassPlanIndices::default();
+        slots.update(file, hosted);
         let (messages, inbox) = mpsc::unbounded_channel();
         let bytes = Some(self.bytes.clone());
         let pool = Pool::new(
@@ -45,16 +45,16 @@
             bytes,
             own,
         );
-        pool.fields.set(file.fields);
+        pool.quota_headers.set(file.fields);
         let pool = Rc::new(pool);
-        let setup = Setup {
-            beside: false,
-            inherited: None,
+        let setup = DriverSetup {
+            predecessor_alive: false,
+            imported_state: None,
             settings: slots.settings(file),
             names: names(file),
             seed: self.clock.now() ^ (member as u64) << 48,
-            budget: Budget::new(self.descriptors.clone(), member),
-            known: list(&file.nodes, 1),
+            budget: ConnectionBudget::new(self.descriptors.clone(), member),
+            initial_targets: list(&file.nodes, 1),
             counter: Some(self.link(file)),
             peers: None,
             ejections: ManualEjections::default(),
@@ -72,8 +72,8 @@
                 sets.remove(member);
             }
         });
-        let checks = Rc::new(Checks::new(pool.messages()));
-        pool.set_gate(checks.clone());
+        let checks = Rc::new(PoolPrecheck::new(pool.messages()));
+        pool.set_precheck(checks.clone());
         let (config, hosted) = (file.clone(), hosted.to_vec());
         let mut run = Run { pool, config, slots, checks, watch: None, revision: 1, hosted };
         self.consult(&run, file);
@@ -83,8 +83,8 @@
 
     /// Whom the pool asks from now on before it admits. What is known of a server stays where it still is.
     fn consult(&self, run: &Run, file: &file::Pool) {
-        let old = run.checks.consulting();
-        run.checks.consult(file.consult.clone().map(|consult| match old {
+        let old = run.checks.external_limiter();
+        run.checks.set_external_limiter(file.consult.clone().map(|consult| match old {
             Some(old) if old.is_at(&consult) => {
                 old.change(consult);
                 old
@@ -110,13 +110,13 @@
         }
         run.hosted = hosted.to_vec();
         self.sets.weigh(run.pool.member, file.weight);
-        run.slots.take(file, hosted);
-        run.pool.change(run.slots.rules(file), file.open_requests);
-        run.pool.fields.set(file.fields);
+        run.slots.update(file, hosted);
+        run.pool.update(run.slots.rules(file), file.open_requests);
+        run.pool.quota_headers.set(file.fields);
         let settings = run.slots.settings(file);
         run.pool.send(Message::Reconfigure(Box::new((settings, names(file)))));
         if run.config.counter != file.counter {
-            run.pool.send(Message::CounterMoved(self.link(file)));
+            run.pool.send(Message::CounterReplaced(self.link(file)));
         }
         self.consult(run, file);
         let moved = run.config.nodes != file.nodes;
--- a/crates/ingress/src/long.rs
+++ b/crates/ingress/src/streaming.rs
@@ -1,7 +1,7 @@
 //! Bodies longer than what is held of them: passed on as they come, at the pace of whoever is slower. A few pieces
 //! of some 16 KiB are in memory for each, however long it is.
 
-use crate::clients::{Place, Stage};
+use crate::connections::{ClientConnection, Stage};
 use crate::Clock;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -17,9 +17,9 @@
 use violetyoke_decision::interface::Micros;
 
 /// The longest body that either side may send.
-pub const LONGEST: u64 = 32 * 1024 * 1024;
+pub const MAX_STREAMED_BODY: u64 = 32 * 1024 * 1024;
 /// What is taken of a long request before it is sent on.
-pub const FIRST: usize = 16 * 1024;
+pub const STREAM_PREFIX: usize = 16 * 1024;
 /// Pieces of a long answer that wait for its client.
 const WAITING: usize = 2;
 /// How long a client that is to send more may say nothing: it is owed an end within 3 s.
@@ -28,13 +28,13 @@
 const LOOK: Duration = Duration::from_millis(200);
 
 /// A body's first bytes, and whether they are all.
-pub struct Gathered {
+pub struct PartialBody {
     pub bytes: Bytes,
     pub whole: bool,
 }
 
 /// Takes a body until it ends or more than so many bytes have come.
-pub async fn gather(body: &mut Incoming, most: usize) -> Result<Gathered, hyper::Error> {
+pub async fn gather(body: &mut Incoming, most: usize) -> Result<PartialBody, hyper::Error> {
     let mut first = Bytes::new();
     let mut all = BytesMut::new();
     loop {
@@ -54,10 +54,10 @@
         }
         if first.len().max(all.len()) > most {
             let bytes = if all.is_empty() { first } else { all.freeze() };
-            return Ok(Gathered { bytes, whole: false });
+            return Ok(PartialBody { bytes, whole: false });
         }
     }
-    Ok(Gathered { bytes: if all.is_empty() { first } else { all.freeze() }, whole: true })
+    Ok(PartialBody { bytes: if all.is_empty() { first } else { all.freeze() }, whole: true })
 }
 
 /// A long request on its way in. What has gone on to a node is no longer here: it can be sent once.
@@ -67,7 +67,7 @@
     rest: RefCell<Incoming>,
     clock: Clock,
     /// When its first part was there.
-    pub began: Micros,
+    pub started_at: Micros,
     /// Some of the rest has gone on.
     taken: Cell<bool>,
     /// When its last byte went on.
@@ -85,7 +85,7 @@
             length,
             rest: RefCell::new(rest),
             clock,
-            began: clock.now(),
+            started_at: clock.now(),
             taken: Cell::new(false),
             ended: Cell::new(None),
             waiting: Cell::new(None),
@@ -94,15 +94,15 @@
     }
 
     /// Whether it can still be sent from its beginning.
-    pub fn untouched(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         !self.taken.get()
     }
 
-    pub fn ended(&self) -> Option<Micros> {
+    pub fn ended_at(&self) -> Option<Micros> {
         self.ended.get()
     }
 
-    pub fn broken(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         self.broken.get()
     }
 
@@ -134,7 +134,7 @@
             self.taken.set(true);
             let Ok(data) = data else { continue };
             *passed += data.len() as u64;
-            if *passed > LONGEST {
+            if *passed > MAX_STREAMED_BODY {
                 self.broken.set(true);
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
@@ -149,39 +149,39 @@
 
 /// What goes on to a node as a request's body.
 #[derive(Clone)]
-pub enum Sending {
-    Whole(Bytes),
-    Long(Rc<Upload>),
+pub enum RequestBody {
+    Buffered(Bytes),
+    Streamed(Rc<Upload>),
 }
 
-impl Sending {
+impl RequestBody {
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            Sending::Whole(_) => None,
-            Sending::Long(upload) => Some(upload),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(upload) => Some(upload),
         }
     }
 }
 
 /// A request's body as one attempt sends it.
-pub struct Outgoing {
-    body: Sending,
+pub struct AttemptBody {
+    body: RequestBody,
     first: Option<Bytes>,
     passed: u64,
 }
 
-impl Outgoing {
-    pub fn new(body: &Sending) -> Outgoing {
+impl AttemptBody {
+    pub fn new(body: &RequestBody) -> AttemptBody {
         let first = match body {
-            Sending::Whole(bytes) => bytes,
-            Sending::Long(upload) => &upload.first,
+            RequestBody::Buffered(bytes) => bytes,
+            RequestBody::Streamed(upload) => &upload.first,
         };
         let first = Some(first.clone()).filter(|first| !first.is_empty());
-        Outgoing { body: body.clone(), first, passed: 0 }
+        AttemptBody { body: body.clone(), first, passed: 0 }
     }
 }
 
-impl Body for Outgoing {
+impl Body for AttemptBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -192,42 +192,42 @@
         }
         let this = &mut *self;
         match &this.body {
-            Sending::Whole(_) => Poll::Ready(None),
-            Sending::Long(upload) => upload.poll_rest(cx, &mut this.passed),
+            RequestBody::Buffered(_) => Poll::Ready(None),
+            RequestBody::Streamed(upload) => upload.poll_rest(cx, &mut this.passed),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.body, Sending::Whole(_)) && self.first.is_none()
+        matches!(self.body, RequestBody::Buffered(_)) && self.first.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            Sending::Whole(_) => {
+            RequestBody::Buffered(_) => {
                 SizeHint::with_exact(self.first.as_ref().map_or(0, |first| first.len() as u64))
             }
-            Sending::Long(upload) => upload.length.map_or_else(SizeHint::new, SizeHint::with_exact),
+            RequestBody::Streamed(upload) => upload.length.map_or_else(SizeHint::new, SizeHint::with_exact),
         }
     }
 }
 
 /// The rest of a long answer, as its client takes it. Dropped, the node's connection is closed.
-pub struct Rest {
+pub struct ResponseRemainder {
     pieces: mpsc::Receiver<io::Result<Bytes>>,
     /// Bytes still to come, where that was said.
     left: Option<u64>,
 }
 
 /// Who passes a long answer on.
-pub type Pieces = mpsc::Sender<io::Result<Bytes>>;
+pub type ChunkSender = mpsc::Sender<io::Result<Bytes>>;
 
 /// A long answer of which `first` bytes have come, of `length` in all.
-pub fn rest(length: Option<u64>) -> (Pieces, Rest) {
+pub fn rest(length: Option<u64>) -> (ChunkSender, ResponseRemainder) {
     let (sender, pieces) = mpsc::channel(WAITING);
-    (sender, Rest { pieces, left: length })
+    (sender, ResponseRemainder { pieces, left: length })
 }
 
-impl Rest {
+impl ResponseRemainder {
     pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         let piece = ready!(self.pieces.poll_recv(cx));
         if let (Some(left), Some(Ok(piece))) = (&mut self.left, &piece) {
@@ -242,10 +242,10 @@
 }
 
 /// Keeps a connection's request open until its long answer has been written.
-pub struct Writing(pub Rc<Place>);
+pub struct ResponseInProgress(pub Rc<ClientConnection>);
 
-impl Drop for Writing {
+impl Drop for ResponseInProgress {
     fn drop(&mut self) {
-        self.0.enter(Stage::Idle);
+        self.0.set_stage(Stage::Idle);
     }
 }
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -81,12 +81,12 @@
             HandoverAction::TakeBack => {
                 if let Some(lent) = lent.take() {
                     eprintln!("handover: nobody has come for what was handed down: it is taken back");
-                    let _ = self.messages.send(Message::TakeBack(lent));
+                    let _ = self.messages.send(Message::ReclaimState(lent));
                 }
             }
             HandoverAction::HandOver(to) => {
                 let (reply, handed) = oneshot::channel();
-                let _ = self.messages.send(Message::HandDown(reply));
+                let _ = self.messages.send(Message::ExportState(reply));
                 let Ok(inheritance) = handed.await else { return };
                 let (ingress, settings) = (self.name.clone(), self.fingerprint.get());
                 let sealed = violetyoke_succession::seal(&Header { ingress, settings, to }, &inheritance);
@@ -103,43 +103,43 @@
 
 /// Tells an older process once this one can serve, and notices its end; heeds a newer one, and hands down to it; follows
 /// what either has done by hand.
-pub async fn look(mut lender: Lender, shared: Rc<server::Shared>, older: Option<String>) {
+pub async fn look(mut lender: Lender, shared: Rc<server::ServerState>, older: Option<String>) {
     let (handover, messages) = (lender.handover.clone(), lender.messages.clone());
-    while !shared.front.ready() {
+    while !shared.router.is_ready() {
         sleep(SOON).await;
     }
     let announced = handover.announce();
     handover.tidy();
     // Before it takes a client, and before anybody is told that it can: the older one may be ended at once then,
     // and has to know why.
-    shared.held_back.set(false);
+    shared.awaiting_takeover.set(false);
     if let Err(error) = &announced {
         eprintln!("handover: {error}");
     }
     let (mut out, mut lent) = (handover.out(), None);
     let mut predecessor = older.map(|older| Predecessor::new(older, lender.clock.now()));
-    let _ = messages.send(Message::Out(out.clone()));
+    let _ = messages.send(Message::ManualEjections(out.clone()));
     loop {
         let taken_over = announced.is_ok() && handover.taken_over();
         if taken_over {
-            shared.turn(|state, _| state.on_taken_over());
+            shared.update_state(|state, _| state.on_taken_over());
         } else if shared.serving_state.get() == ServingState::TakenOver {
             // Whoever comes next is to ask this process again.
             if let Err(error) = handover.announce() {
                 eprintln!("handover: {error}");
             }
-            shared.turn(|state, _| state.on_successor_lost());
+            shared.update_state(|state, _| state.on_successor_lost());
         }
         lender.look(taken_over, &mut lent).await;
         let has_ended =
             |older: &mut Predecessor| older.has_ended(lender.clock.now(), handover.ended().as_deref());
         if predecessor.take_if(has_ended).is_some() {
-            let _ = messages.send(Message::Alone);
+            let _ = messages.send(Message::PredecessorEnded);
         }
         let written = handover.out();
         if written != out {
             out = written;
-            let _ = messages.send(Message::Out(out.clone()));
+            let _ = messages.send(Message::ManualEjections(out.clone()));
         }
         sleep(LOOK).await;
     }
--- a/crates/ingress/src/tasks.rs
+++ b/crates/ingress/src/tasks.rs
@@ -13,11 +13,11 @@
 use violetyoke_shares::Member;
 
 thread_local! {
-    static CURRENT: RefCell<Option<Rc<Set>>> = const { RefCell::new(None) };
+    static CURRENT: RefCell<Option<Rc<TaskSet>>> = const { RefCell::new(None) };
 }
 
 /// The tasks of one of those who take turns.
-pub struct Set {
+pub struct TaskSet {
     member: Member,
     queue: Arc<Queue>,
 }
@@ -28,9 +28,9 @@
     runnable: Mutex<VecDeque<Runnable>>,
 }
 
-impl Set {
-    pub fn new(member: Member) -> Rc<Set> {
-        Rc::new(Set { member, queue: Arc::default() })
+impl TaskSet {
+    pub fn new(member: Member) -> Rc<TaskSet> {
+        Rc::new(TaskSet { member, queue: Arc::default() })
     }
 
     pub fn member(&self) -> Member {
@@ -38,7 +38,7 @@
     }
 
     /// Starts a task in this set; `woken` is told when it has something to do.
-    pub fn spawn(&self, woken: &Arc<Woken>, future: impl Future<Output = ()> + 'static) -> Handle {
+    pub fn spawn(&self, woken: &Arc<Woken>, future: impl Future<Output = ()> + 'static) -> TaskHandle {
         let (queue, woken, member) = (self.queue.clone(), woken.clone(), self.member);
         let schedule = move |runnable| {
             queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).push_back(runnable);
@@ -46,11 +46,11 @@
         };
         let (runnable, task) = async_task::spawn_local(future, schedule);
         runnable.schedule();
-        Handle(Inner::Set(RefCell::new(Some(task))))
+        TaskHandle(Inner::TaskSet(RefCell::new(Some(task))))
     }
 
     /// Polls the task that has waited the longest; tells whether more are waiting.
-    pub fn run_one(self: &Rc<Set>) -> bool {
+    pub fn run_one(self: &Rc<TaskSet>) -> bool {
         let next = self.queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
         if let Some(next) = next {
             let outer = CURRENT.replace(Some(self.clone()));
@@ -62,18 +62,18 @@
 }
 
 /// Starts a task where the one that calls this is.
-pub fn spawn(future: impl Future<Output = ()> + 'static) -> Handle {
+pub fn spawn(future: impl Future<Output = ()> + 'static) -> TaskHandle {
     let Some(woken) = crate::sets::woken() else {
-        return Handle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle()));
+        return TaskHandle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle()));
     };
     match CURRENT.with_borrow(Clone::clone) {
         Some(set) => set.spawn(&woken, future),
-        None => Handle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle())),
+        None => TaskHandle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle())),
     }
 }
 
 /// Starts a task in a set, wherever the one that calls this is.
-pub fn spawn_in(set: &Set, future: impl Future<Output = ()> + 'static) {
+pub fn spawn_in(set: &TaskSet, future: impl Future<Output = ()> + 'static) {
     if let Some(woken) = crate::sets::woken() {
         drop(set.spawn(&woken, future));
     }
@@ -81,9 +81,9 @@
 
 /// Runs what hyper's connections start where they are.
 #[derive(Clone, Copy)]
-pub struct Local;
+pub struct LocalExecutor;
 
-impl<F: Future + 'static> Executor<F> for Local {
+impl<F: Future + 'static> Executor<F> for LocalExecutor {
     fn execute(&self, future: F) {
         spawn(async move {
             let _ = future.await;
@@ -92,26 +92,26 @@
 }
 
 /// A way to end a task. Dropped, it lets the task go on.
-pub struct Handle(Inner);
+pub struct TaskHandle(Inner);
 
 enum Inner {
     Tokio(AbortHandle),
-    Set(RefCell<Option<Task<()>>>),
+    TaskSet(RefCell<Option<Task<()>>>),
 }
 
-impl Handle {
+impl TaskHandle {
     /// The task is dropped in its set's next turn.
     pub fn abort(&self) {
         match &self.0 {
             Inner::Tokio(task) => task.abort(),
-            Inner::Set(task) => drop(task.take()),
+            Inner::TaskSet(task) => drop(task.take()),
         }
     }
 }
 
-impl Drop for Handle {
+impl Drop for TaskHandle {
     fn drop(&mut self) {
-        if let Inner::Set(task) = &self.0 {
+        if let Inner::TaskSet(task) = &self.0 {
             if let Some(task) = task.take() {
                 task.detach();
             }
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -1,11 +1,11 @@
 //! Tenants as the service runs them: each tenant's room, turns and plans, and what it has used.
 
 use crate::guest::{Admitted, Guest};
-use crate::pool::Shared;
+use crate::pool::SharedCapacity;
 use crate::prepared::{slot, Prepared};
-use crate::request::{bad, Rejection};
+use crate::request::{bad_request, Rejection};
 use crate::sets::Sets;
-use crate::tasks::Set;
+use crate::tasks::TaskSet;
 use hyper::StatusCode;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,10 +25,10 @@
     view: RefCell<Arc<TenantView>>,
     /// The numbers of its plans in each pool that it has routes to.
     plans: RefCell<BTreeMap<Member, Vec<u16>>>,
-    requests: Shared,
+    requests: SharedCapacity,
     sets: Option<Rc<Sets>>,
     /// Made when its first request comes: most tenants are quiet.
-    set: RefCell<Option<Rc<Set>>>,
+    set: RefCell<Option<Rc<TaskSet>>>,
     /// Tries that were let in, until they are told of.
     used: Arc<AtomicU64>,
 }
@@ -51,7 +51,7 @@
         self.0.member
     }
 
-    fn set(&self) -> Option<Rc<Set>> {
+    fn set(&self) -> Option<Rc<TaskSet>> {
         let sets = self.0.sets.as_ref()?;
         let mut set = self.0.set.borrow_mut();
         let weight = u64::from(self.0.view.borrow().weight);
@@ -63,11 +63,12 @@
     }
 
     fn admit(&self, pool: Member, account: &str) -> Result<Admitted, Rejection> {
-        const FULL: Rejection = Rejection { code: StatusCode::SERVICE_UNAVAILABLE, why: "tenant: no room" };
+        const FULL: Rejection =
+            Rejection { code: StatusCode::SERVICE_UNAVAILABLE, reason: "tenant: no room" };
         const DRAINS: Rejection =
-            Rejection { code: StatusCode::SERVICE_UNAVAILABLE, why: "tenant: draining" };
+            Rejection { code: StatusCode::SERVICE_UNAVAILABLE, reason: "tenant: draining" };
         const NO_ACCOUNT: Rejection =
-            Rejection { code: StatusCode::FORBIDDEN, why: "x-account: not one of the tenant's" };
+            Rejection { code: StatusCode::FORBIDDEN, reason: "x-account: not one of the tenant's" };
         let tenant = &self.0;
         let view = tenant.view.borrow();
         if view.draining {
@@ -78,7 +79,7 @@
         let plan = plans
             .get(&pool)
             .and_then(|plans| plans.get(plan))
-            .ok_or(bad("x-account: its plan is not here"))?;
+            .ok_or(bad_request("x-account: its plan is not here"))?;
         if !tenant.requests.borrow_mut().try_acquire(tenant.member, 1) {
             return Err(FULL);
         }
@@ -92,9 +93,9 @@
 pub struct Tenancy {
     running: BTreeMap<String, Rc<Tenant>>,
     pub held: Arc<TenantDirectory>,
-    requests: Shared,
-    descriptors: Shared,
-    bytes: Shared,
+    requests: SharedCapacity,
+    descriptors: SharedCapacity,
+    bytes: SharedCapacity,
     sets: Option<Rc<Sets>>,
     uses: UsageCounters,
 }
@@ -105,8 +106,8 @@
 impl Tenancy {
     pub fn new(
         open_requests: u64,
-        descriptors: Shared,
-        bytes: Shared,
+        descriptors: SharedCapacity,
+        bytes: SharedCapacity,
         sets: Option<Rc<Sets>>,
         uses: UsageCounters,
     ) -> Tenancy {
