--- a/crates/sim/src/bin/nettlehub-drill.rs
+++ b/crates/sim/src/bin/nettlehub-drill.rs
@@ -1,5 +1,5 @@
-//! Hosts instances of the decision module on the simulator's wire: batches on standard input, one reply each on standard
-//! output. A malformed frame ends it with one line on standard error.
+//! Hosts instances of the decision module for the simulator: reads batches from standard input and writes one
+//! reply for each to standard output. A malformed frame ends the program with one line on standard error.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/sim/src/drill.rs
+++ b/crates/sim/src/host.rs
@@ -1,4 +1,4 @@
-//! The loop of the program: a batch is read, handled and replied to, until the input ends between two batches.
+//! The main loop: reads batches, passes their events to the instances and writes replies, until the input ends.
 
 use crate::batch::{Batch, BatchHeader, Decoder, Input, InstanceInput, BATCH_HEADER_BYTES};
 use crate::error::WireError;
@@ -8,10 +8,10 @@
 use violetyoke_decision::interface::Action;
 use violetyoke_decision::Gateway;
 
-/// Handles batches until the end of the input.
+/// Handles batches until the input ends between two of them.
 ///
 /// # Errors
-/// Those of the streams, and the first malformed frame: the simulator's wire does not resynchronize.
+/// On a failed stream, and on the first malformed frame: the protocol has no means to resynchronize.
 pub fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), WireError> {
     let mut decoder = Decoder::default();
     let mut instances = Instances::default();
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// The next header; none at the end of the input.
+/// Reads the next header. `None`: the input has ended.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, WireError> {
     let mut bytes = Vec::with_capacity(BATCH_HEADER_BYTES);
     input.take(BATCH_HEADER_BYTES as u64).read_to_end(&mut bytes)?;
@@ -44,14 +44,15 @@
     }
 }
 
-/// The running instances by their numbers.
+/// The running instances by number.
 #[derive(Default)]
 struct Instances {
     gateways: BTreeMap<u32, Gateway>,
 }
 
 impl Instances {
-    /// Hands each input to its instance, in order. Actions of an instance that is stopped in this batch are dropped.
+    /// Passes each input to its instance, in order. Actions of an instance that is stopped in this batch are
+    /// dropped.
     fn handle(&mut self, batch: Batch) -> Result<Vec<InstanceActions>, WireError> {
         let mut replies: Vec<InstanceActions> = Vec::new();
         for InstanceInput { instance, input } in batch.inputs {
@@ -73,12 +74,13 @@
     }
 }
 
-/// Where an instance's actions go: behind those before them if they are its own, otherwise into a new reply.
+/// The list to which an instance's actions are appended: the last reply if it is of the same instance,
+/// otherwise a new one.
 fn actions_of(instance: u32, replies: &mut Vec<InstanceActions>) -> &mut Vec<Action> {
     let continues = replies.last().is_some_and(|last| last.instance == instance);
-    let place = if continues { replies.len() - 1 } else { replies.len() };
+    let index = if continues { replies.len() - 1 } else { replies.len() };
     if !continues {
         replies.push(InstanceActions { instance, actions: Vec::new() });
     }
-    &mut replies[place].actions
+    &mut replies[index].actions
 }
--- a/crates/sim/src/record.rs
+++ b/crates/sim/src/record.rs
@@ -1,8 +1,8 @@
-//! Fields of a record: little-endian, without padding.
+//! Access to the fields of a record, which are little-endian and not padded.
 
 use crate::error::WireError;
 
-/// The bytes of a record, longer than the last field that is read from it.
+/// The bytes of a record. They must extend beyond every field that is read.
 pub(crate) struct Record<'a> {
     bytes: &'a [u8],
 }
@@ -34,7 +34,7 @@
         u64::from_le_bytes(self.array(offset))
     }
 
-    /// A finite 32-bit floating-point number.
+    /// Reads a 32-bit floating-point number, which must be finite.
     pub(crate) fn number(&self, offset: usize) -> Result<f64, WireError> {
         let value = f32::from_le_bytes(self.array(offset));
         if value.is_finite() {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The part of a batch after its records, to which records refer.
+/// The part of a batch after its records. Records refer to sections of it.
 #[derive(Clone, Copy)]
 pub(crate) struct Tail<'a>(pub(crate) &'a [u8]);
 
