--- a/crates/exchange/src/attempts.rs
+++ b/crates/exchange/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from start to end.
+//! The start, end and cancellation of attempts.
 
 use crate::exchange::Exchange;
 use crate::port::{AttemptId, FinalResponse, Port, SendProgress};
@@ -8,8 +8,8 @@
 use violetyoke_ratelimit::claim::Verdict;
 
 impl<P: Port> Exchange<P> {
-    /// Starts the attempt that the decision module asks for (`expires` 0: it may last until the deadline). One that is
-    /// not permitted, or that the backend does not accept, ends at once.
+    /// Starts the attempt that the decision module requests (`expires` 0: it may last until the request's
+    /// deadline). An attempt that is not permitted, or that the backend does not accept, ends immediately.
     pub(super) fn send_attempt(
         &mut self,
         now: Micros,
@@ -23,7 +23,7 @@
         let number = open.attempts;
         open.attempts = number.saturating_add(1);
         let expires_at = if expires == 0 { open.deadline } else { expires.min(open.deadline) };
-        // The part of a body that has been passed to a connection is not kept and can't be sent again.
+        // A part of a body that was passed to a connection is not buffered and can't be sent again.
         let can_send_body = self.port.upload(&open.client).is_none_or(|upload| upload.is_unsent);
         let is_permitted = can_send_body
             && !open.is_admission_check
@@ -46,8 +46,8 @@
         self.timers.set(now + self.limits.connect_timeout, Timer::ConnectTimeout(id));
     }
 
-    /// An attempt has ended by itself. With [`Outcome::Ok`], `response` goes to the client. The end of an attempt that
-    /// is not in flight any more is ignored.
+    /// Handles the end of an attempt that was not cancelled. With [`Outcome::Ok`], `response` is sent to the
+    /// client. The end of an attempt that is no longer in flight is ignored.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
@@ -70,24 +70,25 @@
         self.report_end(now, AttemptEnd { closed, report, ..end });
     }
 
-    /// Cancels the attempt in flight for an open request, if there is one for which `is_meant` returns true.
+    /// Cancels the attempt in flight for an open request if there is one and `predicate` returns true for it.
     pub(super) fn cancel_if(
         &mut self,
         now: Micros,
         request: RequestId,
         outcome: Outcome,
-        is_meant: impl FnOnce(&InFlight<P>) -> bool,
+        predicate: impl FnOnce(&InFlight<P>) -> bool,
     ) {
         let open = self.requests.get_mut(&request);
         let in_flight =
-            open.and_then(|open| open.in_flight.take_if(|in_flight: &mut InFlight<P>| is_meant(in_flight)));
+            open.and_then(|open| open.in_flight.take_if(|in_flight: &mut InFlight<P>| predicate(in_flight)));
         if let Some(in_flight) = in_flight {
             self.cancel(now, request, in_flight, outcome);
         }
     }
 
-    /// Cancels an attempt that has been taken from its request, and reports `outcome` if it may have been executed.
-    /// Without a connection, or without its last byte sent, it has not been, and the latter is not the backend's fault.
+    /// Cancels an attempt that was removed from its request, and reports `outcome` if it may have been
+    /// executed. An attempt without a connection, or whose last byte was not sent, has not been executed; the
+    /// latter is not the backend's fault.
     pub(super) fn cancel(
         &mut self,
         now: Micros,
@@ -102,7 +103,7 @@
             SendProgress::Complete { .. } => outcome,
         };
         let open = self.requests.get_mut(&request);
-        // A request that has its final response, or whose client has left, was removed before.
+        // A request that has its final response, or whose client has disconnected, has already been removed.
         let closed = open.is_none();
         if let Some(open) = open {
             open.may_have_run |= !outcome.never_ran();
@@ -119,7 +120,8 @@
 }
 
 impl<P: Port> InFlight<P> {
-    /// The end of this attempt now. A backend begins its work with the last byte, so the latency counts from then.
+    /// The end of this attempt at `now`. A backend starts to work when it has the last byte of the request, so
+    /// the latency counts from then.
     fn end(&self, now: Micros, request: RequestId, progress: SendProgress, outcome: Outcome) -> AttemptEnd {
         let last_byte_at = match progress {
             SendProgress::Complete { last_byte_at } => last_byte_at,
@@ -131,7 +133,7 @@
     }
 }
 
-/// The end of an attempt that took no time and leaves its request open.
+/// The end of an attempt with zero duration whose request stays open.
 fn attempt_end(id: AttemptId, backend: BackendId, outcome: Outcome) -> AttemptEnd {
     AttemptEnd {
         request: id.request,
--- a/crates/exchange/src/backend_ids.rs
+++ b/crates/exchange/src/backend_ids.rs
@@ -1,10 +1,10 @@
-//! The ids by which the decision module knows backends.
+//! The ids of backends in the decision module.
 
 use std::collections::HashMap;
 use violetyoke_decision::interface::BackendId;
 
-/// Ids of backends by name. An id is never assigned twice: a late response of a removed backend must not be counted
-/// for a new one.
+/// Ids of backends by name. An id is never reused, so that a late response from a removed backend is not
+/// attributed to a new one.
 ///
 /// ```
 /// use violetyoke_exchange::BackendIds;
@@ -40,7 +40,7 @@
 
     /// The name of a backend. Searches all names.
     pub fn name(&self, id: BackendId) -> Option<&str> {
-        self.ids.iter().find(|(_, known)| **known == id).map(|(name, _)| name.as_str())
+        self.ids.iter().find(|(_, assigned)| **assigned == id).map(|(name, _)| name.as_str())
     }
 
     /// Removes the names of all ids for which `keep` returns false.
--- a/crates/exchange/src/counter.rs
+++ b/crates/exchange/src/counter.rs
@@ -1,7 +1,7 @@
-//! Calls to the counter service: those of the decision module, and claims.
+//! Calls to the counter service, for the decision module and for claims.
 //!
-//! A claim marks a client's try, so that one that arrives through several ingresses is counted once; see
-//! [`violetyoke_ratelimit::claim`].
+//! A claim identifies a client's attempt, so that one that arrives through several ingresses is counted only
+//! once; see [`violetyoke_ratelimit::claim`].
 
 use crate::exchange::Exchange;
 use crate::port::{CallId, CallStart, Port};
@@ -10,8 +10,8 @@
 use violetyoke_decision::interface::{Event, Micros, Outcome, RequestId};
 use violetyoke_ratelimit::claim::{self, Verdict};
 
-/// How long a claim is kept: the longest time for which the counter service keeps a count.
-const CLAIM_LIFE: Micros = 60_000_000;
+/// Time to live of a claim: the longest one that the counter service supports.
+const CLAIM_TTL: Micros = 60_000_000;
 
 impl<P: Port> Exchange<P> {
     /// Makes a counter call for the decision module.
@@ -27,11 +27,11 @@
         self.events.push_back(Event::Counted { count, outcome, total, waited: 0 });
     }
 
-    /// Adds `amount` to a claim; `waiter` receives its total. If the call fails the claim stays as it was, and the try
-    /// is new to whoever claims it next.
+    /// Adds `amount` to a claim; `waiter` receives its total. If the call fails the claim is unchanged, so the
+    /// next ingress that claims the client's attempt counts it as new.
     pub fn add_to_claim(&mut self, now: Micros, claim: u64, amount: f64, waiter: Option<P::ClaimWaiter>) {
         let call = self.next_call_id();
-        let total = match self.port.start_call(now, call, claim, amount, CLAIM_LIFE) {
+        let total = match self.port.start_call(now, call, claim, amount, CLAIM_TTL) {
             CallStart::Pending(handle) => {
                 return self.await_call(now, call, CallPurpose::Claim { waiter }, handle);
             }
@@ -60,7 +60,7 @@
         self.timers.set(now + self.counter_timeout, Timer::CallTimeout(call));
     }
 
-    /// Adds what was decided about a request to the claim that it made, once.
+    /// Adds the decision on a request to its claim, if it has one and no decision was added before.
     pub(super) fn report_outcome(&mut self, now: Micros, request: RequestId, verdict: Verdict) {
         let claim = self.requests.get_mut(&request).and_then(|open| open.claim.take());
         if let (Some(claim), Some(is_admitted)) = (claim, claim::outcome_to_report(verdict)) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A counter call has ended. The late result of a call that has timed out is ignored.
+    /// Handles the end of a counter call. The late result of a call that has timed out is ignored.
     pub fn counter_call_ended(&mut self, now: Micros, call: CallId, outcome: Outcome, total: f64) {
         let Some(PendingCall { purpose, started_at, .. }) = self.calls.remove(&call) else { return };
         match purpose {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Ends a call whose time is up. One that was never sent has added nothing.
+    /// Ends a call that has timed out. A call that was never sent has added nothing.
     pub(super) fn time_out_call(&mut self, now: Micros, call: CallId) {
         let is_sent =
             self.calls.get(&call).is_some_and(|pending| self.port.may_have_been_sent(&pending.handle));
--- a/crates/exchange/src/deadlines.rs
+++ b/crates/exchange/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! Timers: when the next one is due, and what each does.
+//! Handling of timers that are due.
 
 use crate::exchange::{Exchange, SWEEP_INTERVAL};
 use crate::port::{AttemptId, CallId, Port, SendProgress};
@@ -8,18 +8,18 @@
 use std::collections::HashMap;
 use violetyoke_decision::interface::{Event, Micros, Outcome, RequestId};
 
-/// How often a request whose time would be up is looked at again while its body is still arriving.
+/// How often the deadline of a request is checked again while its body is still arriving.
 const UPLOAD_CHECK_INTERVAL: Micros = 20_000;
 
 impl<P: Port> Exchange<P> {
-    /// When [`Exchange::fire_due`] is to be called next.
+    /// The time of the next call of [`Exchange::fire_due`].
     pub fn next_due(&mut self) -> Option<Micros> {
         let (requests, calls, port) = (&self.requests, &self.calls, &self.port);
         self.timers.next_due(|timer| is_stale(requests, calls, port, timer))
     }
 
-    /// Fires all timers that are due, and processes the events of each. Timers that are set meanwhile wait for the next
-    /// call.
+    /// Fires all timers that are due, and processes the events of each. Timers that are set during this call
+    /// fire in the next one.
     pub fn fire_due(&mut self, now: Micros) {
         let last_sequence = self.timers.last_sequence();
         while let Some(timer) = self.timers.pop(now, last_sequence) {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The time to which a request's timer moves because of an upload: a client's wait counts from the last byte of
-    /// its request, and a backend begins only then.
+    /// The time to which a request's timer is postponed because of an upload: the client's latency counts from
+    /// the last byte of its request, and a backend starts to work only then.
     fn postponed_to(&self, now: Micros, timer: Timer) -> Option<Micros> {
         let (open, due) = match timer {
             Timer::RequestDeadline(request) => {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Whether what a timer was set for is over.
+/// Whether a timer has no effect any more because its attempt, request or call has ended.
 fn is_stale<P: Port>(
     requests: &HashMap<RequestId, OpenRequest<P>>,
     calls: &HashMap<CallId, PendingCall<P>>,
--- a/crates/exchange/src/dispatch.rs
+++ b/crates/exchange/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Events to the decision module, and the actions that it asks for.
+//! Passing of events to the decision module, and execution of its actions.
 
 use crate::exchange::Exchange;
 use crate::port::{FinalResponse, Port};
@@ -7,12 +7,12 @@
 use violetyoke_ratelimit::claim::Verdict;
 
 impl<P: Port> Exchange<P> {
-    /// Queues an event for the decision module; [`Exchange::process_events`] passes it on.
+    /// Queues an event for the decision module. [`Exchange::process_events`] passes it to the module.
     pub fn enqueue(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    /// Passes the queued events to the decision module and performs its actions, until no event is left.
+    /// Passes the queued events to the decision module and executes its actions, until the queue is empty.
     pub fn process_events(&mut self, now: Micros) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -43,7 +43,8 @@
             Action::Broken { text } => {
                 self.port.report_defect(&format!("the decision module has failed: {text}"));
             }
-            // The subscription to discovery never ends, and fetches the whole list after each break by itself.
+            // The subscription to discovery never ends, and fetches the full list after each interruption by
+            // itself.
             Action::Watch { .. } | Action::FetchList => {}
             Action::Probe { backend } => {
                 self.port.log(&format!("module: asks to probe {backend}, which is not implemented"));
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -7,27 +7,27 @@
 use violetyoke_decision::interface::{Action, Event, Limits, Micros, RequestId, Settings};
 use violetyoke_decision::Gateway;
 
-/// The interval of the periodic clean-up.
+/// Interval of the periodic clean-up.
 pub(super) const SWEEP_INTERVAL: Micros = 1_000_000;
-/// A connection is reused only within this fraction of the time after which its backend closes it.
+/// A connection is reused only if it has been idle for less than the backend's idle time-out divided by this.
 const IDLE_CLOSE_DIVISOR: u64 = 3;
 
-/// The decision module with everything that is open around it, over a port; see the documentation of the crate.
+/// The decision module with its open requests, attempts, calls and timers; see the documentation of the crate.
 pub struct Exchange<P: Port> {
-    /// The port, for the settings and state that its owner keeps there.
+    /// The port. It is public because its owner keeps settings and state in it.
     pub port: P,
     pub(super) gateway: Gateway,
     pub(super) limits: Limits,
     pub(super) counter_timeout: Micros,
-    /// How long a connection to a backend may be idle and still be reused.
+    /// The longest idle time after which a connection to a backend is still reused.
     pub(super) max_idle: Micros,
     pub(super) requests: HashMap<RequestId, OpenRequest<P>>,
     pub(super) calls: HashMap<CallId, PendingCall<P>>,
     pub(super) next_call: CallId,
     pub(super) timers: TimerQueue,
-    /// Events for the decision module, in the order in which they happened.
+    /// Events for the decision module, in the order in which they occurred.
     pub(super) events: VecDeque<Event>,
-    /// The buffer for the module's actions, kept for its capacity.
+    /// Reused buffer for the module's actions.
     pub(super) actions: Vec<Action>,
 }
 
@@ -60,9 +60,10 @@
         self.gateway.reconfigure(now, settings);
     }
 
-    /// Limits the idle time of reused connections to `wanted`, or less if the settings demand it.
-    pub(super) fn limit_idle(&mut self, wanted: Micros) {
-        self.set_max_idle(wanted.min(max_idle(&self.limits)));
+    /// Limits the idle time of reused connections to `requested` or the limit of the settings, whichever is
+    /// less.
+    pub(super) fn limit_idle(&mut self, requested: Micros) {
+        self.set_max_idle(requested.min(max_idle(&self.limits)));
     }
 
     fn set_max_idle(&mut self, max_idle: Micros) {
@@ -75,7 +76,7 @@
         &self.gateway
     }
 
-    /// The decision module, for what is neither an event nor a change of settings.
+    /// The decision module, for calls that are neither events nor changes of settings.
     pub fn gateway_mut(&mut self) -> &mut Gateway {
         &mut self.gateway
     }
@@ -85,7 +86,7 @@
         self.counter_timeout
     }
 
-    /// Whether nothing is open: no request, and no counter call that may still return units.
+    /// Whether no request and no counter call is open. A pending call may still return units.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.calls.is_empty()
     }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,22 +1,22 @@
-//! What an ingress keeps open around the decision module, without I/O and without a clock: requests, the attempt in
-//! flight for each, calls to the counter service, claims, and the timers of all of them.
+//! Executes the actions of the decision module, without I/O and without a clock. An exchange keeps the open
+//! requests, the attempt in flight for each, calls to the counter service, claims, and all timers.
 //!
-//! The decision module ([`violetyoke_decision::Gateway`]) chooses the backend and whether to retry. An [`Exchange`]
-//! carries that out over a [`Port`], which the ingress implements over sockets and the laboratory over an emulated
-//! fleet. Whatever the module decides, an exchange guarantees for each request:
+//! The decision module ([`violetyoke_decision::Gateway`]) chooses the backend and whether to retry. An
+//! [`Exchange`] executes these decisions through a [`Port`], which the ingress implements with sockets and the
+//! crate `lab` with an emulated fleet. Whatever the module decides, an exchange guarantees for each request:
 //!
 //! - exactly one final response, by the request's deadline;
-//! - at most one attempt in flight, and no more attempts than were allowed when the request was accepted;
+//! - at most one attempt in flight, and no more attempts than the limit when the request was accepted;
 //! - a response that says whether an attempt may have been executed ([`FinalResponse::Failed`]) or has not been
 //!   ([`FinalResponse::Refused`]).
 //!
-//! It decides nothing itself, opens no connection and reads no clock: each input carries the time at which it happened,
-//! and [`Exchange::next_due`] says when [`Exchange::fire_due`] is to be called.
+//! An exchange makes no routing decisions, opens no connections and reads no clock: each input carries its
+//! time, and [`Exchange::next_due`] returns the time of the next call of [`Exchange::fire_due`].
 //!
 //! The inputs are [`Exchange::accept_request`], [`Exchange::abandon_request`], [`Exchange::attempt_ended`],
-//! [`Exchange::counter_call_ended`], [`Exchange::add_to_claim`], and [`Exchange::enqueue`] for events that concern the
-//! module alone. After an input, [`Exchange::process_events`] passes the queued events to the module and performs its
-//! actions.
+//! [`Exchange::counter_call_ended`], [`Exchange::add_to_claim`], and [`Exchange::enqueue`] for events that
+//! concern only the module. After an input, [`Exchange::process_events`] passes the queued events to the module
+//! and performs its actions.
 
 mod attempts;
 mod backend_ids;
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -1,4 +1,4 @@
-//! The interface to the outside: sockets in the ingress, an emulated fleet in the laboratory.
+//! The interface to the environment: sockets in the ingress, an emulated fleet in the crate `lab`.
 
 use violetyoke_decision::interface::{AttemptEnd, BackendId, Micros, Outcome, RequestId, Why};
 use violetyoke_decision::view::Standing;
@@ -7,10 +7,10 @@
 /// Identifies a counter call of an exchange.
 pub type CallId = u64;
 
-/// What an exchange needs from the outside. An implementation decides nothing. It carries out each call at once and
-/// reports the result to the exchange later, never from inside the call.
+/// The operations that an exchange needs from its environment. An implementation makes no decisions. It
+/// executes each call immediately and reports the result to the exchange later, never from inside the call.
 pub trait Port {
-    /// What is kept for a client until its final response.
+    /// State that is kept for a client until its final response.
     type Client;
     /// The content of a successful response.
     type Response;
@@ -21,8 +21,8 @@
     /// Receives the total of a claim.
     type ClaimWaiter;
 
-    /// Starts an attempt, whose end is reported by [`crate::Exchange::attempt_ended`]. `None`: the backend accepts no
-    /// new requests.
+    /// Starts an attempt. Its end is reported by [`crate::Exchange::attempt_ended`]. `None`: the backend
+    /// accepts no new requests.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -38,8 +38,8 @@
     /// The upload of a request whose body was incomplete when the request was accepted.
     fn upload(&self, client: &Self::Client) -> Option<Upload>;
 
-    /// Starts a counter call that adds `amount` to the count `count`, which lives for `life`. The total of a pending
-    /// call is reported by [`crate::Exchange::counter_call_ended`].
+    /// Starts a counter call that adds `amount` to a count with this time to live. The total of a pending call
+    /// is reported by [`crate::Exchange::counter_call_ended`].
     fn start_call(
         &mut self,
         now: Micros,
@@ -48,9 +48,9 @@
         amount: f64,
         life: Micros,
     ) -> CallStart<Self::Call>;
-    /// Whether a call may have been sent. One that was not sent has added nothing.
+    /// Whether a call may have been sent. A call that was not sent has added nothing.
     fn may_have_been_sent(&self, call: &Self::Call) -> bool;
-    /// Reports the total of a claim; `None`: it did not arrive in time.
+    /// Reports the total of a claim. `None`: the total did not arrive in time.
     fn report_claim(&mut self, waiter: Self::ClaimWaiter, total: Option<f64>);
 
     /// Whether the response to this client carries the state of its quota.
@@ -68,15 +68,15 @@
 
     /// Closes all idle connections to a backend.
     fn close_idle(&mut self, backend: BackendId);
-    /// From now on a connection that has been idle for longer than `max_idle` is not reused.
+    /// Sets the idle time after which a connection is no longer reused.
     fn set_max_idle(&mut self, max_idle: Micros);
-    /// Sends a message to one other ingress, or to all (`None`).
+    /// Sends a message to another ingress, or to all of them (`None`).
     fn send_to_peers(&mut self, now: Micros, to: Option<u16>, data: Vec<u8>);
     /// Logs a line.
     fn log(&mut self, text: &str);
     /// Reports a fault of the program itself, of the decision module or of this crate.
     fn report_defect(&mut self, text: &str);
-    /// The periodic clean-up: connections that are idle since before `idle_since` are to be closed.
+    /// Performs the periodic clean-up: closes connections that have been idle since before `idle_since`.
     fn sweep(&mut self, now: Micros, idle_since: Micros, gateway: &Gateway);
 
     /// Observes the end of an attempt, as it is reported to the decision module.
@@ -88,7 +88,7 @@
 /// Identifies an attempt: its request, and its number among that request's attempts, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request that is attempted.
+    /// The request of the attempt.
     pub request: RequestId,
     /// The number of the attempt.
     pub number: u8,
@@ -97,13 +97,13 @@
 /// How much of a request has been sent to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// Not a byte: it has not been executed.
+    /// No byte was sent: the request has not been executed.
     Nothing,
-    /// Not its last byte: it has not been executed, and the backend is not at fault.
+    /// The last byte was not sent: the request has not been executed, and the backend is not at fault.
     Partial,
-    /// Possibly all of it.
+    /// The complete request may have been sent.
     Complete {
-        /// When the last byte was sent; 0: with the first.
+        /// When the last byte was sent; 0: at the same time as the first one.
         last_byte_at: Micros,
     },
 }
@@ -113,13 +113,13 @@
 pub struct Upload {
     /// When its request was accepted.
     pub started_at: Micros,
-    /// When its last byte arrived; `None`: it is still arriving.
+    /// When its last byte arrived; `None`: the upload has not ended.
     pub ended_at: Option<Micros>,
-    /// No part of it has been passed to a connection. Only then can it still be sent.
+    /// Whether no part of the body has been passed to a connection. Only then can the request be sent again.
     pub is_unsent: bool,
 }
 
-/// The start of a counter call.
+/// The result of starting a counter call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallStart<C> {
     /// The call is pending.
@@ -135,11 +135,11 @@
 pub struct RequestSummary {
     /// The request.
     pub request: RequestId,
-    /// Attempts that the decision module asked for.
+    /// Attempts that the decision module requested.
     pub attempts: u8,
-    /// The rule that gave the request up, if one did.
+    /// The rule by which the request was rejected or failed, if any.
     pub reason: Option<Why>,
-    /// The state of its customer's quota, for a client that wants it ([`Port::wants_quota`]).
+    /// The state of the customer's quota, for a client that wants it ([`Port::wants_quota`]).
     pub quota: Option<Standing>,
 }
 
@@ -150,7 +150,7 @@
     Served(R),
     /// Not executed: a retry is safe.
     Refused {
-        /// The time after which a retry is advised; 0: no advice.
+        /// Recommended delay before a retry; 0: no recommendation.
         retry_after: Micros,
     },
     /// Failed; an attempt may have been executed.
--- a/crates/exchange/src/records.rs
+++ b/crates/exchange/src/records.rs
@@ -1,4 +1,4 @@
-//! The records of what is open.
+//! The records of open requests, attempts and counter calls.
 
 use crate::port::Port;
 use violetyoke_decision::interface::{BackendId, CustomerId, Micros};
@@ -7,23 +7,23 @@
 pub(super) struct OpenRequest<P: Port> {
     pub(super) client: P::Client,
     pub(super) customer: CustomerId,
-    /// It is a question about admission and is sent to no backend.
+    /// The request only checks admission and is not sent to a backend.
     pub(super) is_admission_check: bool,
-    /// The claim whose outcome this request has still to report.
+    /// The claim to which the decision on this request has not been added yet.
     pub(super) claim: Option<u64>,
     pub(super) deadline: Micros,
-    /// Attempts that the decision module has asked for so far.
+    /// Attempts that the decision module has requested so far.
     pub(super) attempts: u8,
-    /// The limit on attempts that was in force when the request was accepted.
+    /// The limit on attempts at the time when the request was accepted.
     pub(super) max_attempts: u32,
-    /// An attempt that has ended may have been executed.
+    /// Whether an attempt that has ended may have been executed.
     pub(super) may_have_run: bool,
     pub(super) in_flight: Option<InFlight<P>>,
 }
 
 /// The attempt in flight for a request.
 pub(super) struct InFlight<P: Port> {
-    /// Its number among the request's attempts, from 0.
+    /// Number of the attempt among the request's attempts, from 0.
     pub(super) number: u8,
     pub(super) backend: BackendId,
     pub(super) started_at: Micros,
@@ -38,10 +38,10 @@
     pub(super) handle: P::Call,
 }
 
-/// Who a counter call is made for.
+/// The purpose of a counter call.
 pub(super) enum CallPurpose<W> {
     /// The decision module, which knows the call by the name of the count.
     Module { count: u64 },
-    /// A claim. Nobody waits for the total where an outcome is added.
+    /// A claim. A call that adds a decision to a claim has no waiter.
     Claim { waiter: Option<W> },
 }
--- a/crates/exchange/src/requests.rs
+++ b/crates/exchange/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from acceptance to the final response.
+//! Requests, from acceptance to the final response.
 
 use crate::exchange::Exchange;
 use crate::port::{FinalResponse, Port, RequestSummary, SendProgress};
@@ -16,9 +16,9 @@
     pub request: Request,
     /// When its last byte arrived; its budget counts from then.
     pub arrived_at: Micros,
-    /// It is a question about admission and is sent to no backend.
+    /// The request only checks admission and is not sent to a backend.
     pub is_admission_check: bool,
-    /// The claim whose outcome this request is to report, if any.
+    /// The claim to which the decision on this request is added, if any.
     pub claim: Option<u64>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl<P: Port> Exchange<P> {
-    /// Accepts a request, which the decision module receives with what is left of its budget.
+    /// Accepts a request. The decision module receives it with its remaining budget.
     pub fn accept_request(&mut self, now: Micros, accepted: AcceptedRequest, client: P::Client) {
         let AcceptedRequest { request, arrived_at, is_admission_check, claim } = accepted;
         let deadline = arrived_at + request.budget;
@@ -48,8 +48,8 @@
         self.events.push_back(Event::Request(Request { budget: deadline.saturating_sub(now), ..request }));
     }
 
-    /// Closes a request whose client has disconnected. The decision module is notified of an admitted request too,
-    /// which is not open here any more.
+    /// Closes a request whose client has disconnected. The decision module is also notified of a request that
+    /// was already admitted, which is no longer open here.
     pub fn abandon_request(&mut self, now: Micros, request: RequestId) {
         self.events.push_back(Event::Abandoned { request });
         if let Some(open) = self.requests.remove(&request) {
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Sends the final response and cancels an attempt that is still in flight. A request that is closed already is
-    /// left alone.
+    /// Sends the final response and cancels the attempt in flight, if any. Does nothing if the request is
+    /// already closed.
     pub(super) fn finish(
         &mut self,
         now: Micros,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Answers a request for which the decision module has not decided in time. That is a defect of the module, but
-    /// the client still gets its response.
+    /// Responds to a request that the decision module has not decided in time. This is a defect of the module,
+    /// but the client still gets a response.
     pub(super) fn finish_undecided(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(&request) else { return };
         let may_have_run = open.may_have_run
