--- a/crates/decision/src/cold.rs
+++ b/crates/decision/src/cold.rs
@@ -4,14 +4,10 @@
 use crate::interface::*;
 use crate::Gateway;
 
-/// Usual gaps between two attempts to one backend over which recent ones count: they keep turns even.
-const TURN_GAPS: f64 = 2.0;
-/// Fall times over which this gateway's rate of attempts is taken.
-const RATE_SPAN: f64 = 2.0;
-/// Least part of its warm capacity that the fleet is taken to have: where all are cold, its load is too much.
-const LEAST_WARM: f64 = 0.75;
-/// Part of the multiple past which a cold backend falls over that its answers can bring it, over its age.
-const MOST_AHEAD: f64 = 0.6;
+const TURN_GAPS: f64 = 2.0; // mean gaps between two attempts to a backend over which recent attempts decay
+const RATE_SPAN: f64 = 2.0; // overload times over which this gateway's rate of attempts is measured
+const MIN_CAPACITY: f64 = 0.75; // of a fleet, in warm backends: if all warm up, they can't take its full load
+const MAX_AHEAD: f64 = 0.6; // of the overload multiple: how far responses may raise the capacity for an age
 
 impl Gateway {
     /// A cold backend gets turns by what it can do for its age, each earned since the last. Only then the gap
@@ -46,13 +42,13 @@
     /// so, but no more than is safe where only its age is right.
     fn capacity(&self, backend: &Backend) -> f64 {
         let warmth = self.warmth(self.age(backend, self.now));
-        let most = MOST_AHEAD * self.settings.safety.fall_multiple * warmth;
+        let most = MAX_AHEAD * self.settings.safety.fall_multiple * warmth;
         backend.speed.min(most).min(1.0).max(warmth)
     }
 
     /// What all ready backends can do, in warm ones.
     pub(crate) fn able(&self) -> f64 {
-        self.over_ready(|backend| self.capacity(backend)).max(LEAST_WARM * self.ready())
+        self.over_ready(|backend| self.capacity(backend)).max(MIN_CAPACITY * self.ready())
     }
 
     /// Time between two attempts to a backend that is warm (us), where each gets the part that it can do.
--- a/crates/decision/src/counter.rs
+++ b/crates/decision/src/counter.rs
@@ -2,34 +2,30 @@
 
 use crate::figures::Fading;
 use crate::interface::*;
-use crate::peers::NEWS_STAY;
+use crate::peers::UPDATES_LAST;
 use crate::records::Stage;
 use crate::Gateway;
 
-/// Part of the time between the counter's best answer and its time-out after which one counts as late: before
-/// that, queues still drain, and a far counter is not crowded. Rise of the best with each answer (factor).
-const LATE_ANSWER: f64 = 0.5;
-const BEST_RISE: f64 = 1.01;
-/// Bad answers in a row after which requests no longer wait for the counter, until a good one.
-pub(crate) const UNWELL_AFTER: u32 = 2;
-/// Factors on the spacing of calls with a bad and a good answer (in balance one in four is late), its fading
-/// and its longest (us), and the windows up to which a customer's wait for a call counts.
-const SPACING_UP: f64 = 1.5;
-const SPACING_DOWN: f64 = 0.88;
-const SPACING_FADE: f64 = 10e6;
-const LONGEST_SPACING: f64 = 120e6;
-pub(crate) const LONGEST_WAIT: f64 = 2.0;
-/// Where homes count instead: least spacing of a crowded counter (time-outs), step of a good answer, fading.
-const HOME_SPACING: f64 = 20.0;
-const HOME_DOWN: f64 = 0.98;
-const HOME_FADE: f64 = 30e6;
-
-/// Multiple of its part of the quota that a gateway may send alone: parts are uneven, and known roughly.
+/// Part of the time from the counter's best response time to its time-out after which a response is late:
+/// before that, queues still drain, and a distant counter is not taken for an overloaded one.
+const LATE_RESPONSE: f64 = 0.5;
+const BEST_RISE: f64 = 1.01; // factor on the best response time with each response
+/// Failed calls in a row after which requests no longer wait for the counter, until one succeeds.
+pub(crate) const UNHEALTHY_AFTER: u32 = 2;
+const INTERVAL_UP: f64 = 1.5; // factor on the query interval with a failed call ...
+const INTERVAL_DOWN: f64 = 0.88; // ... and with a good one: in balance 1 in 4 is late
+const INTERVAL_DECAY: f64 = 10e6; // us
+const MAX_INTERVAL: f64 = 120e6; // us
+pub(crate) const MAX_WAIT: f64 = 2.0; // windows up to which a customer's time without a call counts
+const HOME_MIN_INTERVAL: f64 = 20.0; // counter time-outs; these three hold where home gateways count instead
+const HOME_INTERVAL_DOWN: f64 = 0.98;
+const HOME_INTERVAL_DECAY: f64 = 30e6; // us
+/// Multiple of its share of the quota that a gateway may admit alone: shares differ, and are estimates.
 const ALONE_PART: f64 = 1.5;
 
 impl Gateway {
     pub(crate) fn spacing(&self) -> f64 {
-        let fade = if self.homes() { HOME_FADE } else { SPACING_FADE };
+        let fade = if self.homes() { HOME_INTERVAL_DECAY } else { INTERVAL_DECAY };
         let left = self.counter.spacing.left(self.now, fade);
         // A wide fleet starts with few calls: all at once might be more than the counter bears.
         left.max(if self.counter.best == 0.0 { self.least_spacing(0.0) } else { 0.0 })
@@ -39,7 +35,7 @@
     fn least_spacing(&self, alone: f64) -> f64 {
         let timeout = self.settings.counter.map_or(1.0, |counter| counter.timeout as f64);
         if self.homes() {
-            HOME_SPACING * timeout
+            HOME_MIN_INTERVAL * timeout
         } else {
             alone
         }
@@ -60,10 +56,10 @@
         if outcome == Outcome::Ok {
             health.best = if health.best > 0.0 { waited.min(health.best * BEST_RISE) } else { waited };
         }
-        let best = health.best.min(LATE_ANSWER * timeout);
-        let early = waited < best + LATE_ANSWER * (timeout - best);
+        let best = health.best.min(LATE_RESPONSE * timeout);
+        let early = waited < best + LATE_RESPONSE * (timeout - best);
         if outcome == Outcome::Ok && early {
-            let down = if homes { HOME_DOWN } else { SPACING_DOWN };
+            let down = if homes { HOME_INTERVAL_DOWN } else { INTERVAL_DOWN };
             (health.bad, health.spacing.value) = (0, spacing * down);
         } else {
             health.bad += 1;
@@ -73,10 +69,10 @@
             if !(same || outcome == Outcome::Timeout && early) {
                 health.spaced_at = self.now;
                 let limits = &self.settings.limits;
-                health.spacing.value = (spacing * SPACING_UP).clamp(least, LONGEST_SPACING);
+                health.spacing.value = (spacing * INTERVAL_UP).clamp(least, MAX_INTERVAL);
                 let tells = limits.peer_messages && limits.peer_intake > 0.0 && !homes;
                 if tells && health.spacing.value > timeout {
-                    self.news.until = self.now + NEWS_STAY as Micros;
+                    self.news.until = self.now + UPDATES_LAST as Micros;
                 }
             }
         }
--- a/crates/decision/src/fleet.rs
+++ b/crates/decision/src/fleet.rs
@@ -6,43 +6,37 @@
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
 
-/// Attempts out at each backend that all gateways together start from; the part that stays after a sign of
-/// overload, and at least. Most that one answer counts for: four in ten lost to other causes are no overload.
-const FIRST_BOUND: f64 = 16.0;
-const OUT_CUT: f64 = 0.8;
-const LEAST_PART: f64 = 0.3;
-const MOST_PACE: f64 = 4.0;
-/// Answer times against the fleet's best: below, a backend has room; above, more in hand only slows it.
-const ROOMY: f64 = 1.7;
-const QUEUED: f64 = 2.5;
-/// Most of the aim that work without queues may need, lest a fleet overrun from the start pass for slow.
-const BEST_OF_AIM: f64 = 0.15;
-/// Rise of the fleet's best time with each hundred answers or so (part): what was once fast need not last.
-const BEST_RISE: f64 = 0.05;
-/// Weight of the newest answer in a backend's figures (the last ten count), in its speed (twenty: chance
-/// is not to make a cold one pass for a quick one), and in the fleet's (fifty).
+/// Concurrency limit that a fleet starts from: attempts in flight per backend, over all gateways together.
+const INITIAL_LIMIT: f64 = 16.0;
+const LIMIT_CUT: f64 = 0.8; // factor on the limit at a sign of overload
+const MIN_LIMIT: f64 = 0.3; // of the initial limit
+/// Cap on the relative latency of one response: if 4 in 10 are lost for other reasons, that is no overload.
+const MAX_RELATIVE_LATENCY: f64 = 4.0;
+const CAPACITY_LEFT: f64 = 1.7; // relative latency below which backends can take more
+const QUEUEING: f64 = 2.5; // relative latency above which more attempts in flight only add latency
+/// Cap on the best latency, as a part of the latency target: an overloaded fleet must not seem a slow one.
+const MAX_BEST: f64 = 0.15;
+const BEST_RISE: f64 = 0.05; // of the best latency in about 100 responses: a fleet may become slower
+/// Weight of the newest response in a backend's estimates (about the last 10 count), in its speed (20, lest
+/// a few lucky responses make a backend that is warming up look fast), and in the fleet's estimates (50).
 const NEWEST: f64 = 0.1;
 const SPEED_NEWEST: f64 = 0.05;
 const FLEET_NEWEST: f64 = 0.02;
-/// How much a failing backend's cost grows with its share of failures (factor).
-const FAIL_COST: f64 = 8.0;
-/// Time over which what was given up at a backend is forgotten while it gets nothing (us).
-const LATE_FADE: f64 = 5e6;
-/// Share of failures past which a backend is left out, and attempts in a row that suffice, broken or left
-/// unanswered while the fleet has room: a machine that vanishes breaks nothing.
-const FAIL_EJECT: f64 = 0.4;
-const DOWN_EJECT: u32 = 3;
-/// Part of the fleet that is left out at once, at most: past it, something else is at fault (a network that
-/// breaks connections, a fleet that restarts), and those still in would only be overrun.
-const MOST_EJECTED: f64 = 0.5;
+const FAILURE_COST: f64 = 8.0; // growth of a backend's cost with its failure rate (factor)
+const TIMEOUT_RATE_DECAY: f64 = 5e6; // us; the time-outs of a backend that is sent nothing are forgotten
+const EJECT_FAILURE_RATE: f64 = 0.4;
+/// Attempts in a row, reset or unanswered while the fleet has capacity: a vanished host resets no connection.
+const EJECT_BROKEN: u32 = 3;
+/// Part of the fleet ejected at once, at most: with more, the cause lies elsewhere (a network that resets
+/// connections, a fleet that restarts), and the backends still in use would only be overloaded.
+const MAX_EJECTED: f64 = 0.5;
 const EJECT_FIRST: f64 = 2.0; // connect time-outs
-const EJECT_DOUBLES: u32 = 4;
-/// Part of the time left to a request that a backend may be expected to take. Past it, it gets one at a time,
-/// to learn by: more would wait there until they are of no use, and hold the places of others.
-const MOST_WAIT: f64 = 0.5;
-/// Cost factor of another zone, for near-ties only; chance adds up to twice that, lest all choose alike.
-const CROSS_ZONE: f64 = 1.05;
-const JITTER: f64 = 0.1;
+const EJECT_DOUBLINGS: u32 = 4;
+/// Part of a request's remaining time that a backend may be expected to take. A slower one gets one attempt
+/// at a time, to update its estimate: more would wait there until useless, and use up the concurrency limit.
+const MAX_WAIT: f64 = 0.5;
+const CROSS_ZONE: f64 = 1.05; // cost factor of another zone, which decides near-ties only
+const JITTER: f64 = 0.1; // random part of the cost, up to twice the zone's, lest all gateways choose alike
 
 #[derive(Clone, Default, serde::Deserialize, serde::Serialize)]
 pub(crate) struct Fleet {
@@ -62,7 +56,7 @@
 impl Fleet {
     /// Begins on the classes that it does not know yet.
     pub(crate) fn begin(&mut self, classes: &[Class]) {
-        self.usual.extend(classes[self.usual.len()..].iter().map(|class| class.aim as f64 * BEST_OF_AIM));
+        self.usual.extend(classes[self.usual.len()..].iter().map(|class| class.aim as f64 * MAX_BEST));
         self.best.extend_from_slice(&self.usual[self.best.len()..]);
     }
 }
@@ -138,7 +132,7 @@
         let left = self.useless_at(open).saturating_sub(self.now) as f64;
         let group = |backend: &Backend| class.group.of(&backend.entry);
         let may = |backend: &&Backend| {
-            let one = backend.ejections > 0 || usual * backend.slow > MOST_WAIT * left;
+            let one = backend.ejections > 0 || usual * backend.slow > MAX_WAIT * left;
             backend.entry.condition == Condition::Ready
                 && home.is_none_or(|home| group(home) == group(backend))
                 && backend.ejected_until <= self.now
@@ -150,8 +144,9 @@
             let recent = backend.recent.left(self.now, turn);
             let cost = (f64::from(backend.out) + recent + 1.0) * backend.slow / size;
             // More than the others: where all are late it tells nothing. One left alone may be well again.
-            let late = (backend.late - usually_late).max(0.0) * faded(self.now, backend.recent.at, LATE_FADE);
-            let cost = cost * (1.0 + FAIL_COST * (backend.fails + late) + JITTER * self.chance.next());
+            let late = (backend.late - usually_late).max(0.0)
+                * faded(self.now, backend.recent.at, TIMEOUT_RATE_DECAY);
+            let cost = cost * (1.0 + FAILURE_COST * (backend.fails + late) + JITTER * self.chance.next());
             cost * if backend.entry.zone == self.settings.zone { 1.0 } else { CROSS_ZONE }
         };
         let costs = self.fleet.backends.values().filter(may).map(|backend| (cost(backend), backend.entry.id));
@@ -161,13 +156,15 @@
     /// Bounds all attempts out by all answers: one gateway of many sees a backend too rarely to bound each.
     pub(crate) fn bound_all(&mut self, pace: f64) {
         let share = self.ready() / f64::from(self.settings.gateways.max(1));
-        self.fleet.pace += NEWEST * (pace.min(MOST_PACE) - self.fleet.pace);
+        self.fleet.pace += NEWEST * (pace.min(MAX_RELATIVE_LATENCY) - self.fleet.pace);
         if self.fleet.room == 0.0 {
-            self.fleet.room = FIRST_BOUND * share;
-        } else if self.fleet.pace > QUEUED && (self.now - self.fleet.cut_at) as f64 > self.fleet.best[0] {
-            self.fleet.room = (self.fleet.room * OUT_CUT).max(LEAST_PART * FIRST_BOUND * share);
+            self.fleet.room = INITIAL_LIMIT * share;
+        } else if self.fleet.pace > QUEUEING && (self.now - self.fleet.cut_at) as f64 > self.fleet.best[0] {
+            self.fleet.room = (self.fleet.room * LIMIT_CUT).max(MIN_LIMIT * INITIAL_LIMIT * share);
             self.fleet.cut_at = self.now;
-        } else if self.fleet.pace < ROOMY && self.requests.flights.len() as f64 + 2.0 >= self.fleet.room {
+        } else if self.fleet.pace < CAPACITY_LEFT
+            && self.requests.flights.len() as f64 + 2.0 >= self.fleet.room
+        {
             self.fleet.room += self.fleet.room.min(1.0 / self.fleet.room);
         }
     }
@@ -180,15 +177,15 @@
             self.bound_all(took / self.fleet.best[class]);
         }
         let others_out = self.over_ready(|backend| f64::from(u8::from(backend.ejected_until > now)));
-        let may_eject = others_out == 0.0 || others_out + 1.0 <= MOST_EJECTED * self.ready();
-        let (roomy, best) = (self.fleet.pace < ROOMY, self.fleet.best[class]);
+        let may_eject = others_out == 0.0 || others_out + 1.0 <= MAX_EJECTED * self.ready();
+        let (roomy, best) = (self.fleet.pace < CAPACITY_LEFT, self.fleet.best[class]);
         let Some(backend) = self.fleet.backends.get_mut(&id) else { return };
         match outcome {
             Outcome::Ok | Outcome::Timeout => {
                 backend.slow += NEWEST * (took / usual - backend.slow);
                 backend.late += NEWEST * (f64::from(u8::from(timeout)) - backend.late);
                 backend.speed += SPEED_NEWEST * ((best / took.max(1.0)).min(1.0) - backend.speed);
-                backend.down += u32::from(timeout && waited as f64 > QUEUED * usual && roomy);
+                backend.down += u32::from(timeout && waited as f64 > QUEUEING * usual && roomy);
             }
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::Full => {
                 backend.fails += NEWEST * (1.0 - backend.fails);
@@ -199,14 +196,15 @@
         if ok {
             self.fleet.usual[class] += FLEET_NEWEST * (took - usual);
             let best = best * (1.0 + FLEET_NEWEST * BEST_RISE);
-            self.fleet.best[class] = best.min(self.fleet.usual[class]).min(BEST_OF_AIM * aim);
+            self.fleet.best[class] = best.min(self.fleet.usual[class]).min(MAX_BEST * aim);
             backend.fails -= NEWEST * backend.fails;
             (backend.ejections, backend.down) = (0, 0);
         }
-        let failing = backend.fails > FAIL_EJECT || backend.down >= DOWN_EJECT || backend.ejections > 0;
+        let failing =
+            backend.fails > EJECT_FAILURE_RATE || backend.down >= EJECT_BROKEN || backend.ejections > 0;
         if may_eject && !ok && (!timeout || roomy) && failing && backend.ejected_until <= now {
             let first = EJECT_FIRST * self.settings.limits.connect_timeout as f64;
-            let span = first * f64::from(1u32 << backend.ejections.min(EJECT_DOUBLES));
+            let span = first * f64::from(1u32 << backend.ejections.min(EJECT_DOUBLINGS));
             backend.ejected_until = now + span as Micros;
             backend.ejections += 1;
         }
--- a/crates/decision/src/home.rs
+++ b/crates/decision/src/home.rs
@@ -4,26 +4,24 @@
 use crate::figures::mix;
 use crate::interface::*;
 use crate::peers::stepped;
-use crate::quota::TELLING_SPREAD;
+use crate::quota::MAX_SCALED_GATEWAYS;
 use crate::records::{Call, Open, Stage};
 use crate::word::Word;
 use crate::Gateway;
 
-/// How long a home may take to answer, for how long one that did not is passed over (us), and homes tried.
-const PATIENCE: Micros = 200_000;
-const PASSED_OVER: Micros = 1_000_000;
-const HOMES: u8 = 2;
-/// Least time between a home's calls for a customer (us), and the part of a window that they may lie apart.
-const CARRY_EVERY: f64 = 100e3;
-const CARRY_PART: f64 = 0.5;
-/// Windows for which a total tells enough to let in by, under a ceiling. Such a customer has one home, whose
-/// calls come as soon as they may: a total told elsewhere lacks little of what is let in there.
-const TOLD_FOR: f64 = 1.0;
+const RESPONSE_TIMEOUT: Micros = 200_000; // of a home gateway
+const SKIPPED_FOR: Micros = 1_000_000; // after a time-out
+const MAX_HOMES: u8 = 2; // tried for one request
+const CALL_INTERVAL: f64 = 100e3; // us; least time between a home's calls for one customer ...
+const CALL_INTERVAL_WINDOW: f64 = 0.5; // ... and the part of a window that they may lie apart
+/// Windows for which a counter total is recent enough to admit by, under a hard limit. A customer with one
+/// has one home gateway, which calls as often as it may: totals read elsewhere lack little of what it let in.
+const TOTAL_VALID_FOR: f64 = 1.0;
 
 impl Gateway {
     /// Whether homes count in this fleet while the counter is crowded: in a small one, totals come in time.
     pub(crate) fn homes(&self) -> bool {
-        self.settings.limits.peer_messages && f64::from(self.settings.gateways) > TELLING_SPREAD
+        self.settings.limits.peer_messages && f64::from(self.settings.gateways) > MAX_SCALED_GATEWAYS
     }
 
     /// Whether a customer's requests may be counted at a home.
@@ -37,7 +35,7 @@
         let asking = |open: &&Open| open.stage == Stage::Asking && self.has_home(open.request.customer);
         let Some(open) = self.requests.open.get(&id).filter(asking) else { return false };
         let (latest, plan) = (self.useless_at(open), &self.settings.plans[usize::from(open.request.plan)]);
-        let homes = if plan.ceiling_rate > 0.0 { 1 } else { HOMES };
+        let homes = if plan.ceiling_rate > 0.0 { 1 } else { MAX_HOMES };
         let open = self.requests.open.get_mut(&id).expect("just read");
         let (of, units) = (open.request.customer, open.request.units);
         let customer = self.quota.customers.get_mut(&of).expect("rolled on arrival");
@@ -45,7 +43,7 @@
         let (spread, first) = (customer.spread.max(1.0) as u64, u64::from(customer.first));
         // One that let an earlier request wait in vain has gone, or takes in no more.
         if let Some(silent) = open.home.take().filter(|silent| *silent != own) {
-            self.silent.insert(silent, now + PASSED_OVER);
+            self.silent.insert(silent, now + SKIPPED_FOR);
         }
         while open.homes < homes {
             let place = (mix(of) % spread + u64::from(open.homes)) % spread;
@@ -53,7 +51,7 @@
             open.homes += 1;
             if self.silent.get(&home).is_none_or(|until| *until <= now) {
                 open.home = Some(home);
-                self.requests.due.set(id, (now + PATIENCE).min(latest).max(now + 1));
+                self.requests.due.set(id, (now + RESPONSE_TIMEOUT).min(latest).max(now + 1));
                 if home == own {
                     self.asked(own, id, of, units);
                 } else {
@@ -81,7 +79,7 @@
         self.advance(of);
         let customer = self.quota.customers.get_mut(&of).expect("just read");
         let length = self.settings.window(customer.plan).0;
-        let old = (self.now - customer.told) as f64 > TOLD_FOR * length || customer.told == 0;
+        let old = (self.now - customer.told) as f64 > TOTAL_VALID_FOR * length || customer.told == 0;
         customer.homed = customer.window;
         let unknown = old && self.settings.plans[customer.plan].ceiling_rate > 0.0;
         if unknown && units > 0.0 {
@@ -123,8 +121,8 @@
     fn carry(&mut self, of: CustomerId, needed: bool) {
         let customer = &self.quota.customers[&of];
         let soon = needed || self.settings.plans[customer.plan].ceiling_rate > 0.0;
-        let most = if soon { 0.0 } else { CARRY_PART * self.settings.window(customer.plan).0 };
-        let apart = self.spacing().min(most).max(CARRY_EVERY);
+        let most = if soon { 0.0 } else { CALL_INTERVAL_WINDOW * self.settings.window(customer.plan).0 };
+        let apart = self.spacing().min(most).max(CALL_INTERVAL);
         if (self.now - customer.asked_at) as f64 >= apart && (needed || customer.owed != 0.0) {
             let customer = self.quota.customers.get_mut(&of).expect("just read");
             customer.asked_at = self.now;
--- a/crates/decision/src/peers.rs
+++ b/crates/decision/src/peers.rs
@@ -6,14 +6,12 @@
 use crate::Gateway;
 use std::collections::VecDeque;
 
-/// Steps of the share refused where nothing is told, with each refusal on a total and each pass: it rests at
-/// one refusal in five, so that told decisions fill the quota first.
-const REFUSED_STEP: f64 = 0.32;
-const PASSED_STEP: f64 = -0.08;
-/// While calls are rare, gateways tell one another what they send on: part of the messages taken in that this
-/// may use, and for how long after the last crowd.
-const NEWS_PART: f64 = 0.5;
-pub(crate) const NEWS_STAY: f64 = 5e6;
+/// Steps of the share of requests rejected without a total, after a rejection and an admission by a total: it
+/// rests at one rejection in five, so that decisions by totals fill the quota first.
+const REJECTED_STEP: f64 = 0.32;
+const ADMITTED_STEP: f64 = -0.08;
+const UPDATE_PART: f64 = 0.5; // of the messages a gateway takes in, for updates while counter calls are rare
+pub(crate) const UPDATES_LAST: f64 = 5e6; // us, from the last overload of the counter
 
 #[derive(Default)]
 pub(crate) struct News {
@@ -25,7 +23,7 @@
 
 /// The share refused untold, after a total has decided, here or at a peer.
 pub(crate) fn stepped(beyond: f64, within: bool) -> f64 {
-    (beyond + if within { PASSED_STEP } else { REFUSED_STEP }).clamp(0.0, 1.0)
+    (beyond + if within { ADMITTED_STEP } else { REJECTED_STEP }).clamp(0.0, 1.0)
 }
 
 impl Gateway {
@@ -45,7 +43,7 @@
             return;
         }
         let senders = f64::from(self.settings.gateways - 1);
-        let pause = senders * 1e6 / (NEWS_PART * self.settings.limits.peer_intake);
+        let pause = senders * 1e6 / (UPDATE_PART * self.settings.limits.peer_intake);
         self.news.at = self.now + pause as Micros;
         let mut sent = Vec::new();
         while sent.len() < MOST_RECORDS {
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -1,6 +1,6 @@
 //! Quota: the sliding tail. Each request adds its units, and the weighted estimate over two windows decides.
 
-use crate::counter::{LONGEST_WAIT, UNWELL_AFTER};
+use crate::counter::{MAX_WAIT, UNHEALTHY_AFTER};
 use crate::figures::mix;
 use crate::interface::*;
 use crate::peers::stepped;
@@ -8,30 +8,25 @@
 use crate::Gateway;
 use std::collections::VecDeque;
 
-/// Longest life of a counter name (us), and the part of it that a window may take: two and late reads fit.
-const LONGEST_LIFE: f64 = 60e6;
-const WINDOW_PART: f64 = 0.4;
-/// Fewest ticks in a window: below that, the time for a call to the counter blurs it.
-const WINDOW_TICKS: f64 = 50.0;
-/// Weight of a customer's newest window in this gateway's part of its units: shifts last about two windows.
-const SHARE_WEIGHT: f64 = 0.5;
-/// Part of its own units that a total shows at least, rounded to seven digits and kept so by others.
-const ROUNDING: f64 = 0.9;
-/// Least part of the usual chance to ask a crowded counter, for a customer far below its limit.
-const CALM_PART: f64 = 0.2;
-/// Most gateways of a customer for which own units tell of the others'; past it, one would stand for a burst.
-pub(crate) const TELLING_SPREAD: f64 = 6.0;
-/// Customers looked at with each request, and windows of silence after which one is forgotten, all refilled.
-const LOOKED_AT: usize = 4;
-const FORGET_AFTER: f64 = 6.0;
+const MAX_TTL: f64 = 60e6; // us, of a name at the counter service
+const MAX_WINDOW: f64 = 0.4; // of MAX_TTL: two windows and late reads fit in
+const MIN_WINDOW_TICKS: f64 = 50.0; // in a shorter window, the time that a call to the counter takes matters
+const SHARE_WEIGHT: f64 = 0.5; // of the newest window in this gateway's share: that shifts in about 2 windows
+const ROUNDING: f64 = 0.9; // of this gateway's units, which a total holds at least: it has seven digits
+const MIN_NEARNESS: f64 = 0.2; // to the limit, by which a customer's chance of a call is scaled
+/// Most gateways of a customer for which the units here are scaled up to all: beyond, a burst here would be
+/// taken for one everywhere.
+pub(crate) const MAX_SCALED_GATEWAYS: f64 = 6.0;
+const SWEPT_PER_REQUEST: usize = 4; // customers
+const FORGET_AFTER: f64 = 6.0; // windows without a request: the quota is full again
 
 impl Settings {
     /// Length of a plan's windows (us) and the units that a window's length of use may hold.
     pub(crate) fn window(&self, plan: usize) -> (f64, f64) {
         let plan = &self.plans[plan];
-        let shortest = WINDOW_TICKS * self.tick as f64;
-        let natural = (plan.burst / plan.rate * 1e6).clamp(shortest, LONGEST_LIFE * WINDOW_PART).round();
-        let length = if plan.rate > 0.0 { natural } else { LONGEST_LIFE };
+        let shortest = MIN_WINDOW_TICKS * self.tick as f64;
+        let natural = (plan.burst / plan.rate * 1e6).clamp(shortest, MAX_TTL * MAX_WINDOW).round();
+        let length = if plan.rate > 0.0 { natural } else { MAX_TTL };
         (length, plan.rate * length / 1e6)
     }
 }
@@ -44,7 +39,7 @@
             return self.actions.push(Action::Fail { request: id, why: Why::Unknown });
         };
         let limited = plan.rate > 0.0;
-        self.quota.customers.sweep(LOOKED_AT, |customer| {
+        self.quota.customers.sweep(SWEPT_PER_REQUEST, |customer| {
             let length = self.settings.window(customer.plan).0;
             let silent = (self.now - customer.seen) as f64 > FORGET_AFTER * length;
             customer.open == 0 && customer.out == 0 && silent
@@ -62,7 +57,7 @@
         let (now, plan) = (self.now, usize::from(request.plan));
         let spread = f64::from(self.settings.gateways).min(request.spread.max(1.0));
         let length = self.settings.window(plan).0;
-        let telling = spread <= TELLING_SPREAD || self.settings.counter.is_none();
+        let telling = spread <= MAX_SCALED_GATEWAYS || self.settings.counter.is_none();
         let customer = self.quota.customers.entry(request.customer).or_insert_with(|| Customer {
             plan,
             spread,
@@ -146,8 +141,8 @@
         let (units, customer) = (self.requests.open[&id].request.units, &self.quota.customers[&of]);
         let (length, limit) = self.settings.window(customer.plan);
         let (since, spacing) = ((self.now - customer.asked_at) as f64, self.spacing());
-        let near = ((self.estimate(customer, self.seen(customer)) + units) / limit).clamp(CALM_PART, 1.0);
-        let earned = near * since.min(LONGEST_WAIT * length) / spacing.max(1.0);
+        let near = ((self.estimate(customer, self.seen(customer)) + units) / limit).clamp(MIN_NEARNESS, 1.0);
+        let earned = near * since.min(MAX_WAIT * length) / spacing.max(1.0);
         let (homed, patience) =
             (self.has_home(of), self.settings.counter.map_or(0, |counter| counter.timeout));
         let chance = match spacing > self.settings.tick as f64 {
@@ -164,7 +159,7 @@
         }
         // A ceiling's one home is lost: the counter tells.
         let asks = asks || homed && self.ceiling_stops(of, units);
-        let waits = asks && (homed || self.counter.bad < UNWELL_AFTER);
+        let waits = asks && (homed || self.counter.bad < UNHEALTHY_AFTER);
         let alone = !waits && self.decide_alone(id);
         let customer = self.quota.customers.get_mut(&of).expect("rolled on arrival");
         customer.owed += if alone { units } else { 0.0 };
@@ -186,7 +181,7 @@
 
     pub(crate) fn call(&mut self, call: Call) {
         let length = self.settings.window(self.quota.customers[&call.customer].plan).0;
-        let life = (2.5 * length).min(LONGEST_LIFE) as Micros;
+        let life = (2.5 * length).min(MAX_TTL) as Micros;
         let (count, amount) = (mix(mix(call.customer) ^ call.window), call.amount);
         self.quota.calls.entry(count).or_default().push_back(call);
         self.actions.push(Action::Count { count, amount, life });
--- a/crates/decision/src/succession.rs
+++ b/crates/decision/src/succession.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{Backend, Fleet};
 use crate::idle::Idle;
 use crate::interface::*;
-use crate::peers::NEWS_STAY;
+use crate::peers::UPDATES_LAST;
 use crate::records::{CounterHealth, Customer};
 use crate::Gateway;
 use serde::{Deserialize, Serialize};
@@ -189,7 +189,7 @@
             self.counter = belief.counter;
         }
         // Word goes to whoever has the address, which from now on is this process.
-        self.news.until = belief.crowded_until.min(self.now + NEWS_STAY as Micros);
+        self.news.until = belief.crowded_until.min(self.now + UPDATES_LAST as Micros);
         self.actions.extend(belief.idle.word());
         self.idle = belief.idle;
         let plans = self.settings.plans.len();
