--- a/crates/config/src/class.rs
+++ b/crates/config/src/class.rs
@@ -2,7 +2,7 @@
 
 use crate::names::check_name;
 use crate::section::Section;
-use violetyoke_decision::interface::{self, Effect, Group, Micros};
+use violetyoke_decision::interface::{self, DedupScope, Idempotency, Micros};
 
 const MS: f64 = 1_000.0;
 
@@ -22,32 +22,36 @@
         check_name(section, "name", &name);
         let time =
             |key: &'static str, default: f64| (section.number(key, default, 1.0..=600_000.0) * MS) as Micros;
-        let aim = time("aim_ms", 1_000.0);
+        let latency_target = time("aim_ms", 1_000.0);
         if !section.has("effect") {
             // A guess here could make a booking run twice.
             section.error("effect", "is missing: safe, keyed or unsafe");
         }
         let class = interface::Class {
-            aim,
-            aim_stretch: 0.0,
-            deadline: time("deadline_ms", aim as f64 / MS * 2.0),
-            effect: section.choice(
+            latency_target,
+            latency_target_stretch: 0.0,
+            deadline: time("deadline_ms", latency_target as f64 / MS * 2.0),
+            idempotency: section.choice(
                 "effect",
-                Effect::Unsafe,
-                &[("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)],
+                Idempotency::AtMostOnce,
+                &[
+                    ("safe", Idempotency::Idempotent),
+                    ("keyed", Idempotency::Deduplicated),
+                    ("unsafe", Idempotency::AtMostOnce),
+                ],
             ),
-            group: section.choice(
+            dedup_scope: section.choice(
                 "group",
-                Group::All,
-                &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)],
+                DedupScope::All,
+                &[("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)],
             ),
-            repeat_window: (section.number("repeat_window_ms", 0.0, 0.0..=86_400_000.0) * MS) as Micros,
+            dedup_window: (section.number("repeat_window_ms", 0.0, 0.0..=86_400_000.0) * MS) as Micros,
             late_value: 0.0,
             value: section.number("value", 1.0, 1e-6..=1e6),
             streamed: false,
-            asks_only: false,
+            admission_only: false,
         };
-        if class.deadline < class.aim {
+        if class.deadline < class.latency_target {
             section.error("deadline_ms", "is before aim_ms");
         }
         Class { name, class }
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -12,16 +12,17 @@
     let plan = Plan {
         rate: figure("rate"),
         burst: figure("burst"),
-        open_cap: figure("open"),
-        worth: section.number("worth", 1.0, 1e-6..=1e6),
-        ceiling_rate: figure("ceiling_rate"),
-        ceiling_burst: figure("ceiling_burst"),
+        max_in_flight: figure("open"),
+        value: section.number("worth", 1.0, 1e-6..=1e6),
+        hard_limit_rate: figure("ceiling_rate"),
+        hard_limit_burst: figure("ceiling_burst"),
         ..Plan::default()
     };
     if plan.rate > 0.0 && plan.burst < 1.0 {
         section.error("burst", "must be 1 or more where there is a rate");
     }
-    if plan.ceiling_rate > 0.0 && (plan.ceiling_rate < plan.rate || plan.ceiling_burst < plan.burst) {
+    if plan.hard_limit_rate > 0.0 && (plan.hard_limit_rate < plan.rate || plan.hard_limit_burst < plan.burst)
+    {
         section.error("ceiling_rate", "rate and burst of the ceiling must not be below the plan's");
     }
     (name, plan)
--- a/crates/config/src/pool.rs
+++ b/crates/config/src/pool.rs
@@ -82,7 +82,7 @@
         let settings = read_settings(section, ingresses, index);
         let consult = section.has("consult").then(|| {
             let table = section.section("consult");
-            let consult = Consult::read(&table, &plan_names, settings.limits.longest_retry_hint);
+            let consult = Consult::read(&table, &plan_names, settings.limits.max_retry_after);
             table.finish();
             consult
         });
--- a/crates/control/src/rate_limit.rs
+++ b/crates/control/src/rate_limit.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
 use violetyoke_decision::interface::{
-    Action, Class, Counter, Effect, Event, Group, Limits, Micros, Outcome, Plan, Request, Settings,
+    Action, Class, Counter, DedupScope, Event, Idempotency, Limits, Micros, Outcome, Plan, Request, Settings,
 };
 use violetyoke_decision::Gateway;
 
@@ -74,28 +74,28 @@
 
 fn settings(limit: RateLimit) -> Settings {
     let class = Class {
-        aim: 500_000,
-        aim_stretch: 0.0,
+        latency_target: 500_000,
+        latency_target_stretch: 0.0,
         deadline: 1_000_000,
-        effect: Effect::Safe,
-        group: Group::All,
-        repeat_window: 0,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
         late_value: 0.0,
         value: 1.0,
         streamed: false,
-        asks_only: true,
+        admission_only: true,
     };
     Settings {
         gateways: 1,
         tick: 1_000,
         classes: vec![class],
-        plans: vec![Plan { rate: limit.calls_per_second, burst: limit.burst, worth: 1.0, ..Plan::default() }],
+        plans: vec![Plan { rate: limit.calls_per_second, burst: limit.burst, value: 1.0, ..Plan::default() }],
         counter: Some(Counter { timeout: 50_000, fee: 0.0 }),
-        largest_request: 1.0,
+        max_request_units: 1.0,
         limits: Limits {
-            attempts: 1,
+            max_attempts: 1,
             retry_hints: true,
-            longest_retry_hint: 60_000_000,
+            max_retry_after: 60_000_000,
             ..Limits::default()
         },
         ..Settings::default()
@@ -180,11 +180,11 @@
             plan: 0,
             customer: query.account.0,
             units: 1.0,
-            spread: 1.0,
+            gateway_count: 1.0,
             first_gateway: 0.0,
-            budget: 1_000_000,
-            repeat: false,
-            write: false,
+            timeout: 1_000_000,
+            is_retry: false,
+            is_write: false,
         })
     }
 
@@ -202,9 +202,9 @@
     /// Performs an action; returns the event that it causes.
     fn perform(&mut self, action: &Action) -> Option<Event> {
         match *action {
-            Action::Count { count, amount, life } => {
-                let total = self.add(count, amount, life);
-                return Some(Event::Counted { count, outcome: Outcome::Ok, total, waited: 0 });
+            Action::AddToCounter { counter_id, amount, ttl } => {
+                let total = self.add(counter_id, amount, ttl);
+                return Some(Event::CounterAnswered { counter_id, outcome: Outcome::Ok, total, elapsed: 0 });
             }
             Action::Timer { at, token } => self.timers.push(Reverse(Timer { at, token })),
             Action::Admit { request } => {
@@ -212,7 +212,7 @@
                 // A call's count stands: nothing gives it back.
                 return Some(Event::Abandoned { request });
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 self.reply(request, Err(RateLimited { retry_after_us: retry_after }));
             }
             Action::Fail { request, .. } => drop(self.waiting.remove(&request)),
--- a/crates/decision/examples/actions.rs
+++ b/crates/decision/examples/actions.rs
@@ -32,58 +32,59 @@
     }
 }
 
-fn class(effect: Effect, group: Group, aim: Micros) -> Class {
+fn class(idempotency: Idempotency, dedup_scope: DedupScope, latency_target: Micros) -> Class {
     Class {
-        aim,
-        aim_stretch: 0.0,
+        latency_target,
+        latency_target_stretch: 0.0,
         deadline: 2 * SECOND,
-        effect,
-        group,
-        repeat_window: 4 * SECOND,
+        idempotency,
+        dedup_scope,
+        dedup_window: 4 * SECOND,
         late_value: 0.0,
-        value: 1.0 + aim as f64 / 1e6,
+        value: 1.0 + latency_target as f64 / 1e6,
         streamed: false,
-        asks_only: false,
+        admission_only: false,
     }
 }
 
 fn settings(random: &mut Random) -> Settings {
-    let plain = Plan { rate: 4.0, burst: 8.0, worth: 1.0, ..Plan::default() };
-    let ceiling = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, ceiling_slack: 2.0, ..plain.clone() };
-    let capped = Plan { open_cap: 6.0, rate: 20.0, burst: 30.0, worth: 1.5, ..Plan::default() };
+    let plain = Plan { rate: 4.0, burst: 8.0, value: 1.0, ..Plan::default() };
+    let ceiling =
+        Plan { hard_limit_rate: 10.0, hard_limit_burst: 20.0, hard_limit_slack: 2.0, ..plain.clone() };
+    let capped = Plan { max_in_flight: 6.0, rate: 20.0, burst: 30.0, value: 1.5, ..Plan::default() };
     Settings {
         gateways: 1 + random.below(12) as u16,
         index: 0,
         tick: TICK,
         classes: vec![
-            class(Effect::Safe, Group::All, 750_000),
-            class(Effect::Keyed, Group::Zone, 500_000),
-            class(Effect::Keyed, Group::All, 500_000),
-            class(Effect::Unsafe, Group::All, 500_000),
-            Class { asks_only: true, ..class(Effect::Safe, Group::All, 300_000) },
+            class(Idempotency::Idempotent, DedupScope::All, 750_000),
+            class(Idempotency::Deduplicated, DedupScope::Zone, 500_000),
+            class(Idempotency::Deduplicated, DedupScope::All, 500_000),
+            class(Idempotency::AtMostOnce, DedupScope::All, 500_000),
+            Class { admission_only: true, ..class(Idempotency::Idempotent, DedupScope::All, 300_000) },
         ],
-        plans: vec![plain, ceiling, capped, Plan { worth: 1.0, ..Plan::default() }],
+        plans: vec![plain, ceiling, capped, Plan { value: 1.0, ..Plan::default() }],
         counter: (!random.one_in(8)).then_some(Counter { timeout: 50_000, fee: 0.01 }),
-        largest_request: 3.0,
+        max_request_units: 3.0,
         limits: Limits {
-            attempts: 3,
+            max_attempts: 3,
             peer_messages: !random.one_in(4),
-            peer_intake: 40.0,
+            peer_message_rate: 40.0,
             retry_hints: true,
-            longest_retry_hint: SECOND,
+            max_retry_after: SECOND,
             connect_timeout: 250_000,
             ..Limits::default()
         },
         safety: Safety {
-            answer_slack: 16_000,
+            deadline_slack: 16_000,
             drain_grace: 250_000,
-            cold_share: 0.17,
-            cold_time: 10 * SECOND,
-            fall_multiple: 3.0,
-            fall_time: SECOND,
-            ask_within: 10 * SECOND,
+            slow_start_share: 0.17,
+            slow_start_time: 10 * SECOND,
+            overload_multiple: 3.0,
+            overload_time: SECOND,
+            max_poll_interval: 10 * SECOND,
         },
-        discovery: if random.one_in(5) { Discovery::Ask } else { Discovery::Push },
+        discovery: if random.one_in(5) { Discovery::Poll } else { Discovery::Push },
         ..Settings::default()
     }
 }
@@ -137,11 +138,11 @@
             format!("{action:?}").hash(&mut self.digest);
             match action {
                 Action::Timer { at, token } => drop(self.timers.insert((at.max(self.now + 1), token))),
-                Action::Count { count, amount, .. } => {
-                    self.calls.entry(count).or_default().push_back((self.now, amount));
+                Action::AddToCounter { counter_id, amount, .. } => {
+                    self.calls.entry(counter_id).or_default().push_back((self.now, amount));
                 }
                 Action::Send { request, backend, .. } => self.sent(request, backend),
-                Action::Refuse { request, .. } | Action::Fail { request, .. } | Action::Admit { request } => {
+                Action::Reject { request, .. } | Action::Fail { request, .. } | Action::Admit { request } => {
                     self.open.remove(&request);
                 }
                 _ => {}
@@ -178,11 +179,11 @@
                 plan: (customer % 4) as u16 + if self.random.one_in(500) { 9 } else { 0 },
                 customer,
                 units: 1.0 + self.random.below(3) as f64,
-                spread: 1.0 + (customer % 9) as f64,
+                gateway_count: 1.0 + (customer % 9) as f64,
                 first_gateway: (customer % 3) as f64,
-                budget: 20_000 + self.random.below(2 * SECOND),
-                repeat: false,
-                write: false,
+                timeout: 20_000 + self.random.below(2 * SECOND),
+                is_retry: false,
+                is_write: false,
             };
             self.open.insert(request.id);
             self.give(Event::Request(request));
@@ -203,10 +204,10 @@
             if outcome == Outcome::Ok {
                 self.open.remove(&request);
             }
-            let (waited, unused) = (self.now - sent, self.random.below(2_000_000));
-            let carried = Event::Carried {
-                unused: Some(unused).filter(|unused| unused % 3 > 0),
-                broke: outcome == Outcome::Stale || (unused > 1_200_000 && unused % 5 == 0),
+            let (elapsed, unused) = (self.now - sent, self.random.below(2_000_000));
+            let carried = Event::ConnectionUsed {
+                idle: Some(unused).filter(|unused| unused % 3 > 0),
+                broken: outcome == Outcome::Stale || (unused > 1_200_000 && unused % 5 == 0),
             };
             self.give(carried);
             self.give(Event::AttemptEnded(AttemptEnd {
@@ -214,9 +215,9 @@
                 attempt,
                 backend,
                 outcome,
-                waited,
+                elapsed,
                 closed,
-                settled_units: 0.0,
+                actual_units: 0.0,
                 usage: 0,
                 report: Vec::new(),
             }));
@@ -229,24 +230,24 @@
         }
         let mood = (self.now / (5 * SECOND)) % 4;
         let slow = [300, 300, 60_000, 30_000][mood as usize];
-        for count in self.calls.keys().copied().collect::<Vec<_>>() {
-            while let Some((made, amount)) = self.calls[&count].front().copied() {
+        for counter_id in self.calls.keys().copied().collect::<Vec<_>>() {
+            while let Some((made, amount)) = self.calls[&counter_id].front().copied() {
                 let took = slow / 2 + self.random.below(slow);
                 if self.now < made + took.min(50_000) {
                     break;
                 }
-                self.calls.get_mut(&count).expect("just read").pop_front();
+                self.calls.get_mut(&counter_id).expect("just read").pop_front();
                 let outcome = match self.random.below(20) {
                     0 => Outcome::Full,
                     1 if mood == 3 => Outcome::ConnectFailed,
                     _ if took >= 50_000 => Outcome::Timeout,
                     _ => Outcome::Ok,
                 };
-                if !outcome.never_ran() {
-                    *self.totals.entry(count).or_default() += amount;
+                if !outcome.not_executed() {
+                    *self.totals.entry(counter_id).or_default() += amount;
                 }
-                let total = self.totals.get(&count).copied().unwrap_or(0.0);
-                self.give(Event::Counted { count, outcome, total, waited: self.now - made });
+                let total = self.totals.get(&counter_id).copied().unwrap_or(0.0);
+                self.give(Event::CounterAnswered { counter_id, outcome, total, elapsed: self.now - made });
             }
         }
         self.calls.retain(|_, waiting| !waiting.is_empty());
@@ -258,11 +259,11 @@
         let mut entries = Vec::new();
         for node in 0..many {
             let id = if kind == ListKind::Delta { self.random.below(NODES) } else { node } as BackendId;
-            let born = if self.random.one_in(3) { self.now - self.random.below(SECOND) } else { 0 };
+            let started_at = if self.random.one_in(3) { self.now - self.random.below(SECOND) } else { 0 };
             let condition = conditions[self.random.below(4) as usize];
-            let share = 1.0 + (id % 3) as f64 / 2.0;
+            let weight = 1.0 + (id % 3) as f64 / 2.0;
             let (zone, cell) = ((id % 2) as u16, (id % 4) as u16);
-            entries.push(BackendEntry { id, zone, kind: 0, cell, condition, share, born });
+            entries.push(BackendEntry { id, zone, kind: 0, cell, condition, weight, started_at });
         }
         self.give(Event::Backends { kind, version: self.events, entries });
     }
@@ -298,7 +299,7 @@
     }
 
     fn play(mut self, steps: u64) -> (u64, u64, u64) {
-        let entry = |id| BackendEntry { id, condition: Condition::Ready, share: 1.0, ..Default::default() };
+        let entry = |id| BackendEntry { id, condition: Condition::Ready, weight: 1.0, ..Default::default() };
         let entries = (0..NODES as BackendId).map(entry).collect();
         self.give(Event::Backends { kind: ListKind::Full, version: 1, entries });
         for _ in 0..steps {
@@ -308,7 +309,7 @@
             self.counter();
             self.others();
         }
-        format!("{:?}", self.gateway.fleet()).hash(&mut self.digest);
+        format!("{:?}", self.gateway.fleet_view()).hash(&mut self.digest);
         (self.events, self.actions, self.digest.finish())
     }
 }
--- a/crates/decision/src/cold.rs
+++ b/crates/decision/src/cold.rs
@@ -14,12 +14,12 @@
     /// between turns is asked for, as that looks at the whole fleet.
     pub(crate) fn cold_allows(&self, backend: &Backend, gap: impl Fn() -> f64) -> bool {
         let age = self.age(backend, self.now);
-        if age >= self.settings.safety.cold_time as f64 {
+        if age >= self.settings.safety.slow_start_time as f64 {
             return true;
         }
         let able = |at: Micros| {
             let age = self.age(backend, at);
-            age * (self.settings.safety.cold_share + self.warmth(age)) / 2.0
+            age * (self.settings.safety.slow_start_share + self.warmth(age)) / 2.0
         };
         let earned = (able(self.now) - able(backend.recent.at)) * self.capacity(backend) / self.warmth(age);
         earned >= gap() * backend.phase
@@ -27,7 +27,7 @@
 
     /// How long ago a backend started, up to the time by which all are warm.
     fn age(&self, backend: &Backend, at: Micros) -> f64 {
-        let warm = self.settings.safety.cold_time;
+        let warm = self.settings.safety.slow_start_time;
         let since = if backend.started == 0 { warm } else { at.saturating_sub(backend.started).min(warm) };
         since as f64
     }
@@ -35,14 +35,14 @@
     /// Part of its warm capacity that a backend surely has at an age.
     fn warmth(&self, age: f64) -> f64 {
         let safety = &self.settings.safety;
-        safety.cold_share + (1.0 - safety.cold_share) * age / safety.cold_time.max(1) as f64
+        safety.slow_start_share + (1.0 - safety.slow_start_share) * age / safety.slow_start_time.max(1) as f64
     }
 
     /// Part of its warm capacity that a backend is taken to have: more than for its age where its answers say
     /// so, but no more than is safe where only its age is right.
     fn capacity(&self, backend: &Backend) -> f64 {
         let warmth = self.warmth(self.age(backend, self.now));
-        let most = MAX_AHEAD * self.settings.safety.fall_multiple * warmth;
+        let most = MAX_AHEAD * self.settings.safety.overload_multiple * warmth;
         backend.speed.min(most).min(1.0).max(warmth)
     }
 
@@ -67,7 +67,7 @@
 
     /// The time over which this gateway's rate of attempts is taken (us).
     pub(crate) fn rate_span(&self) -> f64 {
-        RATE_SPAN * self.settings.safety.fall_time.max(1) as f64
+        RATE_SPAN * self.settings.safety.overload_time.max(1) as f64
     }
 
     pub(crate) fn ready(&self) -> f64 {
--- a/crates/decision/src/counter.rs
+++ b/crates/decision/src/counter.rs
@@ -42,7 +42,7 @@
     }
 
     /// Another counter is asked from now on, which may be farther away.
-    pub fn counter_moved(&mut self) {
+    pub fn counter_replaced(&mut self) {
         self.counter.best = 0.0;
     }
 
@@ -70,7 +70,7 @@
                 health.spaced_at = self.now;
                 let limits = &self.settings.limits;
                 health.spacing.value = (spacing * INTERVAL_UP).clamp(least, MAX_INTERVAL);
-                let tells = limits.peer_messages && limits.peer_intake > 0.0 && !homes;
+                let tells = limits.peer_messages && limits.peer_message_rate > 0.0 && !homes;
                 if tells && health.spacing.value > timeout {
                     self.news.until = self.now + UPDATES_LAST as Micros;
                 }
@@ -100,7 +100,7 @@
         if !within || units > spare {
             // Its call has most likely added, or is owed: what is refused must not swell the count.
             customer.owed -= if asked_in == customer.window { units } else { 0.0 };
-            self.refuse_beyond(id, if within { Why::Spare } else { Why::Untold });
+            self.refuse_beyond(id, if within { RejectionReason::Spare } else { RejectionReason::Untold });
             return false;
         }
         (customer.spare, customer.unseen) = (customer.spare - units, customer.unseen + units);
@@ -112,15 +112,15 @@
     /// Units that may be sent untold: under a ceiling, this gateway's part of what lies between quota and it,
     /// so that all parts and the told units stay below; else, of many gateways, its part of the quota.
     pub(crate) fn spare(&mut self, of: CustomerId) -> f64 {
-        let (now, largest) = (self.now, self.settings.largest_request);
+        let (now, largest) = (self.now, self.settings.max_request_units);
         // The other half is what a home may let in that totals do not show yet.
         let halves = if self.has_home(of) { 2.0 } else { 1.0 };
         let customer = self.quota.customers.get_mut(&of).expect("rolled on arrival");
         let plan = &self.settings.plans[customer.plan];
-        let (rate, most) = if plan.ceiling_rate > 0.0 {
+        let (rate, most) = if plan.hard_limit_rate > 0.0 {
             let parts = customer.spread * halves;
-            let most = (plan.ceiling_burst - plan.burst).max(0.0) / parts;
-            ((plan.ceiling_rate - plan.rate).max(0.0) / parts, most)
+            let most = (plan.hard_limit_burst - plan.burst).max(0.0) / parts;
+            ((plan.hard_limit_rate - plan.rate).max(0.0) / parts, most)
         } else if customer.telling {
             return f64::INFINITY;
         } else {
@@ -138,7 +138,7 @@
     pub(crate) fn ceiling_stops(&mut self, of: CustomerId, units: f64) -> bool {
         let customer = &self.quota.customers[&of];
         let (seen, all) = (self.seen(customer), units / self.part(customer));
-        self.settings.plans[customer.plan].ceiling_rate > 0.0
+        self.settings.plans[customer.plan].hard_limit_rate > 0.0
             && units > self.spare(of)
             && self.within(of, seen, all)
     }
--- a/crates/decision/src/fleet.rs
+++ b/crates/decision/src/fleet.rs
@@ -56,7 +56,8 @@
 impl Fleet {
     /// Begins on the classes that it does not know yet.
     pub(crate) fn begin(&mut self, classes: &[Class]) {
-        self.usual.extend(classes[self.usual.len()..].iter().map(|class| class.aim as f64 * MAX_BEST));
+        self.usual
+            .extend(classes[self.usual.len()..].iter().map(|class| class.latency_target as f64 * MAX_BEST));
         self.best.extend_from_slice(&self.usual[self.best.len()..]);
     }
 }
@@ -90,17 +91,17 @@
         let whole = kind == ListKind::Full || kind == ListKind::Cached;
         let known = self.fleet.backends.values_mut().filter(|_| whole);
         known.for_each(|backend| backend.entry.condition = Condition::Gone);
-        let ask = self.settings.discovery == Discovery::Ask && kind == ListKind::Cached;
+        let ask = self.settings.discovery == Discovery::Poll && kind == ListKind::Cached;
         if ask || kind == ListKind::Failed {
-            self.actions.push(Action::Watch { on: true });
+            self.actions.push(Action::Subscribe { on: true });
         }
         for entry in entries {
             // All gateways hear of a start at about the same time: each begins in its own part of a turn.
             let (fresh, phase) = (|| Backend { slow: 1.0, ..Backend::default() }, self.chance.next());
             let backend = self.fleet.backends.entry(entry.id).or_insert_with(fresh);
-            if entry.born > backend.started {
+            if entry.started_at > backend.started {
                 let (out, recent) = (backend.out, Fading { at: self.now, ..backend.recent });
-                *backend = Backend { out, recent, phase, started: entry.born, ..fresh() };
+                *backend = Backend { out, recent, phase, started: entry.started_at, ..fresh() };
             }
             backend.entry = entry;
         }
@@ -114,10 +115,10 @@
     pub(crate) fn pick(&mut self, id: RequestId) -> Option<BackendId> {
         let open = &self.requests.open[&id];
         let (class, usual) = (self.class(open), self.fleet.usual[usize::from(open.request.class)]);
-        let bound_to = open.may_have_run.filter(|_| class.effect == Effect::Keyed);
+        let bound_to = open.may_have_run.filter(|_| class.idempotency == Idempotency::Deduplicated);
         let home = bound_to.and_then(|(backend, _)| self.fleet.backends.get(&backend));
-        let lost = bound_to.is_some() && home.is_none() && class.group != Group::All;
-        if lost || bound_to.is_some_and(|(_, sent)| self.now >= sent + class.repeat_window) {
+        let lost = bound_to.is_some() && home.is_none() && class.dedup_scope != DedupScope::All;
+        if lost || bound_to.is_some_and(|(_, sent)| self.now >= sent + class.dedup_window) {
             return None;
         }
         // A bound under one leaves room for an attempt after a pause.
@@ -127,10 +128,10 @@
             return None;
         }
         let (ready, turn, gap) = (self.ready(), self.turn(), OnceCell::new());
-        let mean = self.over_ready(|backend| backend.entry.share) / ready;
+        let mean = self.over_ready(|backend| backend.entry.weight) / ready;
         let usually_late = self.over_ready(|backend| backend.late) / ready;
         let left = self.useless_at(open).saturating_sub(self.now) as f64;
-        let group = |backend: &Backend| class.group.of(&backend.entry);
+        let group = |backend: &Backend| class.dedup_scope.key(&backend.entry);
         let may = |backend: &&Backend| {
             let one = backend.ejections > 0 || usual * backend.slow > MAX_WAIT * left;
             backend.entry.condition == Condition::Ready
@@ -140,7 +141,7 @@
                 && self.cold_allows(backend, || *gap.get_or_init(|| self.cold_gap()))
         };
         let cost = |backend: &Backend| {
-            let size = if mean > 0.0 { (backend.entry.share / mean).max(0.1) } else { 1.0 };
+            let size = if mean > 0.0 { (backend.entry.weight / mean).max(0.1) } else { 1.0 };
             let recent = backend.recent.left(self.now, turn);
             let cost = (f64::from(backend.out) + recent + 1.0) * backend.slow / size;
             // More than the others: where all are late it tells nothing. One left alone may be well again.
@@ -170,7 +171,8 @@
     }
 
     pub(crate) fn learn(&mut self, id: BackendId, class: usize, outcome: Outcome, waited: Micros) {
-        let (aim, usual, now) = (self.settings.classes[class].aim as f64, self.fleet.usual[class], self.now);
+        let (aim, usual, now) =
+            (self.settings.classes[class].latency_target as f64, self.fleet.usual[class], self.now);
         let (ok, timeout) = (outcome == Outcome::Ok, outcome == Outcome::Timeout);
         let took = (waited as f64).max(if timeout { aim } else { 0.0 });
         if ok || timeout {
--- a/crates/decision/src/home.rs
+++ b/crates/decision/src/home.rs
@@ -35,7 +35,7 @@
         let asking = |open: &&Open| open.stage == Stage::Asking && self.has_home(open.request.customer);
         let Some(open) = self.requests.open.get(&id).filter(asking) else { return false };
         let (latest, plan) = (self.useless_at(open), &self.settings.plans[usize::from(open.request.plan)]);
-        let homes = if plan.ceiling_rate > 0.0 { 1 } else { MAX_HOMES };
+        let homes = if plan.hard_limit_rate > 0.0 { 1 } else { MAX_HOMES };
         let open = self.requests.open.get_mut(&id).expect("just read");
         let (of, units) = (open.request.customer, open.request.units);
         let customer = self.quota.customers.get_mut(&of).expect("rolled on arrival");
@@ -56,7 +56,7 @@
                     self.asked(own, id, of, units);
                 } else {
                     let data = ask(id, &open.request, units);
-                    self.actions.push(Action::Tell { to: Some(home), data });
+                    self.actions.push(Action::SendPeerMessage { to: Some(home), data });
                 }
                 return true;
             }
@@ -70,7 +70,7 @@
             self.asked(home, request.id, request.customer, -request.units);
         } else {
             let data = ask(request.id, request, -request.units);
-            self.actions.push(Action::Tell { to: Some(home), data });
+            self.actions.push(Action::SendPeerMessage { to: Some(home), data });
         }
     }
 
@@ -81,7 +81,7 @@
         let length = self.settings.window(customer.plan).0;
         let old = (self.now - customer.told) as f64 > TOTAL_VALID_FOR * length || customer.told == 0;
         customer.homed = customer.window;
-        let unknown = old && self.settings.plans[customer.plan].ceiling_rate > 0.0;
+        let unknown = old && self.settings.plans[customer.plan].hard_limit_rate > 0.0;
         if unknown && units > 0.0 {
             customer.asks.push((from, id, units));
             return self.carry(of, true);
@@ -99,8 +99,10 @@
         if from == self.settings.index {
             self.judged(from, id, within, wait);
         } else if units > 0.0 {
-            self.actions
-                .push(Action::Tell { to: Some(from), data: Word::Judged { id, within, wait }.write() });
+            self.actions.push(Action::SendPeerMessage {
+                to: Some(from),
+                data: Word::Judged { id, within, wait }.write(),
+            });
         }
     }
 
@@ -113,14 +115,14 @@
         if within {
             self.admit(id);
         } else {
-            self.refuse(id, Micros::from(wait), Why::Quota);
+            self.refuse(id, Micros::from(wait), RejectionReason::Quota);
         }
     }
 
     /// Carries what was let in to the counter, in calls far enough apart; at once, where its total is needed.
     fn carry(&mut self, of: CustomerId, needed: bool) {
         let customer = &self.quota.customers[&of];
-        let soon = needed || self.settings.plans[customer.plan].ceiling_rate > 0.0;
+        let soon = needed || self.settings.plans[customer.plan].hard_limit_rate > 0.0;
         let most = if soon { 0.0 } else { CALL_INTERVAL_WINDOW * self.settings.window(customer.plan).0 };
         let apart = self.spacing().min(most).max(CALL_INTERVAL);
         if (self.now - customer.asked_at) as f64 >= apart && (needed || customer.owed != 0.0) {
@@ -134,5 +136,5 @@
 
 fn ask(id: RequestId, request: &Request, units: f64) -> Vec<u8> {
     let (of, plan, first) = (request.customer, request.plan, request.first_gateway as u16);
-    Word::Ask { id, of, plan, spread: request.spread as u16, first, units }.write()
+    Word::Ask { id, of, plan, gateway_count: request.gateway_count as u16, first, units }.write()
 }
--- a/crates/decision/src/idle.rs
+++ b/crates/decision/src/idle.rs
@@ -25,7 +25,7 @@
 impl Idle {
     /// For how long connections may be kept by what has been seen, if that says anything.
     pub fn word(&self) -> Option<Action> {
-        self.longest.map(|longest| Action::KeepIdle { longest })
+        self.longest.map(|idle_timeout| Action::SetIdleTimeout { idle_timeout })
     }
 
     /// Takes note of a request that a connection carried, which had been unused for that long (none: it was new).
@@ -44,7 +44,7 @@
         let first = self.carried[2..].iter().position(dead);
         let longest = first.map(|first| SHORTEST << (first + 1));
         if std::mem::replace(&mut self.longest, longest) != longest {
-            actions.push(Action::KeepIdle { longest: longest.unwrap_or(Micros::MAX) });
+            actions.push(Action::SetIdleTimeout { idle_timeout: longest.unwrap_or(Micros::MAX) });
         }
     }
 }
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -4,25 +4,26 @@
 //! Times are microseconds of one clock that only advances; it begins at an arbitrary value.
 //!
 //! ```
-//! use violetyoke_decision::interface::{Action, Class, Effect, Event, Group, Plan, Request, Settings};
+//! use violetyoke_decision::interface::{Action, Class, DedupScope, Event, Idempotency, Plan, Request, Settings};
 //! use violetyoke_decision::Gateway;
 //!
 //! let class = Class {
-//!     aim: 500_000, aim_stretch: 0.0, deadline: 2_000_000, effect: Effect::Safe, group: Group::All,
-//!     repeat_window: 0, late_value: 0.0, value: 1.0, streamed: false, asks_only: false,
+//!     latency_target: 500_000, latency_target_stretch: 0.0, deadline: 2_000_000,
+//!     idempotency: Idempotency::Idempotent, dedup_scope: DedupScope::All, dedup_window: 0,
+//!     late_value: 0.0, value: 1.0, streamed: false, admission_only: false,
 //! };
-//! let plan = Plan { rate: 5.0, burst: 10.0, worth: 1.0, ..Plan::default() };
+//! let plan = Plan { rate: 5.0, burst: 10.0, value: 1.0, ..Plan::default() };
 //! let settings = Settings { gateways: 1, classes: vec![class], plans: vec![plan], ..Settings::default() };
 //! let mut gateway = Gateway::new(settings, 7);
 //! let request = Request {
-//!     id: 1, class: 0, plan: 0, customer: 42, units: 1.0, spread: 1.0, first_gateway: 0.0,
-//!     budget: 2_000_000, repeat: false, write: false,
+//!     id: 1, class: 0, plan: 0, customer: 42, units: 1.0, gateway_count: 1.0, first_gateway: 0.0,
+//!     timeout: 2_000_000, is_retry: false, is_write: false,
 //! };
 //! let mut actions = Vec::new();
 //! gateway.handle(1_000_000, Event::Request(request), &mut actions);
 //! gateway.handle(2_000_000, Event::Timer { token: 0 }, &mut actions);
 //! // No backend was ever listed, so the request ends refused, which is safe: it never ran.
-//! assert!(actions.iter().any(|action| matches!(action, Action::Refuse { request: 1, .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Reject { request: 1, .. })));
 //! ```
 
 /// A time or a span in microseconds.
@@ -52,9 +53,9 @@
     /// Period of the usage meter; 0: there is none.
     pub meter_period: Micros,
     /// Most units that one request can count.
-    pub largest_request: f64,
+    pub max_request_units: f64,
     /// A request's units are a guess; the true ones come with its first good answer.
-    pub settled_later: bool,
+    pub units_are_estimates: bool,
     pub limits: Limits,
     pub safety: Safety,
     /// Load figures that backends report, in the order of [`Report`]'s values.
@@ -70,50 +71,50 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Time within which an answer earns its full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub latency_target_stretch: f64,
     /// Longest time a client waits, over all its tries.
     pub deadline: Micros,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Which backends drop repeats of a keyed request.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For how long they do.
-    pub repeat_window: Micros,
+    pub dedup_window: Micros,
     /// Part of the worth that an answer after the aim still earns.
     pub late_value: f64,
     pub value: f64,
     pub streamed: bool,
     /// Requests of this class only ask whether they may proceed: they are sent nowhere.
-    pub asks_only: bool,
+    pub admission_only: bool,
 }
 
 /// What happens when a request runs twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    Idempotent,
     /// No harm inside the group that drops repeats, while it remembers.
-    Keyed,
+    Deduplicated,
     /// Harm.
-    Unsafe,
+    AtMostOnce,
 }
 
 /// The backends that know of each other's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
 }
 
-impl Group {
+impl DedupScope {
     /// What the backends of one group have in common.
-    pub fn of(self, entry: &BackendEntry) -> u16 {
+    pub fn key(self, entry: &BackendEntry) -> u16 {
         match self {
-            Group::All => 0,
-            Group::Zone => entry.zone,
-            Group::Cell => entry.cell,
+            DedupScope::All => 0,
+            DedupScope::Zone => entry.zone,
+            DedupScope::Cell => entry.cell,
         }
     }
 }
@@ -126,16 +127,16 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts out at once; 0: no such quota.
-    pub open_cap: f64,
-    pub worth: f64,
+    pub max_in_flight: f64,
+    pub value: f64,
     /// Part of its worth that a request beyond the quota earns.
-    pub beyond_worth: f64,
+    pub over_quota_value: f64,
     /// Part of its worth that sending it on costs.
-    pub beyond_cost: f64,
+    pub over_quota_cost: f64,
     /// Hard ceiling in units a second; 0: none.
-    pub ceiling_rate: f64,
-    pub ceiling_burst: f64,
-    pub ceiling_slack: f64,
+    pub hard_limit_rate: f64,
+    pub hard_limit_burst: f64,
+    pub hard_limit_slack: f64,
 }
 
 /// The shared counter service.
@@ -150,20 +151,20 @@
 /// What the deployment allows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    pub attempts: u32,
-    pub second_copies: bool,
-    pub cancelling: bool,
+    pub max_attempts: u32,
+    pub hedging: bool,
+    pub cancellation: bool,
     pub probing: bool,
     pub peer_messages: bool,
     /// Messages a second that a gateway takes in.
-    pub peer_intake: f64,
+    pub peer_message_rate: f64,
     /// Clients are told when to come again.
     pub retry_hints: bool,
-    pub longest_retry_hint: Micros,
-    pub clients_mark_repeats: bool,
-    pub open_requests: u32,
+    pub max_retry_after: Micros,
+    pub clients_mark_retries: bool,
+    pub max_open_requests: u32,
     pub connect_timeout: Micros,
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     pub streams_per_connection: u32,
     pub cpu_per_second: Micros,
     pub cpu_per_request: f64,
@@ -173,19 +174,19 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Safety {
     /// A final answer may come this much after the client's deadline.
-    pub answer_slack: Micros,
+    pub deadline_slack: Micros,
     /// Word of a drain is heeded within this time.
     pub drain_grace: Micros,
     /// A fresh backend can do this part of its work or more.
-    pub cold_share: f64,
+    pub slow_start_share: f64,
     /// It is warm after this time.
-    pub cold_time: Micros,
+    pub slow_start_time: Micros,
     /// It falls over when sent this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_time: Micros,
+    pub overload_time: Micros,
     /// Without a subscription, a gateway that has not asked for this long counts as told.
-    pub ask_within: Micros,
+    pub max_poll_interval: Micros,
 }
 
 /// Points taken off the result.
@@ -220,7 +221,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportVia {
     /// With answers and probe results.
-    Answers,
+    Responses,
     /// With probe results only.
     Probes,
     #[default]
@@ -232,15 +233,15 @@
 pub enum Discovery {
     #[default]
     Push,
-    /// Only after [`Action::Watch`] or [`Action::FetchList`].
-    Ask,
+    /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
+    Poll,
 }
 
-/// What [`BackendEntry::share`] means.
+/// What [`BackendEntry::weight`] means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
     #[default]
-    Silent,
+    Absent,
     Nominal,
     Rough,
     Live,
@@ -257,9 +258,9 @@
     pub kind: u8,
     pub cell: u16,
     pub condition: Condition,
-    pub share: f64,
+    pub weight: f64,
     /// Time of its latest start; 0: long past.
-    pub born: Micros,
+    pub started_at: Micros,
 }
 
 /// What the list says of a backend.
@@ -293,13 +294,13 @@
     /// Units it draws from the quota.
     pub units: f64,
     /// Number of gateways the customer's requests come through ...
-    pub spread: f64,
+    pub gateway_count: f64,
     /// ... and the first of them.
     pub first_gateway: f64,
     /// Time until the client gives this try up.
-    pub budget: Micros,
-    pub repeat: bool,
-    pub write: bool,
+    pub timeout: Micros,
+    pub is_retry: bool,
+    pub is_write: bool,
 }
 
 /// How an attempt, a probe or a counter call ended.
@@ -329,7 +330,7 @@
 
 impl Outcome {
     /// Whether this outcome proves that nothing ran.
-    pub fn never_ran(self) -> bool {
+    pub fn not_executed(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Withheld)
     }
 }
@@ -357,27 +358,27 @@
     AttemptEnded(AttemptEnd),
     /// A connection has carried a request: how long it had been kept unused (none: it was new), and whether it
     /// broke before a byte of the answer.
-    Carried {
-        unused: Option<Micros>,
-        broke: bool,
+    ConnectionUsed {
+        idle: Option<Micros>,
+        broken: bool,
     },
     /// A streamed answer has begun; the attempt is the client's from here on.
-    AnswerBegun {
+    ResponseStarted {
         request: RequestId,
         attempt: u8,
         backend: BackendId,
-        waited: Micros,
+        elapsed: Micros,
     },
-    Counted {
-        count: u64,
+    CounterAnswered {
+        counter_id: u64,
         outcome: Outcome,
         total: f64,
-        waited: Micros,
+        elapsed: Micros,
     },
     Probed {
         backend: BackendId,
         outcome: Outcome,
-        waited: Micros,
+        elapsed: Micros,
         report: Report,
     },
     PeerMessage {
@@ -394,11 +395,11 @@
     pub backend: BackendId,
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub waited: Micros,
+    pub elapsed: Micros,
     /// The request is closed, by this outcome or earlier.
     pub closed: bool,
     /// True units, where they are settled later; else 0.
-    pub settled_units: f64,
+    pub actual_units: f64,
     /// 1 + the customer's metered use in percent of its quota; 0: none.
     pub usage: u16,
     pub report: Report,
@@ -406,7 +407,7 @@
 
 /// The rule that gave a request up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectionReason {
     /// The estimate on a total of the counter is past the limit.
     Quota,
     /// The estimate without a total is.
@@ -439,15 +440,15 @@
         request: RequestId,
     },
     /// Final answer: not served, and trying again is harmless.
-    Refuse {
+    Reject {
         request: RequestId,
         retry_after: Micros,
-        why: Why,
+        reason: RejectionReason,
     },
     /// Final answer: failed, nothing promised.
     Fail {
         request: RequestId,
-        why: Why,
+        reason: RejectionReason,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -462,26 +463,26 @@
         backend: BackendId,
     },
     /// Use no connection to a backend that has been idle for longer.
-    KeepIdle {
-        longest: Micros,
+    SetIdleTimeout {
+        idle_timeout: Micros,
     },
     /// Send at most 256 bytes to one gateway, or to all others.
-    Tell {
+    SendPeerMessage {
         to: Option<u16>,
         data: Vec<u8>,
     },
     /// Add to a named count and learn its total; a new name lives for `life`.
-    Count {
-        count: u64,
+    AddToCounter {
+        counter_id: u64,
         amount: f64,
-        life: Micros,
+        ttl: Micros,
     },
     Timer {
         at: Micros,
         token: u64,
     },
     /// Subscribe to changes of the list of backends, or end that.
-    Watch {
+    Subscribe {
         on: bool,
     },
     FetchList,
@@ -489,7 +490,7 @@
         text: String,
     },
     /// The decisions themselves have failed.
-    Broken {
+    InternalError {
         text: String,
     },
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -25,7 +25,7 @@
 use interface::*;
 use records::{CounterHealth, Quota, Requests};
 use std::collections::BTreeMap;
-pub use succession::Belief;
+pub use succession::LearnedState;
 use {fleet::Fleet, idle::Idle, peers::News};
 
 /// One gateway: `handle` takes each event and appends what to do about it.
@@ -61,11 +61,15 @@
             Event::Backends { kind, entries, .. } => self.backends_told(kind, entries),
             Event::Request(request) => self.arrive(request),
             Event::Timer { token } if self.requests.armed == Some(token) => self.requests.armed = None,
-            Event::Abandoned { request } | Event::AnswerBegun { request, .. } => self.close(request),
-            Event::Withdrawn { request } => self.refuse(request, 0, Why::Withdrawn),
-            Event::Carried { unused, broke } => self.idle.carried(self.now, unused, broke, &mut self.actions),
+            Event::Abandoned { request } | Event::ResponseStarted { request, .. } => self.close(request),
+            Event::Withdrawn { request } => self.refuse(request, 0, RejectionReason::Withdrawn),
+            Event::ConnectionUsed { idle, broken } => {
+                self.idle.carried(self.now, idle, broken, &mut self.actions)
+            }
             Event::AttemptEnded(end) => self.attempt_ended(end),
-            Event::Counted { count, outcome, total, waited } => self.counted(count, outcome, total, waited),
+            Event::CounterAnswered { counter_id, outcome, total, elapsed } => {
+                self.counted(counter_id, outcome, total, elapsed)
+            }
             Event::PeerMessage { from, data } => self.told_by_peer(from, &data),
             Event::Timer { .. } | Event::Probed { .. } => {}
         }
--- a/crates/decision/src/peers.rs
+++ b/crates/decision/src/peers.rs
@@ -43,7 +43,7 @@
             return;
         }
         let senders = f64::from(self.settings.gateways - 1);
-        let pause = senders * 1e6 / (UPDATE_PART * self.settings.limits.peer_intake);
+        let pause = senders * 1e6 / (UPDATE_PART * self.settings.limits.peer_message_rate);
         self.news.at = self.now + pause as Micros;
         let mut sent = Vec::new();
         while sent.len() < MOST_RECORDS {
@@ -51,7 +51,7 @@
             let customer = self.quota.customers.get_mut(&of);
             sent.extend(customer.map(|customer| (of, std::mem::take(&mut customer.untold))));
         }
-        self.actions.push(Action::Tell { to: None, data: Word::Sent(sent).write() });
+        self.actions.push(Action::SendPeerMessage { to: None, data: Word::Sent(sent).write() });
     }
 
     /// Takes note of units that a peer has sent on, but for those that the counter has shown already.
@@ -71,11 +71,17 @@
     pub(crate) fn told_by_peer(&mut self, from: u32, data: &[u8]) {
         match Word::read(data) {
             Some(Word::Sent(records)) => records.into_iter().for_each(|(of, units)| self.heard(of, units)),
-            Some(Word::Ask { id, of, plan, spread, first, units }) => {
+            Some(Word::Ask { id, of, plan, gateway_count, first, units }) => {
                 let limited = self.settings.plans.get(usize::from(plan)).is_some_and(|plan| plan.rate > 0.0);
                 if limited && units.abs() <= 1e6 && from < u32::from(self.settings.gateways) {
-                    let (spread, first_gateway) = (f64::from(spread), first.into());
-                    self.roll(&Request { customer: of, plan, spread, first_gateway, ..Request::default() });
+                    let (gateway_count, first_gateway) = (f64::from(gateway_count), first.into());
+                    self.roll(&Request {
+                        customer: of,
+                        plan,
+                        gateway_count,
+                        first_gateway,
+                        ..Request::default()
+                    });
                     self.quota.customers.get_mut(&of).expect("just rolled").open -= 1;
                     self.asked(from as u16, id, of, units);
                 }
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -36,7 +36,7 @@
         let (id, customer) = (request.id, request.customer);
         let plan = self.settings.plans.get(usize::from(request.plan));
         let (Some(plan), true) = (plan, usize::from(request.class) < self.settings.classes.len()) else {
-            return self.actions.push(Action::Fail { request: id, why: Why::Unknown });
+            return self.actions.push(Action::Fail { request: id, reason: RejectionReason::Unknown });
         };
         let limited = plan.rate > 0.0;
         self.quota.customers.sweep(SWEPT_PER_REQUEST, |customer| {
@@ -55,7 +55,7 @@
     /// Moves a customer on to the window that `now` falls in.
     pub(crate) fn roll(&mut self, request: &Request) {
         let (now, plan) = (self.now, usize::from(request.plan));
-        let spread = f64::from(self.settings.gateways).min(request.spread.max(1.0));
+        let spread = f64::from(self.settings.gateways).min(request.gateway_count.max(1.0));
         let length = self.settings.window(plan).0;
         let telling = spread <= MAX_SCALED_GATEWAYS || self.settings.counter.is_none();
         let customer = self.quota.customers.entry(request.customer).or_insert_with(|| Customer {
@@ -66,10 +66,10 @@
             share: 1.0 / spread,
             telling,
             first: request.first_gateway as u16,
-            spare: if self.settings.plans[plan].ceiling_rate > 0.0 {
+            spare: if self.settings.plans[plan].hard_limit_rate > 0.0 {
                 0.0
             } else {
-                self.settings.largest_request
+                self.settings.max_request_units
             },
             spare_at: now,
             ..Customer::default()
@@ -181,10 +181,10 @@
 
     pub(crate) fn call(&mut self, call: Call) {
         let length = self.settings.window(self.quota.customers[&call.customer].plan).0;
-        let life = (2.5 * length).min(MAX_TTL) as Micros;
-        let (count, amount) = (mix(mix(call.customer) ^ call.window), call.amount);
-        self.quota.calls.entry(count).or_default().push_back(call);
-        self.actions.push(Action::Count { count, amount, life });
+        let ttl = (2.5 * length).min(MAX_TTL) as Micros;
+        let (counter_id, amount) = (mix(mix(call.customer) ^ call.window), call.amount);
+        self.quota.calls.entry(counter_id).or_default().push_back(call);
+        self.actions.push(Action::AddToCounter { counter_id, amount, ttl });
     }
 
     pub(crate) fn counted(&mut self, count: u64, outcome: Outcome, total: f64, waited: Micros) {
@@ -227,7 +227,7 @@
                 customer.before_known = true;
                 total - std::mem::replace(&mut customer.before, total)
             }
-            _ if current && outcome.never_ran() => {
+            _ if current && outcome.not_executed() => {
                 customer.waiting.retain(|id| asking != Some(*id));
                 customer.owed += call.amount;
                 0.0
@@ -242,7 +242,7 @@
         let told = current && outcome == Outcome::Ok;
         let reads = told && !known && !std::mem::replace(&mut customer.before_asked, true);
         let mut waiting = customer.waiting.clone();
-        waiting.extend(call.request.filter(|id| outcome.never_ran() && !waiting.contains(id)));
+        waiting.extend(call.request.filter(|id| outcome.not_executed() && !waiting.contains(id)));
         let own = if told { asked } else { 0.0 };
         let mut others = came - own;
         if told {
@@ -285,7 +285,7 @@
         } else {
             let request = self.requests.open[&id].request.clone();
             self.give_back(&request, None, window, request.units);
-            self.refuse_beyond(id, Why::Quota);
+            self.refuse_beyond(id, RejectionReason::Quota);
         }
     }
 
@@ -310,11 +310,11 @@
         }
     }
 
-    pub(crate) fn refuse_beyond(&mut self, id: RequestId, why: Why) {
+    pub(crate) fn refuse_beyond(&mut self, id: RequestId, reason: RejectionReason) {
         let request = &self.requests.open[&id].request;
         let customer = &self.quota.customers[&request.customer];
         let plan = &self.settings.plans[customer.plan];
         let wait = (customer.standing + request.units - plan.burst).max(0.0) / plan.rate * 1e6;
-        self.refuse(id, wait as Micros, why);
+        self.refuse(id, wait as Micros, reason);
     }
 }
--- a/crates/decision/src/requests.rs
+++ b/crates/decision/src/requests.rs
@@ -22,9 +22,9 @@
         let plan = &self.settings.plans[customer.plan];
         open.charged = (plan.rate > 0.0).then_some(customer.window);
         // The plan's cap on attempts out holds as far as own ones tell of the others'.
-        if plan.open_cap > 0.0 && f64::from(customer.out) / customer.part() >= plan.open_cap {
-            self.refuse(id, 0, Why::Cap);
-        } else if self.settings.classes[usize::from(open.request.class)].asks_only {
+        if plan.max_in_flight > 0.0 && f64::from(customer.out) / customer.part() >= plan.max_in_flight {
+            self.refuse(id, 0, RejectionReason::Cap);
+        } else if self.settings.classes[usize::from(open.request.class)].admission_only {
             open.stage = Stage::Out;
             self.actions.push(Action::Admit { request: id });
         } else {
@@ -35,18 +35,18 @@
     /// When an answer is worth no more than a refusal.
     pub(crate) fn useless_at(&self, open: &Open) -> Micros {
         let (class, tick) = (self.class(open), self.settings.tick);
-        let given_up = open.arrived + open.request.budget.saturating_sub(tick);
-        let late = class.late_value > 0.0 || class.streamed || class.aim_stretch > 0.0;
-        let aim = open.arrived + class.aim.saturating_sub(AIM_MARGIN_TICKS * tick);
+        let given_up = open.arrived + open.request.timeout.saturating_sub(tick);
+        let late = class.late_value > 0.0 || class.streamed || class.latency_target_stretch > 0.0;
+        let aim = open.arrived + class.latency_target.saturating_sub(AIM_MARGIN_TICKS * tick);
         given_up.min(if late { Micros::MAX } else { aim })
     }
 
     /// Holds a request: most worth for its work first, in steps of half as much again, lest near-equals swap.
     pub(crate) fn hold(&mut self, id: RequestId) {
         let (open, class) = (&self.requests.open[&id], self.class(&self.requests.open[&id]));
-        let hold = open.arrived + (HOLD_PART * class.aim as f64) as Micros;
+        let hold = open.arrived + (HOLD_PART * class.latency_target as f64) as Micros;
         let until = hold.max(self.now + self.settings.tick).min(self.useless_at(open));
-        let worth = class.value * self.settings.plans[usize::from(open.request.plan)].worth;
+        let worth = class.value * self.settings.plans[usize::from(open.request.plan)].value;
         let for_work = worth / self.fleet.best[usize::from(open.request.class)];
         let rank = Reverse((1e3 + for_work.max(1e-12).log(1.5)).round() as u64);
         let open = self.requests.open.get_mut(&id).expect("open");
@@ -59,7 +59,7 @@
         while let Some(id) = self.requests.due.pop(self.now) {
             match self.requests.open.get(&id).map(|open| open.stage) {
                 Some(Stage::Asking) => self.decide_untold(id),
-                Some(Stage::Held) => self.refuse(id, 0, Why::Held),
+                Some(Stage::Held) => self.refuse(id, 0, RejectionReason::Held),
                 _ => {}
             }
         }
@@ -117,17 +117,17 @@
         let backend = self.fleet.backends.get_mut(&flight.backend).map(|backend| &mut backend.out);
         let customer = self.quota.customers.get_mut(&flight.customer).map(|customer| &mut customer.out);
         backend.into_iter().chain(customer).for_each(|out| *out = out.saturating_sub(1));
-        self.learn(flight.backend, flight.class, end.outcome, end.waited);
+        self.learn(flight.backend, flight.class, end.outcome, end.elapsed);
         if end.closed || end.outcome == Outcome::Ok {
             return self.close(end.request);
         }
         let Some(open) = self.requests.open.get_mut(&end.request) else { return };
-        let ran = (!end.outcome.never_ran()).then_some((flight.backend, flight.sent));
+        let ran = (!end.outcome.not_executed()).then_some((flight.backend, flight.sent));
         open.may_have_run = open.may_have_run.or(ran);
         if self.worth_again(end.request, end.outcome) {
             self.hold(end.request);
         } else {
-            self.refuse(end.request, 0, Why::Attempt);
+            self.refuse(end.request, 0, RejectionReason::Attempt);
         }
     }
 
@@ -135,22 +135,22 @@
     pub(crate) fn worth_again(&self, id: RequestId, outcome: Outcome) -> bool {
         let open = &self.requests.open[&id];
         let usual = self.fleet.usual[usize::from(open.request.class)] as Micros;
-        !(open.may_have_run.is_some() && self.class(open).effect == Effect::Unsafe)
-            && u32::from(open.attempts) < self.settings.limits.attempts
+        !(open.may_have_run.is_some() && self.class(open).idempotency == Idempotency::AtMostOnce)
+            && u32::from(open.attempts) < self.settings.limits.max_attempts
             && outcome != Outcome::Moot
             && self.now + usual <= self.useless_at(open)
     }
 
     /// Ends a request unserved: refused where the client may safely try again, else failed.
-    pub(crate) fn refuse(&mut self, id: RequestId, wait: Micros, why: Why) {
+    pub(crate) fn refuse(&mut self, id: RequestId, wait: Micros, reason: RejectionReason) {
         let Some(open) = self.requests.open.get(&id) else { return };
         let class = self.class(open);
-        let dropped = class.effect == Effect::Keyed && class.group == Group::All;
-        let harmless = open.may_have_run.is_none() || class.effect == Effect::Safe || dropped;
+        let dropped = class.idempotency == Idempotency::Deduplicated && class.dedup_scope == DedupScope::All;
+        let harmless = open.may_have_run.is_none() || class.idempotency == Idempotency::Idempotent || dropped;
         let limits = &self.settings.limits;
-        let retry_after = if limits.retry_hints { wait.min(limits.longest_retry_hint) } else { 0 };
-        let refused = Action::Refuse { request: id, retry_after, why };
-        self.actions.push(if harmless { refused } else { Action::Fail { request: id, why } });
+        let retry_after = if limits.retry_hints { wait.min(limits.max_retry_after) } else { 0 };
+        let refused = Action::Reject { request: id, retry_after, reason };
+        self.actions.push(if harmless { refused } else { Action::Fail { request: id, reason } });
         let unsent = open.charged.filter(|_| open.attempts == 0);
         let (home, request) = (open.home, open.request.clone());
         self.close(id);
--- a/crates/decision/src/succession.rs
+++ b/crates/decision/src/succession.rs
@@ -24,11 +24,11 @@
 const TRUST: f64 = 10e6;
 
 /// What one process of a gateway hands down to the next. Its backends, classes and plans go by the numbers that they
-/// have in the process that wrote it: see [`Belief::renumber`].
+/// have in the process that wrote it: see [`LearnedState::renumber`].
 ///
 /// Its form goes with the version of what it is sealed in: the two change together.
 #[derive(Clone, Default, Deserialize, Serialize)]
-pub struct Belief {
+pub struct LearnedState {
     at: Micros,
     fleet: Fleet,
     counter: CounterHealth,
@@ -37,14 +37,14 @@
     customers: BTreeMap<CustomerId, Customer>,
 }
 
-impl Belief {
+impl LearnedState {
     /// When it was written (us).
-    pub fn at(&self) -> Micros {
+    pub fn exported_at(&self) -> Micros {
         self.at
     }
 
     /// How many backends and customers it tells of.
-    pub fn known(&self) -> (usize, usize) {
+    pub fn entry_counts(&self) -> (usize, usize) {
         (self.fleet.backends.len(), self.customers.len())
     }
 
@@ -110,13 +110,13 @@
     /// All it has learned, for a process that takes its place. From now on that one has half of the units that may be
     /// sent on untold, those still owed to the counter, and the bound on attempts out but for those that are out here.
     #[cold]
-    pub fn hand_down(&mut self, now: Micros) -> Belief {
+    pub fn export_state(&mut self, now: Micros) -> LearnedState {
         self.now = self.now.max(now);
         self.shared = true;
         for customer in self.quota.customers.values_mut() {
             customer.spare /= if customer.spare > 0.0 { 2.0 } else { 1.0 };
         }
-        let mut belief = Belief {
+        let mut belief = LearnedState {
             at: self.now,
             fleet: self.fleet.clone(),
             counter: self.counter.clone(),
@@ -138,7 +138,7 @@
     /// Nobody has taken its place after all: it goes on with what it handed down, but for the half that the other may
     /// have sent on untold meanwhile.
     #[cold]
-    pub fn take_back(&mut self, now: Micros, belief: &Belief) {
+    pub fn reclaim_state(&mut self, now: Micros, belief: &LearnedState) {
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.shared, false) {
             return;
@@ -151,14 +151,14 @@
     }
 
     /// Whether another process of this gateway lives beside it. One that was handed nothing earns half as well.
-    pub fn beside(&mut self, another: bool) {
+    pub fn set_overlapping(&mut self, another: bool) {
         self.shared = another;
     }
 
     /// Takes the place of the process that has handed this down. False: it is too old, or of a time to come, and
     /// nothing of it is believed. Backends have to be told of first: what is handed down of others is passed over.
     #[cold]
-    pub fn take_over(&mut self, now: Micros, mut belief: Belief) -> bool {
+    pub fn import_state(&mut self, now: Micros, mut belief: LearnedState) -> bool {
         self.now = self.now.max(now);
         let age = self.now.saturating_sub(belief.at);
         if belief.at > self.now + MOST_AHEAD || age > MOST_AGE {
--- a/crates/decision/src/word.rs
+++ b/crates/decision/src/word.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Word {
     Sent(Vec<(CustomerId, f64)>),
-    Ask { id: RequestId, of: CustomerId, plan: u16, spread: u16, first: u16, units: f64 },
+    Ask { id: RequestId, of: CustomerId, plan: u16, gateway_count: u16, first: u16, units: f64 },
     Judged { id: RequestId, within: bool, wait: u32 },
 }
 
@@ -35,12 +35,12 @@
                 };
                 records.iter().flat_map(record).collect()
             }
-            Word::Ask { id, of, plan, spread, first, units } => {
+            Word::Ask { id, of, plan, gateway_count, first, units } => {
                 let mut data = Vec::with_capacity(ASK);
                 data.extend(id.to_le_bytes());
                 data.extend(of.to_le_bytes());
                 data.extend(plan.to_le_bytes());
-                data.extend(spread.to_le_bytes());
+                data.extend(gateway_count.to_le_bytes());
                 data.extend(first.to_le_bytes());
                 data.extend((*units as f32).to_le_bytes());
                 data
@@ -60,7 +60,7 @@
                 id: RequestId::from_le_bytes(take(&mut rest)?),
                 of: CustomerId::from_le_bytes(take(&mut rest)?),
                 plan: u16::from_le_bytes(take(&mut rest)?),
-                spread: u16::from_le_bytes(take(&mut rest)?),
+                gateway_count: u16::from_le_bytes(take(&mut rest)?),
                 first: u16::from_le_bytes(take(&mut rest)?),
                 units: f64::from(f32::from_le_bytes(take(&mut rest)?)),
             }),
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -9,59 +9,60 @@
 /// A time that is the start of a window of one second, of two, and of four.
 pub const START: Micros = 1_000 * SECOND;
 
-pub fn class(effect: Effect, group: Group) -> Class {
+pub fn class(idempotency: Idempotency, dedup_scope: DedupScope) -> Class {
     Class {
-        aim: 500_000,
-        aim_stretch: 0.0,
+        latency_target: 500_000,
+        latency_target_stretch: 0.0,
         deadline: 2 * SECOND,
-        effect,
-        group,
-        repeat_window: 4 * SECOND,
+        idempotency,
+        dedup_scope,
+        dedup_window: 4 * SECOND,
         late_value: 0.0,
         value: 1.0,
         streamed: false,
-        asks_only: false,
+        admission_only: false,
     }
 }
 
 /// One safe, one keyed (by zone) and one unsafe class; a plain plan, one with ceiling and cap, one without
 /// a quota.
 pub fn settings() -> Settings {
-    let plain = Plan { rate: 5.0, burst: 10.0, worth: 1.0, ..Plan::default() };
-    let ceiling = Plan { ceiling_rate: 10.0, ceiling_burst: 20.0, ceiling_slack: 2.0, ..plain.clone() };
+    let plain = Plan { rate: 5.0, burst: 10.0, value: 1.0, ..Plan::default() };
+    let ceiling =
+        Plan { hard_limit_rate: 10.0, hard_limit_burst: 20.0, hard_limit_slack: 2.0, ..plain.clone() };
     Settings {
         gateways: 2,
         tick: TICK,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Zone),
-            class(Effect::Unsafe, Group::All),
+            class(Idempotency::Idempotent, DedupScope::All),
+            class(Idempotency::Deduplicated, DedupScope::Zone),
+            class(Idempotency::AtMostOnce, DedupScope::All),
         ],
-        plans: vec![plain, ceiling, Plan { worth: 1.0, ..Plan::default() }],
+        plans: vec![plain, ceiling, Plan { value: 1.0, ..Plan::default() }],
         counter: Some(Counter { timeout: 50_000, fee: 0.01 }),
-        largest_request: 2.0,
+        max_request_units: 2.0,
         limits: Limits {
-            attempts: 4,
+            max_attempts: 4,
             retry_hints: true,
-            longest_retry_hint: SECOND,
+            max_retry_after: SECOND,
             connect_timeout: 250_000,
             ..Limits::default()
         },
         safety: Safety {
-            answer_slack: 16_000,
+            deadline_slack: 16_000,
             drain_grace: 250_000,
-            cold_share: 0.2,
-            cold_time: 10 * SECOND,
-            fall_multiple: 3.0,
-            fall_time: SECOND,
-            ask_within: 10 * SECOND,
+            slow_start_share: 0.2,
+            slow_start_time: 10 * SECOND,
+            overload_multiple: 3.0,
+            overload_time: SECOND,
+            max_poll_interval: 10 * SECOND,
         },
         ..Settings::default()
     }
 }
 
-pub fn entry(id: BackendId, condition: Condition, born: Micros) -> BackendEntry {
-    BackendEntry { id, zone: (id % 2) as u16, condition, share: 1.0, born, ..BackendEntry::default() }
+pub fn entry(id: BackendId, condition: Condition, started_at: Micros) -> BackendEntry {
+    BackendEntry { id, zone: (id % 2) as u16, condition, weight: 1.0, started_at, ..BackendEntry::default() }
 }
 
 pub fn list(ids: &[BackendId]) -> Event {
@@ -76,11 +77,11 @@
         plan: 0,
         customer,
         units: 1.0,
-        spread: 2.0,
+        gateway_count: 2.0,
         first_gateway: 0.0,
-        budget: 2 * SECOND,
-        repeat: false,
-        write: false,
+        timeout: 2 * SECOND,
+        is_retry: false,
+        is_write: false,
     }
 }
 
@@ -90,9 +91,9 @@
         attempt,
         backend,
         outcome,
-        waited: 20_000,
+        elapsed: 20_000,
         closed: outcome == Outcome::Ok,
-        settled_units: 0.0,
+        actual_units: 0.0,
         usage: 0,
         report: Vec::new(),
     })
--- a/crates/decision/tests/gateway.rs
+++ b/crates/decision/tests/gateway.rs
@@ -9,7 +9,7 @@
 
 fn counts(actions: &[Action]) -> Vec<(u64, f64)> {
     let calls = actions.iter().filter_map(|action| match action {
-        Action::Count { count, amount, .. } => Some((*count, *amount)),
+        Action::AddToCounter { counter_id, amount, .. } => Some((*counter_id, *amount)),
         _ => None,
     });
     calls.collect()
@@ -24,7 +24,7 @@
 }
 
 fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 /// A counter service that answers every call at once.
@@ -35,10 +35,11 @@
     fn answer(&mut self, gateway: &mut Gateway, now: Micros, actions: &[Action]) -> Vec<Action> {
         let mut all = actions.to_vec();
         let mut calls = counts(actions);
-        while let Some((count, amount)) = calls.pop() {
-            let total = self.0.entry(count).or_default();
+        while let Some((counter_id, amount)) = calls.pop() {
+            let total = self.0.entry(counter_id).or_default();
             *total += amount;
-            let answer = Event::Counted { count, outcome: Outcome::Ok, total: *total, waited: 4_000 };
+            let answer =
+                Event::CounterAnswered { counter_id, outcome: Outcome::Ok, total: *total, elapsed: 4_000 };
             let further = step(gateway, now, answer);
             calls.extend(counts(&further));
             all.extend(further);
@@ -62,7 +63,12 @@
 #[test]
 fn every_request_asks_the_counter_and_the_last_window_is_read_once_where_it_matters() {
     let mut gateway = gateway(settings(), &[1, 2]);
-    let told = |count, total| Event::Counted { count, outcome: Outcome::Ok, total, waited: 4_000 };
+    let told = |counter_id, total| Event::CounterAnswered {
+        counter_id,
+        outcome: Outcome::Ok,
+        total,
+        elapsed: 4_000,
+    };
     let actions = step(&mut gateway, START, Event::Request(request(1, 9)));
     let [(this, 1.0)] = counts(&actions)[..] else { panic!("one call of one unit") };
     let actions = step(&mut gateway, START, told(this, 1.0));
@@ -104,7 +110,12 @@
 #[test]
 fn the_previous_window_weighs_in_at_a_gateway_that_did_not_watch_it() {
     let mut gateway = gateway(settings(), &[1, 2]);
-    let told = |count, total| Event::Counted { count, outcome: Outcome::Ok, total, waited: 4_000 };
+    let told = |counter_id, total| Event::CounterAnswered {
+        counter_id,
+        outcome: Outcome::Ok,
+        total,
+        elapsed: 4_000,
+    };
     let this = counts(&step(&mut gateway, START, Event::Request(request(1, 9))))[0].0;
     let last = counts(&step(&mut gateway, START, told(this, 1.0)))[0].0;
     let actions = step(&mut gateway, START, told(last, 25.0));
@@ -114,7 +125,7 @@
 #[test]
 fn a_silent_counter_holds_no_request_past_its_budget() {
     let mut gateway = gateway(settings(), &[1, 2]);
-    let hasty = Request { budget: 20_000, ..request(1, 9) };
+    let hasty = Request { timeout: 20_000, ..request(1, 9) };
     let actions = step(&mut gateway, START, Event::Request(hasty));
     let due = actions.iter().find_map(|action| match action {
         Action::Timer { at, token } => Some((*at, *token)),
@@ -130,8 +141,10 @@
 fn requests_stop_waiting_for_an_unwell_counter_and_are_still_limited() {
     let mut gateway = gateway(settings(), &[1, 2]);
     for id in 0..3 {
-        for (count, _) in counts(&step(&mut gateway, START, Event::Request(request(id, u64::from(id))))) {
-            let late = Event::Counted { count, outcome: Outcome::Timeout, total: 0.0, waited: 50_000 };
+        for (counter_id, _) in counts(&step(&mut gateway, START, Event::Request(request(id, u64::from(id)))))
+        {
+            let late =
+                Event::CounterAnswered { counter_id, outcome: Outcome::Timeout, total: 0.0, elapsed: 50_000 };
             step(&mut gateway, START, late);
         }
     }
@@ -145,7 +158,8 @@
 #[test]
 fn a_call_turned_away_after_its_request_was_sent_does_not_send_it_again() {
     let mut gateway = gateway(settings(), &[1, 2]);
-    let told = |count, outcome| Event::Counted { count, outcome, total: 1.0, waited: 4_000 };
+    let told =
+        |counter_id, outcome| Event::CounterAnswered { counter_id, outcome, total: 1.0, elapsed: 4_000 };
     let this = counts(&step(&mut gateway, START, Event::Request(request(1, 9))))[0].0;
     let last = counts(&step(&mut gateway, START, told(this, Outcome::Ok)))[0].0;
     let first = step(&mut gateway, START, told(last, Outcome::Full));
@@ -160,7 +174,7 @@
 fn many() -> (Settings, impl Fn(RequestId, CustomerId) -> Request) {
     let mut settings = Settings { gateways: 100, index: 3, ..settings() };
     settings.limits.peer_messages = true;
-    (settings, |id, customer| Request { spread: 30.0, ..request(id, customer) })
+    (settings, |id, customer| Request { gateway_count: 30.0, ..request(id, customer) })
 }
 
 #[test]
@@ -173,8 +187,9 @@
     for id in 0..400 {
         let now = START + u64::from(id) * 100_000;
         let actions = step(&mut gateway, now, Event::Request(request(id, 77)));
-        for (count, _) in counts(&actions) {
-            let late = Event::Counted { count, outcome: Outcome::Timeout, total: 0.0, waited: 50_000 };
+        for (counter_id, _) in counts(&actions) {
+            let late =
+                Event::CounterAnswered { counter_id, outcome: Outcome::Timeout, total: 0.0, elapsed: 50_000 };
             let_in += sent(&step(&mut gateway, now, late)).len();
         }
         let_in += sent(&actions).len();
@@ -202,7 +217,7 @@
         while out.first().is_some_and(|(sent, ..)| sent + 500_000 < now) {
             let (_, id, to) = out.remove(0);
             let Event::AttemptEnded(end) = ended(id, 0, to, Outcome::Timeout) else { unreachable!() };
-            let end = Event::AttemptEnded(AttemptEnd { waited: 500_000, ..end });
+            let end = Event::AttemptEnded(AttemptEnd { elapsed: 500_000, ..end });
             let actions = step(&mut gateway, now, end);
             note(&mut out, now, actions);
         }
@@ -278,7 +293,7 @@
 }
 
 /// Of 200 attempts, how many go to one of four backends that has just started and answers in that time.
-fn sent_to_cold(waited: Micros) -> u32 {
+fn sent_to_cold(elapsed: Micros) -> u32 {
     let mut gateway = gateway(settings(), &[1, 2, 3, 4]);
     let mut cold = 0;
     for id in 0..600 {
@@ -291,8 +306,8 @@
         let to_cold = id >= 400 && to[0] == 1;
         cold += u32::from(to_cold);
         let Event::AttemptEnded(end) = ended(id, 0, to[0], Outcome::Ok) else { unreachable!() };
-        let waited = if to_cold { waited } else { end.waited };
-        step(&mut gateway, now, Event::AttemptEnded(AttemptEnd { waited, ..end }));
+        let elapsed = if to_cold { elapsed } else { end.elapsed };
+        step(&mut gateway, now, Event::AttemptEnded(AttemptEnd { elapsed, ..end }));
     }
     cold
 }
@@ -343,8 +358,8 @@
     for id in 0..200 {
         let now = START + u64::from(id) * 20_000;
         let Some(to) = ask(&mut gateway, id, now).first().copied() else { continue };
-        let (outcome, waited) = if to == 1 { (Outcome::Timeout, 500_000) } else { (Outcome::Ok, 150_000) };
-        let end = AttemptEnd { outcome, waited, closed: true, ..end_of(id, to) };
+        let (outcome, elapsed) = if to == 1 { (Outcome::Timeout, 500_000) } else { (Outcome::Ok, 150_000) };
+        let end = AttemptEnd { outcome, elapsed, closed: true, ..end_of(id, to) };
         step(&mut gateway, now, Event::AttemptEnded(end));
     }
     let now = START + 60 * SECOND;
@@ -361,7 +376,12 @@
     let mut calls = Vec::new();
     for id in 1..=2 {
         calls = counts(&step(&mut gateway, START, ask(id)));
-        let full = Event::Counted { count: calls[0].0, outcome: Outcome::Full, total: 0.0, waited: 1_000 };
+        let full = Event::CounterAnswered {
+            counter_id: calls[0].0,
+            outcome: Outcome::Full,
+            total: 0.0,
+            elapsed: 1_000,
+        };
         step(&mut gateway, START, full);
     }
     let now = START + SECOND;
@@ -372,8 +392,12 @@
     assert!((1..=4).contains(&first), "{first} of 10");
     assert_eq!(alone(&mut gateway, 20..30), 0, "no more untold units");
     // The call that all of them asked for in vain shows what was sent.
-    let total =
-        Event::Counted { count: calls[0].0, outcome: Outcome::Ok, total: first as f64, waited: 1_000 };
+    let total = Event::CounterAnswered {
+        counter_id: calls[0].0,
+        outcome: Outcome::Ok,
+        total: first as f64,
+        elapsed: 1_000,
+    };
     step(&mut gateway, now, total);
     let again = alone(&mut gateway, 30..40);
     assert!((1..=first).contains(&again), "{again} after {first}");
@@ -388,7 +412,7 @@
     };
     let first = out(&mut gateway, 0..100, START);
     for (id, backend) in &first {
-        let late = AttemptEnd { waited: 490_000, ..end_of(*id, *backend) };
+        let late = AttemptEnd { elapsed: 490_000, ..end_of(*id, *backend) };
         step(&mut gateway, START + u64::from(*id) * 100_000, Event::AttemptEnded(late));
     }
     let second = out(&mut gateway, 1000..1100, START + 60 * SECOND);
@@ -417,10 +441,10 @@
         Event::Timer { token: 99 },
         Event::Abandoned { request: 5 },
         ended(5, 0, 1, Outcome::Timeout),
-        Event::Counted { count: 5, outcome: Outcome::Ok, total: 1.0, waited: 1 },
-        Event::AnswerBegun { request: 5, attempt: 0, backend: 1, waited: 1 },
+        Event::CounterAnswered { counter_id: 5, outcome: Outcome::Ok, total: 1.0, elapsed: 1 },
+        Event::ResponseStarted { request: 5, attempt: 0, backend: 1, elapsed: 1 },
         Event::PeerMessage { from: 1, data: vec![1, 2, 3] },
-        Event::Probed { backend: 8, outcome: Outcome::Ok, waited: 1, report: Vec::new() },
+        Event::Probed { backend: 8, outcome: Outcome::Ok, elapsed: 1, report: Vec::new() },
     ];
     for event in strange {
         assert_eq!(step(&mut gateway, START, event), []);
@@ -428,7 +452,7 @@
     let unknown = Request { class: 40, ..request(1, 9) };
     assert_eq!(
         step(&mut gateway, START, Event::Request(unknown)),
-        [Action::Fail { request: 1, why: Why::Unknown }]
+        [Action::Fail { request: 1, reason: RejectionReason::Unknown }]
     );
 }
 
@@ -466,9 +490,12 @@
         let mut events = vec![Event::Request(request(number, 100 + u64::from(number)))];
         while let Some(event) = events.pop() {
             events.extend(step(&mut gateway, now, event).into_iter().filter_map(|action| match action {
-                Action::Count { count, .. } => {
-                    Some(Event::Counted { count, outcome: Outcome::Ok, total: 1.0, waited: 1_000 })
-                }
+                Action::AddToCounter { counter_id, .. } => Some(Event::CounterAnswered {
+                    counter_id,
+                    outcome: Outcome::Ok,
+                    total: 1.0,
+                    elapsed: 1_000,
+                }),
                 Action::Send { request, backend, .. } => Some(ended(request, 0, backend, Outcome::Ok)),
                 _ => None,
             }));
@@ -478,18 +505,22 @@
         }
     }
     // Some windows of customers, of two seconds each, and the backends of the last list.
-    let (customers, backends) = gateway.known();
+    let (customers, backends) = gateway.entry_counts();
     assert!((1..500).contains(&customers), "{customers}");
     assert_eq!(backends, 2);
     // A late word of one that is forgotten ends nothing.
     step(&mut gateway, now, ended(3, 0, 1, Outcome::Reset));
-    step(&mut gateway, now, Event::Counted { count: 7, outcome: Outcome::Ok, total: 1.0, waited: 1_000 });
+    step(
+        &mut gateway,
+        now,
+        Event::CounterAnswered { counter_id: 7, outcome: Outcome::Ok, total: 1.0, elapsed: 1_000 },
+    );
 }
 
 /// Units that are said to peers, by customer.
 fn told(actions: &[Action]) -> f64 {
     let data = actions.iter().filter_map(|action| match action {
-        Action::Tell { to: None, data } => Some(data),
+        Action::SendPeerMessage { to: None, data } => Some(data),
         _ => None,
     });
     let records = data.flat_map(|data| data.chunks_exact(12));
@@ -499,7 +530,7 @@
 #[test]
 fn while_the_counter_is_crowded_peers_tell_of_units_and_hold_one_quota() {
     let mut settings = settings();
-    (settings.limits.peer_messages, settings.limits.peer_intake) = (true, 40.0);
+    (settings.limits.peer_messages, settings.limits.peer_message_rate) = (true, 40.0);
     let mut gateways: Vec<_> = (0..2)
         .map(|index| {
             let mut gateway = Gateway::new(Settings { index, ..settings.clone() }, 7 + u64::from(index));
@@ -518,15 +549,17 @@
             let actions = step(&mut gateways[at], now, event);
             bytes += told(&actions) as usize;
             events.extend(actions.into_iter().filter_map(|action| match action {
-                Action::Count { count, .. } => {
+                Action::AddToCounter { counter_id, .. } => {
                     let (outcome, total) = (Outcome::Timeout, 0.0);
-                    Some((at, Event::Counted { count, outcome, total, waited: 50_000 }))
+                    Some((at, Event::CounterAnswered { counter_id, outcome, total, elapsed: 50_000 }))
                 }
                 Action::Send { request, backend, .. } => {
                     sent += if now > START + calm { 1.0 } else { 0.0 };
                     Some((at, ended(request, 0, backend, Outcome::Ok)))
                 }
-                Action::Tell { data, .. } => Some((1 - at, Event::PeerMessage { from: at as u32, data })),
+                Action::SendPeerMessage { data, .. } => {
+                    Some((1 - at, Event::PeerMessage { from: at as u32, data }))
+                }
                 _ => None,
             }));
         }
@@ -537,15 +570,15 @@
 }
 
 /// Customers that ask one after another while the counter needs `waited`, and the spacing of calls after that (us).
-fn spacing_after(gateway: &mut Gateway, ids: std::ops::Range<RequestId>, waited: Micros) -> f64 {
+fn spacing_after(gateway: &mut Gateway, ids: std::ops::Range<RequestId>, elapsed: Micros) -> f64 {
     for id in ids {
         let now = START + u64::from(id) * 100_000;
-        for (count, _) in counts(&step(gateway, now, Event::Request(request(id, 500 + u64::from(id))))) {
-            let told = Event::Counted { count, outcome: Outcome::Ok, total: 1.0, waited };
-            step(gateway, now + waited, told);
+        for (counter_id, _) in counts(&step(gateway, now, Event::Request(request(id, 500 + u64::from(id))))) {
+            let told = Event::CounterAnswered { counter_id, outcome: Outcome::Ok, total: 1.0, elapsed };
+            step(gateway, now + elapsed, told);
         }
     }
-    gateway.fleet().spacing
+    gateway.fleet_view().counter_query_interval
 }
 
 #[test]
@@ -560,6 +593,6 @@
     // And as it answers at once again, it is asked again.
     assert!(spacing_after(&mut near, 20..400, 2_000) < 4_000.0);
     // A far one in its place is no slower one.
-    near.counter_moved();
+    near.counter_replaced();
     assert!(spacing_after(&mut near, 400..600, 29_000) < 4_000.0);
 }
--- a/crates/decision/tests/home.rs
+++ b/crates/decision/tests/home.rs
@@ -44,7 +44,7 @@
         let gateways = (0..count).map(|index| {
             let mut settings = Settings { gateways: count, index, ..settings() };
             settings.limits.peer_messages = true;
-            settings.limits.peer_intake = 40.0;
+            settings.limits.peer_message_rate = 40.0;
             let mut gateway = Gateway::new(settings, u64::from(index) + 1);
             step(&mut gateway, START, list(&(1..=40).collect::<Vec<_>>()));
             gateway
@@ -80,7 +80,7 @@
             let gateway = (i * 7 % usize::from(spread)) as u16;
             let id = self.request;
             self.request += 1;
-            let asked = Request { plan, spread: f64::from(spread), ..request(id, customer) };
+            let asked = Request { plan, gateway_count: f64::from(spread), ..request(id, customer) };
             self.open.insert(id, (at, asked.units));
             self.due(at, gateway, Event::Request(asked));
         }
@@ -98,19 +98,23 @@
 
     fn act(&mut self, now: Micros, index: u16, action: Action) {
         match action {
-            Action::Count { count, amount, .. } => {
+            Action::AddToCounter { counter_id, amount, .. } => {
                 self.calls += 1;
                 let (outcome, after) = match self.counter {
                     Counter::Answers => (Outcome::Ok, 4 * MS),
                     Counter::TurnsAway => (Outcome::Full, 4 * MS),
                     Counter::IsLate => (Outcome::Timeout, 50 * MS),
                 };
-                let total = self.totals.entry(count).or_default();
+                let total = self.totals.entry(counter_id).or_default();
                 *total += if outcome == Outcome::Full { 0.0 } else { amount };
                 let total = if outcome == Outcome::Ok { *total } else { 0.0 };
-                self.due(now + after, index, Event::Counted { count, outcome, total, waited: after });
+                self.due(
+                    now + after,
+                    index,
+                    Event::CounterAnswered { counter_id, outcome, total, elapsed: after },
+                );
             }
-            Action::Tell { to, data } => {
+            Action::SendPeerMessage { to, data } => {
                 let to = to.expect("to one gateway");
                 self.told[usize::from(to)] += 1;
                 if !self.cut_off.contains(&to) && !self.cut_off.contains(&index) {
@@ -123,7 +127,7 @@
                 self.sent.push((now, units));
                 self.due(now + 20 * MS, index, ended(request, 0, backend, Outcome::Ok));
             }
-            Action::Refuse { request, .. } | Action::Fail { request, .. } => {
+            Action::Reject { request, .. } | Action::Fail { request, .. } => {
                 let (came, _) = self.open.remove(&request).expect("open");
                 self.refused.push(now - came);
             }
@@ -280,7 +284,10 @@
     }
     assert!(tell(100, ask(0, 1.0)).is_empty(), "from none of the fleet");
     let answered = tell(4, ask(0, 1.0));
-    assert!(answered.iter().any(|action| matches!(action, Action::Tell { to: Some(4), .. })), "{answered:?}");
+    assert!(
+        answered.iter().any(|action| matches!(action, Action::SendPeerMessage { to: Some(4), .. })),
+        "{answered:?}"
+    );
 }
 
 #[test]
@@ -291,7 +298,7 @@
     let mut within = |id, units| {
         let actions = step(&mut gateway, START, Event::PeerMessage { from: 4, data: asks(id, PLAIN, units) });
         let word = actions.iter().find_map(|action| match action {
-            Action::Tell { to: Some(4), data } if data.len() == 9 => Some(data[4] == 1),
+            Action::SendPeerMessage { to: Some(4), data } if data.len() == 9 => Some(data[4] == 1),
             _ => None,
         });
         word
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -78,7 +78,7 @@
                     let attempt = seen.attempts - 1;
                     self.nodes.get_mut(&backend).unwrap().waiting.push_back((request, attempt));
                 }
-                Action::Refuse { request, .. } | Action::Fail { request, .. } => {
+                Action::Reject { request, .. } | Action::Fail { request, .. } => {
                     let seen = &mut self.tries[request as usize];
                     assert!(seen.given_up.is_none() && seen.served.is_none(), "two answers");
                     seen.given_up = Some(self.now - seen.came);
@@ -95,9 +95,9 @@
         if outcome == Outcome::Ok {
             seen.served = Some(self.now - seen.came);
         }
-        let waited = self.now - seen.sent;
+        let elapsed = self.now - seen.sent;
         let Event::AttemptEnded(end) = ended(request, attempt, backend, outcome) else { unreachable!() };
-        self.give(Event::AttemptEnded(AttemptEnd { waited, ..end }));
+        self.give(Event::AttemptEnded(AttemptEnd { elapsed, ..end }));
     }
 
     fn tick(&mut self) {
@@ -136,10 +136,14 @@
     let mut settings = settings();
     settings.gateways = 1;
     settings.classes[0].value = 1.0;
-    settings.classes[1] =
-        Class { value: 5.0, effect: Effect::Safe, group: Group::All, ..settings.classes[0].clone() };
-    settings.safety.cold_time = COLD_TIME;
-    let aim = settings.classes[0].aim;
+    settings.classes[1] = Class {
+        value: 5.0,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        ..settings.classes[0].clone()
+    };
+    settings.safety.slow_start_time = COLD_TIME;
+    let aim = settings.classes[0].latency_target;
     let node = || Node { started: None, busy: Vec::new(), waiting: VecDeque::new() };
     let mut world = World {
         gateway: Gateway::new(settings, 5),
--- a/crates/decision/tests/plans.rs
+++ b/crates/decision/tests/plans.rs
@@ -16,13 +16,14 @@
     let mut seen = Vec::new();
     let mut todo: Vec<Action> = actions.into_iter().rev().collect();
     while let Some(action) = todo.pop() {
-        if let Action::Count { count, amount, .. } = action {
-            if !totals.iter().any(|(name, _)| *name == count) {
-                totals.push((count, 0.0));
+        if let Action::AddToCounter { counter_id, amount, .. } = action {
+            if !totals.iter().any(|(name, _)| *name == counter_id) {
+                totals.push((counter_id, 0.0));
             }
-            let total = totals.iter_mut().find(|(name, _)| *name == count).unwrap();
+            let total = totals.iter_mut().find(|(name, _)| *name == counter_id).unwrap();
             total.1 += amount;
-            let event = Event::Counted { count, outcome: Outcome::Ok, total: total.1, waited: 1_000 };
+            let event =
+                Event::CounterAnswered { counter_id, outcome: Outcome::Ok, total: total.1, elapsed: 1_000 };
             todo.extend(step(gateway, now, event).into_iter().rev());
         }
         seen.push(action);
@@ -32,7 +33,7 @@
 
 /// Whether a request of customer 1 is sent on.
 fn passes(gateway: &mut Gateway, now: Micros, id: RequestId, totals: &mut Vec<(u64, f64)>) -> bool {
-    let actions = step(gateway, now, Event::Request(Request { spread: 1.0, ..request(id, 1) }));
+    let actions = step(gateway, now, Event::Request(Request { gateway_count: 1.0, ..request(id, 1) }));
     let actions = answer(gateway, now, totals, actions);
     for action in &actions {
         if let Action::Send { request, backend, .. } = action {
@@ -106,8 +107,9 @@
     let mut totals = Vec::new();
     let mut out = Vec::new();
     for id in 1..=10 {
-        let actions = step(&mut gateway, START, Event::Request(Request { spread: 1.0, ..request(id, 1) }));
-        out.extend(actions.into_iter().filter(|action| matches!(action, Action::Count { .. })));
+        let actions =
+            step(&mut gateway, START, Event::Request(Request { gateway_count: 1.0, ..request(id, 1) }));
+        out.extend(actions.into_iter().filter(|action| matches!(action, Action::AddToCounter { .. })));
     }
     assert_eq!(out.len(), 10);
     gateway.reconfigure(START + 1_000, with_plan(&settings, 5.0, 20.0));
@@ -122,7 +124,7 @@
     let (settings, mut gateway) = one_gateway();
     let mut totals = Vec::new();
     let actions =
-        step(&mut gateway, START, Event::Request(Request { spread: 1.0, class: 2, ..request(1, 1) }));
+        step(&mut gateway, START, Event::Request(Request { gateway_count: 1.0, class: 2, ..request(1, 1) }));
     let actions = answer(&mut gateway, START, &mut totals, actions);
     let to = actions.iter().find_map(|action| match action {
         Action::Send { backend, .. } => Some(*backend),
@@ -142,13 +144,13 @@
 #[test]
 fn plans_and_classes_that_are_added_can_be_used() {
     let (mut settings, mut gateway) = one_gateway();
-    settings.plans.push(Plan { rate: 1.0, burst: 3.0, worth: 1.0, ..Plan::default() });
-    settings.classes.push(class(Effect::Safe, Group::All));
+    settings.plans.push(Plan { rate: 1.0, burst: 3.0, value: 1.0, ..Plan::default() });
+    settings.classes.push(class(Idempotency::Idempotent, DedupScope::All));
     gateway.reconfigure(START + 1, settings);
     let mut totals = Vec::new();
     let mut sent = 0;
     for id in 1..10 {
-        let fresh = Request { class: 3, plan: 3, spread: 1.0, ..request(id, 9) };
+        let fresh = Request { class: 3, plan: 3, gateway_count: 1.0, ..request(id, 9) };
         let actions = step(&mut gateway, START + 2, Event::Request(fresh));
         let actions = answer(&mut gateway, START + 2, &mut totals, actions);
         sent += actions.iter().filter(|action| matches!(action, Action::Send { .. })).count();
@@ -159,30 +161,30 @@
 #[test]
 fn what_stands_of_a_quota_can_be_read() {
     let (_, mut gateway) = one_gateway();
-    assert_eq!(gateway.standing(1), None);
+    assert_eq!(gateway.quota_state(1), None);
     let mut totals = Vec::new();
     let sent = passed(&mut gateway, START, 1..5, &mut totals) as f64;
-    let standing = gateway.standing(1).unwrap();
+    let standing = gateway.quota_state(1).unwrap();
     assert_eq!((standing.burst, standing.rate, sent), (10.0, 5.0, 4.0));
-    assert!((standing.left - 6.0).abs() < 0.5, "{standing:?}");
-    let full = (standing.burst - standing.left) / standing.rate * 1e6;
-    assert!((standing.until_full as f64 - full).abs() < 2.0, "{standing:?}");
+    assert!((standing.remaining - 6.0).abs() < 0.5, "{standing:?}");
+    let full = (standing.burst - standing.remaining) / standing.rate * 1e6;
+    assert!((standing.reset_after as f64 - full).abs() < 2.0, "{standing:?}");
     passed(&mut gateway, START + 100_000, 10..40, &mut totals);
-    assert!(gateway.standing(1).unwrap().left < 1.0);
+    assert!(gateway.quota_state(1).unwrap().remaining < 1.0);
     // A plan without a quota has none to tell of.
     step(&mut gateway, START + 500_000, Event::Request(Request { plan: 2, ..request(50, 2) }));
-    assert_eq!(gateway.standing(2), None);
+    assert_eq!(gateway.quota_state(2), None);
 }
 
 #[test]
 fn what_only_asks_is_counted_and_sent_nowhere_and_can_be_taken_back() {
-    let asking = Class { asks_only: true, ..class(Effect::Safe, Group::All) };
+    let asking = Class { admission_only: true, ..class(Idempotency::Idempotent, DedupScope::All) };
     let settings = Settings { gateways: 1, ..settings() };
     let classes = settings.classes.iter().cloned().chain([asking]).collect();
     let mut gateway = gateway(Settings { classes, ..settings }, &[]);
     let mut totals = Vec::new();
     let ask = |gateway: &mut Gateway, totals: &mut Vec<(u64, f64)>, id, now| {
-        let event = Event::Request(Request { class: 3, spread: 1.0, units: 2.0, ..request(id, 1) });
+        let event = Event::Request(Request { class: 3, gateway_count: 1.0, units: 2.0, ..request(id, 1) });
         let actions = step(gateway, now, event);
         let actions = answer(gateway, now, totals, actions);
         assert!(!actions.iter().any(|action| matches!(action, Action::Send { .. })));
@@ -194,7 +196,7 @@
     let taken_back = step(&mut gateway, START + 1, Event::Withdrawn { request: 5 });
     let taken_back = answer(&mut gateway, START + 1, &mut totals, taken_back);
     let amounts = taken_back.iter().filter_map(|action| match action {
-        Action::Count { amount, .. } => Some(*amount),
+        Action::AddToCounter { amount, .. } => Some(*amount),
         _ => None,
     });
     assert_eq!(amounts.sum::<f64>(), -2.0, "{taken_back:?}");
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -51,7 +51,7 @@
         for action in actions {
             match action {
                 Action::Send { request, backend, .. } => self.send(now, *request, *backend),
-                Action::Refuse { request, .. } => self.finish(*request, true),
+                Action::Reject { request, .. } => self.finish(*request, true),
                 Action::Fail { request, .. } => self.finish(*request, false),
                 _ => {}
             }
@@ -67,12 +67,12 @@
         if seen.attempts.iter().any(|(_, _, outcome)| outcome.is_none()) {
             self.broken.insert("effect");
         }
-        let ran = seen.attempts.iter().find(|(_, _, outcome)| outcome.is_none_or(|o| !o.never_ran()));
+        let ran = seen.attempts.iter().find(|(_, _, outcome)| outcome.is_none_or(|o| !o.not_executed()));
         if let Some((first, sent, _)) = ran {
-            let allowed = match class.effect {
-                Effect::Safe => true,
-                Effect::Keyed => first % 2 == backend % 2 && now < sent + class.repeat_window,
-                Effect::Unsafe => false,
+            let allowed = match class.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::Deduplicated => first % 2 == backend % 2 && now < sent + class.dedup_window,
+                Idempotency::AtMostOnce => false,
             };
             if !allowed {
                 self.broken.insert("effect");
@@ -82,13 +82,13 @@
             self.broken.insert("drain");
         }
         let plan = &self.settings.plans[usize::from(seen.request.plan)];
-        if plan.ceiling_rate > 0.0 && seen.attempts.is_empty() {
+        if plan.hard_limit_rate > 0.0 && seen.attempts.is_empty() {
             let sent = self.sent_under_ceiling.entry(seen.request.customer).or_default();
             sent.push((now, seen.request.units));
             for start in 0..sent.len() {
                 let units: f64 = sent[start..].iter().map(|(_, units)| units).sum();
-                let filled = plan.ceiling_rate * (now - sent[start].0) as f64 / 1e6;
-                if units > plan.ceiling_burst + filled + plan.ceiling_slack + 1e-6 {
+                let filled = plan.hard_limit_rate * (now - sent[start].0) as f64 / 1e6;
+                if units > plan.hard_limit_burst + filled + plan.hard_limit_slack + 1e-6 {
                     self.broken.insert("ceiling");
                 }
             }
@@ -101,8 +101,8 @@
             let within = |span| self.sends.iter().rev().take_while(|sent| **sent + span > now).count();
             let lately = within(SECOND).max(within(4 * SECOND) / 4);
             let safety = &self.settings.safety;
-            let able = safety.cold_share + SECOND as f64 / safety.cold_time as f64;
-            let most = safety.fall_multiple * able * lately as f64 / ready as f64;
+            let able = safety.slow_start_share + SECOND as f64 / safety.slow_start_time as f64;
+            let most = safety.overload_multiple * able * lately as f64 / ready as f64;
             if f64::from(*count) > most.max(4.0) {
                 self.broken.insert("cold");
             }
@@ -113,10 +113,10 @@
     fn finish(&mut self, id: RequestId, refusal: bool) {
         let Some(seen) = self.tries.get_mut(&id) else { return };
         let class = &self.settings.classes[usize::from(seen.request.class)];
-        let may_have_run = seen.attempts.iter().any(|(_, _, o)| o.is_none_or(|o| !o.never_ran()));
-        let harmless = class.effect == Effect::Safe
+        let may_have_run = seen.attempts.iter().any(|(_, _, o)| o.is_none_or(|o| !o.not_executed()));
+        let harmless = class.idempotency == Idempotency::Idempotent
             || !may_have_run
-            || (class.effect == Effect::Keyed && class.group == Group::All);
+            || (class.idempotency == Idempotency::Deduplicated && class.dedup_scope == DedupScope::All);
         if refusal && !harmless {
             self.broken.insert("effect");
         }
@@ -126,8 +126,8 @@
     }
 
     fn time_passes(&mut self, now: Micros) {
-        let slack = self.settings.safety.answer_slack;
-        if self.tries.values().any(|t| !t.closed && now > t.arrived + t.request.budget + slack) {
+        let slack = self.settings.safety.deadline_slack;
+        if self.tries.values().any(|t| !t.closed && now > t.arrived + t.request.timeout + slack) {
             self.broken.insert("final");
         }
     }
@@ -155,7 +155,7 @@
             let mut request = request(next_id, random.next(6));
             request.class = random.next(3) as u16;
             request.plan = (request.customer % 3) as u16;
-            request.budget = 20_000 + random.next(2_000_000);
+            request.timeout = 20_000 + random.next(2_000_000);
             request.units = 1.0 + random.next(2) as f64;
             checker.arrived(now, &request);
             events.push(Event::Request(request));
@@ -168,7 +168,7 @@
         if random.next(4000) == 0 {
             totals.clear();
         }
-        for (count, waiting) in &mut calls {
+        for (counter_id, waiting) in &mut calls {
             while let Some((made, amount)) = waiting.first().copied() {
                 let refused = random.next(20) == 0;
                 if silent && now < made + 50_000 {
@@ -181,10 +181,15 @@
                     _ => Outcome::Ok,
                 };
                 if outcome == Outcome::Ok || random.next(2) == 0 {
-                    *totals.entry(*count).or_default() += if refused { 0.0 } else { amount };
+                    *totals.entry(*counter_id).or_default() += if refused { 0.0 } else { amount };
                 }
-                let total = totals.get(count).copied().unwrap_or(0.0);
-                events.push(Event::Counted { count: *count, outcome, total, waited: now - made });
+                let total = totals.get(counter_id).copied().unwrap_or(0.0);
+                events.push(Event::CounterAnswered {
+                    counter_id: *counter_id,
+                    outcome,
+                    total,
+                    elapsed: now - made,
+                });
             }
         }
         let mut ended_now = Vec::new();
@@ -199,13 +204,17 @@
             ended_now.push((*id, *attempt, *backend, now - sent, outcome));
             false
         });
-        for (id, attempt, backend, waited, outcome) in ended_now {
+        for (id, attempt, backend, elapsed, outcome) in ended_now {
             let seen = checker.tries.get_mut(&id).unwrap();
             seen.attempts[usize::from(attempt)].2 = Some(outcome);
             let was_closed = seen.closed;
             seen.closed |= outcome == Outcome::Ok;
             let Event::AttemptEnded(end) = ended(id, attempt, backend, outcome) else { unreachable!() };
-            events.push(Event::AttemptEnded(AttemptEnd { waited, closed: was_closed || seen.closed, ..end }));
+            events.push(Event::AttemptEnded(AttemptEnd {
+                elapsed,
+                closed: was_closed || seen.closed,
+                ..end
+            }));
         }
         if random.next(200) == 0 {
             let id = 1 + random.next(6) as BackendId;
@@ -237,12 +246,12 @@
                     Action::Timer { at, token } => {
                         timers.insert(((*at).max(now + 1), *token));
                     }
-                    Action::Count { count, amount, .. } => {
-                        calls.entry(*count).or_default().push((now, *amount));
+                    Action::AddToCounter { counter_id, amount, .. } => {
+                        calls.entry(*counter_id).or_default().push((now, *amount));
                     }
                     Action::Send { request, backend, expires } => {
                         let seen = &checker.tries[request];
-                        let deadline = seen.arrived + seen.request.budget;
+                        let deadline = seen.arrived + seen.request.timeout;
                         let expires = if *expires == 0 { deadline } else { deadline.min(*expires) };
                         out.push((*request, seen.attempts.len() as u8 - 1, *backend, now, expires));
                     }
@@ -290,7 +299,7 @@
 #[test]
 fn the_checker_sees_each_broken_rule() {
     let send = |request, backend| Action::Send { request, backend, expires: 0 };
-    let refuse = |request| Action::Refuse { request, retry_after: 0, why: Why::Attempt };
+    let refuse = |request| Action::Reject { request, retry_after: 0, reason: RejectionReason::Attempt };
     let broken = |checker: Checker| checker.broken.into_iter().collect::<Vec<_>>();
     let ran = Some(Outcome::Error);
     assert_eq!(broken(checked(0, 0, &[(0, refuse(1)), (1, refuse(1))], None)), ["final"]);
--- a/crates/decision/tests/succession.rs
+++ b/crates/decision/tests/succession.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use violetyoke_decision::interface::*;
-use violetyoke_decision::{Belief, Gateway};
+use violetyoke_decision::{Gateway, LearnedState};
 
 const NODES: [BackendId; 3] = [1, 2, 3];
 
@@ -44,18 +44,18 @@
         let Some(backend) = sent else { continue };
         let outcome = if backend == node { Outcome::Reset } else { Outcome::Ok };
         step(gateway, *now + 10_000, ended(id, 0, backend, outcome));
-        if gateway.fleet().backends.iter().any(|known| known.id == node && known.left_out) {
+        if gateway.fleet_view().backends.iter().any(|known| known.id == node && known.ejected) {
             return;
         }
     }
     panic!("it was never left out");
 }
 
-fn successor(settings: Settings, now: Micros, belief: Belief) -> (Gateway, bool) {
+fn successor(settings: Settings, now: Micros, belief: LearnedState) -> (Gateway, bool) {
     let mut new = Gateway::new(settings, 8);
     step(&mut new, now, list(&NODES));
-    new.beside(true);
-    let believed = new.take_over(now, belief);
+    new.set_overlapping(true);
+    let believed = new.import_state(now, belief);
     (new, believed)
 }
 
@@ -63,7 +63,7 @@
 fn a_sick_node_stays_left_out() {
     let (mut now, mut old) = (START, gateway(settings(), &NODES));
     make_sick(&mut old, &mut now, 2);
-    let belief = old.hand_down(now);
+    let belief = old.export_state(now);
     let (mut new, believed) = successor(settings(), now, belief);
     assert!(believed);
     assert!(!serve(&mut new, &mut now, 5_000, 6).contains(&2));
@@ -76,9 +76,9 @@
 fn what_is_too_old_or_of_a_time_to_come_is_not_believed() {
     let (mut now, mut old) = (START, gateway(settings(), &NODES));
     make_sick(&mut old, &mut now, 2);
-    let belief = old.hand_down(now);
-    let now = belief.at();
-    let left_out = |gateway: &Gateway| gateway.fleet().backends.iter().any(|node| node.left_out);
+    let belief = old.export_state(now);
+    let now = belief.exported_at();
+    let left_out = |gateway: &Gateway| gateway.fleet_view().backends.iter().any(|node| node.ejected);
     for (at, believes) in [
         (now - 200_000, false),
         (now - 50_000, true),
@@ -95,8 +95,10 @@
 fn trust_in_a_nodes_figures_fades_with_their_age() {
     let (mut now, mut old) = (START, gateway(settings(), &NODES));
     make_sick(&mut old, &mut now, 2);
-    let fails = |gateway: &Gateway| gateway.fleet().backends.iter().find(|node| node.id == 2).unwrap().fails;
-    let (before, belief) = (fails(&old), old.hand_down(now));
+    let fails = |gateway: &Gateway| {
+        gateway.fleet_view().backends.iter().find(|node| node.id == 2).unwrap().failure_rate
+    };
+    let (before, belief) = (fails(&old), old.export_state(now));
     let (fresh, _) = successor(settings(), now, belief.clone());
     let (aged, _) = successor(settings(), now + 5 * SECOND, belief);
     assert_eq!(fails(&fresh), before);
@@ -107,13 +109,13 @@
 fn a_node_that_has_started_since_is_another() {
     let (mut now, mut old) = (START, gateway(settings(), &NODES));
     make_sick(&mut old, &mut now, 2);
-    let belief = old.hand_down(now);
+    let belief = old.export_state(now);
     let mut new = Gateway::new(settings(), 8);
     let entries = NODES.map(|id| entry(id, Condition::Ready, if id == 2 { now } else { 0 })).to_vec();
     step(&mut new, now, Event::Backends { kind: ListKind::Full, version: 1, entries });
-    assert!(new.take_over(now, belief));
-    let node = new.fleet().backends.into_iter().find(|node| node.id == 2).unwrap();
-    assert_eq!((node.left_out, node.fails, node.cold), (false, 0.0, true));
+    assert!(new.import_state(now, belief));
+    let node = new.fleet_view().backends.into_iter().find(|node| node.id == 2).unwrap();
+    assert_eq!((node.ejected, node.failure_rate, node.warming_up), (false, 0.0, true));
 }
 
 #[test]
@@ -122,11 +124,11 @@
     let mut old = gateway(settings(), &NODES);
     let entries = vec![entry(3, Condition::Ready, now)];
     step(&mut old, now, Event::Backends { kind: ListKind::Delta, version: 2, entries });
-    let belief = old.hand_down(now + SECOND);
+    let belief = old.export_state(now + SECOND);
     // The new process's list has not heard of the start.
     let (new, _) = successor(settings(), now + SECOND, belief);
     let cold: Vec<_> =
-        new.fleet().backends.into_iter().filter(|node| node.cold).map(|node| node.id).collect();
+        new.fleet_view().backends.into_iter().filter(|node| node.warming_up).map(|node| node.id).collect();
     assert_eq!(cold, [3]);
 }
 
@@ -135,7 +137,7 @@
     let mut sent = 0;
     let mut actions = Vec::new();
     for id in first..first + many {
-        let request = Request { plan: 1, spread: 1.0, units: 2.0, ..request(id, 77) };
+        let request = Request { plan: 1, gateway_count: 1.0, units: 2.0, ..request(id, 77) };
         gateway.handle(now, Event::Request(request), &mut actions);
     }
     // Each waits as long as the counter is given, and is then decided alone.
@@ -161,7 +163,7 @@
     let all = untold(&mut control, now, 100, 20);
     assert!(all >= 2, "{all} of 20 went on");
     let (mut old, now) = seasoned();
-    let belief = old.hand_down(now);
+    let belief = old.export_state(now);
     let (mut new, _) = successor(alone(), now, belief);
     let (by_old, by_new) = (untold(&mut old, now, 100, 20), untold(&mut new, now, 200, 20));
     assert_eq!((by_old, by_new), (all / 2, all / 2));
@@ -169,10 +171,10 @@
     let later = now + 5 * SECOND;
     let (by_old, by_new) = (untold(&mut old, later, 300, 20), untold(&mut new, later, 400, 20));
     assert_eq!((by_old, by_new), (all / 2, all / 2));
-    new.beside(false);
+    new.set_overlapping(false);
     assert_eq!(untold(&mut new, later + 5 * SECOND, 500, 20), all);
     // One that is handed nothing begins with none.
-    let (mut ignorant, _) = successor(alone(), now, Belief::default());
+    let (mut ignorant, _) = successor(alone(), now, LearnedState::default());
     assert_eq!(untold(&mut ignorant, now, 300, 20), 0);
 }
 
@@ -181,10 +183,10 @@
     let (mut old, now) = seasoned();
     let (mut control, _) = seasoned();
     let all = untold(&mut control, now, 100, 20);
-    let belief = old.hand_down(now);
+    let belief = old.export_state(now);
     assert_eq!(untold(&mut old, now, 100, 20), all / 2);
     let later = now + 70_000;
-    old.take_back(later, &belief);
+    old.reclaim_state(later, &belief);
     // The other may have used its half: it comes back as it refills.
     assert!(untold(&mut old, later, 200, 20) <= 1);
     assert_eq!(untold(&mut old, later + 5 * SECOND, 300, 20), all);
@@ -198,14 +200,18 @@
         let mut now = START;
         for id in 1..=3 {
             let counts = step(&mut old, now, Event::Request(request(id, 5)));
-            let count = counts.iter().find_map(|action| match action {
-                Action::Count { count, .. } => Some(*count),
+            let counter_id = counts.iter().find_map(|action| match action {
+                Action::AddToCounter { counter_id, .. } => Some(*counter_id),
                 _ => None,
             });
             now += 60_000;
-            if let Some(count) = count {
-                let event =
-                    Event::Counted { count, outcome: Outcome::ConnectFailed, total: 0.0, waited: 1_000 };
+            if let Some(counter_id) = counter_id {
+                let event = Event::CounterAnswered {
+                    counter_id,
+                    outcome: Outcome::ConnectFailed,
+                    total: 0.0,
+                    elapsed: 1_000,
+                };
                 step(&mut old, now, event);
             }
         }
@@ -215,7 +221,7 @@
     let added = |gateway: &mut Gateway, now: Micros, id: RequestId| -> f64 {
         let actions = step(gateway, now, Event::Request(request(id, 5)));
         let amounts = actions.iter().filter_map(|action| match action {
-            Action::Count { amount, .. } => Some(*amount),
+            Action::AddToCounter { amount, .. } => Some(*amount),
             _ => None,
         });
         amounts.sum()
@@ -224,7 +230,7 @@
     let all = added(&mut control, now, 9);
     assert!(all >= 3.0, "{all} units");
     let (mut old, now) = owing();
-    let belief = old.hand_down(now);
+    let belief = old.export_state(now);
     let (mut new, _) = successor(settings(), now, belief);
     let (by_old, by_new) = (added(&mut old, now, 9), added(&mut new, now, 10));
     // Each adds its own request's unit besides, unless it does not wait for the counter.
@@ -232,8 +238,8 @@
     assert!((all..=all + 1.0).contains(&by_new), "{by_new} of {all}");
     // Taken back, they are added here after all.
     let (mut old, now) = owing();
-    let belief = old.hand_down(now);
-    old.take_back(now, &belief);
+    let belief = old.export_state(now);
+    old.reclaim_state(now, &belief);
     assert_eq!(added(&mut old, now, 9), all);
 }
 
@@ -241,32 +247,36 @@
 fn the_bound_on_attempts_out_is_shared_out() {
     let (mut now, mut old) = (START, gateway(settings(), &NODES));
     serve(&mut old, &mut now, 1, 40);
-    let room = old.fleet().room;
+    let room = old.fleet_view().concurrency_limit;
     for id in 100..104 {
         step(&mut old, now, Event::Request(Request { plan: 2, ..request(id, 900 + u64::from(id)) }));
     }
-    let out = old.fleet().out;
+    let out = old.fleet_view().in_flight;
     assert_eq!(out, 4);
-    let belief = old.hand_down(now);
+    let belief = old.export_state(now);
     let (new, _) = successor(settings(), now, belief);
-    assert_eq!((old.fleet().room, new.fleet().room), (4.0, room - 4.0));
+    assert_eq!((old.fleet_view().concurrency_limit, new.fleet_view().concurrency_limit), (4.0, room - 4.0));
 }
 
 #[test]
 fn a_quotas_use_is_known_to_the_new_process() {
-    let use_of = |gateway: &Gateway| gateway.standing(5).map(|standing| standing.left);
+    let use_of = |gateway: &Gateway| gateway.quota_state(5).map(|standing| standing.remaining);
     let mut old = gateway(settings(), &NODES);
     for id in 1..=4 {
         let actions = step(&mut old, START, Event::Request(Request { units: 2.0, ..request(id, 5) }));
         for action in actions {
-            if let Action::Count { count, .. } = action {
+            if let Action::AddToCounter { counter_id, .. } = action {
                 let total = f64::from(id) * 2.0;
-                step(&mut old, START, Event::Counted { count, outcome: Outcome::Ok, total, waited: 1_000 });
+                step(
+                    &mut old,
+                    START,
+                    Event::CounterAnswered { counter_id, outcome: Outcome::Ok, total, elapsed: 1_000 },
+                );
             }
         }
     }
     assert_eq!(use_of(&old), Some(2.0));
-    let belief = old.hand_down(START + 1);
+    let belief = old.export_state(START + 1);
     let (new, _) = successor(settings(), START + 1, belief);
     let (left, before) = (use_of(&new).unwrap(), use_of(&old).unwrap());
     assert!((left - before).abs() < 1e-3, "{left} of {before}");
@@ -276,11 +286,11 @@
 fn names_that_are_not_known_here_are_left_out() {
     let (mut now, mut old) = (START, gateway(settings(), &NODES));
     make_sick(&mut old, &mut now, 2);
-    let mut belief = old.hand_down(now);
+    let mut belief = old.export_state(now);
     // Node 2 goes by the number 3 here; the others, and all plans but the first, are unknown.
     belief.renumber(|id| (id == 2).then_some(3), Some, |plan| (plan == 0).then_some(0));
-    assert_eq!(belief.known(), (1, 0));
+    assert_eq!(belief.entry_counts(), (1, 0));
     let (new, _) = successor(settings(), now, belief);
-    let left_out: Vec<_> = new.fleet().backends.into_iter().filter(|node| node.left_out).collect();
+    let left_out: Vec<_> = new.fleet_view().backends.into_iter().filter(|node| node.ejected).collect();
     assert_eq!(left_out.iter().map(|node| node.id).collect::<Vec<_>>(), [3]);
 }
--- a/crates/exchange/src/attempts.rs
+++ b/crates/exchange/src/attempts.rs
@@ -27,7 +27,7 @@
         let can_send_body = self.port.upload(&open.client).is_none_or(|upload| upload.is_unsent);
         let is_permitted = can_send_body
             && !open.is_admission_check
-            && u32::from(number) < self.limits.attempts.min(open.max_attempts)
+            && u32::from(number) < self.limits.max_attempts.min(open.max_attempts)
             && open.in_flight.is_none()
             && expires_at > now;
         let id = AttemptId { request, number };
@@ -60,7 +60,7 @@
         let Some(in_flight) = open.in_flight.take_if(|in_flight| in_flight.number == id.number) else {
             return;
         };
-        open.may_have_run |= !outcome.never_ran();
+        open.may_have_run |= !outcome.not_executed();
         let closed = outcome == Outcome::Ok;
         if closed {
             self.finish(now, id.request, FinalResponse::Served(response), None);
@@ -105,7 +105,7 @@
         // A request that has its final response, or whose client has left, was removed before.
         let closed = open.is_none();
         if let Some(open) = open {
-            open.may_have_run |= !outcome.never_ran();
+            open.may_have_run |= !outcome.not_executed();
         }
         let end = in_flight.end(now, request, progress, outcome);
         self.report_end(now, AttemptEnd { closed, ..end });
@@ -126,8 +126,8 @@
             SendProgress::Nothing | SendProgress::Partial => 0,
         };
         let id = AttemptId { request, number: self.number };
-        let waited = now.saturating_sub(self.started_at.max(last_byte_at));
-        AttemptEnd { waited, ..attempt_end(id, self.backend, outcome) }
+        let elapsed = now.saturating_sub(self.started_at.max(last_byte_at));
+        AttemptEnd { elapsed, ..attempt_end(id, self.backend, outcome) }
     }
 }
 
@@ -138,9 +138,9 @@
         attempt: id.number,
         backend,
         outcome,
-        waited: 0,
+        elapsed: 0,
         closed: false,
-        settled_units: 0.0,
+        actual_units: 0.0,
         usage: 0,
         report: Report::new(),
     }
--- a/crates/exchange/src/counter.rs
+++ b/crates/exchange/src/counter.rs
@@ -15,16 +15,16 @@
 
 impl<P: Port> Exchange<P> {
     /// Makes a counter call for the decision module.
-    pub(super) fn start_count(&mut self, now: Micros, count: u64, amount: f64, life: Micros) {
+    pub(super) fn start_count(&mut self, now: Micros, counter_id: u64, amount: f64, life: Micros) {
         let call = self.next_call_id();
-        let (outcome, total) = match self.port.start_call(now, call, count, amount, life) {
+        let (outcome, total) = match self.port.start_call(now, call, counter_id, amount, life) {
             CallStart::Pending(handle) => {
-                return self.await_call(now, call, CallPurpose::Module { count }, handle);
+                return self.await_call(now, call, CallPurpose::Module { counter_id }, handle);
             }
             CallStart::Total(total) => (Outcome::Ok, total),
             CallStart::NotSent => (Outcome::ConnectFailed, 0.0),
         };
-        self.events.push_back(Event::Counted { count, outcome, total, waited: 0 });
+        self.events.push_back(Event::CounterAnswered { counter_id, outcome, total, elapsed: 0 });
     }
 
     /// Adds `amount` to a claim; `waiter` receives its total. If the call fails the claim stays as it was, and the try
@@ -76,10 +76,10 @@
                 self.port.report_claim(waiter, (outcome == Outcome::Ok).then_some(total));
             }
             CallPurpose::Claim { waiter: None } => {}
-            CallPurpose::Module { count } => {
-                self.port.on_call_end(now, count, outcome);
-                let waited = now.saturating_sub(started_at);
-                self.events.push_back(Event::Counted { count, outcome, total, waited });
+            CallPurpose::Module { counter_id } => {
+                self.port.on_call_end(now, counter_id, outcome);
+                let elapsed = now.saturating_sub(started_at);
+                self.events.push_back(Event::CounterAnswered { counter_id, outcome, total, elapsed });
             }
         }
     }
--- a/crates/exchange/src/dispatch.rs
+++ b/crates/exchange/src/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::exchange::Exchange;
 use crate::port::{FinalResponse, Port};
 use crate::timers::Timer;
-use violetyoke_decision::interface::{Action, Event, Micros, Outcome, RequestId, Why};
+use violetyoke_decision::interface::{Action, Event, Micros, Outcome, RejectionReason, RequestId};
 use violetyoke_ratelimit::claim::Verdict;
 
 impl<P: Port> Exchange<P> {
@@ -25,8 +25,10 @@
     fn perform(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, backend, expires } => self.send_attempt(now, request, backend, expires),
-            Action::Refuse { request, retry_after, why } => self.refuse(now, request, retry_after, why),
-            Action::Fail { request, why } => self.finish(now, request, FinalResponse::Failed, Some(why)),
+            Action::Reject { request, retry_after, reason } => self.refuse(now, request, retry_after, reason),
+            Action::Fail { request, reason } => {
+                self.finish(now, request, FinalResponse::Failed, Some(reason))
+            }
             Action::Admit { request } => {
                 self.report_outcome(now, request, Verdict::Admitted);
                 self.finish(now, request, FinalResponse::Admitted, None);
@@ -35,23 +37,25 @@
                 self.cancel_if(now, request, Outcome::Cancelled, |in_flight| in_flight.number == attempt);
             }
             Action::CloseIdle { backend } => self.port.close_idle(backend),
-            Action::KeepIdle { longest } => self.limit_idle(longest),
-            Action::Tell { to, data } => self.port.send_to_peers(now, to, data),
-            Action::Count { count, amount, life } => self.start_count(now, count, amount, life),
+            Action::SetIdleTimeout { idle_timeout } => self.limit_idle(idle_timeout),
+            Action::SendPeerMessage { to, data } => self.port.send_to_peers(now, to, data),
+            Action::AddToCounter { counter_id, amount, ttl } => {
+                self.start_count(now, counter_id, amount, ttl)
+            }
             Action::Timer { at, token } => self.timers.set(at, Timer::Module(token)),
             Action::Log { text } => self.port.log(&format!("module: {text}")),
-            Action::Broken { text } => {
+            Action::InternalError { text } => {
                 self.port.report_defect(&format!("the decision module has failed: {text}"));
             }
             // The subscription to discovery never ends, and fetches the whole list after each break by itself.
-            Action::Watch { .. } | Action::FetchList => {}
+            Action::Subscribe { .. } | Action::FetchList => {}
             Action::Probe { backend } => {
                 self.port.log(&format!("module: asks to probe {backend}, which is not implemented"));
             }
         }
     }
 
-    fn refuse(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: Why) {
+    fn refuse(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: RejectionReason) {
         let sent_before = self.requests.get(&request).is_some_and(|open| open.attempts > 0);
         self.report_outcome(now, request, Verdict::Rejected { was_forwarded: sent_before, retry_after });
         self.finish(now, request, FinalResponse::Refused { retry_after }, Some(why));
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -96,5 +96,5 @@
 }
 
 fn max_idle(limits: &Limits) -> Micros {
-    limits.idle_close / IDLE_CLOSE_DIVISOR
+    limits.idle_timeout / IDLE_CLOSE_DIVISOR
 }
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -1,7 +1,7 @@
 //! The interface to the outside: sockets in the ingress, an emulated fleet in the laboratory.
 
-use violetyoke_decision::interface::{AttemptEnd, BackendId, Micros, Outcome, RequestId, Why};
-use violetyoke_decision::view::Standing;
+use violetyoke_decision::interface::{AttemptEnd, BackendId, Micros, Outcome, RejectionReason, RequestId};
+use violetyoke_decision::view::QuotaState;
 use violetyoke_decision::Gateway;
 
 /// Identifies a counter call of an exchange.
@@ -138,9 +138,9 @@
     /// Attempts that the decision module asked for.
     pub attempts: u8,
     /// The rule that gave the request up, if one did.
-    pub why: Option<Why>,
+    pub why: Option<RejectionReason>,
     /// The state of its customer's quota, for a client that wants it ([`Port::wants_quota`]).
-    pub quota: Option<Standing>,
+    pub quota: Option<QuotaState>,
 }
 
 /// The final response to a request.
--- a/crates/exchange/src/records.rs
+++ b/crates/exchange/src/records.rs
@@ -41,7 +41,7 @@
 /// Who a counter call is made for.
 pub(super) enum CallPurpose<W> {
     /// The decision module, which knows the call by the name of the count.
-    Module { count: u64 },
+    Module { counter_id: u64 },
     /// A claim. Nobody waits for the total where an outcome is added.
     Claim { waiter: Option<W> },
 }
--- a/crates/exchange/src/requests.rs
+++ b/crates/exchange/src/requests.rs
@@ -4,7 +4,7 @@
 use crate::port::{FinalResponse, Port, RequestSummary, SendProgress};
 use crate::records::OpenRequest;
 use crate::timers::Timer;
-use violetyoke_decision::interface::{Event, Micros, Outcome, Request, RequestId, Why};
+use violetyoke_decision::interface::{Event, Micros, Outcome, RejectionReason, Request, RequestId};
 
 /// How long before its deadline a request is answered if the decision module has not decided by then.
 const RESPONSE_MARGIN: Micros = 2_000;
@@ -31,7 +31,7 @@
     /// Accepts a request, which the decision module receives with what is left of its budget.
     pub fn accept_request(&mut self, now: Micros, accepted: AcceptedRequest, client: P::Client) {
         let AcceptedRequest { request, arrived_at, is_admission_check, claim } = accepted;
-        let deadline = arrived_at + request.budget;
+        let deadline = arrived_at + request.timeout;
         let open = OpenRequest {
             client,
             customer: request.customer,
@@ -39,13 +39,13 @@
             claim,
             deadline,
             attempts: 0,
-            max_attempts: self.limits.attempts,
+            max_attempts: self.limits.max_attempts,
             may_have_run: false,
             in_flight: None,
         };
         self.requests.insert(request.id, open);
         self.timers.set(respond_by(deadline), Timer::RequestDeadline(request.id));
-        self.events.push_back(Event::Request(Request { budget: deadline.saturating_sub(now), ..request }));
+        self.events.push_back(Event::Request(Request { timeout: deadline.saturating_sub(now), ..request }));
     }
 
     /// Closes a request whose client has disconnected. The decision module is notified of an admitted request too,
@@ -67,11 +67,11 @@
         now: Micros,
         request: RequestId,
         response: FinalResponse<P::Response>,
-        why: Option<Why>,
+        why: Option<RejectionReason>,
     ) {
         let Some(open) = self.requests.remove(&request) else { return };
         let wants_quota = self.port.wants_quota(&open.client);
-        let quota = if wants_quota { self.gateway.standing(open.customer) } else { None };
+        let quota = if wants_quota { self.gateway.quota_state(open.customer) } else { None };
         let summary = RequestSummary { request, attempts: open.attempts, why, quota };
         self.port.respond(now, summary, open.client, response);
         if let Some(in_flight) = open.in_flight {
--- a/crates/exchange/tests/exchange/attempts.rs
+++ b/crates/exchange/tests/exchange/attempts.rs
@@ -1,12 +1,12 @@
 //! Which attempts are sent, and what their ends say of the request.
 
 use super::support::{accept, advance, exchange, request, START};
-use violetyoke_decision::interface::{Effect, Outcome, Report};
+use violetyoke_decision::interface::{Idempotency, Outcome, Report};
 use violetyoke_exchange::{AcceptedRequest, AttemptId, FinalResponse, SendProgress};
 
 #[test]
 fn attempt_without_connection_is_retried_on_another_backend() {
-    let mut exchange = exchange(Effect::Unsafe, 0.0);
+    let mut exchange = exchange(Idempotency::AtMostOnce, 0.0);
     exchange.port.progress = SendProgress::Nothing;
     accept(&mut exchange, request());
     advance(&mut exchange, START + 100_000);
@@ -20,7 +20,7 @@
 
 #[test]
 fn late_response_of_a_cancelled_attempt_is_ignored() {
-    let mut exchange = exchange(Effect::Unsafe, 0.0);
+    let mut exchange = exchange(Idempotency::AtMostOnce, 0.0);
     exchange.port.progress = SendProgress::Nothing;
     accept(&mut exchange, request());
     advance(&mut exchange, START + 100_000);
@@ -36,7 +36,7 @@
 
 #[test]
 fn attempt_with_incomplete_body_has_not_run_and_is_not_the_backends_fault() {
-    let mut exchange = exchange(Effect::Unsafe, 0.0);
+    let mut exchange = exchange(Idempotency::AtMostOnce, 0.0);
     exchange.port.progress = SendProgress::Partial;
     accept(&mut exchange, request());
     exchange.abandon_request(START + 10_000, 1);
@@ -47,7 +47,7 @@
 
 #[test]
 fn request_that_no_backend_accepts_is_refused_within_its_limit_on_attempts() {
-    let mut exchange = exchange(Effect::Safe, 0.0);
+    let mut exchange = exchange(Idempotency::Idempotent, 0.0);
     exchange.port.accepts = false;
     accept(&mut exchange, request());
     advance(&mut exchange, START + 1_000_000);
@@ -57,7 +57,7 @@
 
 #[test]
 fn admission_check_is_sent_to_no_backend() {
-    let mut exchange = exchange(Effect::Safe, 0.0);
+    let mut exchange = exchange(Idempotency::Idempotent, 0.0);
     accept(&mut exchange, AcceptedRequest { is_admission_check: true, ..request() });
     assert!(exchange.port.attempts.is_empty());
 }
--- a/crates/exchange/tests/exchange/counter.rs
+++ b/crates/exchange/tests/exchange/counter.rs
@@ -1,12 +1,12 @@
 //! Counter calls of the decision module.
 
 use super::support::{accept, advance, exchange, request, START};
-use violetyoke_decision::interface::{Effect, Outcome, Report};
+use violetyoke_decision::interface::{Idempotency, Outcome, Report};
 use violetyoke_exchange::{AttemptId, FinalResponse};
 
 #[test]
 fn total_that_arrives_after_its_time_out_is_ignored() {
-    let mut exchange = exchange(Effect::Safe, 1.0);
+    let mut exchange = exchange(Idempotency::Idempotent, 1.0);
     accept(&mut exchange, request());
     let (call, amount) = exchange.port.calls[0];
     assert_eq!((amount, exchange.port.attempts.len()), (1.0, 0));
--- a/crates/exchange/tests/exchange/deadlines.rs
+++ b/crates/exchange/tests/exchange/deadlines.rs
@@ -1,12 +1,12 @@
 //! When a request is answered at the latest.
 
 use super::support::{accept, advance, exchange, request, START};
-use violetyoke_decision::interface::Effect;
+use violetyoke_decision::interface::Idempotency;
 use violetyoke_exchange::{FinalResponse, Upload};
 
 #[test]
 fn request_is_answered_once_by_its_deadline_while_its_attempt_hangs() {
-    let mut exchange = exchange(Effect::Unsafe, 0.0);
+    let mut exchange = exchange(Idempotency::AtMostOnce, 0.0);
     accept(&mut exchange, request());
     assert_eq!(exchange.port.attempts.len(), 1);
     advance(&mut exchange, START + 1_000_000);
@@ -21,7 +21,7 @@
 
 #[test]
 fn deadline_moves_by_the_time_that_an_upload_takes() {
-    let mut exchange = exchange(Effect::Unsafe, 0.0);
+    let mut exchange = exchange(Idempotency::AtMostOnce, 0.0);
     exchange.port.upload = Some(Upload { started_at: START, ended_at: None, is_unsent: true });
     accept(&mut exchange, request());
     advance(&mut exchange, START + 1_500_000);
--- a/crates/exchange/tests/exchange/support.rs
+++ b/crates/exchange/tests/exchange/support.rs
@@ -1,8 +1,8 @@
 //! A port that records what it is asked for, and an exchange over it.
 
 use violetyoke_decision::interface::{
-    AttemptEnd, BackendEntry, BackendId, Class, Condition, Counter, Effect, Event, Group, Limits, ListKind,
-    Micros, Plan, Request, RequestId, Settings,
+    AttemptEnd, BackendEntry, BackendId, Class, Condition, Counter, DedupScope, Event, Idempotency, Limits,
+    ListKind, Micros, Plan, Request, RequestId, Settings,
 };
 use violetyoke_decision::Gateway;
 use violetyoke_exchange::{
@@ -82,27 +82,28 @@
 }
 
 /// An exchange with one class of that effect, one plan of that rate (0: without a quota), and two warm backends.
-pub(super) fn exchange(effect: Effect, rate: f64) -> Exchange<RecordingPort> {
+pub(super) fn exchange(idempotency: Idempotency, rate: f64) -> Exchange<RecordingPort> {
     let class = Class {
-        aim: 500_000,
-        aim_stretch: 0.0,
+        latency_target: 500_000,
+        latency_target_stretch: 0.0,
         deadline: 1_000_000,
-        effect,
-        group: Group::All,
-        repeat_window: 0,
+        idempotency,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
         late_value: 0.5,
         value: 1.0,
         streamed: false,
-        asks_only: false,
+        admission_only: false,
     };
-    let limits = Limits { attempts: 3, connect_timeout: 100_000, idle_close: 9_000_000, ..Limits::default() };
+    let limits =
+        Limits { max_attempts: 3, connect_timeout: 100_000, idle_timeout: 9_000_000, ..Limits::default() };
     let settings = Settings {
         gateways: 1,
         tick: 1_000,
         classes: vec![class],
-        plans: vec![Plan { rate, burst: 10.0, worth: 1.0, ..Plan::default() }],
+        plans: vec![Plan { rate, burst: 10.0, value: 1.0, ..Plan::default() }],
         counter: Some(Counter { timeout: 50_000, fee: 0.0 }),
-        largest_request: 5.0,
+        max_request_units: 5.0,
         limits,
         ..Settings::default()
     };
@@ -119,7 +120,7 @@
     };
     let mut exchange = Exchange::new(START, settings, 7, port);
     let backend =
-        |id| BackendEntry { id, condition: Condition::Ready, share: 1.0, ..BackendEntry::default() };
+        |id| BackendEntry { id, condition: Condition::Ready, weight: 1.0, ..BackendEntry::default() };
     let entries = vec![backend(0), backend(1)];
     exchange.enqueue(Event::Backends { kind: ListKind::Full, version: 1, entries });
     exchange.process_events(START);
@@ -128,8 +129,14 @@
 
 /// Request 1, which arrives at [`START`] and has one second.
 pub(super) fn request() -> AcceptedRequest {
-    let request =
-        Request { id: 1, customer: 9, units: 1.0, spread: 1.0, budget: 1_000_000, ..Request::default() };
+    let request = Request {
+        id: 1,
+        customer: 9,
+        units: 1.0,
+        gateway_count: 1.0,
+        timeout: 1_000_000,
+        ..Request::default()
+    };
     AcceptedRequest { request, arrived_at: START, is_admission_check: false, claim: None }
 }
 
--- a/crates/ingress/src/account.rs
+++ b/crates/ingress/src/account.rs
@@ -3,7 +3,7 @@
 use crate::ClientRequest;
 use std::collections::HashMap;
 use violetyoke_account::{Belief, NodeState, Record};
-use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RequestId, Settings, Why};
+use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RejectionReason, RequestId, Settings};
 use violetyoke_decision::view::{BackendView, FleetView};
 
 /// Asks for the account when it is set, to anything.
@@ -43,9 +43,10 @@
 
     pub fn change(&mut self, settings: &Settings, classes: &[String], plans: &[String]) {
         let classes = settings.classes.iter().zip(classes);
-        self.classes = classes.map(|(class, name)| (name.clone(), class.value, class.aim)).collect();
+        self.classes =
+            classes.map(|(class, name)| (name.clone(), class.value, class.latency_target)).collect();
         let plans = settings.plans.iter().zip(plans);
-        self.plans = plans.map(|(plan, name)| (name.clone(), plan.worth)).collect();
+        self.plans = plans.map(|(plan, name)| (name.clone(), plan.value)).collect();
     }
 
     pub fn begun(&mut self, request: &ClientRequest) {
@@ -53,7 +54,14 @@
         self.begun.insert(id, Begun { class, plan, units, arrived });
     }
 
-    pub fn over(&mut self, at: Micros, request: RequestId, attempts: u8, end: &str, why: Option<Why>) {
+    pub fn over(
+        &mut self,
+        at: Micros,
+        request: RequestId,
+        attempts: u8,
+        end: &str,
+        why: Option<RejectionReason>,
+    ) {
         let Some(begun) = self.begun.remove(&request) else { return };
         let (class, value, aim) = self.classes.get(usize::from(begun.class)).cloned().unwrap_or_default();
         let (plan, price) = self.plans.get(usize::from(begun.plan)).cloned().unwrap_or_default();
@@ -72,7 +80,7 @@
     }
 
     pub fn attempt(&self, at: Micros, node: &str, end: &AttemptEnd) {
-        let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.waited);
+        let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.elapsed);
         write(&Record::Attempt { at, process: self.process, node, outcome, waited });
     }
 
@@ -86,16 +94,23 @@
         let node = |backend: &BackendView| NodeState {
             node: name(backend.id),
             belief: match backend {
-                BackendView { away: true, .. } => Belief::Away,
-                BackendView { left_out: true, .. } => Belief::LeftOut,
-                BackendView { cold: true, .. } => Belief::Cold,
+                BackendView { unavailable: true, .. } => Belief::Away,
+                BackendView { ejected: true, .. } => Belief::LeftOut,
+                BackendView { warming_up: true, .. } => Belief::Cold,
                 _ => Belief::Ready,
             },
-            slow: backend.slow,
-            fails: backend.fails,
-            out: backend.out,
+            slow: backend.relative_latency,
+            fails: backend.failure_rate,
+            out: backend.in_flight,
         };
-        let FleetView { room, out, pace, spacing, bad, backends } = view;
+        let FleetView {
+            concurrency_limit: room,
+            in_flight: out,
+            relative_latency: pace,
+            counter_query_interval: spacing,
+            counter_failures: bad,
+            backends,
+        } = view;
         let (nodes, calls) = (backends.iter().map(node).collect(), std::mem::take(&mut self.calls));
         write(&Record::State { at, process: self.process, room, out, pace, spacing, bad, calls, nodes });
     }
--- a/crates/ingress/src/backend.rs
+++ b/crates/ingress/src/backend.rs
@@ -201,7 +201,7 @@
             return Ended::without_answer(Outcome::Withheld);
         }
         sent.set(true);
-        let unused = reused.then(|| now().saturating_sub(link.since));
+        let idle = reused.then(|| now().saturating_sub(link.since));
         let (mut ended, unwritten, answered, link) =
             exchange(link, request(&forward, backend.address.get(), time_left), &fields, &begin).await;
         if let Some(mut link) = link {
@@ -217,9 +217,9 @@
                     outcome => outcome,
                 };
             }
-            let broke = !answered && ended.outcome == Outcome::Reset;
-            ended.carried = Some(Event::Carried { unused, broke });
-            if reused && broke {
+            let broken = !answered && ended.outcome == Outcome::Reset;
+            ended.carried = Some(Event::ConnectionUsed { idle, broken });
+            if reused && broken {
                 ended.outcome = Outcome::Stale;
             }
             return ended;
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -73,7 +73,7 @@
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.targets(TargetList { cached: true, complete: true, ..known });
         driver.exchange.process_events(clock.now());
-        driver.exchange.gateway_mut().beside(beside);
+        driver.exchange.gateway_mut().set_overlapping(beside);
         if let Some(inherited) = inherited {
             driver.inherit(*inherited);
         }
@@ -136,7 +136,7 @@
             Message::CounterMoved(link) => {
                 let counter = exchange.port.open(link, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
-                exchange.gateway_mut().counter_moved();
+                exchange.gateway_mut().counter_replaced();
             }
             Message::Reconfigure(changed) => self.reconfigure(now, changed.0, changed.1),
             Message::Hand { node, out, reply } => {
@@ -148,11 +148,11 @@
             }
             Message::HandDown(reply) => {
                 if let Err(unheard) = reply.send(self.hand_down()) {
-                    self.exchange.gateway_mut().take_back(now, &unheard.belief);
+                    self.exchange.gateway_mut().reclaim_state(now, &unheard.belief);
                 }
             }
-            Message::Alone => exchange.gateway_mut().beside(false),
-            Message::TakeBack(lent) => exchange.gateway_mut().take_back(now, &lent.belief),
+            Message::Alone => exchange.gateway_mut().set_overlapping(false),
+            Message::TakeBack(lent) => exchange.gateway_mut().reclaim_state(now, &lent.belief),
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
             Message::Claim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
@@ -162,7 +162,7 @@
 
     #[cold]
     fn hand_down(&mut self) -> Box<Inheritance> {
-        let belief = self.exchange.gateway_mut().hand_down(self.clock.now());
+        let belief = self.exchange.gateway_mut().export_state(self.clock.now());
         let sockets = &self.exchange.port;
         let (nodes, back) = (sockets.listed.values().cloned().collect(), self.ejections.restored().clone());
         Box::new(Inheritance::new(nodes, sockets.backend_ids.as_map(), &self.names, back, belief))
@@ -177,9 +177,9 @@
             self.exchange.process_events(self.clock.now());
         }
         let belief = inherited.belief(self.exchange.port.backend_ids.as_map(), &self.names);
-        let ((nodes, accounts), now) = (belief.known(), self.clock.now());
-        let age = now.saturating_sub(belief.at()) / 1000;
-        let believed = self.exchange.gateway_mut().take_over(now, belief);
+        let ((nodes, accounts), now) = (belief.entry_counts(), self.clock.now());
+        let age = now.saturating_sub(belief.exported_at()) / 1000;
+        let believed = self.exchange.gateway_mut().import_state(now, belief);
         let word = if believed { "believed" } else { "too old" };
         eprintln!("handed down: {word}: {nodes} nodes, {accounts} accounts, {age} ms ago");
     }
@@ -199,7 +199,7 @@
             account.begun(&request);
         }
         let ClientRequest { forward, reply, .. } = request;
-        let write = forward.as_ref().is_some_and(|forward| forward.method != hyper::Method::GET);
+        let is_write = forward.as_ref().is_some_and(|forward| forward.method != hyper::Method::GET);
         let accepted = AcceptedRequest {
             request: Request {
                 id: request.id,
@@ -207,11 +207,11 @@
                 plan: request.plan,
                 customer: request.customer,
                 units: request.units,
-                spread: request.spread,
+                gateway_count: request.spread,
                 first_gateway: request.first,
-                budget: request.budget,
-                repeat: request.repeat,
-                write,
+                timeout: request.budget,
+                is_retry: request.repeat,
+                is_write,
             },
             arrived_at: request.arrived,
             is_admission_check: forward.is_none(),
@@ -296,9 +296,9 @@
                 Phase::Terminating => Condition::Draining,
                 Phase::Terminated => Condition::Gone,
             },
-            share: target.size,
+            weight: target.size,
             // Unix time, as is the driver's clock; 0, for long ago, stays 0.
-            born: self.ejections.assumed_start(&target.id, target.up_since_ms.saturating_mul(1000)),
+            started_at: self.ejections.assumed_start(&target.id, target.up_since_ms.saturating_mul(1000)),
         }
     }
 }
--- a/crates/ingress/src/fields.rs
+++ b/crates/ingress/src/fields.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use violetyoke_config::Fields;
-use violetyoke_decision::view::Standing;
+use violetyoke_decision::view::QuotaState;
 
 const POLICY: HeaderName = HeaderName::from_static("ratelimit-policy");
 const LIMIT: HeaderName = HeaderName::from_static("ratelimit");
@@ -14,11 +14,11 @@
 
 /// Writes the fields that are switched on. What is left is rounded down and times are rounded up: a client that
 /// goes by them is not refused for it.
-pub fn write(headers: &mut HeaderMap, fields: Fields, standing: &Standing) {
+pub fn write(headers: &mut HeaderMap, fields: Fields, standing: &QuotaState) {
     let quota = standing.burst.floor();
-    let left = standing.left.floor();
+    let left = standing.remaining.floor();
     let window = (standing.burst / standing.rate).ceil().max(1.0);
-    let reset = (standing.until_full as f64 / 1e6).ceil();
+    let reset = (standing.reset_after as f64 / 1e6).ceil();
     let mut set = |name: HeaderName, text: String| {
         if let Ok(value) = HeaderValue::from_str(&text) {
             headers.insert(name, value);
--- a/crates/ingress/src/fields/tests.rs
+++ b/crates/ingress/src/fields/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_is_left_is_rounded_down_and_times_up() {
-    let standing = Standing { burst: 10.5, rate: 4.0, left: 3.99, until_full: 1_627_500 };
+    let standing = QuotaState { burst: 10.5, rate: 4.0, remaining: 3.99, reset_after: 1_627_500 };
     let text = |fields| {
         let mut headers = HeaderMap::new();
         write(&mut headers, fields, &standing);
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -71,7 +71,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
 use violetyoke_decision::interface::{CustomerId, Event, Micros, Outcome, Report, RequestId, Settings};
-use violetyoke_decision::view::Standing;
+use violetyoke_decision::view::QuotaState;
 use violetyoke_shares::Member;
 
 /// The largest body that is held whole.
@@ -134,7 +134,7 @@
 /// The one final answer to a client, and its quota where the pool tells of that.
 pub(crate) struct Reply {
     pub answer: Answer,
-    pub standing: Option<Standing>,
+    pub standing: Option<QuotaState>,
 }
 
 pub(crate) enum Answer {
--- a/crates/ingress/src/port.rs
+++ b/crates/ingress/src/port.rs
@@ -234,7 +234,7 @@
         self.forget();
         if let Some(account) = &mut self.account {
             let name = |id| self.backend_ids.name(id).map(str::to_string).unwrap_or_default();
-            account.state(now, gateway.fleet(), name);
+            account.state(now, gateway.fleet_view(), name);
         }
     }
 
--- a/crates/ingress/src/questions.rs
+++ b/crates/ingress/src/questions.rs
@@ -26,7 +26,7 @@
 use tonic::{Request, Response, Status};
 use violetyoke_config::RateLimit as File;
 use violetyoke_decision::interface::Micros;
-use violetyoke_decision::view::Standing;
+use violetyoke_decision::view::QuotaState;
 use violetyoke_ratelimit::claim::{self, Source};
 use violetyoke_ratelimit::{combine, quota_queries, Descriptor, QuotaQuery, RequestLimits, UnknownPolicy};
 use violetyoke_ratelimit_proto as proto;
@@ -395,7 +395,7 @@
 /// What came of one descriptor.
 struct Answered {
     let_in: bool,
-    standing: Option<Standing>,
+    standing: Option<QuotaState>,
     retry_after: Micros,
     pool: Option<Rc<Pool>>,
     id: u32,
@@ -438,12 +438,12 @@
             requests_per_unit: standing.rate.floor().clamp(0.0, f64::from(u32::MAX)) as u32,
             unit: proto::Unit::Second.into(),
         });
-        let reset = self.standing.map(|standing| standing.until_full.max(self.retry_after));
+        let reset = self.standing.map(|standing| standing.reset_after.max(self.retry_after));
         let reset = reset.or((self.retry_after > 0).then_some(self.retry_after));
         proto::DescriptorStatus {
             code: code.into(),
             current_limit: limit,
-            limit_remaining: self.standing.map_or(0, |standing| standing.left.floor() as u32),
+            limit_remaining: self.standing.map_or(0, |standing| standing.remaining.floor() as u32),
             duration_until_reset: reset.map(|micros| prost_types::Duration {
                 seconds: (micros / 1_000_000) as i64,
                 nanos: (micros % 1_000_000 * 1_000) as i32,
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
-use violetyoke_decision::interface::{Effect, Micros, Settings};
+use violetyoke_decision::interface::{Idempotency, Micros, Settings};
 
 pub const REQ_KIND: HeaderName = HeaderName::from_static("req-kind");
 const TIER: HeaderName = HeaderName::from_static("x-tier");
@@ -47,7 +47,7 @@
     /// Classes and plans by their numbers; an empty name is one that is no longer to be had.
     pub classes: Vec<String>,
     pub plans: Vec<String>,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     deadlines: Vec<Micros>,
     largest: f64,
     ingresses: f64,
@@ -71,12 +71,12 @@
         Rules {
             classes,
             plans,
-            effects: settings.classes.iter().map(|class| class.effect).collect(),
+            effects: settings.classes.iter().map(|class| class.idempotency).collect(),
             deadlines: settings.classes.iter().map(|class| class.deadline).collect(),
-            largest: settings.largest_request,
+            largest: settings.max_request_units,
             ingresses: f64::from(settings.gateways),
             form,
-            asks: settings.classes.iter().position(|class| class.asks_only).map(|place| place as u16),
+            asks: settings.classes.iter().position(|class| class.admission_only).map(|place| place as u16),
             free: None,
         }
     }
@@ -199,8 +199,8 @@
             return Err(Rejection { code: StatusCode::NOT_FOUND, why: "path: not of the class" });
         }
         let method = match rules.effects[usize::from(class)] {
-            Effect::Safe => Method::GET,
-            Effect::Keyed | Effect::Unsafe => Method::POST,
+            Idempotency::Idempotent => Method::GET,
+            Idempotency::Deduplicated | Idempotency::AtMostOnce => Method::POST,
         };
         if head.method != method {
             return Err(bad("method: not that of the class"));
--- a/crates/ingress/src/slots.rs
+++ b/crates/ingress/src/slots.rs
@@ -25,8 +25,8 @@
     pub fn take(&mut self, config: &file::Pool, hosted: &[(String, Plan)]) {
         for class in &config.classes {
             let alike = |old: &words::Class| {
-                (old.effect, old.group, old.repeat_window)
-                    == (class.class.effect, class.class.group, class.class.repeat_window)
+                (old.idempotency, old.dedup_scope, old.dedup_window)
+                    == (class.class.idempotency, class.class.dedup_scope, class.class.dedup_window)
             };
             match self.classes.iter_mut().find(|(name, old)| *name == class.name && alike(old)) {
                 Some(slot) => slot.1 = class.class.clone(),
@@ -36,9 +36,10 @@
         if !self.classes.iter().any(|(name, _)| name == ASKS) {
             // As long as the first class's: what is learned of times is not to be moved by it.
             let like = config.classes[0].class.clone();
-            let class = words::Class { effect: words::Effect::Safe, asks_only: true, ..like };
+            let class =
+                words::Class { idempotency: words::Idempotency::Idempotent, admission_only: true, ..like };
             self.classes.push((ASKS.to_string(), class));
-            self.plans.push((FREE.to_string(), Plan { worth: 1.0, ..Plan::default() }));
+            self.plans.push((FREE.to_string(), Plan { value: 1.0, ..Plan::default() }));
         }
         for (name, plan) in &config.plans {
             match self.plans.iter_mut().find(|(known, _)| known == name) {
--- a/crates/ingress/src/succession.rs
+++ b/crates/ingress/src/succession.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use violetyoke_decision::interface::{BackendId, Micros};
-use violetyoke_decision::Belief;
+use violetyoke_decision::LearnedState;
 
 /// Its form goes with [`violetyoke_succession::VERSION`]: the two change together.
 #[derive(Clone, Default, Deserialize, Serialize)]
@@ -18,7 +18,7 @@
     plans: Vec<String>,
     /// Nodes put back by hand: since when they were out, and since when they are back.
     pub back: BTreeMap<String, (Micros, Micros)>,
-    pub belief: Belief,
+    pub belief: LearnedState,
 }
 
 impl Inheritance {
@@ -27,7 +27,7 @@
         ids: &HashMap<String, BackendId>,
         names: &Names,
         back: BTreeMap<String, (Micros, Micros)>,
-        belief: Belief,
+        belief: LearnedState,
     ) -> Inheritance {
         let mut numbers = BTreeMap::new();
         numbers.extend(ids.iter().map(|(node, id)| (*id, node.clone())));
@@ -43,7 +43,7 @@
     }
 
     /// What is believed, in the numbers of this process.
-    pub fn belief(self, ids: &HashMap<String, BackendId>, names: &Names) -> Belief {
+    pub fn belief(self, ids: &HashMap<String, BackendId>, names: &Names) -> LearnedState {
         let Inheritance { numbers, classes, plans, mut belief, .. } = self;
         let place = |here: &[String], there: &[String], number: usize| {
             there.get(number).and_then(|name| here.iter().position(|here| here == name))
--- a/crates/ingress/src/succession/tests.rs
+++ b/crates/ingress/src/succession/tests.rs
@@ -27,18 +27,18 @@
 /// With one node, one customer, and a value in each field.
 fn sample() -> Inheritance {
     let class = Class {
-        aim: 500_000,
-        aim_stretch: 0.0,
+        latency_target: 500_000,
+        latency_target_stretch: 0.0,
         deadline: 2_000_000,
-        effect: Effect::Safe,
-        group: Group::All,
-        repeat_window: 0,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
         late_value: 0.0,
         value: 1.0,
         streamed: false,
-        asks_only: false,
+        admission_only: false,
     };
-    let plan = Plan { rate: 5.0, burst: 10.0, worth: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 5.0, burst: 10.0, value: 1.0, ..Plan::default() };
     let counter = Some(Counter { timeout: 50_000, fee: 0.0 });
     let settings =
         Settings { gateways: 1, classes: vec![class], plans: vec![plan], counter, ..Settings::default() };
@@ -49,13 +49,13 @@
         plan: 0,
         customer: 42,
         units: 1.0,
-        spread: 1.0,
+        gateway_count: 1.0,
         first_gateway: 0.0,
-        budget: 2_000_000,
-        repeat: false,
-        write: false,
+        timeout: 2_000_000,
+        is_retry: false,
+        is_write: false,
     };
-    let entry = BackendEntry { id: 1, condition: Condition::Ready, share: 1.0, ..BackendEntry::default() };
+    let entry = BackendEntry { id: 1, condition: Condition::Ready, weight: 1.0, ..BackendEntry::default() };
     let mut actions = Vec::new();
     gateway.handle(
         1,
@@ -68,7 +68,7 @@
         nodes: vec![serde_json::from_str(list).unwrap()],
         numbers: BTreeMap::from([(1, "n".to_string())]),
         back: BTreeMap::from([("a".to_string(), (1, 2))]),
-        belief: gateway.hand_down(3),
+        belief: gateway.export_state(3),
         ..Inheritance::default()
     }
 }
@@ -107,7 +107,7 @@
     let mut inheritance: Inheritance = open(&golden, &header()).expect("opened");
 
     assert_eq!(seal(&header(), &inheritance).expect("sealed"), golden);
-    assert_eq!(inheritance.belief.known(), (1, 1), "one node and one customer");
+    assert_eq!(inheritance.belief.entry_counts(), (1, 1), "one node and one customer");
     assert_eq!(inheritance.back["a"], (1, 2));
     let list = inheritance.list().expect("a list");
     assert_eq!((list.members.len(), list.members[0].id.as_str()), (1, "a"));
--- a/crates/lab/src/account.rs
+++ b/crates/lab/src/account.rs
@@ -87,9 +87,9 @@
     pub fn new(plan_number: u16, plan: &Plan, slack_ms: f64, set: IngressSet) -> Account {
         let now = crate::START;
         let quota = (plan.rate > 0.0).then(|| Bucket::full(plan.rate, plan.burst, now));
-        let ceiling = (plan.ceiling_rate > 0.0).then(|| {
-            let slack = plan.ceiling_slack + plan.ceiling_rate * slack_ms / 1e3;
-            Bucket::full(plan.ceiling_rate, plan.ceiling_burst + slack, now)
+        let ceiling = (plan.hard_limit_rate > 0.0).then(|| {
+            let slack = plan.hard_limit_slack + plan.hard_limit_rate * slack_ms / 1e3;
+            Bucket::full(plan.hard_limit_rate, plan.hard_limit_burst + slack, now)
         });
         Account { plan: plan_number, set, quota, ceiling, oracle: quota }
     }
--- a/crates/lab/src/demand.rs
+++ b/crates/lab/src/demand.rs
@@ -75,7 +75,7 @@
             LogNormal::new(class.mean_work.ln() - spread * spread / 2.0, spread).expect("a checked spread")
         });
         let load = &experiment.load;
-        let largest = experiment.settings.largest_request.floor().max(1.0);
+        let largest = experiment.settings.max_request_units.floor().max(1.0);
         Demand {
             rng: stream(seed, Stream::Demand),
             accounts: cumulative(popularity(experiment)),
--- a/crates/lab/src/experiment/read.rs
+++ b/crates/lab/src/experiment/read.rs
@@ -54,15 +54,15 @@
         classes: classes.iter().map(|class| class.class.clone()).collect(),
         plans: plans.iter().map(|plan| plan.plan.clone()).collect(),
         counter: counter.settings(prices.call),
-        largest_request: load.largest_request,
+        max_request_units: load.largest_request,
         limits: Limits {
             peer_messages: links.peer_intake > 0.0,
-            peer_intake: links.peer_intake,
+            peer_message_rate: links.peer_intake,
             ..fleet.limits
         },
         safety: nodes.safety,
         report_fields: vec![ReportField::Outstanding, ReportField::Backlog],
-        report_via: if nodes.nodes.reports { ReportVia::Answers } else { ReportVia::Never },
+        report_via: if nodes.nodes.reports { ReportVia::Responses } else { ReportVia::Never },
         prices: prices.prices,
         ..Settings::default()
     };
@@ -110,13 +110,13 @@
         restart: micros(&table, "restart_ms", MS, 1_000.0, 1.0..=600_000.0),
         tick: micros(&table, "tick_ms", MS, 1.0, 0.1..=1_000.0),
         limits: Limits {
-            attempts: table.integer("attempts", 3, 1..=16) as u32,
-            cancelling: true,
+            max_attempts: table.integer("attempts", 3, 1..=16) as u32,
+            cancellation: true,
             retry_hints: table.flag("retry_hints", true),
-            longest_retry_hint: 60_000_000,
-            open_requests: 1_000,
+            max_retry_after: 60_000_000,
+            max_open_requests: 1_000,
             connect_timeout: micros(&table, "connect_timeout_ms", MS, 250.0, 1.0..=60_000.0),
-            idle_close: micros(&table, "idle_close_seconds", SECOND, 30.0, 0.1..=3_600.0),
+            idle_timeout: micros(&table, "idle_close_seconds", SECOND, 30.0, 0.1..=3_600.0),
             streams_per_connection: 1,
             ..Limits::default()
         },
@@ -163,9 +163,9 @@
 
 fn read_plan(table: Section<'_>) -> Plan {
     let (name, mut plan) = violetyoke_config::read_plan(&table);
-    plan.beyond_worth = table.number("beyond_worth", 0.0, 0.0..=1.0);
-    plan.beyond_cost = table.number("beyond_cost", 1.0, 0.0..=100.0);
-    plan.ceiling_slack = table.number("ceiling_slack", 1.0, 0.0..=1e6);
+    plan.over_quota_value = table.number("beyond_worth", 0.0, 0.0..=1.0);
+    plan.over_quota_cost = table.number("beyond_cost", 1.0, 0.0..=100.0);
+    plan.hard_limit_slack = table.number("ceiling_slack", 1.0, 0.0..=1e6);
     let plan = Plan { name, plan, share: table.number("share", 1.0, 0.0..=1e6) };
     table.finish();
     plan
--- a/crates/lab/src/experiment/tables.rs
+++ b/crates/lab/src/experiment/tables.rs
@@ -50,13 +50,13 @@
         reports: table.flag("reports", true),
     };
     let safety = Safety {
-        answer_slack: 50_000,
+        deadline_slack: 50_000,
         drain_grace: 250_000,
-        cold_share: table.number("cold_share", 0.2, 0.01..=1.0),
-        cold_time: micros(&table, "cold_seconds", SECOND, 10.0, 0.0..=3_600.0),
-        fall_multiple: table.number("fall_multiple", 3.0, 1.0..=100.0),
-        fall_time: micros(&table, "fall_ms", MS, 1_000.0, 1.0..=60_000.0),
-        ask_within: 10_000_000,
+        slow_start_share: table.number("cold_share", 0.2, 0.01..=1.0),
+        slow_start_time: micros(&table, "cold_seconds", SECOND, 10.0, 0.0..=3_600.0),
+        overload_multiple: table.number("fall_multiple", 3.0, 1.0..=100.0),
+        overload_time: micros(&table, "fall_ms", MS, 1_000.0, 1.0..=60_000.0),
+        max_poll_interval: 10_000_000,
     };
     table.finish();
     NodesTable { nodes, safety }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use violetyoke_decision::interface::{Micros, Why};
+use violetyoke_decision::interface::{Micros, RejectionReason};
 
 /// Longer response times are recorded as this: ten minutes.
 const MAX_RESPONSE_TIME: Micros = 600_000_000;
@@ -184,7 +184,7 @@
 }
 
 /// The name of a reason in tables.
-pub(crate) fn reason_name(why: Option<Why>) -> String {
+pub(crate) fn reason_name(why: Option<RejectionReason>) -> String {
     why.map_or("Undecided".into(), |why| format!("{why:?}"))
 }
 
--- a/crates/lab/src/reference.rs
+++ b/crates/lab/src/reference.rs
@@ -32,7 +32,7 @@
         Reference { wires, open: BTreeMap::new() }
     }
 
-    fn answer(&mut self, request: RequestId, why: Option<Why>, response: FinalResponse<()>) {
+    fn answer(&mut self, request: RequestId, why: Option<RejectionReason>, response: FinalResponse<()>) {
         let attempts = self.open.remove(&request).map_or(0, |open| open.attempts);
         let summary = RequestSummary { request, attempts, why, quota: None };
         self.wires.out.push(Command::Answer { summary, response });
@@ -59,7 +59,7 @@
         let now = self.now();
         let Some(reference) = self.reference(ingress) else { return };
         let Some(node) = node else {
-            let why = if within { Why::Held } else { Why::Quota };
+            let why = if within { RejectionReason::Held } else { RejectionReason::Quota };
             return reference.answer(request, Some(why), refused(0));
         };
         reference.send(now, request, node);
@@ -72,8 +72,8 @@
         let Some(reference) = self.reference(ingress) else { return };
         let Some(open) = reference.open.get_mut(&id.request) else { return };
         open.out = None;
-        open.may_have_run |= !outcome.never_ran();
-        let safe = !open.may_have_run || effect == Effect::Safe;
+        open.may_have_run |= !outcome.not_executed();
+        let safe = !open.may_have_run || effect == Idempotency::Idempotent;
         let more = again && safe && open.attempts < ATTEMPTS;
         if outcome == Outcome::Ok {
             return reference.answer(id.request, None, FinalResponse::Served(()));
@@ -84,9 +84,13 @@
         match node {
             Some(node) => reference.send(now, id.request, node),
             None if safe => {
-                reference.answer(id.request, Some(Why::Attempt), FinalResponse::Refused { retry_after: 0 });
+                reference.answer(
+                    id.request,
+                    Some(RejectionReason::Attempt),
+                    FinalResponse::Refused { retry_after: 0 },
+                );
             }
-            None => reference.answer(id.request, Some(Why::Attempt), FinalResponse::Failed),
+            None => reference.answer(id.request, Some(RejectionReason::Attempt), FinalResponse::Failed),
         }
     }
 
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
-use violetyoke_decision::interface::{Effect, Micros, RequestId};
+use violetyoke_decision::interface::{Idempotency, Micros, RequestId};
 
 /// How long after its answer deadline a try is kept.
 const FORGET_AFTER: Micros = 10_000_000;
@@ -36,7 +36,7 @@
 /// What is known of a try.
 #[derive(Clone, Debug)]
 struct Try {
-    effect: Effect,
+    effect: Idempotency,
     answer_deadline: Micros,
     answers: u32,
     executions: u32,
@@ -62,7 +62,7 @@
     }
 
     /// An ingress has accepted a try.
-    pub fn on_accepted(&mut self, request: RequestId, effect: Effect, answer_deadline: Micros) {
+    pub fn on_accepted(&mut self, request: RequestId, effect: Idempotency, answer_deadline: Micros) {
         let observed = Try { effect, answer_deadline, answers: 0, executions: 0, in_flight: BTreeSet::new() };
         self.tries.insert(request, observed);
     }
@@ -116,7 +116,7 @@
         if let Some(observed) = self.tries.get_mut(&request) {
             observed.executions += 1;
             self.violations.ran_twice +=
-                u64::from(observed.effect == Effect::Unsafe && observed.executions > 1);
+                u64::from(observed.effect == Idempotency::AtMostOnce && observed.executions > 1);
         }
     }
 
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -11,10 +11,10 @@
     Served,
     Refused {
         retry_after: Micros,
-        why: Option<Why>,
+        why: Option<RejectionReason>,
     },
     Failed {
-        why: Option<Why>,
+        why: Option<RejectionReason>,
     },
     /// Its ingress could not be reached, died, or never answered.
     Nothing,
@@ -44,7 +44,7 @@
     pub(super) fn worth(&self, demanded: &demand::Demanded) -> f64 {
         let plan = self.accounts[demanded.account].plan;
         self.experiment.classes[usize::from(demanded.class)].class.value
-            * self.experiment.plans[usize::from(plan)].plan.worth
+            * self.experiment.plans[usize::from(plan)].plan.value
     }
 
     pub(super) fn comes(&mut self, coming: Coming) {
@@ -68,7 +68,7 @@
         self.tries.insert(request, Try { coming, ingress, arrived, deadline, over: false, beyond: 0.0 });
         self.events.schedule(self.now + self.experiment.clients.delay, Happens::Delivered(request));
         self.events
-            .schedule(deadline + self.experiment.settings.safety.answer_slack, Happens::Leaves(request));
+            .schedule(deadline + self.experiment.settings.safety.deadline_slack, Happens::Leaves(request));
     }
 
     pub(super) fn leaves(&mut self, request: RequestId) {
@@ -92,11 +92,11 @@
             let plan =
                 &self.experiment.plans[usize::from(self.accounts[held.coming.demanded.account].plan)].plan;
             let beyond = held.beyond / held.coming.demanded.units;
-            let earned = worth * (1.0 - beyond * (1.0 - plan.beyond_worth));
+            let earned = worth * (1.0 - beyond * (1.0 - plan.over_quota_value));
             if self.counts() {
                 self.gauges.record_response(waited);
                 self.gauges.ingresses[held.ingress].served += 1;
-                if waited <= class.class.aim {
+                if waited <= class.class.latency_target {
                     self.outcome.served.add(earned);
                     self.outcome.by_class.entry(class.name.clone()).or_default().1.add(earned);
                     if let Some(second) = self.outcome.seconds.last_mut() {
--- a/crates/lab/src/world/hearing.rs
+++ b/crates/lab/src/world/hearing.rs
@@ -45,8 +45,8 @@
                 kind: 0,
                 cell: 0,
                 condition,
-                share: 1.0,
-                born: node.started_at,
+                weight: 1.0,
+                started_at: node.started_at,
             });
             self.checker.on_listed(now, ingress, *place, !node.is_draining && !node.is_removed);
         }
@@ -82,7 +82,7 @@
     }
 
     pub(super) fn message(&mut self, to: usize, from: usize, data: Vec<u8>) {
-        let intake = self.experiment.settings.limits.peer_intake;
+        let intake = self.experiment.settings.limits.peer_message_rate;
         if !self.ingresses[to].up() {
             return;
         }
--- a/crates/lab/src/world/ingresses.rs
+++ b/crates/lab/src/world/ingresses.rs
@@ -158,22 +158,22 @@
             plan: account.plan,
             customer: held.coming.demanded.account as u64 + 1,
             units: held.coming.demanded.units,
-            spread: f64::from(account.set.spread),
+            gateway_count: f64::from(account.set.spread),
             first_gateway: f64::from(account.set.first),
-            budget: (held.deadline - held.arrived) * patience,
-            repeat: false,
-            write: class.effect != Effect::Safe,
+            timeout: (held.deadline - held.arrived) * patience,
+            is_retry: false,
+            is_write: class.idempotency != Idempotency::Idempotent,
         };
-        let until = held.deadline + self.experiment.settings.safety.answer_slack;
-        let (arrived, effect) = (held.arrived, class.effect);
+        let until = held.deadline + self.experiment.settings.safety.deadline_slack;
+        let (arrived, effect) = (held.arrived, class.idempotency);
         self.checker.on_accepted(request, effect, until);
         self.ingresses[number].open.insert(request);
         if self.policy == Policy::Module {
             let ingress = &mut self.ingresses[number];
             if let Some(Brain::Module(exchange)) = &ingress.brain {
                 // A customer that nothing is known of is taken to be within its quota.
-                let standing = exchange.gateway().standing(words.customer);
-                let believed = standing.is_none_or(|standing| standing.left >= words.units);
+                let standing = exchange.gateway().quota_state(words.customer);
+                let believed = standing.is_none_or(|standing| standing.remaining >= words.units);
                 ingress.believed.insert(request, believed);
             }
             self.drive(number, |exchange, now| {
@@ -236,7 +236,7 @@
                 }
                 Command::Answer { summary, response } => {
                     // Only this rule speaks of a total.
-                    let refused = (summary.why == Some(Why::Quota)).then_some(false);
+                    let refused = (summary.why == Some(RejectionReason::Quota)).then_some(false);
                     self.believed(number, AttemptId { request: summary.request, number: 0 }, refused);
                     self.ingresses[number].open.remove(&summary.request);
                     self.checker.on_answered(self.now, summary.request);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -61,16 +61,17 @@
     fn twist(self, settings: &mut Settings) {
         match self {
             Sabotage::AllSafe => {
-                settings.classes.iter_mut().for_each(|class| class.effect = Effect::Safe);
+                settings.classes.iter_mut().for_each(|class| class.idempotency = Idempotency::Idempotent);
             }
             Sabotage::Patience => settings.classes.iter_mut().for_each(|class| {
-                (class.aim, class.deadline) = (class.aim * PATIENCE, class.deadline * PATIENCE);
+                (class.latency_target, class.deadline) =
+                    (class.latency_target * PATIENCE, class.deadline * PATIENCE);
             }),
             Sabotage::BlindToCold => {
-                (settings.safety.cold_share, settings.safety.cold_time) = (1.0, 0);
+                (settings.safety.slow_start_share, settings.safety.slow_start_time) = (1.0, 0);
             }
             Sabotage::NoCeilings => settings.plans.iter_mut().for_each(|plan| {
-                (plan.rate, plan.ceiling_rate) = (0.0, 0.0);
+                (plan.rate, plan.hard_limit_rate) = (0.0, 0.0);
             }),
             _ => {}
         }
@@ -249,10 +250,10 @@
             queue: experiment.nodes.queue,
             connections: experiment.nodes.connections,
             handshake: experiment.nodes.handshake,
-            initial_speed: safety.cold_share,
-            slow_start: safety.cold_time,
-            overload_factor: safety.fall_multiple,
-            overload_window: safety.fall_time,
+            initial_speed: safety.slow_start_share,
+            slow_start: safety.slow_start_time,
+            overload_factor: safety.overload_multiple,
+            overload_window: safety.overload_time,
         };
         let mut nodes_rng = stream(seed, Stream::Nodes);
         let speeds = LogNormal::new(0.0, experiment.nodes.speed_spread).expect("a checked spread");
@@ -267,7 +268,7 @@
         };
         let plans: f64 = experiment.plans.iter().map(|plan| plan.share).sum();
         let plan_worth =
-            experiment.plans.iter().map(|plan| plan.share * plan.plan.worth).sum::<f64>() / plans;
+            experiment.plans.iter().map(|plan| plan.share * plan.plan.value).sum::<f64>() / plans;
         let ingresses = experiment.ingresses;
         World {
             experiment,
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -162,7 +162,7 @@
         if counts {
             let plan = &self.experiment.plans[usize::from(account.plan)].plan;
             let class = &self.experiment.classes[usize::from(demanded.class)].class;
-            let cost = beyond / demanded.units * plan.beyond_cost * class.value * plan.worth;
+            let cost = beyond / demanded.units * plan.over_quota_cost * class.value * plan.value;
             self.outcome.units += demanded.units;
             self.outcome.beyond_units += beyond;
             *self.outcome.prices.entry("beyond_quota".into()).or_default() += cost;
@@ -246,9 +246,9 @@
         } else if flight.connected && node.epoch == flight.node_epoch {
             node.connections = node.connections.saturating_sub(1);
         }
-        let carried = flight.sent.get().then_some(Event::Carried {
-            unused: flight.unused,
-            broke: matches!(outcome, Outcome_::Reset | Outcome_::Stale),
+        let carried = flight.sent.get().then_some(Event::ConnectionUsed {
+            idle: flight.unused,
+            broken: matches!(outcome, Outcome_::Reset | Outcome_::Stale),
         });
         if self.policy == Policy::Module {
             self.drive(flight.ingress, |exchange, now| {
--- a/crates/lab/src/world/seen.rs
+++ b/crates/lab/src/world/seen.rs
@@ -11,9 +11,9 @@
         self.now
     }
 
-    pub(crate) fn effect(&self, request: RequestId) -> Effect {
+    pub(crate) fn effect(&self, request: RequestId) -> Idempotency {
         let class = self.tries.get(&request).map(|held| usize::from(held.coming.demanded.class));
-        class.map_or(Effect::Unsafe, |class| self.experiment.classes[class].class.effect)
+        class.map_or(Idempotency::AtMostOnce, |class| self.experiment.classes[class].class.idempotency)
     }
 
     pub(crate) fn coin(&mut self, part: f64) -> bool {
@@ -48,7 +48,7 @@
     ) -> Option<usize> {
         let held = self.tries.get(&request)?;
         let (demanded, zone) = (&held.coming.demanded, self.ingresses[ingress].zone);
-        let aim = self.experiment.classes[usize::from(demanded.class)].class.aim;
+        let aim = self.experiment.classes[usize::from(demanded.class)].class.latency_target;
         let links = &self.experiment.links;
         let left = (held.arrived + aim).saturating_sub(self.now) as f64;
         let serves = |place: &usize| {
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -2,11 +2,11 @@
 
 #![cfg(test)]
 
-use violetyoke_decision::interface::Effect;
+use violetyoke_decision::interface::Idempotency;
 use violetyoke_lab::rule_checker::RuleChecker;
 
 /// A try taken at 0 that must be answered by 1,000.
-fn checker(effect: Effect) -> RuleChecker {
+fn checker(effect: Idempotency) -> RuleChecker {
     let mut checker = RuleChecker::new(250);
     checker.on_accepted(1, effect, 1_000);
     checker
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_run_that_keeps_all_rules_has_no_violations() {
-    let mut checker = checker(Effect::Unsafe);
+    let mut checker = checker(Idempotency::AtMostOnce);
     checker.on_listed(0, 0, 7, true);
     checker.on_attempt_sent(10, 1, 5, 0, 7);
     checker.on_executed(1);
@@ -26,29 +26,29 @@
 
 #[test]
 fn each_violation_is_reported() {
-    let mut late = checker(Effect::Safe);
+    let mut late = checker(Idempotency::Idempotent);
     late.on_answered(1_001, 1);
     assert_eq!(late.violations.unanswered, 1);
-    let mut never = checker(Effect::Safe);
+    let mut never = checker(Idempotency::Idempotent);
     never.finish(1_001);
     assert_eq!(never.violations.unanswered, 1);
-    let mut again = checker(Effect::Safe);
+    let mut again = checker(Idempotency::Idempotent);
     again.on_answered(1, 1);
     again.on_answered(2, 1);
     assert_eq!(again.violations.answered_again, 1);
-    let mut twice = checker(Effect::Unsafe);
+    let mut twice = checker(Idempotency::AtMostOnce);
     twice.on_executed(1);
     twice.on_executed(1);
     assert_eq!(twice.violations.ran_twice, 1);
-    let mut safe = checker(Effect::Safe);
+    let mut safe = checker(Idempotency::Idempotent);
     safe.on_executed(1);
     safe.on_executed(1);
     assert!(safe.violations.is_none());
-    let mut copies = checker(Effect::Safe);
+    let mut copies = checker(Idempotency::Idempotent);
     copies.on_attempt_sent(1, 1, 5, 0, 7);
     copies.on_attempt_sent(2, 1, 6, 0, 8);
     assert_eq!(copies.violations.copies, 1);
-    let mut drained = checker(Effect::Safe);
+    let mut drained = checker(Idempotency::Idempotent);
     drained.on_listed(100, 0, 7, false);
     drained.on_attempt_sent(350, 1, 5, 0, 7);
     drained.on_attempt_ended(1, 5);
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_try_of_a_dead_ingress_needs_no_answer() {
-    let mut checker = checker(Effect::Safe);
+    let mut checker = checker(Idempotency::Idempotent);
     checker.on_orphaned(1);
     checker.finish(5_000);
     assert!(checker.violations.is_none());
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -92,9 +92,9 @@
 for_seconds = 0.5
 "#,
     );
-    experiment.settings.safety.cold_share = 0.2;
-    experiment.settings.safety.cold_time = seconds(8);
-    experiment.settings.safety.fall_multiple = 1.2;
+    experiment.settings.safety.slow_start_share = 0.2;
+    experiment.settings.safety.slow_start_time = seconds(8);
+    experiment.settings.safety.overload_multiple = 1.2;
     let own = play(&experiment, None).violations;
     let blind = play(&experiment, Some(Sabotage::BlindToCold)).violations;
     assert_eq!((own.pushed_over, blind.pushed_over > 0), (0, true), "{blind:?}");
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -6,8 +6,8 @@
 use crate::validation::check_consistency;
 use serde_json::Value;
 use violetyoke_decision::interface::{
-    Class, Counter, Discovery, Effect, Group, Limits, Plan, Prices, ReportField, ReportVia, Safety, Settings,
-    Weights,
+    Class, Counter, DedupScope, Discovery, Idempotency, Limits, Plan, Prices, ReportField, ReportVia, Safety,
+    Settings, Weights,
 };
 
 /// Reads the settings of an ingress from a JSON text, and checks that they agree with each other.
@@ -30,26 +30,26 @@
         plans: root.list("tariffs")?.iter().map(plan).collect::<Result<_, _>>()?,
         counter: counter(&root)?,
         meter_period: root.rounded(&["family-info", "meter-period-us"], 0)?,
-        largest_request: root.number(&["family-info", "largest"], 1.0)?,
-        settled_later: root.flag(&["family-info", "post-paid"], false)?,
+        max_request_units: root.number(&["family-info", "largest"], 1.0)?,
+        units_are_estimates: root.flag(&["family-info", "post-paid"], false)?,
         limits: limits(&root)?,
         safety: safety(&root)?,
         report_fields: report_fields(&root)?,
         report_via: root.one_of(
             &["report", "via"],
             ReportVia::Never,
-            &[("piggyback", ReportVia::Answers), ("pull", ReportVia::Probes), ("silent", ReportVia::Never)],
+            &[("piggyback", ReportVia::Responses), ("pull", ReportVia::Probes), ("silent", ReportVia::Never)],
         )?,
         discovery: root.one_of(
             &["registry-mode"],
             Discovery::Push,
-            &[("push", Discovery::Push), ("ask", Discovery::Ask)],
+            &[("push", Discovery::Push), ("ask", Discovery::Poll)],
         )?,
         weights: root.one_of(
             &["weights"],
-            Weights::Silent,
+            Weights::Absent,
             &[
-                ("silent", Weights::Silent),
+                ("silent", Weights::Absent),
                 ("nominal", Weights::Nominal),
                 ("rough", Weights::Rough),
                 ("live", Weights::Live),
@@ -73,30 +73,30 @@
 }
 
 fn class(class: &Field<'_>) -> Result<Class, SettingsError> {
-    let aim = class.rounded(&["aim-us"], 1_000_000)?;
+    let latency_target = class.rounded(&["aim-us"], 1_000_000)?;
     Ok(Class {
-        aim,
-        aim_stretch: class.number(&["aim-stretch"], 0.0)?,
-        deadline: class.rounded(&["deadline-us"], aim)?,
-        effect: class.one_of(
+        latency_target,
+        latency_target_stretch: class.number(&["aim-stretch"], 0.0)?,
+        deadline: class.rounded(&["deadline-us"], latency_target)?,
+        idempotency: class.one_of(
             &["effect"],
-            Effect::Unsafe,
+            Idempotency::AtMostOnce,
             &[
-                ("idempotent", Effect::Safe),
-                ("deduplicated", Effect::Keyed),
-                ("at_most_once", Effect::Unsafe),
+                ("idempotent", Idempotency::Idempotent),
+                ("deduplicated", Idempotency::Deduplicated),
+                ("at_most_once", Idempotency::AtMostOnce),
             ],
         )?,
-        group: class.one_of(
+        dedup_scope: class.one_of(
             &["group"],
-            Group::All,
-            &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)],
+            DedupScope::All,
+            &[("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)],
         )?,
-        repeat_window: class.rounded(&["window-us"], 0)?,
+        dedup_window: class.rounded(&["window-us"], 0)?,
         late_value: class.number(&["late-value"], 0.0)?,
         value: class.number(&["value"], 1.0)?,
         streamed: class.flag(&["streaming"], false)?,
-        asks_only: false,
+        admission_only: false,
     })
 }
 
@@ -104,30 +104,30 @@
     Ok(Plan {
         rate: plan.number(&["quota-rate"], 0.0)?,
         burst: plan.number(&["peak-units"], 0.0)?,
-        open_cap: plan.number(&["open"], 0.0)?,
-        worth: plan.number(&["worth-factor"], 1.0)?,
-        beyond_worth: plan.number(&["extra-worth"], 0.0)?,
-        beyond_cost: plan.number(&["overrun-cost"], 0.0)?,
-        ceiling_rate: plan.number(&["ceiling-rate"], 0.0)?,
-        ceiling_burst: plan.number(&["ceiling-burst"], 0.0)?,
-        ceiling_slack: plan.number(&["cap-slack"], 0.0)?,
+        max_in_flight: plan.number(&["open"], 0.0)?,
+        value: plan.number(&["worth-factor"], 1.0)?,
+        over_quota_value: plan.number(&["extra-worth"], 0.0)?,
+        over_quota_cost: plan.number(&["overrun-cost"], 0.0)?,
+        hard_limit_rate: plan.number(&["ceiling-rate"], 0.0)?,
+        hard_limit_burst: plan.number(&["ceiling-burst"], 0.0)?,
+        hard_limit_slack: plan.number(&["cap-slack"], 0.0)?,
     })
 }
 
 fn limits(root: &Field<'_>) -> Result<Limits, SettingsError> {
     Ok(Limits {
-        attempts: root.integer(&["bounds", "attempts-cap"], 1)?,
-        second_copies: root.flag(&["bounds", "second-copies"], false)?,
-        cancelling: root.flag(&["bounds", "cancelling"], false)?,
+        max_attempts: root.integer(&["bounds", "attempts-cap"], 1)?,
+        hedging: root.flag(&["bounds", "second-copies"], false)?,
+        cancellation: root.flag(&["bounds", "cancelling"], false)?,
         probing: root.flag(&["bounds", "probing"], false)?,
         peer_messages: root.flag(&["bounds", "peer-messages"], false)?,
-        peer_intake: root.number(&["family-info", "peer-intake"], 0.0)?,
+        peer_message_rate: root.number(&["family-info", "peer-intake"], 0.0)?,
         retry_hints: root.flag(&["bounds", "retry-after"], false)?,
-        longest_retry_hint: root.rounded(&["bounds", "max-retry-after-us"], 0)?,
-        clients_mark_repeats: root.flag(&["clients", "marks-retry"], false)?,
-        open_requests: root.integer(&["bounds", "max-open"], u64::from(u32::MAX))?,
+        max_retry_after: root.rounded(&["bounds", "max-retry-after-us"], 0)?,
+        clients_mark_retries: root.flag(&["clients", "marks-retry"], false)?,
+        max_open_requests: root.integer(&["bounds", "max-open"], u64::from(u32::MAX))?,
         connect_timeout: root.rounded(&["bounds", "connect-timeout-us"], 250_000)?,
-        idle_close: root.rounded(&["bounds", "idle-close-us"], 0)?,
+        idle_timeout: root.rounded(&["bounds", "idle-close-us"], 0)?,
         streams_per_connection: root.integer(&["bounds", "streams-per-conn"], 1)?,
         cpu_per_second: root.rounded(&["bounds", "cpu-us-per-s"], 0)?,
         cpu_per_request: root.number(&["bounds", "cpu-us-per-request"], 0.0)?,
@@ -136,13 +136,13 @@
 
 fn safety(root: &Field<'_>) -> Result<Safety, SettingsError> {
     Ok(Safety {
-        answer_slack: root.rounded(&["safety", "answer-slack-us"], 0)?,
+        deadline_slack: root.rounded(&["safety", "answer-slack-us"], 0)?,
         drain_grace: root.rounded(&["safety", "drain-grace-us"], 0)?,
-        cold_share: root.number(&["safety", "cold-share"], 1.0)?,
-        cold_time: root.rounded(&["safety", "cold-us"], 0)?,
-        fall_multiple: root.number(&["safety", "fall-multiple"], 1.0)?,
-        fall_time: root.rounded(&["safety", "fall-us"], 1_000_000)?,
-        ask_within: root.rounded(&["safety", "ask-within-us"], 10_000_000)?,
+        slow_start_share: root.number(&["safety", "cold-share"], 1.0)?,
+        slow_start_time: root.rounded(&["safety", "cold-us"], 0)?,
+        overload_multiple: root.number(&["safety", "fall-multiple"], 1.0)?,
+        overload_time: root.rounded(&["safety", "fall-us"], 1_000_000)?,
+        max_poll_interval: root.rounded(&["safety", "ask-within-us"], 10_000_000)?,
     })
 }
 
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -14,7 +14,7 @@
     if settings.gateways == 0 || settings.index >= settings.gateways {
         return Err(key("self-index", Problem::IndexOutOfRange));
     }
-    if settings.limits.attempts == 0 {
+    if settings.limits.max_attempts == 0 {
         return Err(key("bounds.attempts-cap", Problem::Zero));
     }
     for (i, class) in settings.classes.iter().enumerate() {
@@ -31,7 +31,7 @@
 }
 
 fn check_class(class: &Class) -> Result<(), Problem> {
-    if class.aim == 0 || class.deadline < class.aim {
+    if class.latency_target == 0 || class.deadline < class.latency_target {
         return Err(Problem::NoAimWithinDeadline);
     }
     Ok(())
@@ -41,7 +41,7 @@
     if plan.rate > 0.0 && plan.burst <= 0.0 {
         return Err(Problem::RateWithoutBurst);
     }
-    if plan.ceiling_rate > 0.0 && plan.ceiling_burst <= 0.0 {
+    if plan.hard_limit_rate > 0.0 && plan.hard_limit_burst <= 0.0 {
         return Err(Problem::CeilingWithoutBurst);
     }
     Ok(())
--- a/crates/settings/tests/parsing.rs
+++ b/crates/settings/tests/parsing.rs
@@ -1,6 +1,6 @@
 //! Which settings are accepted, and how they are read.
 
-use violetyoke_decision::interface::{Counter, Discovery, Effect, Group, ReportField, ReportVia};
+use violetyoke_decision::interface::{Counter, DedupScope, Discovery, Idempotency, ReportField, ReportVia};
 use violetyoke_settings::parse_settings;
 
 const SETTINGS: &str = r#"{"areas": ["a", "b"], "balancers": 3, "self-index": 2, "zone": 1,
@@ -18,11 +18,14 @@
     let read = parse_settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!((read.gateways, read.index, read.zone, read.tick), (3, 2, 1, 4000));
     let class = &read.classes[0];
-    assert_eq!((class.effect, class.group, class.repeat_window), (Effect::Keyed, Group::Zone, 4_000_000));
+    assert_eq!(
+        (class.idempotency, class.dedup_scope, class.dedup_window),
+        (Idempotency::Deduplicated, DedupScope::Zone, 4_000_000)
+    );
     assert_eq!(read.counter, Some(Counter { timeout: 50_000, fee: 0.02 }));
-    assert_eq!((read.plans[0].rate, read.plans[0].open_cap), (1.6, 3.0));
+    assert_eq!((read.plans[0].rate, read.plans[0].max_in_flight), (1.6, 3.0));
     assert_eq!(read.report_fields, [ReportField::Outstanding, ReportField::Other]);
-    assert_eq!((read.report_via, read.discovery), (ReportVia::Probes, Discovery::Ask));
+    assert_eq!((read.report_via, read.discovery), (ReportVia::Probes, Discovery::Poll));
     assert!(read.limits.retry_hints && !read.limits.peer_messages);
 }
 
--- a/crates/settings/tests/replacement.rs
+++ b/crates/settings/tests/replacement.rs
@@ -1,26 +1,26 @@
 //! Settings that are replaced while requests are open.
 
 use serde_json::json;
-use violetyoke_decision::interface::{Class, Effect, Group, Plan, Settings};
+use violetyoke_decision::interface::{Class, DedupScope, Idempotency, Plan, Settings};
 use violetyoke_settings::{missing_key, StableIndices};
 
-fn class(effect: Effect) -> Class {
+fn class(idempotency: Idempotency) -> Class {
     Class {
-        aim: 500_000,
-        aim_stretch: 0.0,
+        latency_target: 500_000,
+        latency_target_stretch: 0.0,
         deadline: 2_000_000,
-        effect,
-        group: Group::All,
-        repeat_window: 0,
+        idempotency,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
         late_value: 0.0,
         value: 1.0,
         streamed: false,
-        asks_only: false,
+        admission_only: false,
     }
 }
 
 fn settings(classes: &[Class]) -> Settings {
-    let plan = Plan { rate: 5.0, burst: 10.0, worth: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 5.0, burst: 10.0, value: 1.0, ..Plan::default() };
     Settings { gateways: 1, classes: classes.to_vec(), plans: vec![plan], ..Settings::default() }
 }
 
@@ -31,16 +31,17 @@
 #[test]
 fn changed_class_gets_a_new_index_and_open_requests_keep_the_old_one() {
     let mut indices = StableIndices::default();
-    let (read, book) = (class(Effect::Safe), class(Effect::Unsafe));
+    let (read, book) = (class(Idempotency::Idempotent), class(Idempotency::AtMostOnce));
     let first =
         indices.assign(settings(&[read.clone(), book.clone()]), &names(&["read", "book"]), &names(&["p"]));
     assert_eq!(first.class_names, ["read", "book"]);
     // `book` becomes safe, `read` goes, `look` comes.
     let new_names = names(&["book", "look"]);
-    let second = indices.assign(settings(&[class(Effect::Safe), read.clone()]), &new_names, &names(&["p"]));
+    let second =
+        indices.assign(settings(&[class(Idempotency::Idempotent), read.clone()]), &new_names, &names(&["p"]));
     assert_eq!(second.class_names, ["", "", "book", "look"]);
     assert_eq!(second.settings.classes[1], book);
-    assert_eq!(second.settings.classes[2].effect, Effect::Safe);
+    assert_eq!(second.settings.classes[2].idempotency, Idempotency::Idempotent);
     // A class that comes back unchanged has the index that it had.
     let third = indices.assign(settings(&[read, book]), &names(&["read", "book"]), &names(&["p"]));
     assert_eq!(third.class_names, ["read", "book", "", ""]);
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -39,16 +39,16 @@
         }
         code::ATTEMPT_ENDED => Event::AttemptEnded(decode_attempt_end(record)?),
         code::COUNTED => decode_counted(record)?,
-        code::ANSWER_BEGUN => Event::AnswerBegun {
+        code::ANSWER_BEGUN => Event::ResponseStarted {
             request: record.u32(1),
             backend: record.u32(5),
             attempt: record.u8(9),
-            waited: Micros::from(record.u32(10)),
+            elapsed: Micros::from(record.u32(10)),
         },
         code::PROBED => Event::Probed {
             backend: record.u32(1),
             outcome: decode_outcome(record.u8(5))?,
-            waited: Micros::from(record.u32(6)),
+            elapsed: Micros::from(record.u32(6)),
             report: decode_report(record, 10)?,
         },
         code => return Err(WireError::EventCode(code)),
@@ -68,8 +68,8 @@
             2 => Condition::Draining,
             code => return Err(WireError::Condition(code)),
         },
-        share: record.number(10)?,
-        born: record.u64(14),
+        weight: record.number(10)?,
+        started_at: record.u64(14),
     })
 }
 
@@ -77,13 +77,13 @@
     let flags = record.u16(5);
     Ok(Request {
         id: record.u32(1),
-        repeat: flags & flag::REPEAT != 0,
-        write: flags & flag::WRITE != 0,
+        is_retry: flags & flag::REPEAT != 0,
+        is_write: flags & flag::WRITE != 0,
         plan: record.u16(7),
-        spread: record.number(9)?,
+        gateway_count: record.number(9)?,
         customer: record.u64(13),
         first_gateway: record.number(21)?,
-        budget: Micros::from(record.u32(25)),
+        timeout: Micros::from(record.u32(25)),
         units: record.number(29)?,
         class: record.u16(33),
     })
@@ -92,11 +92,11 @@
 fn decode_attempt_end(record: &Record<'_>) -> Result<AttemptEnd, WireError> {
     Ok(AttemptEnd {
         request: record.u32(1),
-        settled_units: f64::from(record.u16(5)),
+        actual_units: f64::from(record.u16(5)),
         closed: record.u8(7) != 0,
         attempt: record.u8(8),
         backend: record.u32(9),
-        waited: Micros::from(record.u32(13)),
+        elapsed: Micros::from(record.u32(13)),
         outcome: decode_outcome(record.u8(17))?,
         usage: record.u16(18),
         report: decode_report(record, 20)?,
@@ -107,7 +107,12 @@
 fn decode_counted(record: &Record<'_>) -> Result<Event, WireError> {
     let outcome = decode_outcome(record.u8(9))?;
     let total = if outcome == Outcome::Ok { record.number(10)? } else { 0.0 };
-    Ok(Event::Counted { count: record.u64(1), outcome, total, waited: Micros::from(record.u32(14)) })
+    Ok(Event::CounterAnswered {
+        counter_id: record.u64(1),
+        outcome,
+        total,
+        elapsed: Micros::from(record.u32(14)),
+    })
 }
 
 /// Decodes a load report: the number of its values, and the values.
--- a/crates/sim/src/reply.rs
+++ b/crates/sim/src/reply.rs
@@ -88,7 +88,7 @@
                     [&request.to_le_bytes(), &backend.to_le_bytes(), &expires.to_le_bytes()];
                 self.record(code::SEND, &fields);
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 self.record(code::REFUSE, &[&request.to_le_bytes(), &duration(*retry_after)]);
             }
             Action::Fail { request, .. } => self.record(code::FAIL, &[&request.to_le_bytes()]),
@@ -100,19 +100,19 @@
             }
             Action::Probe { backend } => self.record(code::PROBE, &[&backend.to_le_bytes()]),
             // The simulator keeps its own idle connections, and has no classes that only ask for admission.
-            Action::KeepIdle { .. } | Action::Admit { .. } => {}
+            Action::SetIdleTimeout { .. } | Action::Admit { .. } => {}
             Action::CloseIdle { backend } => self.record(code::CLOSE_IDLE, &[&backend.to_le_bytes()]),
-            Action::Tell { to, data } => {
+            Action::SendPeerMessage { to, data } => {
                 let section = self.section(data);
                 self.record(code::TELL, &[&to.unwrap_or(u16::MAX).to_le_bytes(), &section]);
             }
             Action::Log { text } => self.text(code::LOG, text),
-            Action::Broken { text } => self.text(code::BROKEN, text),
-            Action::Watch { on } => self.record(code::WATCH, &[&[u8::from(*on)]]),
+            Action::InternalError { text } => self.text(code::BROKEN, text),
+            Action::Subscribe { on } => self.record(code::WATCH, &[&[u8::from(*on)]]),
             Action::FetchList => self.record(code::FETCH_LIST, &[]),
-            Action::Count { count, amount, life } => {
+            Action::AddToCounter { counter_id, amount, ttl } => {
                 let amount = (*amount as f32).to_le_bytes();
-                self.record(code::COUNT, &[&count.to_le_bytes(), &amount, &duration(*life)]);
+                self.record(code::COUNT, &[&counter_id.to_le_bytes(), &amount, &duration(*ttl)]);
             }
         }
     }
