--- a/crates/sim/tests/wire.rs
+++ b/crates/sim/tests/wire.rs
@@ -3,7 +3,7 @@
 #![cfg(test)]
 
 use violetyoke_decision::interface::{
-    Action, AttemptEnd, BackendEntry, Condition, Event, ListKind, Outcome, Request, Why,
+    Action, AttemptEnd, BackendEntry, Condition, Event, ListKind, Outcome, RejectionReason, Request,
 };
 use violetyoke_sim::{
     encode_reply, Batch, BatchHeader, Decoder, Input, InstanceActions, WireError, BATCH_HEADER_BYTES,
@@ -49,11 +49,11 @@
         plan: 0,
         customer: 0x91f0_3b7c_55d2_0a64,
         units: 2.0,
-        spread: 3.0,
+        gateway_count: 3.0,
         first_gateway: 1.0,
-        budget: 240_000,
-        repeat: false,
-        write: false,
+        timeout: 240_000,
+        is_retry: false,
+        is_write: false,
     };
     let resolved = "0d c4913a5d 0300 01 00 074a1203 44480000 0a 5600 01 0000e040";
     let end = AttemptEnd {
@@ -61,9 +61,9 @@
         attempt: 0,
         backend: 0x0312_4a07,
         outcome: Outcome::Ok,
-        waited: 18_500,
+        elapsed: 18_500,
         closed: true,
-        settled_units: 3.0,
+        actual_units: 3.0,
         usage: 0x56,
         report: vec![7.0],
     };
@@ -83,9 +83,9 @@
         Event::Timer { token: 77 },
         Event::Abandoned { request: 0x0e6f_2b19 },
         Event::AttemptEnded(end),
-        Event::Counted { count: 0x0089_f690, outcome: Outcome::Ok, total: 38.0, waited: 2150 },
-        Event::AnswerBegun { request: 0x5d3a_91c4, attempt: 0, backend: 0x0312_4a07, waited: 9250 },
-        Event::Probed { backend: 0x2c90_11f2, outcome: Outcome::Ok, waited: 1400, report: vec![7.0] },
+        Event::CounterAnswered { counter_id: 0x0089_f690, outcome: Outcome::Ok, total: 38.0, elapsed: 2150 },
+        Event::ResponseStarted { request: 0x5d3a_91c4, attempt: 0, backend: 0x0312_4a07, elapsed: 9250 },
+        Event::Probed { backend: 0x2c90_11f2, outcome: Outcome::Ok, elapsed: 1400, report: vec![7.0] },
     ];
     let mut expected: Vec<Input> = expected.into_iter().map(Input::Event).collect();
     expected.push(Input::Stop);
@@ -101,12 +101,12 @@
          f211902c 0100 00 0000 01 0000c03f 20145d0000000000",
     );
     let list = events(&[TO_3, "01 00000000 00000000 02000000", "06 02 2900000000000000 00000000"], &tail);
-    let entry = |id, zone, share, born| BackendEntry {
+    let entry = |id, zone, weight, started_at| BackendEntry {
         id,
         zone,
         condition: Condition::Ready,
-        share,
-        born,
+        weight,
+        started_at,
         ..BackendEntry::default()
     };
     let entries = vec![entry(0x0312_4a07, 0, 1.0, 0), entry(0x2c90_11f2, 1, 1.5, 6_100_000)];
@@ -150,7 +150,7 @@
         assert_eq!(outcome, expected);
     }
     let proofs: Vec<_> =
-        known.iter().filter(|(_, outcome)| outcome.never_ran()).map(|(code, _)| *code).collect();
+        known.iter().filter(|(_, outcome)| outcome.not_executed()).map(|(code, _)| *code).collect();
     assert_eq!(proofs, ["1e", "32", "50"]);
 }
 
@@ -168,17 +168,17 @@
     let (request, backend) = (0x5d3a_91c4, 0x0312_4a07);
     let cases = [
         (Action::Send { request, backend, expires: 8_492_250 }, "41 c4913a5d 074a1203 da94810000000000"),
-        (Action::Fail { request: 0x0e6f_2b19, why: Why::Attempt }, "43 192b6f0e"),
+        (Action::Fail { request: 0x0e6f_2b19, reason: RejectionReason::Attempt }, "43 192b6f0e"),
         (Action::Timer { at: 8_486_522, token: 77 }, "45 7a7e810000000000 4d00000000000000"),
-        (Action::Watch { on: true }, "4b 01"),
+        (Action::Subscribe { on: true }, "4b 01"),
         (Action::Cancel { request, attempt: 0 }, "44 c4913a5d 00"),
         (
-            Action::Count { count: 0x0089_f690, amount: 4.0, life: 3_000_000 },
+            Action::AddToCounter { counter_id: 0x0089_f690, amount: 4.0, ttl: 3_000_000 },
             "4d 90f6890000000000 00008040 c0c62d00",
         ),
         (Action::Probe { backend: 0x2c90_11f2 }, "46 f211902c"),
         (
-            Action::Refuse { request: 0x0e6f_2b19, retry_after: 250_000, why: Why::Quota },
+            Action::Reject { request: 0x0e6f_2b19, retry_after: 250_000, reason: RejectionReason::Quota },
             "42 192b6f0e 90d00300",
         ),
         (Action::CloseIdle { backend: 0x2c90_11f2 }, "47 f211902c"),
@@ -190,8 +190,12 @@
     let text = |text: &str| text.to_string();
     let tails = [
         (Action::Log { text: text("two servers known") }, "49 00000000 11000000", "two servers known"),
-        (Action::Broken { text: text("index out of range") }, "4a 00000000 12000000", "index out of range"),
-        (Action::Tell { to: None, data: b"hi 7".to_vec() }, "48 ffff 00000000 04000000", "hi 7"),
+        (
+            Action::InternalError { text: text("index out of range") },
+            "4a 00000000 12000000",
+            "index out of range",
+        ),
+        (Action::SendPeerMessage { to: None, data: b"hi 7".to_vec() }, "48 ffff 00000000 04000000", "hi 7"),
     ];
     for (action, hex, tail) in tails {
         assert_eq!(encoded(action), (padded(hex, 24), tail.as_bytes().to_vec()));
--- a/xtask/src/prove_lab.rs
+++ b/xtask/src/prove_lab.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, timeout};
-use violetyoke_decision::interface::{Effect, Settings};
+use violetyoke_decision::interface::{Idempotency, Settings};
 use violetyoke_lab::account::IngressSet;
 use violetyoke_lab::demand::{accounts, Demand, Demanded};
 use violetyoke_lab::experiment::{parse, Experiment};
@@ -162,15 +162,16 @@
 ) -> Value {
     let Settings { limits, safety, .. } = &experiment.settings;
     let class = |class: &violetyoke_lab::experiment::Class| {
-        let effect = if class.class.effect == Effect::Safe { "idempotent" } else { "at_most_once" };
-        json!({"name": class.name, "effect": effect, "aim-us": class.class.aim, "deadline-us": class.class.deadline,
+        let effect =
+            if class.class.idempotency == Idempotency::Idempotent { "idempotent" } else { "at_most_once" };
+        json!({"name": class.name, "effect": effect, "aim-us": class.class.latency_target, "deadline-us": class.class.deadline,
                "value": class.class.value, "group": "all", "window-us": 0, "late-value": 0.0, "streaming": false})
     };
     let plan = |plan: &violetyoke_lab::experiment::Plan| {
         let (name, plan) = (&plan.name, &plan.plan);
-        json!({"name": name, "quota-rate": plan.rate, "peak-units": plan.burst, "worth-factor": plan.worth,
-               "open": 0, "ceiling-rate": plan.ceiling_rate, "ceiling-burst": plan.ceiling_burst,
-               "cap-slack": plan.ceiling_slack, "extra-worth": plan.beyond_worth, "overrun-cost": plan.beyond_cost})
+        json!({"name": name, "quota-rate": plan.rate, "peak-units": plan.burst, "worth-factor": plan.value,
+               "open": 0, "ceiling-rate": plan.hard_limit_rate, "ceiling-burst": plan.hard_limit_burst,
+               "cap-slack": plan.hard_limit_slack, "extra-worth": plan.over_quota_value, "overrun-cost": plan.over_quota_cost})
     };
     let timeout = experiment.settings.counter.map_or(0, |counter| counter.timeout);
     json!({
@@ -179,18 +180,18 @@
         "known": {"revision": 0, "complete": true, "members": []},
         "settings": {
             "areas": ["hall-a"], "balancers": experiment.ingresses, "self-index": index, "zone": 0,
-            "bounds": {"attempts-cap": limits.attempts, "cancelling": true,
-                       "connect-timeout-us": limits.connect_timeout, "idle-close-us": limits.idle_close,
-                       "max-open": 20_000, "max-retry-after-us": limits.longest_retry_hint,
+            "bounds": {"attempts-cap": limits.max_attempts, "cancelling": true,
+                       "connect-timeout-us": limits.connect_timeout, "idle-close-us": limits.idle_timeout,
+                       "max-open": 20_000, "max-retry-after-us": limits.max_retry_after,
                        "peer-messages": false, "retry-after": true, "streams-per-conn": 1},
             "categories": experiment.classes.iter().map(class).collect::<Vec<_>>(),
             "family-info": {"counter-timeout-us": timeout, "has-counter": true,
-                            "largest": experiment.settings.largest_request, "peer-intake": 0.0},
+                            "largest": experiment.settings.max_request_units, "peer-intake": 0.0},
             "granularity-us": experiment.settings.tick, "kinds": ["std"], "registry-mode": "push",
             "report": {"fields": [], "via": "silent"},
-            "safety": {"answer-slack-us": safety.answer_slack, "cold-share": safety.cold_share,
-                       "cold-us": safety.cold_time, "drain-grace-us": safety.drain_grace,
-                       "fall-multiple": safety.fall_multiple, "fall-us": safety.fall_time},
+            "safety": {"answer-slack-us": safety.deadline_slack, "cold-share": safety.slow_start_share,
+                       "cold-us": safety.slow_start_time, "drain-grace-us": safety.drain_grace,
+                       "fall-multiple": safety.overload_multiple, "fall-us": safety.overload_time},
             "tariffs": experiment.plans.iter().map(plan).collect::<Vec<_>>(),
             "weights": "silent"
         }
@@ -268,8 +269,8 @@
 fn request(experiment: &Experiment, demanded: &Demanded, set: &IngressSet, serial: u32) -> String {
     let class = &experiment.classes[usize::from(demanded.class)];
     let (name, deadline) = (&class.name, class.class.deadline);
-    let (method, body, end) = match class.class.effect {
-        Effect::Safe => ("GET", "", ""),
+    let (method, body, end) = match class.class.idempotency {
+        Idempotency::Idempotent => ("GET", "", ""),
         _ => ("POST", "Content-Length: 1\r\n", "x"),
     };
     let (account, units) = (demanded.account + 1, demanded.units);
