--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -83,7 +83,7 @@
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.targets(TargetList { cached: true, complete: true, ..initial_targets });
         driver.exchange.process_events(clock.now());
-        driver.exchange.gateway_mut().beside(predecessor_alive);
+        driver.exchange.gateway_mut().set_overlapping(predecessor_alive);
         if let Some(imported_state) = imported_state {
             driver.inherit(*imported_state);
         }
@@ -148,7 +148,7 @@
             Message::CounterReplaced(link) => {
                 let counter = exchange.port.open(link, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
-                exchange.gateway_mut().counter_moved();
+                exchange.gateway_mut().counter_replaced();
             }
             Message::Reconfigure(changed) => self.reconfigure(now, changed.0, changed.1),
             Message::SetManualEjection { node, ejected, reply } => {
@@ -160,11 +160,11 @@
             }
             Message::ExportState(reply) => {
                 if let Err(unheard) = reply.send(self.hand_down()) {
-                    self.exchange.gateway_mut().take_back(now, &unheard.belief);
+                    self.exchange.gateway_mut().reclaim_state(now, &unheard.belief);
                 }
             }
-            Message::PredecessorEnded => exchange.gateway_mut().beside(false),
-            Message::ReclaimState(lent) => exchange.gateway_mut().take_back(now, &lent.belief),
+            Message::PredecessorEnded => exchange.gateway_mut().set_overlapping(false),
+            Message::ReclaimState(lent) => exchange.gateway_mut().reclaim_state(now, &lent.belief),
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
             Message::AddToClaim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
@@ -174,7 +174,7 @@
 
     #[cold]
     fn hand_down(&mut self) -> Box<Inheritance> {
-        let belief = self.exchange.gateway_mut().hand_down(self.clock.now());
+        let belief = self.exchange.gateway_mut().export_state(self.clock.now());
         let sockets = &self.exchange.port;
         let (nodes, back) = (sockets.listed.values().cloned().collect(), self.ejections.restored().clone());
         Box::new(Inheritance::new(nodes, sockets.backend_ids.as_map(), &self.names, back, belief))
@@ -189,9 +189,9 @@
             self.exchange.process_events(self.clock.now());
         }
         let belief = imported_state.belief(self.exchange.port.backend_ids.as_map(), &self.names);
-        let ((nodes, accounts), now) = (belief.known(), self.clock.now());
-        let age = now.saturating_sub(belief.at()) / 1000;
-        let believed = self.exchange.gateway_mut().take_over(now, belief);
+        let ((nodes, accounts), now) = (belief.entry_counts(), self.clock.now());
+        let age = now.saturating_sub(belief.exported_at()) / 1000;
+        let believed = self.exchange.gateway_mut().import_state(now, belief);
         let word = if believed { "believed" } else { "too old" };
         eprintln!("handed down: {word}: {nodes} nodes, {accounts} accounts, {age} ms ago");
     }
@@ -211,7 +211,7 @@
             account.begun(&request);
         }
         let ClientRequest { forward, reply, .. } = request;
-        let write = forward.as_ref().is_some_and(|forward| forward.method != hyper::Method::GET);
+        let is_write = forward.as_ref().is_some_and(|forward| forward.method != hyper::Method::GET);
         let accepted = AcceptedRequest {
             request: Request {
                 id: request.id,
@@ -219,11 +219,11 @@
                 plan: request.plan,
                 customer: request.customer,
                 units: request.units,
-                spread: request.spread,
+                gateway_count: request.spread,
                 first_gateway: request.first_ingress,
-                budget: request.budget,
-                repeat: request.is_retry,
-                write,
+                timeout: request.budget,
+                is_retry: request.is_retry,
+                is_write,
             },
             arrived_at: request.arrived_at,
             is_admission_check: forward.is_none(),
@@ -308,9 +308,9 @@
                 Phase::Terminating => Condition::Draining,
                 Phase::Terminated => Condition::Gone,
             },
-            share: target.size,
+            weight: target.size,
             // Unix time, as is the driver's clock; 0, for long ago, stays 0.
-            born: self.ejections.assumed_start(&target.id, target.up_since_ms.saturating_mul(1000)),
+            started_at: self.ejections.assumed_start(&target.id, target.up_since_ms.saturating_mul(1000)),
         }
     }
 }
