--- a/crates/routes/src/host.rs
+++ b/crates/routes/src/host.rs
@@ -1,9 +1,9 @@
-//! Hosts of routes: a name, all names below one, or any.
+//! Host patterns of routes: one name, all subdomains of a name, or any host.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Why a text is no host pattern.
+/// Why a text is not a valid host pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("host {text:?} {reason}")]
 pub struct HostError {
@@ -11,18 +11,18 @@
     reason: &'static str,
 }
 
-/// Which hosts a route is for.
+/// The hosts that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum HostPattern {
-    /// This name.
+    /// Exactly this name.
     Name(String),
-    /// Every name below this one (`*.example.org`: one label or more), not the name itself.
+    /// All subdomains of this name (`*.example.org`), at any depth, but not the name itself.
     Subdomains(String),
-    /// Every name.
+    /// Any host.
     Any,
 }
 
-/// Reads `avail.example.org`, `*.example.org` or `*`. Names are turned to lower case, and have no port.
+/// Parses `avail.example.org`, `*.example.org` or `*`. Names are converted to lower case; a port is an error.
 impl FromStr for HostPattern {
     type Err = HostError;
 
@@ -47,8 +47,8 @@
     }
 }
 
-/// Whether this is a host name, or an address in the form that a URI has it: what RFC 3986 calls `reg-name`
-/// is wider, but anything else there could be read in two ways.
+/// Checks that a name is a host name, an IPv4 address, or an IPv6 address in brackets. This is stricter than `reg-name`
+/// of RFC 3986, because servers interpret the other forms of `reg-name` differently.
 pub(crate) fn check(name: &str) -> Result<(), &'static str> {
     if name.is_empty() {
         return Err("is empty");
@@ -60,12 +60,12 @@
         let address = inner.strip_suffix(']').and_then(|text| text.parse::<std::net::Ipv6Addr>().ok());
         return address.map(drop).ok_or("is not an IPv6 address in brackets");
     }
-    let label = |label: &str| {
+    let is_valid_label = |label: &str| {
         !label.is_empty()
             && label.len() <= 63
             && label.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_')
     };
-    if name.split('.').all(label) {
+    if name.split('.').all(is_valid_label) {
         Ok(())
     } else {
         Err("is not a host name")
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,13 +1,18 @@
-//! The route table of the ingress: which pool a request belongs to, by host, path, method and class. It does no I/O, reads
-//! no clock and knows no pools: a look-up gives the number of the route that matched.
+//! The route table of the ingress: finds the route of a request by host, path, method and class. The crate does no I/O and
+//! reads no clock. It does not know the pools of nodes either: a lookup returns the index of the matching route.
 //!
-//! What a request is matched by is its [`Target`], in the one normal form that [`normalize_target`] describes; the same
-//! form goes on to the node, so that nothing can be matched as one path and served as another.
+//! Requests are matched by their [`Target`] in the normal form that [`normalize_target`] returns. The ingress forwards the
+//! same normal form to the node, so a request cannot be matched as one path and served as another.
 //!
-//! The most specific route wins: first by host (a name, then the longest suffix, then any), then by path,
-//! segment by segment from the left (a literal, then a parameter, then the end of a prefix), then a stated
-//! method before any, then a stated class before any. A route that fits all but one of these does not match, and the next
-//! specific one is tried. Two routes of which neither is more specific are an error of the table.
+//! The most specific matching route wins. Routes are compared by these criteria, in this order:
+//!
+//! 1. host: an exact name, then the longest matching suffix, then any host;
+//! 2. path, segment by segment from the left: a literal, then a parameter, then the end of a prefix;
+//! 3. method: a required method before any method;
+//! 4. class: a required class before any class.
+//!
+//! A route matches only if all four match. Two routes that match the same requests and of which neither is more specific
+//! are a [`Conflict`], and the table cannot be built.
 //!
 //! ```
 //! use violetyoke_routes::{Route, RouteTable};
--- a/crates/routes/src/path.rs
+++ b/crates/routes/src/path.rs
@@ -1,10 +1,10 @@
-//! Paths of routes: templates of complete paths, and prefixes.
+//! Path patterns of routes: templates of complete paths, and prefixes.
 
 use crate::target;
 use std::fmt;
 use std::str::FromStr;
 
-/// Why a text is no path pattern.
+/// Why a text is not a valid path pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("path {text:?} {reason}")]
 pub struct PathError {
@@ -12,7 +12,7 @@
     reason: &'static str,
 }
 
-/// Which paths a route is for.
+/// The paths that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathPattern {
     pub(crate) segments: Vec<Segment>,
@@ -23,15 +23,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Segment {
     Literal(String),
-    /// Any one segment; its name says only what it is for.
+    /// Any single segment. The name is for readers only; it has no effect on matching.
     Parameter(String),
 }
 
-/// How specific a path is, segment by segment from the left: greater wins. Of two different paths that match
-/// one and the same request, one is always greater.
+/// How specific a path pattern is, with one number for each segment from the left; the greater rank wins. Two patterns that
+/// match the same request and differ in more than parameter names never have the same rank.
 pub(crate) type Rank = Vec<u8>;
 
-/// Reads `/hotels/{hotel}/rooms`, or a prefix that ends with `/*`: `/hotels/*` is `/hotels` and everything below.
+/// Parses a complete path such as `/hotels/{hotel}/rooms`, or a prefix that ends with `/*`: `/hotels/*` matches `/hotels`
+/// and all paths below it.
 impl FromStr for PathPattern {
     type Err = PathError;
 
@@ -54,7 +55,7 @@
     }
     let segments = rest.split('/').map(parse_segment).collect::<Result<Vec<_>, _>>()?;
     let path = PathPattern { segments, is_prefix };
-    // Anything else could never match: requests come in normal form.
+    // A pattern that is not in normal form could never match, as requests are normalised before the lookup.
     let sample = path.segments.iter().map(|segment| match segment {
         Segment::Literal(text) => format!("/{text}"),
         Segment::Parameter(_) => "/x".to_string(),
@@ -73,8 +74,8 @@
     }
     match text.strip_prefix('{').and_then(|text| text.strip_suffix('}')) {
         Some(name) => {
-            let is_plain = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_');
-            if name.is_empty() || !is_plain {
+            let is_identifier = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_');
+            if name.is_empty() || !is_identifier {
                 return Err("has a parameter without a plain name");
             }
             Ok(Segment::Parameter(name.to_string()))
@@ -94,14 +95,14 @@
                 Segment::Parameter(_) => 2,
             })
             .collect();
-        // The end of a complete path ranks above that of a prefix, which ranks below any segment.
+        // The end of a complete path ranks above the end of a prefix; both rank below any segment.
         rank.push(u8::from(!self.is_prefix));
         rank
     }
 
-    /// In the matcher's syntax, with parameters named by their positions: routes that differ only in the name of a
-    /// parameter are the same route. A prefix is several patterns.
-    pub(crate) fn patterns(&self) -> Vec<String> {
+    /// The patterns in the syntax of `matchit`; a prefix needs several. Parameters are named by their positions, so that
+    /// routes that differ only in parameter names are found to conflict.
+    pub(crate) fn matcher_patterns(&self) -> Vec<String> {
         let mut base = String::new();
         for (position, segment) in self.segments.iter().enumerate() {
             base.push('/');
@@ -113,13 +114,13 @@
         if !self.is_prefix {
             return vec![if base.is_empty() { "/".to_string() } else { base }];
         }
-        let rest = format!("{base}/{{*rest}}");
-        // A path in normal form may end in one slash, which a prefix matches with nothing behind it.
-        let slash = format!("{base}/");
+        let subpaths = format!("{base}/{{*rest}}");
+        // `{*rest}` does not match an empty rest, but a path in normal form may end with a slash.
+        let with_slash = format!("{base}/");
         if base.is_empty() {
-            vec![slash, rest]
+            vec![with_slash, subpaths]
         } else {
-            vec![base, slash, rest]
+            vec![base, with_slash, subpaths]
         }
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,75 +1,82 @@
-//! The table itself: for each host, one matcher for each kind of route. Routes of one kind state the same method and
-//! class, and are complete paths or prefixes of one length: `matchit` does not accept a prefix beside a parameter, and so
-//! compares only within a kind; between kinds the ranks of the paths decide.
+//! The route table. Each host pattern has one `matchit` router for each kind of route. Routes of one kind require the same
+//! method and the same class, and are either complete paths or prefixes with the same number of segments. Prefixes have
+//! routers of their own because `matchit` does not accept a catch-all beside a parameter. A router finds the
+//! best route of its kind; among the routes found, the ranks of their paths decide.
 
 use crate::host::HostPattern;
 use crate::path::{PathPattern, Rank};
 use matchit::Router;
 use std::collections::HashMap;
 
-/// One route. A look-up gives its number in the list that the table was built of.
+/// One route. A lookup returns its index in the list that the table was built from.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The hosts that it is for.
+    /// The hosts that it matches.
     pub host: HostPattern,
-    /// The paths that it is for.
+    /// The paths that it matches.
     pub path: PathPattern,
-    /// Only requests of this method; `None`: of any.
+    /// The required method; `None` matches any method.
     pub method: Option<String>,
-    /// Only requests whose class header says this; `None`: whatever it says.
+    /// The required value of the class header; `None` matches any value and a missing header.
     pub class: Option<String>,
 }
 
-/// Two routes, by their numbers, of which neither is more specific.
+/// Two routes that match the same requests and of which neither is more specific.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("routes {first} and {second} match the same requests, and neither is more specific")]
 pub struct Conflict {
-    /// The first in the list.
+    /// The index of the route that comes first in the list.
     pub first: usize,
-    /// The other one.
+    /// The index of the other route.
     pub second: usize,
 }
 
+/// What the routes in one `matchit` router have in common.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Kind {
+struct RouteKind {
     method: Option<String>,
     class: Option<String>,
-    /// How many segments a prefix has.
+    /// The number of segments of a prefix; `None` for complete paths.
     prefix_length: Option<usize>,
 }
 
-/// Looks requests up in time that does not grow with the number of routes.
+/// Finds the route of a request in time that does not grow with the number of routes.
 #[derive(Default)]
 pub struct RouteTable {
-    names: HashMap<String, Paths>,
-    below: HashMap<String, Paths>,
-    any: Paths,
-    routes: usize,
+    by_name: HashMap<String, HostRoutes>,
+    /// The routes of all subdomains of a name, by that name.
+    by_parent_domain: HashMap<String, HostRoutes>,
+    /// The routes of [`HostPattern::Any`].
+    any: HostRoutes,
+    route_count: usize,
 }
 
-/// The routes of one host: few kinds, many paths.
+/// The routes of one host pattern. There are few kinds, each with many paths; each router returns the index and the rank
+/// of a route.
 #[derive(Default)]
-struct Paths {
-    kinds: Vec<(Kind, Router<(usize, Rank)>)>,
+struct HostRoutes {
+    routers: Vec<(RouteKind, Router<(usize, Rank)>)>,
 }
 
 impl RouteTable {
     /// Builds the table.
     ///
     /// # Errors
-    /// All conflicts between two routes.
+    /// Returns all conflicts between routes.
     pub fn build(routes: &[Route]) -> Result<RouteTable, Vec<Conflict>> {
         let mut conflicts = Vec::new();
-        // The route of each pattern of each host and kind, before the matchers are filled.
-        let mut slots: HashMap<(&HostPattern, Kind, String), (usize, Rank)> = HashMap::new();
-        for (number, route) in routes.iter().enumerate() {
+        // The index and the rank of the first route with each combination of host, kind and matcher pattern.
+        let mut entries: HashMap<(&HostPattern, RouteKind, String), (usize, Rank)> = HashMap::new();
+        for (index, route) in routes.iter().enumerate() {
             let rank = route.path.rank();
-            for pattern in route.path.patterns() {
+            for pattern in route.path.matcher_patterns() {
                 let prefix_length = route.path.is_prefix.then_some(route.path.segments.len());
-                let kind = Kind { method: route.method.clone(), class: route.class.clone(), prefix_length };
-                let slot = slots.entry((&route.host, kind, pattern)).or_insert((number, rank.clone()));
-                if slot.0 != number {
-                    let conflict = Conflict { first: slot.0, second: number };
+                let kind =
+                    RouteKind { method: route.method.clone(), class: route.class.clone(), prefix_length };
+                let first_route =
+                    entries.entry((&route.host, kind, pattern)).or_insert((index, rank.clone()));
+                if first_route.0 != index {
+                    let conflict = Conflict { first: first_route.0, second: index };
                     if !conflicts.contains(&conflict) {
                         conflicts.push(conflict);
                     }
@@ -79,60 +86,60 @@
         if !conflicts.is_empty() {
             return Err(conflicts);
         }
-        let mut table = RouteTable { routes: routes.len(), ..RouteTable::default() };
-        let mut slots: Vec<_> = slots.into_iter().collect();
-        // One order of insertion for one list of routes: the matcher's layout does not depend on chance.
-        slots.sort_by(|a, b| (a.1 .0, &a.0 .2).cmp(&(b.1 .0, &b.0 .2)));
-        for ((host, kind, pattern), value) in slots {
-            let paths = match host {
-                HostPattern::Name(name) => table.names.entry(name.clone()).or_default(),
-                HostPattern::Subdomains(name) => table.below.entry(name.clone()).or_default(),
+        let mut table = RouteTable { route_count: routes.len(), ..RouteTable::default() };
+        let mut entries: Vec<_> = entries.into_iter().collect();
+        // The order of a hash map is random: sorting makes the layout of the routers the same for the same list of routes.
+        entries.sort_by(|a, b| (a.1 .0, &a.0 .2).cmp(&(b.1 .0, &b.0 .2)));
+        for ((host, kind, pattern), value) in entries {
+            let host_routes = match host {
+                HostPattern::Name(name) => table.by_name.entry(name.clone()).or_default(),
+                HostPattern::Subdomains(name) => table.by_parent_domain.entry(name.clone()).or_default(),
                 HostPattern::Any => &mut table.any,
             };
             let (first, second) = (value.0, value.0);
-            // Patterns are in the matcher's own syntax, each of them once: this cannot fail.
-            paths.router(kind).insert(pattern, value).map_err(|_| vec![Conflict { first, second }])?;
+            // Cannot fail: the patterns are valid and each one occurs once in its router.
+            host_routes.router(kind).insert(pattern, value).map_err(|_| vec![Conflict { first, second }])?;
         }
         Ok(table)
     }
 
-    /// How many routes it has.
+    /// The number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.routes
+        self.route_count
     }
 
-    /// Whether it has no routes.
+    /// Whether the table has no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.routes == 0
+        self.route_count == 0
     }
 
-    /// The number of the route of a request: by its host and path in normal form, its method, and its class where it
-    /// states one.
+    /// The index of the most specific route that matches a request. Host and path must be in normal form; `class` is the
+    /// value of the class header, if there is one.
     #[must_use]
     pub fn find(&self, host: &str, path: &str, method: &str, class: Option<&str>) -> Option<usize> {
-        let find = |paths: &Paths| paths.find(path, method, class);
-        if let Some(found) = self.names.get(host).and_then(find) {
-            return Some(found);
+        let find = |host_routes: &HostRoutes| host_routes.find(path, method, class);
+        if let Some(index) = self.by_name.get(host).and_then(find) {
+            return Some(index);
         }
-        if !self.below.is_empty() {
+        if !self.by_parent_domain.is_empty() {
             let mut rest = host;
-            while let Some((_, below)) = rest.split_once('.') {
-                if let Some(found) = self.below.get(below).and_then(find) {
-                    return Some(found);
+            while let Some((_, parent)) = rest.split_once('.') {
+                if let Some(index) = self.by_parent_domain.get(parent).and_then(find) {
+                    return Some(index);
                 }
-                rest = below;
+                rest = parent;
             }
         }
         find(&self.any)
     }
 }
 
-impl Kind {
-    fn fits(&self, method: &str, class: Option<&str>) -> bool {
-        self.method.as_deref().is_none_or(|only| only == method)
-            && self.class.as_deref().is_none_or(|only| Some(only) == class)
+impl RouteKind {
+    fn matches(&self, method: &str, class: Option<&str>) -> bool {
+        self.method.as_deref().is_none_or(|required| required == method)
+            && self.class.as_deref().is_none_or(|required| Some(required) == class)
     }
 }
 
@@ -141,41 +148,41 @@
     rank: &'a Rank,
     has_method: bool,
     has_class: bool,
-    number: usize,
+    index: usize,
 }
 
 impl Candidate<'_> {
-    /// The greater one wins.
+    /// How specific the route is among those of the same host; the greater one wins.
     fn specificity(&self) -> impl PartialOrd + '_ {
         (self.rank, self.has_method, self.has_class)
     }
 }
 
-impl Paths {
-    fn router(&mut self, kind: Kind) -> &mut Router<(usize, Rank)> {
-        let position = self.kinds.iter().position(|(known, _)| *known == kind);
+impl HostRoutes {
+    fn router(&mut self, kind: RouteKind) -> &mut Router<(usize, Rank)> {
+        let position = self.routers.iter().position(|(other, _)| *other == kind);
         let position = position.unwrap_or_else(|| {
-            self.kinds.push((kind, Router::new()));
-            self.kinds.len() - 1
+            self.routers.push((kind, Router::new()));
+            self.routers.len() - 1
         });
-        &mut self.kinds[position].1
+        &mut self.routers[position].1
     }
 
     fn find(&self, path: &str, method: &str, class: Option<&str>) -> Option<usize> {
         let mut best: Option<Candidate<'_>> = None;
-        for (kind, router) in self.kinds.iter().filter(|(kind, _)| kind.fits(method, class)) {
+        for (kind, router) in self.routers.iter().filter(|(kind, _)| kind.matches(method, class)) {
             let Ok(found) = router.at(path) else { continue };
-            let (number, rank) = found.value;
+            let (index, rank) = found.value;
             let candidate = Candidate {
                 rank,
                 has_method: kind.method.is_some(),
                 has_class: kind.class.is_some(),
-                number: *number,
+                index: *index,
             };
             if best.as_ref().is_none_or(|best| best.specificity() < candidate.specificity()) {
                 best = Some(candidate);
             }
         }
-        best.map(|best| best.number)
+        best.map(|best| best.index)
     }
 }
--- a/crates/routes/src/target.rs
+++ b/crates/routes/src/target.rs
@@ -1,21 +1,21 @@
-//! The one normal form of what a request asks for. It is what routes are matched by and what goes on to a
-//! node, so that no two of the servers on the way can read it differently.
+//! The normal form of a request target. Routes are matched by it, and it is forwarded to the node, so that all servers on
+//! the way interpret a request in the same way.
 //!
-//! - Host: from the request target where that is absolute, which the `Host` field must then repeat; else from
-//!   the one `Host` field. Lower case, without port and without the root's dot (RFC 9110 4.2.3).
-//! - Path: percent-encoded bytes that need no encoding are decoded, once, and the others' digits are upper
-//!   case; `.` and `..` are resolved; empty segments are dropped, but a slash at the end stays
-//!   (RFC 3986 6.2.2).
-//! - Refused, as servers are known to differ about them: an encoded slash or backslash, a plain backslash, a
-//!   control byte in any form, a `%` that encodes nothing, `..` above the root, dots with parameters (`/..;x/`),
-//!   and any target but a path or an absolute URI.
+//! - Host: from the one `Host` field, which an absolute request target must repeat. It is in lower case, without a port
+//!   and without the dot of the root domain at the end (RFC 9110 4.2.3).
+//! - Path: percent-encoded bytes that need no encoding are decoded once; the hexadecimal digits of the other encoded bytes
+//!   are in upper case. `.` and `..` are resolved. Empty segments are dropped, but a slash at the end stays (RFC 3986
+//!   6.2.2).
+//! - Rejected, because servers are known to interpret them differently: an encoded slash or backslash, a plain backslash, a
+//!   control byte in any form, a `%` without two hexadecimal digits, `..` above the root, dot segments with parameters
+//!   (`/..;x/`), and any target other than a path or an absolute URI.
 //!
-//! The query is no part of a route and goes on as it came.
+//! The query takes no part in matching and is forwarded unchanged.
 
 use crate::host;
 use std::fmt;
 
-/// What a request asks for, in normal form.
+/// The target of a request, in normal form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The host.
@@ -24,25 +24,25 @@
     pub path: String,
 }
 
-/// Why a request's target is refused.
+/// Why the target of a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetError {
     /// No `Host` field, or more than one.
     MissingOrRepeatedHost,
-    /// The host is no host name.
+    /// The host is not a valid host name.
     InvalidHost,
     /// The absolute target names another host than the `Host` field.
     HostMismatch,
     /// The path does not begin with a slash.
     NotAPath,
-    /// The path has an encoding that servers read differently.
+    /// The path contains an encoding that servers interpret differently.
     AmbiguousEncoding,
-    /// The path leads above the root, or hides dots.
+    /// The path leads above the root, or has a dot segment with parameters.
     InvalidDotSegments,
 }
 
 impl TargetError {
-    /// The field, and what is wrong with it.
+    /// The part of the target, and what is wrong with it. Sent to the client.
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
@@ -64,24 +64,24 @@
     }
 }
 
-/// The normal form of a request's target. `absolute` is the authority of an absolute target; `hosts` are the
-/// values of the `Host` fields, in order.
+/// Returns the normal form of a request target. `absolute` is the authority of an absolute target; `hosts` are the values of
+/// the `Host` fields, in order.
 ///
 /// # Errors
-/// When servers on the way could read the target in different ways.
+/// When the target is invalid, or servers on the way could interpret it differently.
 pub fn normalize_target<'a>(
     absolute: Option<&str>,
     hosts: impl IntoIterator<Item = &'a [u8]>,
     raw_path: &str,
 ) -> Result<Target, TargetError> {
     let mut hosts = hosts.into_iter();
-    let (Some(stated), None) = (hosts.next(), hosts.next()) else {
+    let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(TargetError::MissingOrRepeatedHost);
     };
-    let stated = std::str::from_utf8(stated).map_err(|_| TargetError::InvalidHost)?;
-    let host = host_from_authority(stated.trim())?;
+    let host = std::str::from_utf8(host).map_err(|_| TargetError::InvalidHost)?;
+    let host = host_from_authority(host.trim())?;
     if let Some(absolute) = absolute {
-        // A server in front may have followed the one, a node behind may follow the other.
+        // A server in front of the ingress may use one of the two hosts, and the node the other.
         if host_from_authority(absolute)? != host {
             return Err(TargetError::HostMismatch);
         }
@@ -89,10 +89,11 @@
     Ok(Target { host, path: normalize_path(raw_path)? })
 }
 
-/// The host of an authority: lower case, without port and root dot. User names in it are refused.
+/// Returns the host of an authority, in lower case and without a port or the dot of the root domain. User information is
+/// rejected.
 ///
 /// # Errors
-/// When it is no host name with an optional port.
+/// When the authority is not a host name with an optional port.
 pub fn host_from_authority(text: &str) -> Result<String, TargetError> {
     let (name, port) = match text.strip_prefix('[') {
         Some(rest) => {
@@ -107,7 +108,7 @@
         }
         None => text.split_once(':').map_or((text, None), |(name, port)| (name, Some(port))),
     };
-    // An empty port is a port by RFC 3986, and means the usual one.
+    // RFC 3986 allows an empty port, which means the default port.
     if port.is_some_and(|port| port.len() > 5 || !port.bytes().all(|byte| byte.is_ascii_digit())) {
         return Err(TargetError::InvalidHost);
     }
@@ -116,24 +117,24 @@
     Ok(name)
 }
 
-/// The normal form of a path.
+/// Returns the normal form of a path.
 pub(crate) fn normalize_path(raw: &str) -> Result<String, TargetError> {
     let Some(rest) = raw.strip_prefix('/') else { return Err(TargetError::NotAPath) };
     // Most paths are in normal form already.
-    let plain =
+    let is_plain =
         |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'%' | b'\\' | b'.' | b';' | b'?' | b'#');
-    if rest.bytes().all(plain) && !raw.contains("//") {
+    if rest.bytes().all(is_plain) && !raw.contains("//") {
         return Ok(raw.to_string());
     }
     let mut normal = String::with_capacity(raw.len());
-    let mut ends_open = false;
+    let mut ends_with_slash = false;
     for segment in rest.split('/') {
-        let segment = decoded(segment)?;
+        let segment = decode_unreserved(segment)?;
         let name = segment.split(';').next().unwrap_or_default();
         if matches!(name, "." | "..") && name != segment {
             return Err(TargetError::InvalidDotSegments);
         }
-        ends_open = matches!(segment.as_str(), "" | "." | "..");
+        ends_with_slash = matches!(segment.as_str(), "" | "." | "..");
         match segment.as_str() {
             "" | "." => {}
             ".." => normal.truncate(normal.rfind('/').ok_or(TargetError::InvalidDotSegments)?),
@@ -143,21 +144,21 @@
             }
         }
     }
-    if ends_open || normal.is_empty() {
+    if ends_with_slash || normal.is_empty() {
         normal.push('/');
     }
     Ok(normal)
 }
 
-/// A segment with what needs no encoding decoded, once.
-fn decoded(segment: &str) -> Result<String, TargetError> {
+/// Decodes, once, the percent-encoded bytes of a segment that need no encoding.
+fn decode_unreserved(segment: &str) -> Result<String, TargetError> {
     let bytes = segment.as_bytes();
     let mut text = String::with_capacity(segment.len());
-    let mut at = 0;
-    while at < bytes.len() {
-        match bytes[at] {
+    let mut position = 0;
+    while position < bytes.len() {
+        match bytes[position] {
             b'%' => {
-                let digits = bytes.get(at + 1..at + 3).ok_or(TargetError::AmbiguousEncoding)?;
+                let digits = bytes.get(position + 1..position + 3).ok_or(TargetError::AmbiguousEncoding)?;
                 let digit = |byte: u8| (byte as char).to_digit(16).ok_or(TargetError::AmbiguousEncoding);
                 let byte = (digit(digits[0])? * 16 + digit(digits[1])?) as u8;
                 match byte {
@@ -167,12 +168,12 @@
                     }
                     _ => text.push_str(&format!("%{byte:02X}")),
                 }
-                at += 3;
+                position += 3;
             }
             b'\\' | b'?' | b'#' => return Err(TargetError::AmbiguousEncoding),
             byte if byte.is_ascii_graphic() => {
                 text.push(byte as char);
-                at += 1;
+                position += 1;
             }
             _ => return Err(TargetError::AmbiguousEncoding),
         }
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,12 +1,12 @@
-//! Which rule a request matches: the order of specificity, ties, and agreement with a plain search through
-//! all rules.
+//! Which route a request matches: the order of specificity, conflicts, and agreement with a linear search through all
+//! routes.
 
 #![cfg(test)]
 
 use proptest::prelude::*;
 use violetyoke_routes::{Conflict, HostError, HostPattern, PathError, PathPattern, Route, RouteTable};
 
-fn rule(host: &str, path: &str, method: Option<&str>, class: Option<&str>) -> Route {
+fn route(host: &str, path: &str, method: Option<&str>, class: Option<&str>) -> Route {
     Route {
         host: host.parse().unwrap(),
         path: path.parse().unwrap(),
@@ -15,19 +15,20 @@
     }
 }
 
+/// A route for any method and any class.
 fn plain(host: &str, path: &str) -> Route {
-    rule(host, path, None, None)
+    route(host, path, None, None)
 }
 
 #[test]
-fn the_most_specific_host_wins_and_one_that_does_not_fit_gives_way() {
-    let rules = [
+fn the_most_specific_host_with_a_matching_path_wins() {
+    let routes = [
         plain("*", "/*"),
         plain("*.example.org", "/*"),
         plain("*.eu.example.org", "/*"),
         plain("a.eu.example.org", "/rooms/*"),
     ];
-    let table = RouteTable::build(&rules).unwrap();
+    let table = RouteTable::build(&routes).unwrap();
     let find = |host, path| table.find(host, path, "GET", None);
     assert_eq!(find("a.eu.example.org", "/rooms/1"), Some(3));
     assert_eq!(find("a.eu.example.org", "/hotels"), Some(2));
@@ -38,18 +39,18 @@
 }
 
 #[test]
-fn paths_go_segment_by_segment_and_methods_and_classes_come_after_them() {
-    let rules = [
+fn paths_are_compared_before_methods_and_methods_before_classes() {
+    let routes = [
         plain("h", "/*"),
         plain("h", "/hotels/*"),
         plain("h", "/hotels/{hotel}"),
         plain("h", "/hotels/{hotel}/rooms"),
         plain("h", "/hotels/all/*"),
-        rule("h", "/hotels/{hotel}", Some("POST"), None),
-        rule("h", "/hotels/{hotel}", None, Some("booking")),
-        rule("h", "/hotels/new", Some("PUT"), Some("booking")),
+        route("h", "/hotels/{hotel}", Some("POST"), None),
+        route("h", "/hotels/{hotel}", None, Some("booking")),
+        route("h", "/hotels/new", Some("PUT"), Some("booking")),
     ];
-    let table = RouteTable::build(&rules).unwrap();
+    let table = RouteTable::build(&routes).unwrap();
     let find = |path, method, class| table.find("h", path, method, class);
     assert_eq!(find("/", "GET", None), Some(0));
     assert_eq!(find("/hotel", "GET", None), Some(0));
@@ -63,30 +64,31 @@
     assert_eq!(find("/hotels/7", "POST", Some("booking")), Some(5));
     assert_eq!(find("/hotels/7", "GET", Some("booking")), Some(6));
     assert_eq!(find("/hotels/new", "PUT", Some("booking")), Some(7));
-    // The literal is for another method: the parameter's rule serves.
+    // The route with the literal requires another method or class: the route with the parameter matches.
     assert_eq!(find("/hotels/new", "GET", None), Some(2));
     assert_eq!(find("/hotels/new", "PUT", Some("other")), Some(2));
     assert_eq!(table.find("other", "/hotels", "GET", None), None);
 }
 
 #[test]
-fn a_tie_is_an_error_whatever_parameters_are_called() {
-    let rules = [
+fn conflicting_routes_are_reported_even_with_different_parameter_names() {
+    let routes = [
         plain("h", "/hotels/{hotel}"),
         plain("h", "/hotels/{id}"),
         plain("h", "/rooms/*"),
-        rule("h", "/rooms/*", Some("GET"), None),
+        route("h", "/rooms/*", Some("GET"), None),
         plain("*.h", "/x"),
         plain("*.h", "/x"),
     ];
-    let ties = RouteTable::build(&rules).err().unwrap();
-    let mut ties: Vec<_> = ties.iter().map(|Conflict { first, second }| (*first, *second)).collect();
-    ties.sort_unstable();
-    assert_eq!(ties, [(0, 1), (4, 5)]);
+    let conflicts = RouteTable::build(&routes).err().unwrap();
+    let mut conflicts: Vec<_> =
+        conflicts.iter().map(|Conflict { first, second }| (*first, *second)).collect();
+    conflicts.sort_unstable();
+    assert_eq!(conflicts, [(0, 1), (4, 5)]);
 }
 
 #[test]
-fn what_is_no_pattern_is_refused_in_plain_words() {
+fn invalid_patterns_are_rejected_and_the_error_names_the_field() {
     for path in [
         "",
         "hotels",
@@ -113,58 +115,60 @@
     }
 }
 
-/// One rule against one request, in the words of the documentation and with none of the table's code.
-fn fits(
-    rule: &Route,
+/// Matches one route against one request, independently of the table's code. Returns what the specificity of the route is
+/// compared by, or `None` if the route does not match.
+fn specificity(
+    route: &Route,
     host: &str,
     path: &str,
     method: &str,
     class: Option<&str>,
 ) -> Option<(usize, Vec<u8>, bool, bool)> {
-    let host = match &rule.host {
+    let host = match &route.host {
         HostPattern::Name(name) => (name == host).then_some(usize::MAX)?,
         HostPattern::Subdomains(name) => {
             host.strip_suffix(name.as_str())?.ends_with('.').then_some(name.len())?
         }
         HostPattern::Any => 0,
     };
-    let stated = rule.path.to_string();
-    let (stated, open) = stated.strip_suffix("/*").map_or((stated.as_str(), false), |stated| (stated, true));
-    let wanted: Vec<&str> = stated.split('/').skip(1).collect();
-    let asked: Vec<&str> = path.split('/').skip(1).collect();
-    if asked.len() < wanted.len() || (!open && asked.len() > wanted.len()) {
+    let pattern = route.path.to_string();
+    let (pattern, is_prefix) =
+        pattern.strip_suffix("/*").map_or((pattern.as_str(), false), |pattern| (pattern, true));
+    let pattern: Vec<&str> = pattern.split('/').skip(1).collect();
+    let segments: Vec<&str> = path.split('/').skip(1).collect();
+    if segments.len() < pattern.len() || (!is_prefix && segments.len() > pattern.len()) {
         return None;
     }
     let mut rank = Vec::new();
-    for (wanted, asked) in wanted.iter().zip(&asked) {
-        if wanted.starts_with('{') {
+    for (expected, segment) in pattern.iter().zip(&segments) {
+        if expected.starts_with('{') {
             rank.push(2);
-            (!asked.is_empty()).then_some(())?;
+            (!segment.is_empty()).then_some(())?;
         } else {
             rank.push(3);
-            (wanted == asked).then_some(())?;
+            (expected == segment).then_some(())?;
         }
     }
-    rank.push(u8::from(!open));
-    (rule.method.as_deref().is_none_or(|only| only == method)).then_some(())?;
-    (rule.class.as_deref().is_none_or(|only| Some(only) == class)).then_some(())?;
-    Some((host, rank, rule.method.is_some(), rule.class.is_some()))
+    rank.push(u8::from(!is_prefix));
+    (route.method.as_deref().is_none_or(|required| required == method)).then_some(())?;
+    (route.class.as_deref().is_none_or(|required| Some(required) == class)).then_some(())?;
+    Some((host, rank, route.method.is_some(), route.class.is_some()))
 }
 
-fn any_rule() -> impl Strategy<Value = Route> {
+fn any_route() -> impl Strategy<Value = Route> {
     let segment = prop::sample::select(vec!["a", "b", "{x}", "{y}"]);
     let host = prop::sample::select(vec!["*", "a.h", "b.h", "*.h", "*.a.h"]);
     let method = prop::sample::select(vec![None, None, Some("GET"), Some("POST")]);
     let class = prop::sample::select(vec![None, None, Some("k"), Some("l")]);
     (host, prop::collection::vec(segment, 0..4), any::<bool>(), method, class).prop_map(
-        |(host, path, open, method, class)| {
+        |(host, path, is_prefix, method, class)| {
             let path = format!("/{}", path.join("/"));
-            let path = match (open, path.as_str()) {
+            let path = match (is_prefix, path.as_str()) {
                 (true, "/") => "/*".to_string(),
                 (true, path) => format!("{path}/*"),
                 (false, path) => path.to_string(),
             };
-            rule(host, &path, method, class)
+            route(host, &path, method, class)
         },
     )
 }
@@ -172,33 +176,33 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
     #[test]
-    fn the_table_agrees_with_a_search_through_all_rules(
-        rules in prop::collection::vec(any_rule(), 1..24),
+    fn the_table_agrees_with_a_linear_search(
+        routes in prop::collection::vec(any_route(), 1..24),
         host in prop::sample::select(vec!["a.h", "b.h", "c.a.h", "h", "z"]),
         path in prop::collection::vec(prop::sample::select(vec!["a", "b", "c"]), 0..5),
-        slash in any::<bool>(),
+        ends_with_slash in any::<bool>(),
         method in prop::sample::select(vec!["GET", "POST", "PUT"]),
         class in prop::sample::select(vec![None, Some("k"), Some("l")]),
     ) {
-        // Ties are the table's to refuse, and nothing else is: the first of each is kept.
-        let same = |a: &Route, b: &Route| {
-            let path = |rule: &Route| rule.path.to_string().replace("{x}", "{}").replace("{y}", "{}");
+        // Each duplicate must be reported as a conflict, and nothing else. The lookups use a table without duplicates.
+        let is_duplicate = |a: &Route, b: &Route| {
+            let path = |route: &Route| route.path.to_string().replace("{x}", "{}").replace("{y}", "{}");
             (&a.host, path(a), &a.method, &a.class) == (&b.host, path(b), &b.method, &b.class)
         };
-        let mut kept: Vec<Route> = Vec::new();
-        let mut ties = 0;
-        for rule in &rules {
-            if kept.iter().any(|other| same(other, rule)) {
-                ties += 1;
+        let mut unique: Vec<Route> = Vec::new();
+        let mut duplicates = 0;
+        for route in &routes {
+            if unique.iter().any(|other| is_duplicate(other, route)) {
+                duplicates += 1;
             } else {
-                kept.push(rule.clone());
+                unique.push(route.clone());
             }
         }
-        prop_assert_eq!(RouteTable::build(&rules).err().map_or(0, |ties| ties.len()), ties);
-        let table = RouteTable::build(&kept).unwrap();
-        let path = format!("/{}{}", path.join("/"), if slash && !path.is_empty() { "/" } else { "" });
-        let all = kept.iter().enumerate().filter_map(|(number, rule)| Some((fits(rule, host, &path, method, class)?, number)));
-        let best = all.max();
-        prop_assert_eq!(table.find(host, &path, method, class), best.map(|(_, number)| number), "{} {}", host, path);
+        prop_assert_eq!(RouteTable::build(&routes).err().map_or(0, |conflicts| conflicts.len()), duplicates);
+        let table = RouteTable::build(&unique).unwrap();
+        let path = format!("/{}{}", path.join("/"), if ends_with_slash && !path.is_empty() { "/" } else { "" });
+        let matching = unique.iter().enumerate().filter_map(|(index, route)| Some((specificity(route, host, &path, method, class)?, index)));
+        let best = matching.max();
+        prop_assert_eq!(table.find(host, &path, method, class), best.map(|(_, index)| index), "{} {}", host, path);
     }
 }
