--- a/crates/operations/src/manual_ejections.rs
+++ b/crates/operations/src/manual_ejections.rs
@@ -1,37 +1,40 @@
-//! Nodes that operators have taken out of use, by their names, whatever the list says of them meanwhile.
+//! Nodes that operators have ejected. A node stays ejected until an operator restores it, even if it leaves the node list
+//! and returns.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Which nodes are ejected by hand, and since when.
+/// The manually ejected nodes, by node id, with the time of their ejection.
 #[derive(Clone, Debug, Default)]
 pub struct ManualEjections {
     ejected: BTreeMap<String, Micros>,
-    /// Those that were restored: when they were ejected, and when they were restored.
+    /// Restored nodes that are not known to have started since their ejection: the time of the ejection, and the time of
+    /// the restoration.
     restored: BTreeMap<String, (Micros, Micros)>,
 }
 
 impl ManualEjections {
-    /// Nodes that were ejected already when this process started, as an earlier one left them.
+    /// Starts with the nodes that an earlier process has ejected.
     #[must_use]
     pub fn new(ejected: impl IntoIterator<Item = (String, Micros)>) -> ManualEjections {
         ManualEjections { ejected: ejected.into_iter().collect(), restored: BTreeMap::new() }
     }
 
-    /// Nodes that were restored and are not known to have started since, with when they were ejected and when they were
-    /// restored, for a process that takes over.
+    /// The restored nodes that are not known to have started since their ejection, for the state handover to a newer
+    /// process: the time of the ejection, and the time of the restoration.
     #[must_use]
     pub fn restored(&self) -> &BTreeMap<String, (Micros, Micros)> {
         &self.restored
     }
 
-    /// Takes over the nodes that an earlier process has restored. One that is ejected here stays so.
+    /// Imports the nodes that an earlier process has restored. A node that is ejected here stays ejected.
     pub fn import_restored(&mut self, restored: BTreeMap<String, (Micros, Micros)>) {
         let restored = restored.into_iter().filter(|(id, _)| !self.ejected.contains_key(id));
         self.restored.extend(restored.collect::<Vec<_>>());
     }
 
-    /// Ejects a node; whether it was not ejected before. One call to restore it undoes any number of these.
+    /// Ejects a node, and returns whether it was not ejected before. Ejections do not nest: one call to `restore` undoes any
+    /// number of calls.
     pub fn eject(&mut self, id: &str, now: Micros) -> bool {
         if self.ejected.contains_key(id) {
             return false;
@@ -41,10 +44,10 @@
         true
     }
 
-    /// Restores a node; whether it was ejected.
+    /// Restores a node, and returns whether it was ejected.
     pub fn restore(&mut self, id: &str, now: Micros) -> bool {
-        let Some(since) = self.ejected.remove(id) else { return false };
-        self.restored.insert(id.to_string(), (since, now));
+        let Some(ejected_at) = self.ejected.remove(id) else { return false };
+        self.restored.insert(id.to_string(), (ejected_at, now));
         true
     }
 
@@ -54,31 +57,31 @@
         self.ejected.contains_key(id)
     }
 
-    /// When a node is assumed to have started, by what the list says of it. One that was ejected has most likely been
-    /// restarted meanwhile, and a cold node must not get a warm one's load: until the list names a start since its
-    /// ejection, it counts as started when it was restored.
-    pub fn assumed_start(&mut self, id: &str, listed: Micros) -> Micros {
+    /// The time at which a node is assumed to have started, where the node list gives `listed_start`. An ejected node has
+    /// most likely been restarted before it was restored, and a node that is warming up must not get full load. A restored
+    /// node therefore counts as started at its restoration, until the list gives a start after its ejection.
+    pub fn assumed_start(&mut self, id: &str, listed_start: Micros) -> Micros {
         match self.restored.get(id) {
-            Some((since, _)) if listed > *since => {
+            Some((ejected_at, _)) if listed_start > *ejected_at => {
                 self.restored.remove(id);
-                listed
+                listed_start
             }
-            Some((_, restored)) => *restored,
-            None => listed,
+            Some((_, restored_at)) => *restored_at,
+            None => listed_start,
         }
     }
 
-    /// Adopts the ejections that another process has written down; the nodes that are different now.
-    pub fn update_from(&mut self, written: &BTreeMap<String, Micros>, now: Micros) -> Vec<String> {
+    /// Applies the ejections that another process has stored, and returns the nodes that were ejected or restored by it.
+    pub fn update_from(&mut self, stored: &BTreeMap<String, Micros>, now: Micros) -> Vec<String> {
         let restored: Vec<String> =
-            self.ejected.keys().filter(|id| !written.contains_key(*id)).cloned().collect();
+            self.ejected.keys().filter(|id| !stored.contains_key(*id)).cloned().collect();
         let ejected: Vec<String> =
-            written.keys().filter(|id| !self.ejected.contains_key(*id)).cloned().collect();
+            stored.keys().filter(|id| !self.ejected.contains_key(*id)).cloned().collect();
         for id in &restored {
             self.restore(id, now);
         }
         for id in &ejected {
-            self.eject(id, written[id]);
+            self.eject(id, stored[id]);
         }
         restored.into_iter().chain(ejected).collect()
     }
--- a/crates/operations/src/serving_state.rs
+++ b/crates/operations/src/serving_state.rs
@@ -1,99 +1,102 @@
-//! Whether an ingress serves, drains, has been taken over or shuts down, and what that means for clients' connections.
+//! The serving state of an ingress, and how it determines the treatment of clients' connections.
 //!
 //! ```text
 //!   Serving --drain--> Draining --resume--> Serving
-//!   Serving, Draining --taken over--> TakenOver --the newer one dies--> Serving
-//!   any --SIGTERM--> Ending
+//!   Serving, Draining --a newer process takes over--> TakenOver --the newer process dies--> Serving
+//!   any state --SIGTERM--> Ending
 //! ```
 
 use crate::Micros;
 
-/// From a drain on, until the load balancer in front has asked for readiness once more (it asks ten times a second) and
-/// opens nothing new (0.2 s after a no). Idle connections closed before would be opened here again.
+/// The time from the start of a drain until idle connections are closed. The load balancer in front checks readiness ten
+/// times a second, and opens no new connections 0.2 s after the first failed check. It would replace connections that are
+/// closed earlier by new connections to this ingress.
 const DRAIN_NOTICED_AFTER: Micros = 400_000;
 /// How long new connections are still accepted after SIGTERM.
 const ACCEPT_AFTER_SIGTERM: Micros = 700_000;
-/// How long an ingress that was taken over keeps idle connections after SIGTERM, for clients that are about to use them.
-/// Requests that come by then are answered before the process is killed: that comes 0.7 s after the longest deadline.
+/// How long an ingress keeps idle connections after SIGTERM if a newer process has taken over, for clients that are about to
+/// send a request on them. Requests that arrive within this time are answered before the process is killed, which happens
+/// 0.7 s after the longest request deadline.
 const KEEP_IDLE_AFTER_SIGTERM: Micros = 500_000;
 
-/// What becomes of connections on which no request is in flight.
+/// How connections without a request in flight are treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdlePolicy {
-    /// They are kept.
+    /// They stay open.
     Keep,
-    /// Those without a byte of a request are closed, a few at a time.
+    /// Those on which no byte of a next request has arrived are closed. Applies repeatedly, as further connections become
+    /// idle.
     CloseWithoutInput,
     /// All of them are closed at once.
     CloseAll,
 }
 
-/// Whether an ingress serves, and how it stops.
+/// The serving state of an ingress process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServingState {
-    /// It serves.
+    /// It serves clients.
     #[default]
     Serving,
-    /// It is to be left by its clients, and serves those that still come.
+    /// An operator drains it: readiness checks fail so that clients go elsewhere; requests that still arrive are served.
     Draining {
-        /// Since when.
+        /// The start of the drain.
         since: Micros,
     },
-    /// A newer process accepts on the same listening socket; this one completes what it has.
+    /// A newer process accepts connections on the same listening socket; this one serves its open connections.
     TakenOver,
-    /// It shuts down.
+    /// It shuts down after SIGTERM.
     Ending {
-        /// Since when.
+        /// The time of the SIGTERM.
         since: Micros,
-        /// A newer process has taken over before.
+        /// Whether a newer process had taken over before.
         was_taken_over: bool,
     },
 }
 
 impl ServingState {
-    /// An operator drains it.
+    /// An operator starts a drain. No effect unless the ingress is serving.
     pub fn drain(&mut self, now: Micros) {
         if *self == ServingState::Serving {
             *self = ServingState::Draining { since: now };
         }
     }
 
-    /// An operator ends the drain.
+    /// An operator ends the drain. No effect unless the ingress is draining.
     pub fn resume(&mut self) {
         if matches!(self, ServingState::Draining { .. }) {
             *self = ServingState::Serving;
         }
     }
 
-    /// A newer process has taken over.
+    /// A newer process has taken over the listening socket.
     pub fn on_taken_over(&mut self) {
         if !matches!(self, ServingState::Ending { .. }) {
             *self = ServingState::TakenOver;
         }
     }
 
-    /// The newer process has died: this one serves again, unless it shuts down.
+    /// The newer process has died: this one serves again, unless it is shutting down.
     pub fn on_successor_lost(&mut self) {
         if *self == ServingState::TakenOver {
             *self = ServingState::Serving;
         }
     }
 
-    /// It has got a SIGTERM.
+    /// The process has received SIGTERM. Further signals have no effect.
     pub fn shut_down(&mut self, now: Micros) {
         if !matches!(self, ServingState::Ending { .. }) {
             *self = ServingState::Ending { since: now, was_taken_over: *self == ServingState::TakenOver };
         }
     }
 
-    /// What it answers to readiness checks. One that shuts down is ready until its listener is closed, and so is one that
-    /// was taken over: its answer would be taken for its successor's.
+    /// The answer to readiness checks. A process that shuts down stays ready until its listener is closed. So does a process
+    /// that was taken over, because the load balancer would take its answer for that of the newer process.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !matches!(self, ServingState::Draining { .. })
     }
 
-    /// Whether it has got a SIGTERM.
+    /// Whether the process has received SIGTERM.
     #[must_use]
     pub fn is_shutting_down(&self) -> bool {
         matches!(self, ServingState::Ending { .. })
@@ -111,13 +114,13 @@
         }
     }
 
-    /// Whether a connection is kept for another request.
+    /// Whether a connection stays open for further requests after a response (HTTP keep-alive).
     #[must_use]
     pub fn keeps_connections(&self) -> bool {
         *self == ServingState::Serving
     }
 
-    /// What becomes of idle connections now.
+    /// How idle connections are treated now.
     #[must_use]
     pub fn idle_policy(&self, now: Micros) -> IdlePolicy {
         match self {
@@ -132,7 +135,8 @@
         }
     }
 
-    /// After SIGTERM, when it accepts nothing more and only completes what is in flight.
+    /// The time, after SIGTERM, from which only requests in flight are completed: no connections are accepted, and no idle
+    /// ones are kept. `None` before SIGTERM.
     #[must_use]
     pub fn closes_at(&self) -> Option<Micros> {
         match self {
--- a/crates/operations/tests/manual_ejections.rs
+++ b/crates/operations/tests/manual_ejections.rs
@@ -1,4 +1,4 @@
-//! Nodes taken out by ejections.
+//! Manual ejections and restorations of nodes.
 
 use std::collections::BTreeMap;
 use violetyoke_operations::ManualEjections;
@@ -15,26 +15,26 @@
 }
 
 #[test]
-fn a_restored_node_is_cold_unless_the_list_names_its_start() {
+fn a_restored_node_warms_up_unless_the_list_gives_a_start_after_its_ejection() {
     let mut ejections = ManualEjections::default();
     assert_eq!(ejections.assumed_start("s-1", 5), 5);
     ejections.eject("s-1", 1000);
     ejections.restore("s-1", 9000);
-    // The list knows of no start since: it may have been started a moment ago.
+    // The list gives a start before the ejection: the node may have been restarted since.
     assert_eq!(ejections.assumed_start("s-1", 5), 9000);
     assert_eq!(ejections.assumed_start("s-1", 4000), 4000);
-    // Told once, the list's word holds.
+    // After one listed start that is later than the ejection, the listed start always counts.
     assert_eq!(ejections.assumed_start("s-1", 5), 5);
 }
 
 #[test]
-fn ejections_of_another_process_are_adopted() {
+fn ejections_stored_by_another_process_are_applied() {
     let mut ejections = ManualEjections::new([("s-1".to_string(), 10), ("s-2".to_string(), 20)]);
-    let written: BTreeMap<String, u64> = [("s-2".to_string(), 20), ("s-3".to_string(), 30)].into();
-    let mut moved = ejections.update_from(&written, 50);
-    moved.sort();
-    assert_eq!(moved, ["s-1", "s-3"]);
+    let stored: BTreeMap<String, u64> = [("s-2".to_string(), 20), ("s-3".to_string(), 30)].into();
+    let mut changed = ejections.update_from(&stored, 50);
+    changed.sort();
+    assert_eq!(changed, ["s-1", "s-3"]);
     assert!(!ejections.is_ejected("s-1") && ejections.is_ejected("s-2") && ejections.is_ejected("s-3"));
     assert_eq!(ejections.assumed_start("s-1", 0), 50);
-    assert!(ejections.update_from(&written, 60).is_empty());
+    assert!(ejections.update_from(&stored, 60).is_empty());
 }
