--- a/crates/proxy/src/control_client/mod.rs
+++ b/crates/proxy/src/control_client/mod.rs
@@ -1,10 +1,10 @@
-//! The client of the registries: it keeps a connection to each one, polls them for what is newer than what is known
-//! here, and applies what they send.
+//! The client of the registries. It keeps a connection to each registry, polls for updates of the state that this proxy
+//! has, and applies them.
 //!
 //! - `session` connects, and announces this proxy;
-//! - `polling` asks for updates, one registry as the primary;
+//! - `polling` requests updates, with one registry as the primary;
 //! - `updates` installs configurations and backend lists;
-//! - `membership` applies what registries report of proxies, registries and shard owners.
+//! - `membership` applies the registries' reports on proxies, registries and shard owners.
 
 mod membership;
 mod polling;
@@ -26,32 +26,32 @@
 use violetyoke_transport::connection::{Event, Sender};
 use violetyoke_transport::messages::ProxyReply;
 
-/// Something happened on the connection to a registry.
+/// An event on the connection to a registry.
 #[derive(Debug)]
 pub(crate) struct RegistryEvent {
     pub(crate) registry: Ipv4Addr,
     pub(crate) event: Event,
 }
 
-/// The state of the client that no other part needs; what it learns goes to the owners in [`Proxy`].
+/// The client and the state that only the client needs. State that other parts need is stored in [`Proxy`].
 pub(crate) struct ControlClient {
     proxy: Rc<Proxy>,
     settings: Settings,
     /// Distinguishes this process from an earlier one on the same machine.
     incarnation: u64,
-    /// The registry that is asked to send updates first.
+    /// The registry that is to send updates at once; the others wait before they send any.
     primary_registry: Option<Ipv4Addr>,
-    /// When the first registry was asked for the first state.
+    /// When a primary registry was polled for the first time.
     first_poll_at: Option<Instant>,
 }
 
 impl ControlClient {
-    /// A client without connections; [`ControlClient::connect_to_known_registries`] opens them.
+    /// Creates a client without connections; [`ControlClient::connect_to_known_registries`] opens them.
     pub(crate) fn new(proxy: Rc<Proxy>, settings: Settings, incarnation: u64) -> ControlClient {
         ControlClient { proxy, settings, incarnation, primary_registry: None, first_poll_at: None }
     }
 
-    /// Takes new settings: of these, the seeds alone can change while the process runs.
+    /// Applies new settings: only the seeds can change while the process runs.
     pub(crate) fn update_settings(&mut self, settings: Settings) {
         self.settings.network.seeds = settings.network.seeds;
     }
@@ -132,7 +132,7 @@
     }
 }
 
-/// An owner's decision, as it is encoded: denied where there is a time to retry after.
+/// Decodes an owner's decision: a request is denied if there is a time to retry after.
 fn admission(retry_ms: Option<u32>) -> Admission {
     match retry_ms {
         None => Admission::Admitted,
--- a/crates/proxy/src/control_client/polling.rs
+++ b/crates/proxy/src/control_client/polling.rs
@@ -1,5 +1,5 @@
-//! Polling: all registries are asked for what is newer than what is known here, and one of them, the primary, is to send it.
-//! The others send it only when it is still missing a while later.
+//! Polling. Each poll tells all registries which state this proxy has, and requests newer state. One registry, the primary,
+//! sends it at once; the others send it only if this proxy still lacks it some time later (`FALLBACK_DELAY`).
 
 use super::ControlClient;
 use crate::registries::registry_rank;
@@ -9,22 +9,22 @@
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Revision};
 
-/// The first registry that is connected has this time to send the first state and list: less than after what another one
-/// sends them unasked (`FALLBACK_DELAY`).
+/// The time that the first primary has to send the initial state and backend list before another registry may become the
+/// primary. Shorter than the time after which the other registries send them anyway (`FALLBACK_DELAY`).
 const FIRST_STATE_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl ControlClient {
-    /// Asks all registries for what is newer than what is known here.
+    /// Requests newer state from all registries.
     pub(super) fn poll(&mut self) {
         self.poll_since(self.proxy.configuration.revision());
     }
 
-    /// Asks for the full state, after a change that does not apply to the configuration in force.
+    /// Requests the full state, after a change that does not apply to the configuration in force.
     pub(super) fn poll_full_state(&mut self) {
         self.poll_since(Revision::default());
     }
 
-    /// Asks for another primary's updates at once, if another registry should be the primary by now.
+    /// Polls at once if another registry should now be the primary.
     pub(super) fn poll_if_primary_changed(&mut self) {
         if self.select_primary() != self.primary_registry {
             self.poll();
@@ -46,14 +46,15 @@
         });
     }
 
-    /// Whether the first state and list were asked for a moment ago. Meanwhile the primary stays: each further one, as
-    /// registries connect one after the other, would send all of both again.
+    /// Whether the initial state was requested less than [`FIRST_STATE_TIMEOUT`] ago and has not arrived. Until then, the
+    /// primary does not change: registries connect one after another at the start, and each new primary would send the full
+    /// state and backend list again.
     fn awaits_first_state(&self) -> bool {
         let lacks_state = self.proxy.configuration.revision() == Revision::default();
-        lacks_state && self.first_poll_at.is_some_and(|at| at.elapsed() < FIRST_STATE_TIMEOUT)
+        lacks_state && self.first_poll_at.is_some_and(|polled_at| polled_at.elapsed() < FIRST_STATE_TIMEOUT)
     }
 
-    /// The registry that is to send updates first: one that is in contact with the others, if there is any.
+    /// Selects the registry that is to send updates at once, if possible one in contact with a majority of the registries.
     fn select_primary(&self) -> Option<Ipv4Addr> {
         if let Some(primary) = self.primary_registry.filter(|_| self.awaits_first_state()) {
             if self.proxy.registries.is_connected(primary) {
--- a/crates/proxy/src/control_client/session.rs
+++ b/crates/proxy/src/control_client/session.rs
@@ -1,4 +1,4 @@
-//! Sessions with the registries: which ones, and what this proxy announces of itself.
+//! Sessions with the registries: which registries to connect to, and what this proxy announces to them.
 
 use super::ControlClient;
 use bytes::Bytes;
@@ -7,15 +7,15 @@
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Session};
 
 impl ControlClient {
-    /// Opens a connection to each registry that the settings or another registry name and that has none yet. Connections
-    /// are never given up: a registry that is out of reach may return.
+    /// Opens a connection to each registry that is named by the settings or by another registry and has no connection yet.
+    /// Connections are retried without end, as an unreachable registry may return.
     pub(crate) fn connect_to_known_registries(&self) {
         let mut known = self.proxy.registries.reported_registries();
         known.extend(self.settings.seeds());
         self.proxy.registries.connect_to(known);
     }
 
-    /// Tells all registries whether clients should be sent here.
+    /// Announces to all registries whether clients should be sent to this proxy.
     pub(crate) fn announce(&self) {
         self.proxy.registries.broadcast(&self.session_message());
     }
@@ -24,7 +24,7 @@
         let local = &self.settings.local;
         let front_address = match self.settings.network.listen.front {
             Some(SocketAddr::V4(front)) => front,
-            // The process does not start without an address; clients are not sent to an IPv6 one.
+            // Port 0: clients are not sent to an IPv6 address. Without any address, the process does not start.
             Some(SocketAddr::V6(_)) | None => SocketAddrV4::new(local.ip, 0),
         };
         encode(&RegistryRequest::Proxy(ProxyRequest::Hello(Session {
--- a/crates/proxy/src/control_client/updates.rs
+++ b/crates/proxy/src/control_client/updates.rs
@@ -1,4 +1,4 @@
-//! Configurations and backend lists, as registries send them: in full, or as a change of what is known here.
+//! Updates of the configuration and of the backend list, sent by registries in full or as a change of the known version.
 
 use super::ControlClient;
 use slog::{error, info, warn};
@@ -24,8 +24,8 @@
         self.poll();
     }
 
-    /// Installs the state that a change makes of the one in force; where the change was made from another state, the full
-    /// one is asked for.
+    /// Applies a change to the state in force and installs the result. If the change is based on another state, requests the
+    /// full state.
     pub(super) fn on_state_change(
         &mut self,
         from: Revision,
@@ -48,20 +48,21 @@
         self.poll();
     }
 
-    /// The configuration that a change leads to, if it was made from the one in force.
+    /// The result of a change to the configuration in force; `None` if the change is based on another revision or does not
+    /// apply.
     fn changed_configuration(&self, from: Revision, change: &ConfigurationChange) -> Option<Configuration> {
         let base = self.proxy.configuration.snapshot().filter(|active| active.revision() == from)?;
         let changed = change.apply(base.configuration());
         changed.inspect_err(|error| warn!(self.proxy.log, "change does not apply"; "error" => %error)).ok()
     }
 
-    /// Puts a newer configuration in force; an older one changes nothing.
+    /// Puts a configuration in force if it is newer than the one in force.
     fn install(&self, revision: Revision, evacuated: BTreeSet<String>, configuration: Configuration) {
         let proxy = &self.proxy;
         if revision <= proxy.configuration.revision() {
             return;
         }
-        // `violetyoke_emulator::change_costs` finds out by this line when each proxy has installed a change.
+        // `violetyoke_emulator::change_costs` reads from this line when each proxy has installed a change.
         info!(proxy.log, "in force"; "version" => configuration.version, "epoch" => revision.epoch,
             "evacuated" => evacuated.len());
         proxy.backends.configure(&configuration.services, evacuated);
@@ -73,15 +74,15 @@
         proxy.freshness.on_updated();
     }
 
-    /// Replaces the list of backends.
+    /// Replaces the list of backends with a full list.
     pub(super) fn on_backend_list(&mut self, list: BackendList) {
         if self.proxy.backends.replace_list(list) {
             self.on_backends_changed();
         }
     }
 
-    /// Applies a change to the list of backends; if it was made from another list than the one in force, registries are
-    /// polled with that one's digest.
+    /// Applies a change to the list of backends. If the change is based on another list than the one in force, polls the
+    /// registries, which learn from the poll which list is in force here.
     pub(super) fn on_backend_list_change(&mut self, change: BackendListChange) {
         if change.from != self.proxy.backends.list_digest() {
             self.poll();
--- a/crates/proxy/src/registries.rs
+++ b/crates/proxy/src/registries.rs
@@ -9,31 +9,33 @@
 use violetyoke_transport::messages::{Membership, MembershipDigest, Revision, ShardOwners};
 use violetyoke_transport::peers::PeerConnections;
 
-/// A registry is near if its connection took no longer to open than the fastest one and this: the round trip within a
-/// region is a few milliseconds, and that to another region 70 or more.
+/// A registry counts as near if its connection took at most this much longer to open than the fastest connection. The round
+/// trip within a region takes a few milliseconds; to another region, 70 ms or more.
 const NEAR_MARGIN: Duration = Duration::from_millis(25);
 
-/// One connection to a registry: after a reconnect, the same registry has another one.
+/// Identifies one connection to a registry; a reconnect gets a new id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RegistryConnectionId {
     pub(crate) registry: Ipv4Addr,
-    /// Counts the connections to that registry.
+    /// The number of the connection among those to this registry.
     pub(crate) generation: u64,
 }
 
-/// All registries that this proxy has learned of, connected or not.
+/// All registries that this proxy knows, connected or not.
 #[derive(Debug)]
 pub(crate) struct RegistryConnections {
     state: RefCell<State>,
+    /// The number of proxies, as last reported by a registry in contact with a majority; 0 until then.
     proxy_count: Cell<usize>,
 }
 
 #[derive(Debug)]
 struct State {
     peers: PeerConnections,
-    /// What each registry last reported on its present connection; the default until then.
+    /// The last report of each known registry on its present connection; the default value if there is none.
     reports: BTreeMap<Ipv4Addr, Membership>,
-    /// The least time that a connection to each registry took to open: longer ones were held up here or there.
+    /// The shortest time that a connection to each registry took to open, as an estimate of the round trip. Longer times
+    /// include delays at one of the two ends.
     connect_times: BTreeMap<Ipv4Addr, Duration>,
 }
 
@@ -44,20 +46,21 @@
         self.reports.iter().filter(connected).map(|(registry, report)| (*registry, report))
     }
 
-    /// Whether a registry is in this region, as far as the times tell.
+    /// Whether a registry is probably in this region, judged by the time its connection took to open.
     fn is_near(&self, registry: Ipv4Addr) -> bool {
-        let least = self.connect_times.values().min().copied().unwrap_or_default();
-        self.connect_times.get(&registry).is_some_and(|time| *time <= least + NEAR_MARGIN)
+        let shortest = self.connect_times.values().min().copied().unwrap_or_default();
+        self.connect_times.get(&registry).is_some_and(|time| *time <= shortest + NEAR_MARGIN)
     }
 }
 
-/// The rank of a registry for this proxy: it depends on the incarnation, so that proxies spread over the registries.
+/// The rank of a registry for this proxy; the lowest one is preferred. The rank depends on the proxy's incarnation, so that
+/// proxies spread over the registries.
 pub(crate) fn registry_rank(incarnation: u64, registry: Ipv4Addr) -> u32 {
     u32::from(registry).wrapping_mul(0x9e37_79b9) ^ incarnation as u32
 }
 
 impl RegistryConnections {
-    /// No connections yet. All registries listen at `port`; `on_event` gets the events of each.
+    /// Starts without connections. All registries listen on `port`; `on_event` is called with the events of each connection.
     pub(crate) fn new(port: u16, on_event: impl Fn(Ipv4Addr, Event) + 'static) -> RegistryConnections {
         let state = State {
             peers: PeerConnections::new(port, on_event),
@@ -67,7 +70,7 @@
         RegistryConnections { state: RefCell::new(state), proxy_count: Cell::new(0) }
     }
 
-    /// Begins to maintain a connection to each of these registries that has none.
+    /// Starts to maintain a connection to each of these registries that does not have one yet.
     pub(crate) fn connect_to(&self, registries: BTreeSet<Ipv4Addr>) {
         let state = &mut *self.state.borrow_mut();
         for registry in &registries {
@@ -76,44 +79,44 @@
         state.peers.connect_to(registries);
     }
 
-    /// A connection to a registry is up.
+    /// A connection to a registry is open.
     pub(crate) fn on_connected(&self, registry: Ipv4Addr, sender: Sender) {
         let state = &mut *self.state.borrow_mut();
-        let least = state.connect_times.entry(registry).or_insert(sender.connect_time());
-        *least = sender.connect_time().min(*least);
+        let shortest = state.connect_times.entry(registry).or_insert(sender.connect_time());
+        *shortest = sender.connect_time().min(*shortest);
         state.peers.connected(registry, sender);
     }
 
-    /// The connection to a registry is down: what it reported no longer counts.
+    /// The connection to a registry is lost: its report is discarded.
     pub(crate) fn on_disconnected(&self, registry: Ipv4Addr) {
         let state = &mut *self.state.borrow_mut();
         state.peers.disconnected(registry);
         state.reports.insert(registry, Membership::default());
     }
 
-    /// Keeps what a registry reports of the membership.
+    /// Stores a registry's report of the membership.
     pub(crate) fn set_report(&self, registry: Ipv4Addr, report: Membership) {
         self.state.borrow_mut().reports.insert(registry, report);
     }
 
-    /// The newest connection to a registry, up or not.
+    /// The newest connection to a registry, open or not.
     pub(crate) fn newest_connection(&self, registry: Ipv4Addr) -> RegistryConnectionId {
         let generation = self.state.borrow().peers.generation(registry);
         RegistryConnectionId { registry, generation }
     }
 
-    /// The connection to a registry, if it is up.
+    /// The connection to a registry, if it is open.
     pub(crate) fn connection(&self, registry: Ipv4Addr) -> Option<(RegistryConnectionId, Sender)> {
         let sender = self.state.borrow().peers.sender(registry).cloned()?;
         Some((self.newest_connection(registry), sender))
     }
 
-    /// Sends a message to all registries that are connected, and returns which.
+    /// Sends a message to all connected registries, and returns the receivers.
     pub(crate) fn broadcast(&self, message: &Bytes) -> BTreeSet<Ipv4Addr> {
         self.send_to_each(|_, _| message.clone())
     }
 
-    /// Sends each connected registry a message that depends on it and on its report, and returns to which.
+    /// Sends each connected registry a message that depends on the registry and its report, and returns the receivers.
     pub(crate) fn send_to_each(
         &self,
         message: impl Fn(Ipv4Addr, &Membership) -> Bytes,
@@ -129,20 +132,19 @@
         receivers
     }
 
-    /// All registries that any registry has reported.
+    /// All registries that are named in the report of any registry.
     pub(crate) fn reported_registries(&self) -> BTreeSet<Ipv4Addr> {
         let state = self.state.borrow();
         state.reports.values().flat_map(|report| report.registries.iter().copied()).collect()
     }
 
-    /// Whether the connection to a registry is up.
+    /// Whether the connection to a registry is open.
     pub(crate) fn is_connected(&self, registry: Ipv4Addr) -> bool {
         self.state.borrow().peers.sender(registry).is_some()
     }
 
-    /// The connected registry that ranks first: one that is in contact with a majority of the registries before any that
-    /// is not, then one that is near, as what it sends does not cross regions, and among equals the one with the lowest
-    /// `rank`.
+    /// The connected registry to prefer for updates. Compared in this order: registries in contact with a majority of the
+    /// registries come first, then near ones, whose messages do not cross regions, then the lowest `rank`.
     pub(crate) fn preferred_registry(&self, rank: impl Fn(Ipv4Addr) -> u32) -> Option<Ipv4Addr> {
         let state = self.state.borrow();
         let preferred = state.connected().min_by_key(|(registry, report)| {
@@ -151,8 +153,8 @@
         preferred.map(|(registry, _)| registry)
     }
 
-    /// The connected registry with the lowest `rank` among those that are in contact with a majority of the registries.
-    /// `rank` is told whether the registry is near.
+    /// The connected registry with the lowest `rank` among those that are in contact with a majority of the registries. The
+    /// second argument of `rank` is whether the registry is near.
     pub(crate) fn registry_in_contact<R: Ord>(&self, rank: impl Fn(Ipv4Addr, bool) -> R) -> Option<Ipv4Addr> {
         let state = self.state.borrow();
         let in_contact = state.connected().filter(|(_, report)| report.in_contact);
@@ -165,16 +167,16 @@
         self.state.borrow().reports.get(&registry).is_some_and(|report| report.in_contact)
     }
 
-    /// Whether a connected registry is in contact with a majority of the registries and reports nothing newer than
-    /// `known`.
+    /// Whether at least one connected registry is in contact with a majority of the registries and reports no revision newer
+    /// than `known`.
     pub(crate) fn any_confirms(&self, known: Revision) -> bool {
         let state = self.state.borrow();
         let confirms = state.connected().any(|(_, report)| report.in_contact && report.newest <= known);
         confirms
     }
 
-    /// Whether more than half of the known registries are connected, each has reported, none of them anything newer than
-    /// `known`, and one is in contact with a majority of the registries.
+    /// Whether all of these are true: more than half of the known registries are connected, each connected one has sent a
+    /// report, none reports a revision newer than `known`, and at least one is in contact with a majority of the registries.
     pub(crate) fn majority_confirms(&self, known: Revision) -> bool {
         let state = self.state.borrow();
         let connected = state.connected();
@@ -185,23 +187,25 @@
             && connected.count() * 2 > state.reports.len()
     }
 
-    /// The ids of all proxies, from the widest report: a share cut for too many proxies is safe, one cut for too few is not.
-    /// Reports of registries without contact count for nothing, as they see too few. Empty where no registry is in contact.
-    pub(crate) fn widest_membership(&self) -> Vec<u32> {
+    /// The ids of all proxies, from the report that names the most. Limits are divided by the number of proxies: with too
+    /// many, a proxy's share is too small, which is safe; with too few, the proxies together exceed the limit. Registries
+    /// without contact to a majority are left out, as they know too few proxies. Empty if no registry is in contact.
+    pub(crate) fn largest_membership(&self) -> Vec<u32> {
         let state = self.state.borrow();
         let in_contact = state.connected().map(|(_, report)| report).filter(|report| report.in_contact);
-        let widest = in_contact.max_by_key(|report| report.proxies.len());
-        widest.map(|report| report.proxies.clone()).unwrap_or_default()
+        let largest = in_contact.max_by_key(|report| report.proxies.len());
+        largest.map(|report| report.proxies.clone()).unwrap_or_default()
     }
 
-    /// The newest assignment of quota shards that a connected registry reports.
+    /// The newest assignment of quota shards that any connected registry reports.
     pub(crate) fn newest_shard_owners(&self) -> Option<ShardOwners> {
         let state = self.state.borrow();
         let owners = state.connected().map(|(_, report)| &report.shard_owners);
         owners.max_by_key(|owners| owners.fencing_token).cloned()
     }
 
-    /// How many proxies share limits and budgets, as last known for certain; 0 until then.
+    /// The number of proxies that share limits and budgets, as last reported by a registry in contact with a majority of the
+    /// registries; 0 until the first such report.
     pub(crate) fn proxy_count(&self) -> usize {
         self.proxy_count.get()
     }
