--- a/crates/proxy/src/operations/claim.rs
+++ b/crates/proxy/src/operations/claim.rs
@@ -1,4 +1,4 @@
-//! One request's hold on an operation.
+//! The claim that a request has on its operation.
 
 use super::OperationClient;
 use std::cell::Cell;
@@ -7,24 +7,24 @@
 use tokio::time::Instant;
 use violetyoke_transport::messages::{ClaimHolder, OperationKey, OperationRequest, RecordedResponse};
 
-/// A claim lasts so much longer than its request may be sent to a backend.
+/// The stores keep a claim until this long after the deadline of its request.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// What is claimed, and until when.
+/// The operation that is claimed, and the deadline of the request.
 #[derive(Debug)]
 pub(crate) struct ClaimTerms {
-    /// Which operation.
+    /// The key of the operation.
     pub(crate) key: OperationKey,
-    /// The service keeps its own record of keys.
+    /// Whether the service itself records keys, and so detects repeats.
     pub(crate) is_self_deduplicating: bool,
-    /// The request is not sent to a backend later than this.
+    /// The request is not sent to a backend after this time.
     pub(crate) deadline: Instant,
 }
 
-/// What is to be reported of an operation when its claim is dropped.
+/// What is reported to the stores when a claim is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PendingEnd {
-    /// Nothing: no store has the claim, or its end is reported.
+enum ReportOnDrop {
+    /// Nothing: no store has the claim, or the end of the operation has been reported.
     None,
     /// The request was not executed and never will be.
     Released,
@@ -32,29 +32,28 @@
     Unknown,
 }
 
-/// A claim of an operation, granted or not. Dropping it reports the end, also where the request's task panics or is dropped
-/// midway.
+/// A claim of an operation, granted or not. Dropping it reports the end of the operation, also when the task of the request
+/// panics or is dropped at an await point.
 #[derive(Debug)]
-#[must_use = "dropping it gives the claim back"]
+#[must_use = "dropping it releases the claim"]
 pub(crate) struct Claim {
     pub(super) client: Rc<OperationClient>,
     pub(super) holder: ClaimHolder,
     terms: ClaimTerms,
-    pending_end: Cell<PendingEnd>,
+    report_on_drop: Cell<ReportOnDrop>,
 }
 
 impl Claim {
-    /// A claim of which no store knows yet.
+    /// Creates a claim that has not been sent to any store.
     pub(crate) fn new(client: &Rc<OperationClient>, terms: ClaimTerms) -> Claim {
         client.open_claims.set(client.open_claims.get() + 1);
         let holder = client.next_holder();
-        Claim { client: client.clone(), holder, terms, pending_end: Cell::new(PendingEnd::None) }
+        Claim { client: client.clone(), holder, terms, report_on_drop: Cell::new(ReportOnDrop::None) }
     }
 
-    /// The request by which stores are asked for it. Whether they get it can't be known from then on, so it is to be
-    /// released.
+    /// The message that requests the claim from the stores. From now on a store may have the claim, so it must be released.
     pub(super) fn request(&self) -> OperationRequest {
-        self.pending_end.set(PendingEnd::Released);
+        self.report_on_drop.set(ReportOnDrop::Released);
         let timeout = self.terms.deadline.saturating_duration_since(Instant::now()) + TIMEOUT_MARGIN;
         OperationRequest::Claim {
             key: self.terms.key.clone(),
@@ -64,29 +63,29 @@
         }
     }
 
-    /// When the request is too late to be sent to a backend.
+    /// The time after which the request is not sent to a backend.
     pub(super) fn deadline(&self) -> Instant {
         self.terms.deadline
     }
 
-    /// Another request holds or held the operation, and no store has this claim.
+    /// The stores have refused the claim, as another request has or had the operation. No store has this claim.
     pub(super) fn record_refusal(&self) {
-        self.pending_end.set(PendingEnd::None);
+        self.report_on_drop.set(ReportOnDrop::None);
     }
 
     /// The request is about to be written to a backend.
     pub(crate) fn record_write(&self) {
-        self.pending_end.set(PendingEnd::Unknown);
+        self.report_on_drop.set(ReportOnDrop::Unknown);
     }
 
-    /// All backends that the request was written to have proved that they did not execute it.
+    /// It is certain that none of the backends that the request was written to has executed it.
     pub(crate) fn record_not_executed(&self) {
-        self.pending_end.set(PendingEnd::Released);
+        self.report_on_drop.set(ReportOnDrop::Released);
     }
 
-    /// A backend has executed the request: reports that, and keeps the response if there is one that may be kept.
+    /// A backend has executed the request. Reports that, and records the response, unless it may not be recorded (`None`).
     pub(crate) fn complete(&self, response: Option<RecordedResponse>) {
-        self.pending_end.set(PendingEnd::None);
+        self.report_on_drop.set(ReportOnDrop::None);
         if let Some(response) = response {
             self.client.record_response(self.holder, response);
         }
@@ -108,10 +107,10 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        match self.pending_end.get() {
-            PendingEnd::None => {}
-            PendingEnd::Released => self.release(),
-            PendingEnd::Unknown => self.abandon(),
+        match self.report_on_drop.get() {
+            ReportOnDrop::None => {}
+            ReportOnDrop::Released => self.release(),
+            ReportOnDrop::Unknown => self.abandon(),
         }
         self.client.open_claims.set(self.client.open_claims.get() - 1);
     }
--- a/crates/proxy/src/operations/decision.rs
+++ b/crates/proxy/src/operations/decision.rs
@@ -1,4 +1,5 @@
-//! The stores' answer to a claim: registries are asked one after the other until there is one, or no time is left.
+//! Obtains the stores' decision on a claim. The claim is sent to one registry after another until a decision arrives or the
+//! time for it is over.
 
 use super::{Claim, OperationClient, State};
 use crate::replies::RoundTripEstimate;
@@ -12,42 +13,43 @@
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{ClaimHolder, OperationReply, ProxyRequest, RegistryRequest};
 
-/// A claim on which nothing was decided is sent again after this.
+/// The delay before a claim is sent again after a reply without a decision, or while no registry can be reached.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
-/// The part of a route's latency target that a claim may take, if that is no less than [`MIN_ROUND_TRIPS`] and no more than
-/// [`MAX_FRACTION_LEFT`] of the time until the deadline.
+/// The fraction of a route's latency target that a claim may take, within the two limits below.
 const TARGET_FRACTION: f64 = 0.25;
+/// A claim may take at least this many usual round trips to the preferred registry.
 const MIN_ROUND_TRIPS: u32 = 2;
-const MAX_FRACTION_LEFT: f64 = 0.5;
-/// The part of the time left for a claim for which one registry is waited for, so that another one can be asked.
-const MAX_FRACTION_EACH: f64 = 0.67;
+/// A claim may take at most this fraction of the time until the deadline; this limit overrides the others.
+const MAX_DEADLINE_FRACTION: f64 = 0.5;
+/// The maximum fraction of the remaining time for a claim to wait for one registry, so that another one can be tried.
+const MAX_FRACTION_PER_REGISTRY: f64 = 0.67;
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ClaimDecision {
     /// The request may be sent to a backend.
     Granted {
-        /// The regions by which its response reaches the proxy of a repeat.
+        /// The regions through which the response reaches a proxy that receives a repeat of the request.
         store_regions: Vec<String>,
     },
-    /// Another request is being executed.
+    /// Another request with the same key is being executed.
     InProgress {
-        /// When it ends at the latest (ms).
+        /// The time after which its claim has certainly ended (ms from now).
         retry_after_ms: Millis,
     },
-    /// The operation was executed before.
+    /// The operation was executed by an earlier request.
     Executed {
-        /// The claim under which it was executed.
+        /// The claim of that request.
         holder: ClaimHolder,
     },
-    /// The operation may have been executed before, and there is no response.
+    /// The operation may have been executed by an earlier request, and there is no response.
     Unknown,
-    /// Nothing was decided in time.
+    /// No decision arrived in time.
     Unavailable,
 }
 
 impl ClaimDecision {
-    /// `None` where nothing was decided.
+    /// Converts a reply; `None` if the reply contains no decision.
     fn from_reply(reply: OperationReply) -> Option<ClaimDecision> {
         match reply {
             OperationReply::Granted { store_regions } => Some(ClaimDecision::Granted { store_regions }),
@@ -62,34 +64,34 @@
 }
 
 impl Claim {
-    /// Asks for the operation, for as long as a request with that latency target may wait. The same claim is sent again to
-    /// another registry where one is silent, lost, or knows of no leading store.
+    /// Requests the claim, and waits for a decision as long as the latency target permits. The same claim is sent to another
+    /// registry when one does not reply, loses its connection, or is not connected to a leading store.
     pub(crate) async fn decide(&self, latency_target: Duration) -> ClaimDecision {
         let client = &*self.client;
         let give_up_at = client.give_up_at(self.deadline(), latency_target);
-        let mut asked: Vec<Ipv4Addr> = Vec::new();
+        let mut tried: Vec<Ipv4Addr> = Vec::new();
         let mut outstanding = FuturesUnordered::new();
         while Instant::now() < give_up_at {
-            let Some(sent) = client.send_claim(self, &asked) else {
+            let Some(sent) = client.send_claim(self, &tried) else {
                 sleep_until(give_up_at.min(Instant::now() + RETRY_DELAY)).await;
                 continue;
             };
-            let copy = sent.id();
-            asked.push(copy.registry);
-            let until = client.resend_at(copy.registry, give_up_at);
+            let sent_id = sent.id();
+            tried.push(sent_id.registry);
+            let resend_at = client.resend_at(sent_id.registry, give_up_at);
             outstanding.push(sent.reply());
-            if let Some(decision) = next_decision(&mut outstanding, until).await {
-                self.record_decision(&decision, asked.len());
+            if let Some(decision) = next_decision(&mut outstanding, resend_at).await {
+                self.record_decision(&decision, tried.len());
                 return decision;
             }
-            client.record_silence(copy);
+            client.record_timeout(sent_id);
         }
         client.metrics.claims_unavailable.inc();
         ClaimDecision::Unavailable
     }
 
-    /// Where the claim was sent once alone, and refused, no store has it. Where it was sent more often, another copy may
-    /// still be granted.
+    /// Counts the decision. If the claim was refused and had been sent only once, no store has it. If it was sent several
+    /// times, a store may still grant another copy, so the claim must be released.
     fn record_decision(&self, decision: &ClaimDecision, times_sent: usize) {
         let metrics = &self.client.metrics;
         let counter = match decision {
@@ -107,46 +109,46 @@
     }
 }
 
-/// Waits for a decision until that moment, or for a little longer after the news that none will come.
+/// Waits for a decision until `resend_at`. After a reply without a decision, waits at most [`RETRY_DELAY`] longer.
 async fn next_decision(
     outstanding: &mut FuturesUnordered<impl Future<Output = Option<OperationReply>>>,
-    mut until: Instant,
+    mut resend_at: Instant,
 ) -> Option<ClaimDecision> {
-    while let Ok(reply) = timeout_at(until, outstanding.next()).await {
+    while let Ok(reply) = timeout_at(resend_at, outstanding.next()).await {
         let Some(reply) = reply else {
-            sleep_until(until).await;
+            sleep_until(resend_at).await;
             return None;
         };
         let decision = reply.and_then(ClaimDecision::from_reply);
         if decision.is_some() {
             return decision;
         }
-        until = until.min(Instant::now() + RETRY_DELAY);
+        resend_at = resend_at.min(Instant::now() + RETRY_DELAY);
     }
     None
 }
 
-/// Which copy of a claim, and where it was sent.
+/// Identifies one copy of a claim that was sent to a registry.
 #[derive(Clone, Copy)]
-struct CopyId {
+struct SentClaimId {
     registry: Ipv4Addr,
     request_id: u32,
 }
 
-/// A copy of a claim that was sent to a registry. Dropping it gives its place among the outstanding ones up.
+/// A copy of a claim that was sent to a registry. Dropping it removes it from the outstanding requests.
 struct SentClaim<'a> {
     client: &'a OperationClient,
-    id: CopyId,
+    id: SentClaimId,
     sent_at: Instant,
     reply: oneshot::Receiver<OperationReply>,
 }
 
 impl SentClaim<'_> {
-    fn id(&self) -> CopyId {
+    fn id(&self) -> SentClaimId {
         self.id
     }
 
-    /// The reply; `None` if the connection has ended.
+    /// Waits for the reply; `None` if the connection is lost.
     async fn reply(mut self) -> Option<OperationReply> {
         let reply = (&mut self.reply).await.ok()?;
         let state = &mut *self.client.state.borrow_mut();
@@ -166,31 +168,31 @@
 }
 
 impl OperationClient {
-    /// Sends a claim to a registry that was not `asked` yet, or to the one that was asked longest ago. `None` while no
-    /// registry is in contact with the others.
-    fn send_claim(&self, claim: &Claim, asked: &[Ipv4Addr]) -> Option<SentClaim<'_>> {
+    /// Sends a claim to the registry that appears least often in `tried`. `None` while no registry is in contact with a
+    /// majority of the registries.
+    fn send_claim(&self, claim: &Claim, tried: &[Ipv4Addr]) -> Option<SentClaim<'_>> {
         let State { pending, registries, .. } = &mut *self.state.borrow_mut();
-        let (connection, sender) = self.connection(registries, asked)?;
+        let (connection, sender) = self.connection(registries, tried)?;
         let (request_id, reply) = pending.register(connection);
         let request = claim.request();
-        // Not behind a large response that is read for a repeat.
+        // Urgent, so that the claim does not wait behind a large response that is being sent for a repeat.
         sender.send_urgent(encode(&RegistryRequest::Proxy(ProxyRequest::Operation { request_id, request })));
-        let id = CopyId { registry: connection.registry, request_id };
+        let id = SentClaimId { registry: connection.registry, request_id };
         Some(SentClaim { client: self, id, sent_at: Instant::now(), reply })
     }
 
-    /// When a claim that is sent now is sent again, if there is no reply.
+    /// The time at which a claim that is sent to a registry now is sent again if there is no reply.
     fn resend_at(&self, registry: Ipv4Addr, give_up_at: Instant) -> Instant {
         let now = Instant::now();
-        let most = give_up_at.saturating_duration_since(now).mul_f64(MAX_FRACTION_EACH);
-        now + self.round_trip(registry).timeout().min(most.max(RETRY_DELAY))
+        let longest = give_up_at.saturating_duration_since(now).mul_f64(MAX_FRACTION_PER_REGISTRY);
+        now + self.round_trip(registry).timeout().min(longest.max(RETRY_DELAY))
     }
 
-    /// A copy was waited for in vain, if there is no reply to it yet.
-    fn record_silence(&self, copy: CopyId) {
+    /// Records that a registry has not replied in time, unless a reply to this copy has arrived.
+    fn record_timeout(&self, sent: SentClaimId) {
         let State { pending, registries, .. } = &mut *self.state.borrow_mut();
-        if pending.is_outstanding(copy.request_id) {
-            registries.record_silence(copy.registry, Instant::now());
+        if pending.is_outstanding(sent.request_id) {
+            registries.record_timeout(sent.registry, Instant::now());
         }
     }
 
@@ -198,13 +200,13 @@
         self.state.borrow().registries.round_trip(registry)
     }
 
-    /// When a claim that begins now is given up.
+    /// The time at which a claim that is first sent now is given up.
     fn give_up_at(&self, deadline: Instant, latency_target: Duration) -> Instant {
         let now = Instant::now();
         let registry = self.connection(&self.state.borrow().registries, &[]).map(|(id, _)| id.registry);
         let round_trip = registry.map(|registry| self.round_trip(registry)).unwrap_or_default();
-        let least = round_trip.usual() * MIN_ROUND_TRIPS;
-        let most = deadline.saturating_duration_since(now).mul_f64(MAX_FRACTION_LEFT);
-        now + latency_target.mul_f64(TARGET_FRACTION).max(least).min(most)
+        let shortest = round_trip.usual() * MIN_ROUND_TRIPS;
+        let longest = deadline.saturating_duration_since(now).mul_f64(MAX_DEADLINE_FRACTION);
+        now + latency_target.mul_f64(TARGET_FRACTION).max(shortest).min(longest)
     }
 }
--- a/crates/proxy/src/operations/health.rs
+++ b/crates/proxy/src/operations/health.rs
@@ -1,4 +1,4 @@
-//! What asking registries about operations has shown of them: which failed lately, and where the leading store is.
+//! The health of the registries, judged by their replies to claims, and the location of the leading store.
 
 use crate::replies::RoundTripEstimate;
 use std::collections::HashMap;
@@ -7,77 +7,77 @@
 use tokio::time::Instant;
 use violetyoke_balancing::Millis;
 
-/// A registry that got no answer is asked after the others for so long.
-const SUSPICION: Duration = Duration::from_secs(1);
+/// After a failure, a registry is tried only after the others for this long.
+const SUSPICION_PERIOD: Duration = Duration::from_secs(1);
 
-/// All registries, as far as they were asked.
+/// The health of all registries that claims were sent to.
 #[derive(Debug, Default)]
-pub(super) struct KnownRegistries {
+pub(super) struct RegistryHealthTracker {
     health: HashMap<Ipv4Addr, RegistryHealth>,
-    /// The registry on the machine of the leading store, as the newest reply has it. Where that is out of date, the
-    /// registry passes requests on to another machine, as any other does.
+    /// The registry on the same machine as the leading store, according to the newest reply. If this is out of date, the
+    /// registry forwards requests to the leading store on another machine, as every other registry does.
     beside_leader: Option<Ipv4Addr>,
 }
 
-/// How a registry has answered claims.
+/// How a registry has replied to claims.
 #[derive(Clone, Copy, Debug, Default)]
 struct RegistryHealth {
     round_trip: RoundTripEstimate,
     suspected_until: Option<Instant>,
 }
 
-/// Which registry to ask first: the lower, the earlier.
+/// The order in which registries are tried; the lowest one is the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
     is_suspected: bool,
-    is_away_from_leader: bool,
+    is_remote_from_leader: bool,
 }
 
-impl KnownRegistries {
-    /// A registry has passed on a decision after `round_trip` (ms).
+impl RegistryHealthTracker {
+    /// A registry has returned a decision after `round_trip` (ms).
     pub(super) fn record_decision(&mut self, registry: Ipv4Addr, round_trip: Millis) {
         let health = self.health.entry(registry).or_default();
         health.round_trip.record_reply(round_trip);
         health.suspected_until = None;
     }
 
-    /// A registry is connected to no leading store, as far as it knows.
+    /// A registry has replied that it is not connected to a leading store.
     pub(super) fn record_unavailable(&mut self, registry: Ipv4Addr, now: Instant) {
         self.suspect(registry, now);
     }
 
     /// A registry has not replied in time.
-    pub(super) fn record_silence(&mut self, registry: Ipv4Addr, now: Instant) {
+    pub(super) fn record_timeout(&mut self, registry: Ipv4Addr, now: Instant) {
         self.health.entry(registry).or_default().round_trip.record_loss();
         self.suspect(registry, now);
     }
 
-    /// A registry has told on which machine the leading store is.
+    /// A registry has reported the machine of the leading store.
     pub(super) fn record_leader(&mut self, leader: Ipv4Addr) {
         self.beside_leader = Some(leader);
     }
 
-    /// The connection to a registry has ended.
+    /// The connection to a registry is lost.
     pub(super) fn on_disconnected(&mut self, registry: Ipv4Addr) {
         self.forget_leader_at(registry);
     }
 
-    /// A registry that has just failed comes after the others, and that beside the leading store before them.
+    /// The preference of a registry: suspected ones come last; among the others, the one beside the leading store is first.
     pub(super) fn preference(&self, registry: Ipv4Addr, now: Instant) -> Preference {
         let suspected_until = self.health.get(&registry).and_then(|health| health.suspected_until);
         Preference {
             is_suspected: suspected_until.is_some_and(|until| now < until),
-            is_away_from_leader: self.beside_leader != Some(registry),
+            is_remote_from_leader: self.beside_leader != Some(registry),
         }
     }
 
-    /// How long a registry's replies usually take, and are waited for.
+    /// The estimate of a registry's round-trip time, and so of the time-out of claims.
     pub(super) fn round_trip(&self, registry: Ipv4Addr) -> RoundTripEstimate {
         self.health.get(&registry).copied().unwrap_or_default().round_trip
     }
 
     fn suspect(&mut self, registry: Ipv4Addr, now: Instant) {
-        self.health.entry(registry).or_default().suspected_until = Some(now + SUSPICION);
+        self.health.entry(registry).or_default().suspected_until = Some(now + SUSPICION_PERIOD);
         self.forget_leader_at(registry);
     }
 
--- a/crates/proxy/src/operations/mod.rs
+++ b/crates/proxy/src/operations/mod.rs
@@ -1,16 +1,17 @@
-//! Operations: requests with a key, which are executed once however often they are sent and wherever they arrive.
+//! Operations: requests with an idempotency key, which are executed at most once, no matter how often a client sends them
+//! and at which proxies they arrive.
 //!
-//! Before such a request goes to a backend, it is claimed: a registry passes the claim to the leading store, which grants
-//! it once a majority of the stores has it on disk. However the request ends, the end is reported, so that a repeat gets the
-//! same response, or may be executed where this one certainly was not. The response stays here: another proxy that gets a
-//! repeat reads it by way of a registry.
+//! Before such a request is sent to a backend, its operation is claimed: a registry forwards the claim to the leading store,
+//! which grants it once a majority of the stores has written it to disk. The end of the request is always reported. A repeat
+//! then gets the same response, or may be executed if the first request certainly was not. The proxy that executed the
+//! request keeps the response; another proxy that receives a repeat reads it through a registry.
 //!
-//! - `claim`: one request's hold on an operation, which reports its end;
-//! - `decision`: asks registries until one of them has the stores' answer;
-//! - `health`: which registries have lately failed to get an answer, and which is beside the leading store;
-//! - `reports`: ends that no store has confirmed yet;
-//! - `responses`: what repeats get, of the operations executed here;
-//! - `response_reads`: the same, of those executed by other proxies.
+//! - `claim`: the claim of one request, which reports the end of the operation;
+//! - `decision`: sends a claim to registries until one of them returns the stores' decision;
+//! - `health`: which registries have failed recently, and which one is beside the leading store;
+//! - `reports`: reports that no store has confirmed yet;
+//! - `responses`: recorded responses to operations that were executed by this proxy;
+//! - `response_reads`: reads of responses between proxies.
 
 mod claim;
 mod decision;
@@ -24,7 +25,7 @@
 use crate::replies::PendingReplies;
 pub(crate) use claim::{Claim, ClaimTerms};
 pub(crate) use decision::ClaimDecision;
-use health::KnownRegistries;
+use health::RegistryHealthTracker;
 use reports::Reports;
 use responses::RecordedResponses;
 use std::cell::{Cell, RefCell};
@@ -45,8 +46,9 @@
     metrics: Rc<Metrics>,
     /// Distinguishes this process's claims from those of any other.
     incarnation: u64,
+    /// The number of the last claim.
     last_claim: Cell<u64>,
-    /// Claims whose request has not ended.
+    /// The number of claims whose request has not ended.
     open_claims: Cell<usize>,
     state: RefCell<State>,
     responses: RefCell<RecordedResponses>,
@@ -57,11 +59,11 @@
     pending: PendingReplies<OperationReply>,
     response_reads: PendingReplies<Option<RecordedResponse>>,
     reports: Reports,
-    registries: KnownRegistries,
+    registries: RegistryHealthTracker,
 }
 
 impl OperationClient {
-    /// Keeps responses for `window`.
+    /// Creates a client that keeps responses for `window`.
     pub(crate) fn new(
         registries: Rc<RegistryConnections>,
         metrics: Rc<Metrics>,
@@ -79,7 +81,7 @@
         })
     }
 
-    /// Takes a reply that came on connection `from`.
+    /// Handles a reply that arrived on the connection `from`.
     pub(crate) fn on_reply(&self, from: RegistryConnectionId, request_id: u32, reply: OperationReply) {
         let state = &mut *self.state.borrow_mut();
         if reply == OperationReply::Recorded {
@@ -91,17 +93,17 @@
         }
     }
 
-    /// A connection to a registry is up: it learns whose responses can be read on it.
+    /// A connection to a registry is open: tells the registry which incarnation's responses can be read through it.
     pub(crate) fn on_connected(&self, registry: &Sender) {
         registry.send(encode(&RegistryRequest::Proxy(ProxyRequest::HolderIncarnation(self.incarnation))));
     }
 
-    /// A registry has told on which machine the leading store is.
+    /// A registry has reported the machine of the leading store.
     pub(crate) fn on_leader_hint(&self, leader: Ipv4Addr) {
         self.state.borrow_mut().registries.record_leader(leader);
     }
 
-    /// The connection to a registry is down: what was sent on it gets no reply.
+    /// The connection to a registry is lost: requests that were sent on it get no reply.
     pub(crate) fn on_disconnected(&self, registry: Ipv4Addr) {
         let state = &mut *self.state.borrow_mut();
         state.registries.on_disconnected(registry);
@@ -110,41 +112,41 @@
         state.reports.on_disconnected(registry);
     }
 
-    /// Sends again what has not been confirmed in time, and drops responses that are too old.
+    /// Resends reports that have not been confirmed in time, and drops responses that are too old.
     pub(crate) fn on_tick(&self) {
         let now = Instant::now();
         let State { reports, registries, .. } = &mut *self.state.borrow_mut();
-        reports.send_due(now, |avoided| self.connection(registries, avoided));
+        reports.send_due(now, |tried| self.connection(registries, tried));
         self.responses.borrow_mut().expire(now);
     }
 
-    /// Whether no claimed request is running, and all ends are confirmed.
+    /// Whether no claimed request is running and all reports are confirmed.
     pub(crate) fn is_idle(&self) -> bool {
         self.open_claims.get() == 0 && self.state.borrow().reports.is_empty()
     }
 
-    /// Reports the end of an operation, again and again until it is confirmed.
+    /// Reports the end of an operation. The report is resent until it is confirmed or expires.
     fn report(&self, request: OperationRequest) {
         let State { pending, reports, registries, .. } = &mut *self.state.borrow_mut();
         let request_id = pending.next_request_id();
         let message = encode(&RegistryRequest::Proxy(ProxyRequest::Operation { request_id, request }));
         let now = Instant::now();
         reports.add(now, request_id, message);
-        reports.send_due(now, |avoided| self.connection(registries, avoided));
+        reports.send_due(now, |tried| self.connection(registries, tried));
     }
 
-    /// The connection to the registry to ask: one that was asked as seldom as any, as told by `asked`, then one that has not
-    /// just failed, then the one beside the leading store. Among equals, the choice spreads proxies over the registries.
-    /// `None` while no registry is in contact with the others.
+    /// The connection to the best registry for a request. Compared in this order: the registry that occurs least often in
+    /// `tried`, one that has not failed recently, the one beside the leading store, a near one. A rank decides between
+    /// equals, so that proxies spread over the registries. `None` while no registry is in contact with a majority.
     fn connection(
         &self,
-        known: &KnownRegistries,
-        asked: &[Ipv4Addr],
+        health: &RegistryHealthTracker,
+        tried: &[Ipv4Addr],
     ) -> Option<(RegistryConnectionId, Sender)> {
         let now = Instant::now();
         let registry = self.registries.registry_in_contact(|ip, is_near| {
-            let times_asked = asked.iter().filter(|other| **other == ip).count();
-            (times_asked, known.preference(ip, now), !is_near, registry_rank(self.incarnation, ip))
+            let times_tried = tried.iter().filter(|other| **other == ip).count();
+            (times_tried, health.preference(ip, now), !is_near, registry_rank(self.incarnation, ip))
         });
         self.registries.connection(registry?)
     }
--- a/crates/proxy/src/operations/reports.rs
+++ b/crates/proxy/src/operations/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of how operations ended: each is sent again until it is confirmed.
+//! Reports on the end of operations. Each one is resent until it is confirmed or expires.
 
 use crate::registries::RegistryConnectionId;
 use bytes::Bytes;
@@ -8,15 +8,17 @@
 use tokio::time::Instant;
 use violetyoke_transport::connection::Sender;
 
-/// A report that is not confirmed is sent again after this, and each time after longer.
+/// The time until an unconfirmed report is resent for the first time.
 const FIRST_INTERVAL: Duration = Duration::from_millis(300);
+/// Each further interval is longer than the last one by this factor.
 const INTERVAL_FACTOR: f64 = 1.5;
-/// A report is given up after this: its operation stays claimed until the claim's time is over, and is unknown from then on.
+/// The age at which a report expires. The operation then stays claimed until its claim times out, and its outcome is
+/// unknown afterwards.
 const MAX_AGE: Duration = Duration::from_secs(10);
-/// Reports that are kept. At more, the oldest one is given up.
+/// The maximum number of reports. When it is reached, a new report replaces the oldest one.
 const MAX_REPORTS: usize = 512;
 
-/// All reports that are not confirmed, by request id.
+/// All unconfirmed reports, by request id.
 #[derive(Debug, Default)]
 pub(super) struct Reports {
     by_request_id: BTreeMap<u32, Report>,
@@ -32,7 +34,7 @@
 }
 
 impl Reports {
-    /// Adds a report that is to be sent at once.
+    /// Adds a report that is due at once.
     pub(super) fn add(&mut self, now: Instant, request_id: u32, message: Bytes) {
         if self.by_request_id.len() >= MAX_REPORTS {
             self.remove_oldest();
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Sends all reports that are due, each to the registry that `connection` finds; it is to avoid the one that was asked
-    /// last. Gives up those that are too old.
+    /// Drops expired reports, and sends all reports that are due. `connection` selects the registry; its argument is the
+    /// registry that the report was last sent to, which is to be avoided.
     pub(super) fn send_due(
         &mut self,
         now: Instant,
@@ -63,8 +65,8 @@
     ) {
         self.by_request_id.retain(|_, report| now < report.expires_at);
         for report in self.by_request_id.values_mut().filter(|report| report.due_at <= now) {
-            let avoided = report.sent_on.map(|sent_on| sent_on.registry);
-            let Some((sent_on, sender)) = connection(avoided.as_slice()) else { continue };
+            let last_registry = report.sent_on.map(|sent_on| sent_on.registry);
+            let Some((sent_on, sender)) = connection(last_registry.as_slice()) else { continue };
             sender.send(report.message.clone());
             report.sent_on = Some(sent_on);
             report.due_at = now + report.interval;
@@ -72,14 +74,14 @@
         }
     }
 
-    /// The report that was last sent on that connection has arrived.
+    /// Removes a report that was confirmed on the connection `from`. Ignored unless the report was last sent on it.
     pub(super) fn confirm(&mut self, from: RegistryConnectionId, request_id: u32) {
         if self.by_request_id.get(&request_id).is_some_and(|report| report.sent_on == Some(from)) {
             self.by_request_id.remove(&request_id);
         }
     }
 
-    /// No confirmation comes from a registry any more: what was sent there last is due again.
+    /// The connection to a registry is lost: reports that were last sent to it are due again, as no confirmation can arrive.
     pub(super) fn on_disconnected(&mut self, registry: Ipv4Addr) {
         let now = Instant::now();
         for report in self.by_request_id.values_mut() {
--- a/crates/proxy/src/operations/response_reads.rs
+++ b/crates/proxy/src/operations/response_reads.rs
@@ -1,4 +1,4 @@
-//! Responses that other proxies have received, and theirs that are read here.
+//! Reads of recorded responses between proxies: this proxy reads the responses of others, and they read its own.
 
 use super::OperationClient;
 use crate::registries::RegistryConnectionId;
@@ -9,12 +9,12 @@
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{ClaimHolder, ProxyRequest, RecordedResponse, RegistryRequest};
 
-/// A response is waited for until so long before its request's deadline at the latest, for the way back to the client.
+/// A read ends at least this long before the deadline of the request, which leaves time to send the response to the client.
 const RETURN_MARGIN: Duration = Duration::from_millis(20);
-/// How many registries are asked one after the other, where the connection to one ends.
+/// The maximum number of registries that a read is sent to, one after another, when connections are lost.
 const MAX_READS: usize = 3;
 
-/// A response that was asked for. Dropping it gives its place among the outstanding ones up.
+/// A read that was sent to a registry. Dropping it removes it from the outstanding reads.
 struct SentRead<'a> {
     client: &'a OperationClient,
     request_id: u32,
@@ -29,8 +29,8 @@
 }
 
 impl OperationClient {
-    /// The response to an operation that was executed under that claim, here or at another proxy. `None` where it is not
-    /// known in time.
+    /// Returns the response to the operation that was executed under a claim, by this proxy or another one. `None` if it is
+    /// not known or does not arrive in time.
     pub(crate) async fn read_response(
         &self,
         holder: ClaimHolder,
@@ -39,14 +39,14 @@
         if holder.incarnation == self.incarnation {
             return self.responses.borrow().get(holder);
         }
-        let until = deadline.checked_sub(RETURN_MARGIN)?;
-        let mut asked = Vec::new();
+        let read_deadline = deadline.checked_sub(RETURN_MARGIN)?;
+        let mut tried = Vec::new();
         for _ in 0..MAX_READS {
-            let mut sent = self.send_read(holder, &asked)?;
-            asked.push(sent.registry);
-            match timeout_at(until, &mut sent.response).await {
+            let mut sent = self.send_read(holder, &tried)?;
+            tried.push(sent.registry);
+            match timeout_at(read_deadline, &mut sent.response).await {
                 Ok(Ok(response)) => return response,
-                // The connection has ended.
+                // The connection is lost: try the next registry.
                 Ok(Err(_)) => {}
                 Err(_) => return None,
             }
@@ -54,16 +54,16 @@
         None
     }
 
-    fn send_read(&self, holder: ClaimHolder, asked: &[Ipv4Addr]) -> Option<SentRead<'_>> {
+    fn send_read(&self, holder: ClaimHolder, tried: &[Ipv4Addr]) -> Option<SentRead<'_>> {
         let state = &mut *self.state.borrow_mut();
-        let (connection, sender) = self.connection(&state.registries, asked)?;
+        let (connection, sender) = self.connection(&state.registries, tried)?;
         let (request_id, response) = state.response_reads.register(connection);
         let request = ProxyRequest::ReadResponse { request_id, holder };
         sender.send_urgent(encode(&RegistryRequest::Proxy(request)));
         Some(SentRead { client: self, request_id, registry: connection.registry, response })
     }
 
-    /// Takes a response that came on connection `from`.
+    /// Handles a response that arrived on the connection `from`.
     pub(crate) fn on_response(
         &self,
         from: RegistryConnectionId,
@@ -73,7 +73,7 @@
         self.state.borrow_mut().response_reads.complete(from, request_id, response);
     }
 
-    /// Another proxy asks for the response to an operation that was executed here.
+    /// Another proxy reads, through a registry, the response to an operation that was executed by this proxy.
     pub(crate) fn on_read_response(&self, registry: Ipv4Addr, request_id: u64, holder: ClaimHolder) {
         let response = self.responses.borrow().get(holder);
         let metrics = &self.metrics;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Keeps a response for repeats of its request.
+    /// Records a response for repeats of its request.
     pub(super) fn record_response(&self, holder: ClaimHolder, response: RecordedResponse) {
         self.responses.borrow_mut().insert(Instant::now(), holder.request, response);
     }
--- a/crates/proxy/src/operations/responses.rs
+++ b/crates/proxy/src/operations/responses.rs
@@ -1,22 +1,24 @@
-//! Responses to the operations that this proxy has executed, for repeats of their requests.
+//! Recorded responses to the operations that this proxy has executed, for repeats of their requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 use violetyoke_transport::messages::{ClaimHolder, RecordedResponse};
 
-/// The most that responses may take (bytes). At more, the oldest ones are given up, and their repeats get 502.
+/// The maximum total size of the recorded responses (bytes). Above it, the oldest responses are dropped, and repeats of
+/// their requests get status 502.
 const MAX_BYTES: usize = 16 << 20;
 
 /// The responses of one incarnation of a proxy.
 #[derive(Debug)]
 pub(super) struct RecordedResponses {
     incarnation: u64,
-    /// For how long a response is kept.
+    /// How long a response is kept.
     window: Duration,
     by_request: HashMap<u64, RecordedResponse>,
-    /// The requests of these responses, the oldest first.
-    kept_since: VecDeque<(Instant, u64)>,
+    /// The time at which each response was recorded, with its request; the oldest first.
+    recorded_at: VecDeque<(Instant, u64)>,
+    /// The total size of the responses.
     bytes: usize,
 }
 
@@ -26,20 +28,20 @@
             incarnation,
             window,
             by_request: HashMap::new(),
-            kept_since: VecDeque::new(),
+            recorded_at: VecDeque::new(),
             bytes: 0,
         }
     }
 
-    /// Keeps the response to a request of this incarnation.
+    /// Records the response to a request of this incarnation.
     pub(super) fn insert(&mut self, now: Instant, request: u64, response: RecordedResponse) {
         self.bytes += response_bytes(&response);
         self.by_request.insert(request, response);
-        self.kept_since.push_back((now, request));
+        self.recorded_at.push_back((now, request));
         self.expire(now);
     }
 
-    /// The response to the request under that claim, if it is kept.
+    /// The response to the request that held a claim, if it is recorded here.
     pub(super) fn get(&self, holder: ClaimHolder) -> Option<RecordedResponse> {
         if holder.incarnation != self.incarnation {
             return None;
@@ -47,13 +49,13 @@
         self.by_request.get(&holder.request).cloned()
     }
 
-    /// Drops responses that are too old, or too many.
+    /// Drops responses that are older than the window, and the oldest ones while the total size is too large.
     pub(super) fn expire(&mut self, now: Instant) {
-        while let Some((since, request)) = self.kept_since.front().copied() {
-            if now < since + self.window && self.bytes <= MAX_BYTES {
+        while let Some((recorded_at, request)) = self.recorded_at.front().copied() {
+            if now < recorded_at + self.window && self.bytes <= MAX_BYTES {
                 return;
             }
-            self.kept_since.pop_front();
+            self.recorded_at.pop_front();
             if let Some(response) = self.by_request.remove(&request) {
                 self.bytes -= response_bytes(&response);
             }
--- a/crates/proxy/src/quota_client/mod.rs
+++ b/crates/proxy/src/quota_client/mod.rs
@@ -1,5 +1,5 @@
-//! Tenants' limits, as a proxy enforces them: one increment at the owner for each request, and a local share of the
-//! limit while the owner can't be reached.
+//! Enforces the rate limits of tenants. For each request, the client sends an increment to the registry that owns the
+//! tenant's counter. While the owner can't be reached, the proxy counts locally against its share of the limit.
 
 use crate::clock::Clock;
 use crate::metrics::Metrics;
@@ -19,12 +19,12 @@
 use violetyoke_transport::connection::Sender;
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Revision, ShardOwners};
 
-/// What a registry replies to an increment.
+/// The reply of a registry to an increment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum OwnerReply {
-    /// It owns the tenant's counter, and decided.
+    /// The registry owns the tenant's counter, and has decided on the request.
     Decided(Admission),
-    /// It does not own the tenant's counter.
+    /// The registry does not own the tenant's counter.
     NotOwner,
 }
 
@@ -41,10 +41,11 @@
 struct QuotaState {
     local_usage: LocalUsage,
     assignment: ShardAssignment,
-    /// Orders assignments; sent along, so that an owner rejects increments under an older one.
+    /// The version of the assignment. It is sent with each increment, so that an owner can reject increments that were sent
+    /// under an older assignment.
     fencing_token: Revision,
     pending: PendingReplies<OwnerReply>,
-    /// On which connection the usage of a tenant was last transferred to its owner.
+    /// The connection on which a tenant's local usage was last transferred to the owner, by tenant name.
     transferred_on: HashMap<String, RegistryConnectionId>,
     round_trips: HashMap<Ipv4Addr, RoundTripEstimate>,
 }
@@ -57,8 +58,8 @@
     _registration: Registration<'a>,
 }
 
-/// The place of an outstanding increment. Dropping it gives the place up, also where the client leaves and the request's
-/// task is dropped midway.
+/// The registration of an outstanding increment in [`QuotaState::pending`]. Dropping it removes the entry, also when the
+/// client disconnects and the task of its request is dropped at an await point.
 struct Registration<'a> {
     state: &'a RefCell<QuotaState>,
     request_id: u32,
@@ -82,7 +83,7 @@
     /// Decides on one request of a tenant and counts it if it is admitted.
     pub(crate) async fn admit(&self, tenant: &Tenant) -> Admission {
         let Some(limit) = Limit::new(tenant.rate_per_s, tenant.burst) else { return Admission::Admitted };
-        match self.ask_owner(&tenant.name, limit).await {
+        match self.query_owner(&tenant.name, limit).await {
             Some(OwnerReply::Decided(admission)) => {
                 if admission.is_admitted() {
                     self.state.borrow_mut().local_usage.record(self.clock.now(), &tenant.name, limit);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Uses a newer assignment of tenants to registries; an older one is ignored.
+    /// Applies an assignment of tenants to registries, unless it is older than the present one.
     pub(crate) fn assign(&self, owners: &ShardOwners) {
         let state = &mut *self.state.borrow_mut();
         if owners.fencing_token > state.fencing_token {
@@ -102,17 +103,17 @@
         }
     }
 
-    /// Passes on a reply that came on connection `from`.
+    /// Hands a reply that arrived on the connection `from` to the request that waits for it.
     pub(crate) fn on_reply(&self, from: RegistryConnectionId, request_id: u32, reply: OwnerReply) {
         self.state.borrow_mut().pending.complete(from, request_id, reply);
     }
 
-    /// The connection to a registry is down: increments that were sent on it get no reply.
+    /// The connection to a registry is lost: increments that were sent on it get no reply.
     pub(crate) fn on_disconnected(&self, registry: Ipv4Addr) {
         self.state.borrow_mut().pending.fail_all(registry);
     }
 
-    /// Drops what is known of tenants that no longer exist.
+    /// Drops the state of tenants that no longer exist.
     pub(crate) fn retain_tenants(&self, tenants: &[Tenant]) {
         let names: HashSet<&str> = tenants.iter().map(|tenant| tenant.name.as_str()).collect();
         let state = &mut *self.state.borrow_mut();
@@ -120,8 +121,9 @@
         state.transferred_on.retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// Asks the tenant's owner; `None` if it can't be reached or does not reply in time.
-    async fn ask_owner(&self, tenant: &str, limit: Limit) -> Option<OwnerReply> {
+    /// Sends an increment to the tenant's owner and waits for the reply; `None` if the owner can't be reached or does not
+    /// reply in time.
+    async fn query_owner(&self, tenant: &str, limit: Limit) -> Option<OwnerReply> {
         let sent_at = self.clock.now();
         let sent = self.send_increment(tenant, limit, sent_at)?;
         let reply = timeout(sent.timeout, sent.reply).await;
@@ -131,8 +133,8 @@
             round_trip.record_reply(self.clock.now() - sent_at);
             return Some(reply);
         }
-        // An increment whose reply is lost may have been counted. It stays counted, and the request counts here as well:
-        // the tenant may get a little less than its limit, not more.
+        // The owner may have counted an increment whose reply is lost. The request is then counted here a second time, so
+        // the tenant may get slightly less than its limit, but never more.
         round_trip.record_loss();
         None
     }
@@ -159,8 +161,8 @@
 }
 
 impl QuotaState {
-    /// Sends the owner what was admitted here, once on each connection: after a reconnect, it may be a process that has
-    /// just started.
+    /// Sends the owner the number of requests of the tenant that were admitted here, once on each connection. After a
+    /// reconnect, the owner may be a new process that has lost its counters.
     fn transfer_usage(
         &mut self,
         tenant: &str,
