--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -1,4 +1,4 @@
-//! All backends that this proxy knows: the platform's list as registries pass it on, and what each backend has shown.
+//! All backends that this proxy knows: the platform's list as the registries send it, and the observations of attempts.
 
 use crate::clock::Clock;
 use std::cell::{Cell, RefCell};
@@ -12,21 +12,22 @@
 };
 use violetyoke_transport::messages::{proxy_id, Backend, BackendList, BackendListChange, ListDigest};
 
-/// How far the platform's list lags behind where the settings don't say (ms).
+/// How far the platform's list lags behind the real state, if the settings do not give it (ms).
 const DEFAULT_PLATFORM_LAG_MS: f64 = 1_000.0;
-/// How much later than the platform's answer a list may get here, beside the time until a registry asks for it (ms).
+/// The maximum time from the platform's reply to a registry until this proxy has the list (ms). It does not include the
+/// interval at which registries query the platform.
 const LIST_DELIVERY_MS: Millis = 200;
 
-/// What an attempt needs to know of the backend that it goes to.
+/// The properties of a backend that an attempt to it needs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BackendTarget {
     pub(crate) address: SocketAddrV4,
     pub(crate) is_same_region: bool,
-    /// How long its answers are expected to take (ms); `None` until one of its service has answered.
+    /// The expected latency of the backend (ms); `None` until a backend of its service has answered.
     pub(crate) latency_estimate_ms: Option<f64>,
 }
 
-/// The backends, and the digest of the list that they come from.
+/// The backends, and the digest of the list that is in force.
 #[derive(Debug)]
 pub(crate) struct Backends {
     clock: Clock,
@@ -35,6 +36,7 @@
     /// The region of each zone.
     regions: BTreeMap<String, String>,
     local_region: String,
+    /// By how much a list that arrives now may lag behind the real state (ms).
     list_lag_ms: Millis,
 }
 
@@ -55,32 +57,33 @@
         }
     }
 
-    /// Selects a backend for an attempt; nothing is recorded of it before [`Backends::record_attempt_started`].
+    /// Selects a backend for an attempt. The attempt counts only from [`Backends::record_attempt_started`] on.
     pub(crate) fn select(&self, criteria: SelectionCriteria<'_>) -> Selection {
         self.directory.borrow().select(self.clock.now(), criteria)
     }
 
-    /// Whether these home regions leave only backends of other regions.
+    /// Whether the given sets of home regions permit only backends in other regions. An empty set permits all regions.
     pub(crate) fn excludes_local_region(&self, home_regions: &[Vec<String>]) -> bool {
-        home_regions.iter().any(|homes| !homes.is_empty() && !homes.contains(&self.local_region))
+        home_regions.iter().any(|regions| !regions.is_empty() && !regions.contains(&self.local_region))
     }
 
-    /// Whether a backend can take an attempt now.
+    /// Whether a backend has the capacity for an attempt now.
     pub(crate) fn can_take(&self, id: &str, criteria: SelectionCriteria<'_>) -> bool {
         self.directory.borrow().can_take(self.clock.now(), id, criteria)
     }
 
-    /// Whether a request that has `left_ms` until its latency target is to be refused, as its backends are overloaded.
+    /// Whether a request must be rejected because its backends are overloaded. `left_ms` is the time until its latency
+    /// target.
     pub(crate) fn is_refused_in_overload(&self, criteria: SelectionCriteria<'_>, left_ms: Millis) -> bool {
         self.directory.borrow().is_refused_in_overload(self.clock.now(), criteria, left_ms)
     }
 
-    /// A number drawn uniformly from 0 to 1.
+    /// A random sample of the uniform distribution on 0 to 1.
     pub(crate) fn sample_uniform(&self) -> f64 {
         self.directory.borrow().sample_uniform()
     }
 
-    /// Where an attempt at a backend goes to; `None` once the backend is gone.
+    /// The properties of a backend for an attempt; `None` if the backend has been removed from the list.
     pub(crate) fn target(&self, id: &str) -> Option<BackendTarget> {
         let directory = self.directory.borrow();
         let backend = directory.get(id)?;
@@ -96,22 +99,22 @@
         self.directory.borrow_mut().record_attempt_started(self.clock.now(), id);
     }
 
-    /// Records how an attempt ended.
+    /// Records the end of an attempt and its outcome.
     pub(crate) fn record_attempt_finished(&self, id: &str, observation: Observation) {
         self.directory.borrow_mut().record_attempt_finished(self.clock.now(), id, observation);
     }
 
-    /// Connections that this proxy may hold to one backend of a service.
+    /// The number of connections that this proxy may have to one backend of a service.
     pub(crate) fn max_connections(&self, service: &str) -> u32 {
         self.directory.borrow().max_connections(service)
     }
 
-    /// Whether a backend is known and neither drains nor is gone.
+    /// Whether a backend is in the list and does not drain.
     pub(crate) fn is_available(&self, id: &str) -> bool {
         self.directory.borrow().get(id).is_some_and(|backend| !backend.is_draining())
     }
 
-    /// What each backend was sent and has shown.
+    /// The state and the counters of each backend.
     pub(crate) fn report(&self) -> Vec<BackendReport> {
         self.directory.borrow().report(self.clock.now())
     }
@@ -121,28 +124,28 @@
         self.list_digest.get()
     }
 
-    /// Replaces the list. Returns whether it was taken: one that the platform was asked for earlier than for the list in
-    /// force is not.
+    /// Replaces the list, and returns whether it was accepted. A list is rejected if a registry requested it from the
+    /// platform earlier than the list in force.
     #[must_use]
     pub(crate) fn replace_list(&self, list: BackendList) -> bool {
-        let backends = list.backends.into_iter().map(|backend| self.listed(backend)).collect();
+        let backends = list.backends.into_iter().map(|backend| self.to_listed(backend)).collect();
         let now = self.clock.now();
         let requested_at = now.saturating_sub(list.age_ms);
-        let taken = self.directory.borrow_mut().replace_all(now, requested_at, backends);
-        self.note_digest(taken, list.digest)
+        let accepted = self.directory.borrow_mut().replace_all(now, requested_at, backends);
+        self.update_digest(accepted, list.digest)
     }
 
-    /// Applies a change of the list in force. Returns whether it was taken.
+    /// Applies a change of the list in force, and returns whether it was accepted.
     #[must_use]
     pub(crate) fn apply_list_change(&self, change: BackendListChange) -> bool {
-        let upserted = change.upserted.into_iter().map(|backend| self.listed(backend)).collect();
+        let upserted = change.upserted.into_iter().map(|backend| self.to_listed(backend)).collect();
         let now = self.clock.now();
         let requested_at = now.saturating_sub(change.age_ms);
-        let taken = self.directory.borrow_mut().apply_change(now, requested_at, upserted, change.removed);
-        self.note_digest(taken, change.digest)
+        let accepted = self.directory.borrow_mut().apply_change(now, requested_at, upserted, change.removed);
+        self.update_digest(accepted, change.digest)
     }
 
-    /// Applies what a new configuration says of services, and the zones that are to get no requests.
+    /// Applies the limits of the services in a new configuration, and the evacuated zones, which get no requests.
     pub(crate) fn configure(&self, services: &[Service], evacuated: BTreeSet<String>) {
         let limits = services.iter().map(|service| {
             let limits = ServiceLimits {
@@ -160,20 +163,22 @@
         );
     }
 
-    /// Sets the ids of all proxies (ascending). An empty list means that they are not known for certain: this proxy then has
-    /// no share of slow-start rates, and the number of proxies stays as it was.
+    /// Sets the ids of all proxies (ascending). The list is empty while no registry is in contact with a majority: this proxy
+    /// then has no share of slow-start rates, and the number of proxies keeps its last value.
     pub(crate) fn set_proxies(&self, proxies: Vec<u32>) {
         self.directory.borrow_mut().update_members(proxies);
     }
 
-    fn note_digest(&self, taken: bool, digest: ListDigest) -> bool {
-        if taken {
+    /// Stores the digest of an update that was accepted, and returns `accepted`.
+    fn update_digest(&self, accepted: bool, digest: ListDigest) -> bool {
+        if accepted {
             self.list_digest.set(digest);
         }
-        taken
+        accepted
     }
 
-    fn listed(&self, backend: Backend) -> ListedBackend {
+    /// Adds the region of a backend's zone.
+    fn to_listed(&self, backend: Backend) -> ListedBackend {
         ListedBackend {
             region: self.regions.get(&backend.zone).cloned().unwrap_or_default(),
             id: backend.id,
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -6,13 +6,13 @@
 use violetyoke_api::Configuration;
 use violetyoke_transport::messages::Revision;
 
-/// A configuration with the routing table made of it. It is replaced as a whole: a request keeps the one that it
-/// started with.
+/// A configuration with the routing table that was built from it. It is never changed, but replaced as a unit: a request
+/// uses the one that was in force when it started.
 #[derive(Debug)]
 pub(crate) struct ActiveConfiguration {
     revision: Revision,
     routing: RoutingTable,
-    /// What the table was made of: the next change applies to it.
+    /// The source of the routing table. The next change is applied to it.
     configuration: Configuration,
 }
 
@@ -45,7 +45,7 @@
         self.active.borrow().clone()
     }
 
-    /// The revision in force; the lowest of all until the first one is installed.
+    /// The revision in force; the lowest revision until the first configuration is installed.
     pub(crate) fn revision(&self) -> Revision {
         self.active.borrow().as_ref().map(|active| active.revision).unwrap_or_default()
     }
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The proxy as a process: it starts, becomes ready, serves until SIGTERM, and drains.
+//! The proxy process: it starts, becomes ready, serves clients until SIGTERM, and drains.
 
 use crate::control_client::{ControlClient, RegistryEvent};
 use crate::readiness_gate::ReadinessGate;
@@ -18,24 +18,25 @@
 use violetyoke_transport::lifecycle::Lifecycle;
 use violetyoke_transport::net::Listener;
 
-/// How often new registries are connected to, and readiness is checked.
+/// The interval at which new registries are connected to, reports are resent and readiness is checked.
 const TICK: Duration = Duration::from_millis(50);
-/// How often the end of a drain is checked.
+/// The interval at which a draining process checks whether it may end.
 const DRAIN_TICK: Duration = Duration::from_millis(20);
-/// After SIGTERM, the time for registries to learn of it before connections are closed.
+/// The time between the announcement of a drain to the registries and the closing of connections. Until the registries know
+/// of the drain, they would send the clients here again.
 const DRAIN_ANNOUNCEMENT: Duration = Duration::from_millis(150);
-/// After SIGTERM, clients that were sent here before may still connect for so long.
-const ACCEPT_AFTER_SHUTDOWN: Duration = Duration::from_millis(2_200);
-/// The process ends so much before the platform would kill it.
+/// How long the process still accepts connections after SIGTERM, from clients that were sent here before.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(2_200);
+/// The process ends this long before the end of the grace period, when the platform would kill it.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// Bounds of the grace period that the settings give (s).
+/// Bounds of the grace period from the settings (s).
 const MIN_GRACE_S: f64 = 0.5;
 const MAX_GRACE_S: f64 = 60.0;
 
-/// The name of the program, in its log and its errors.
+/// The name of the program in its log and in its errors.
 const PROGRAM: &str = "proxy";
 
-/// Runs the program, with the arguments after its name.
+/// Runs the program with its command-line arguments.
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about = "The proxy: carries clients' requests to backends; one process on each edge machine.";
     violetyoke_transport::daemon::run(PROGRAM, about, arguments, run)
@@ -45,7 +46,7 @@
 ///
 /// # Errors
 ///
-/// Where an address of the settings is missing or can't be listened on.
+/// If an address is missing in the settings or can't be listened on.
 pub async fn run(
     settings: Settings,
     mut lifecycle: Lifecycle,
@@ -53,11 +54,11 @@
 ) -> Result<(), Report<StartError>> {
     let grace_s = settings.terms.bounds.grace_s.clamp(MIN_GRACE_S, MAX_GRACE_S);
     let listeners = Listeners::open(&settings)?;
-    // Unbounded: the transport bounds the messages, and events are handled without waiting for anything.
+    // Unbounded: the transport limits the number of messages, and events are handled without waiting.
     let (sender, mut events) = unbounded_channel();
     let port = settings.internal_port(Process::Registry);
     let registries = RegistryConnections::new(port, move |registry, event| {
-        // Lost only while the process ends: then nobody handles events any more.
+        // Fails only while the process ends, when events are no longer handled.
         drop(sender.send(RegistryEvent { registry, event }));
     });
     let proxy = Rc::new(Proxy::new(&settings, registries, lifecycle.incarnation, log));
@@ -86,7 +87,7 @@
     }
 }
 
-/// The tasks that accept connections; they end when this is dropped.
+/// The tasks that accept connections. They are aborted when this is dropped.
 struct Servers {
     front: AbortHandle,
     _tasks: JoinSet<()>,
@@ -100,7 +101,7 @@
         Servers { front, _tasks: tasks }
     }
 
-    /// Accepts no more clients; connections that are open are served on.
+    /// Stops accepting clients' connections. Open connections are still served.
     fn stop_accepting_clients(&self) {
         self.front.abort();
     }
@@ -140,8 +141,8 @@
     }
 }
 
-/// Drains: clients are sent elsewhere, connections close after their current request, and the last requests are
-/// answered, for at most `grace`.
+/// Drains the process, for at most `grace` less [`EXIT_MARGIN`]: announces to the registries that clients should be sent
+/// elsewhere, closes connections after their current request, and completes the remaining requests.
 async fn drain(
     proxy: &Proxy,
     control: &mut ControlClient,
@@ -161,10 +162,10 @@
         tokio::select! {
             Some(event) = events.recv() => control.on_event(event),
             _ = ticks.tick() => {
-                // Again for connections that were opened meanwhile.
+                // Repeated, for connections that were opened after the last call.
                 proxy.serving.close_connections();
                 proxy.operations.on_tick();
-                if started_at.elapsed() > ACCEPT_AFTER_SHUTDOWN {
+                if started_at.elapsed() > ACCEPT_AFTER_SIGTERM {
                     servers.stop_accepting_clients();
                     if proxy.serving.open_connections() == 0 && proxy.operations.is_idle() {
                         return;
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -1,8 +1,9 @@
-//! Whether the configuration in force is the newest: asked before a request is denied for a route or a credential that
-//! is not known here, as it may have been acknowledged to an operator a moment ago.
+//! Checks with the registries whether the configuration in force is the newest. The check is made before a request is
+//! denied for an unknown route or credential: the change that adds the route or credential may have been acknowledged to an
+//! operator a moment ago.
 //!
-//! All requests share one query at a time, and none is sent for a while after a conclusive one: clients that invent
-//! credentials cause no load on the registries.
+//! All requests share one query at a time, and a result that nothing newer exists is cached for a short time. Clients that
+//! invent credentials therefore cause hardly any load on the registries.
 
 use crate::configuration::ConfigurationStore;
 use crate::registries::RegistryConnections;
@@ -15,19 +16,19 @@
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{ProxyRequest, RegistryRequest, Revision};
 
-/// How long replies are waited for.
+/// The maximum time to wait for replies.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long the result that nothing newer exists stays valid.
+/// How long the result that nothing newer exists is cached.
 const NEGATIVE_CACHE_TTL: Duration = Duration::from_millis(300);
 
 /// The result of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// A newer configuration has been installed meanwhile.
+    /// A newer configuration was installed during the check.
     Updated,
-    /// The registries know of nothing newer, or said so a moment ago.
+    /// The registries have no newer configuration, or had none a moment ago (cached).
     UpToDate,
-    /// No registry whose reply is conclusive has replied in time.
+    /// No conclusive reply arrived in time.
     Unknown,
 }
 
@@ -37,10 +38,11 @@
     registries: Rc<RegistryConnections>,
     configuration: Rc<ConfigurationStore>,
     query: RefCell<Query>,
-    /// When the running query was sent; `None` while none is running.
+    /// The time at which the running query was sent; `None` while none is running.
     sent_at: Cell<Option<Instant>>,
-    /// When a query found that nothing newer exists; `None` since a newer configuration has come.
+    /// The time at which a query last found that nothing newer exists; `None` after a newer configuration was installed.
     confirmed_at: Cell<Option<Instant>>,
+    /// Wakes the requests that wait for the running query.
     finished: Notify,
 }
 
@@ -48,11 +50,11 @@
 #[derive(Debug, Default)]
 struct Query {
     request_id: u32,
-    /// The revision that was in force when it was sent.
+    /// The revision that was in force when the query was sent.
     known: Revision,
-    /// Registries that have not replied yet.
+    /// The registries that have not replied yet.
     awaiting: BTreeSet<Ipv4Addr>,
-    /// Whether a registry whose reply is conclusive knew of nothing newer.
+    /// Whether a conclusive reply has arrived; see [`FreshnessCheck::on_reply`].
     is_conclusive: bool,
 }
 
@@ -61,7 +63,7 @@
 pub(crate) struct FreshnessReply {
     pub(crate) registry: Ipv4Addr,
     pub(crate) request_id: u32,
-    /// The newest revision that the registry knows.
+    /// The newest revision that the registry has.
     pub(crate) newest: Revision,
 }
 
@@ -80,14 +82,14 @@
         }
     }
 
-    /// Finds out whether anything newer than the configuration in force exists, for at most [`QUERY_TIMEOUT`].
+    /// Checks whether a newer configuration than the one in force exists. Takes at most [`QUERY_TIMEOUT`].
     pub(crate) async fn check(&self) -> Freshness {
         let known = self.configuration.revision();
         let now = Instant::now();
         if self.was_confirmed(now) {
             return Freshness::UpToDate;
         }
-        // Before the query is sent, so that its end is not missed.
+        // Subscribed to before the query is sent, so that its end is not missed.
         let finished = self.finished.notified();
         if !self.is_query_running(now) {
             self.send_query(now, known);
@@ -95,13 +97,14 @@
         if self.query.borrow().awaiting.is_empty() {
             return Freshness::Unknown;
         }
-        // A time-out is no error: the replies so far may be conclusive.
+        // A time-out is not an error, as the replies so far may be conclusive.
         drop(timeout_at(now + QUERY_TIMEOUT, finished).await);
         self.result(known)
     }
 
-    /// Takes a reply. The last one outstanding finishes the query. A reply to an earlier query proves nothing; nor does
-    /// one of a registry that is behind the configuration in force, or out of contact with the other registries.
+    /// Handles a reply. A reply is conclusive if the registry is in contact with a majority of the registries and is not
+    /// behind the configuration in force. Replies to earlier queries are ignored. When all registries have replied and a
+    /// reply was conclusive, the query is finished.
     pub(crate) fn on_reply(&self, reply: FreshnessReply) {
         let query = &mut *self.query.borrow_mut();
         if query.request_id != reply.request_id || !query.awaiting.remove(&reply.registry) {
@@ -114,7 +117,8 @@
         }
     }
 
-    /// A newer configuration is in force. What it lacks may be in the next one, so that may be asked for at once.
+    /// A newer configuration is in force. The cached result no longer applies: an even newer configuration may exist, so the
+    /// next check sends a query at once.
     pub(crate) fn on_updated(&self) {
         self.confirmed_at.set(None);
         self.finish();
@@ -126,14 +130,14 @@
     }
 
     fn was_confirmed(&self, now: Instant) -> bool {
-        self.confirmed_at.get().is_some_and(|at| now < at + NEGATIVE_CACHE_TTL)
+        self.confirmed_at.get().is_some_and(|confirmed_at| now < confirmed_at + NEGATIVE_CACHE_TTL)
     }
 
     fn is_query_running(&self, now: Instant) -> bool {
-        self.sent_at.get().is_some_and(|at| now <= at + QUERY_TIMEOUT)
+        self.sent_at.get().is_some_and(|sent_at| now <= sent_at + QUERY_TIMEOUT)
     }
 
-    /// Asks all registries: the one that would be asked first may be the one that is partitioned.
+    /// Sends a query to all registries, because any single one may be partitioned from the others.
     fn send_query(&self, now: Instant, known: Revision) {
         let query = &mut *self.query.borrow_mut();
         let request_id = query.request_id.wrapping_add(1);
@@ -147,7 +151,7 @@
         if self.configuration.revision() > known {
             return Freshness::Updated;
         }
-        // A query finishes early when all registries have replied; where some are silent, one conclusive reply is enough.
+        // A query finishes early only when all registries have replied. After a time-out, one conclusive reply is enough.
         if self.query.borrow().is_conclusive || self.was_confirmed(Instant::now()) {
             Freshness::UpToDate
         } else {
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process, published at `/api/figures` and logged in one line when the process ends.
+//! The metrics of the process. They are published at `/api/figures`, and logged in one line when the process ends.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -7,13 +7,13 @@
 use std::fmt::{self, Display};
 use violetyoke_balancing::queue::MAX_PENDING;
 
-/// Comes before the name of each metric.
+/// The prefix of all metric names.
 const PREFIX: &str = "violetyoke_proxy";
 
 macro_rules! metrics {
     ($($field:ident = $name:literal: $help:literal,)*) => {
-        /// All counters of a proxy, from the start of the process on. Their published names and help texts are part of the
-        /// interface to operators, and stay as they are where a field is renamed.
+        /// All counters of a proxy, since the start of the process. The published names and help texts are part of the
+        /// interface to operators, and must not change when a field is renamed.
         #[derive(Debug, Default)]
         pub(crate) struct Metrics {
             $(#[doc = $help] pub(crate) $field: Counter,)*
@@ -54,21 +54,25 @@
     late_grants = "late_grants": "grants of claims that came too late to be used, or twice",
 }
 
-/// What is measured when the metrics are asked for.
+/// Values that are measured when the metrics are requested.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Gauges {
-    /// Requests that wait for the service that has the most.
+    /// The number of queued requests of the service that has the most of them.
     pub(crate) longest_queue: usize,
 }
 
 impl Gauges {
     fn register(self, registry: &mut Registry) {
-        let longest = Gauge::<i64>::default();
-        longest.set(self.longest_queue as i64);
-        registry.register("longest_queue", "requests that wait for the service that has the most", longest);
-        let limit = Gauge::<i64>::default();
-        limit.set(MAX_PENDING as i64);
-        registry.register("queue_limit", "requests that may wait for one service", limit);
+        let longest_queue = Gauge::<i64>::default();
+        longest_queue.set(self.longest_queue as i64);
+        registry.register(
+            "longest_queue",
+            "requests that wait for the service that has the most",
+            longest_queue,
+        );
+        let queue_limit = Gauge::<i64>::default();
+        queue_limit.set(MAX_PENDING as i64);
+        registry.register("queue_limit", "requests that may wait for one service", queue_limit);
     }
 }
 
@@ -79,13 +83,13 @@
         self.register(&mut registry);
         gauges.register(&mut registry);
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         encode(&mut text, &registry).ok();
         text
     }
 }
 
-/// All counters in one line, for the log.
+/// Formats all counters in one line for the log.
 impl Display for Metrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, (name, value)) in self.values().into_iter().enumerate() {
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,5 @@
-//! The HTTP server for the platform and for operators: readiness, metrics, and what is known of the backends.
+//! The HTTP server for the platform and for operators. It answers readiness checks, and publishes metrics and the state of
+//! the backends.
 
 use crate::metrics::Gauges;
 use crate::state::Proxy;
@@ -17,7 +18,7 @@
 use violetyoke_balancing::BackendReport;
 use violetyoke_transport::net::{Listener, Stream};
 
-/// Pause after a failed accept, which may be caused by a shortage of descriptors.
+/// The pause after a failed accept, which may be due to a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves until the task is aborted.
@@ -35,7 +36,7 @@
         let response = respond(&request, &proxy);
         async move { Ok::<_, Infallible>(response) }
     });
-    // An error is the caller's: it broke off or sent what is no request.
+    // Errors are ignored: the caller has closed the connection or sent an invalid request.
     let connection = Builder::new().serve_connection(TokioIo::new(stream), service);
     drop(connection.await);
 }
@@ -59,7 +60,7 @@
     Gauges { longest_queue: proxy.pending.longest() }
 }
 
-/// What each backend was sent and has shown.
+/// The state of each backend, with the number of requests that it was sent and of their outcomes.
 fn backends_as_json(proxy: &Proxy) -> String {
     let entry = |backend: &BackendReport| {
         json!({
--- a/crates/proxy/src/serving.rs
+++ b/crates/proxy/src/serving.rs
@@ -1,11 +1,12 @@
-//! Whether this proxy serves clients: ready or not, draining or not, with how many connections.
+//! The serving state of the process: whether it is ready, whether it drains, and how many clients' connections are open.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// The serving state of one process: it starts, becomes ready, and drains after SIGTERM. It never goes back.
+/// The serving state of the process. It starts, becomes ready, and drains after SIGTERM; it never returns to an earlier
+/// state.
 #[derive(Debug, Default)]
 pub(crate) struct ServingState {
     is_ready: Cell<bool>,
@@ -15,17 +16,17 @@
 }
 
 impl ServingState {
-    /// Whether requests can be served: there is a configuration and a list of backends, as new as any registry has them.
+    /// Whether requests can be served: see [`ReadinessGate`](crate::readiness_gate::ReadinessGate).
     pub(crate) fn is_ready(&self) -> bool {
         self.is_ready.get()
     }
 
-    /// Whether the process is about to end: connections are closed after their current request.
+    /// Whether the process is shutting down. Connections are then closed after their current request.
     pub(crate) fn is_draining(&self) -> bool {
         self.is_draining.get()
     }
 
-    /// Whether clients should be sent here.
+    /// Whether clients should be sent to this proxy.
     pub(crate) fn accepts_new_clients(&self) -> bool {
         self.is_ready() && !self.is_draining()
     }
@@ -40,12 +41,12 @@
         self.is_draining.set(true);
     }
 
-    /// Has each connection close once its current request is answered.
+    /// Closes idle connections at once, and the others after the response to their current request.
     pub(crate) fn close_connections(&self) {
         self.close_idle_connections.notify_waiters();
     }
 
-    /// Completes at the next [`ServingState::close_connections`].
+    /// Completes at the next call to [`ServingState::close_connections`].
     pub(crate) fn connections_closing(&self) -> Notified<'_> {
         self.close_idle_connections.notified()
     }
@@ -56,13 +57,13 @@
         ConnectionGuard { serving: self.clone() }
     }
 
-    /// Clients' connections at present.
+    /// The number of clients' connections that are open now.
     pub(crate) fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 }
 
-/// A client's connection, counted for as long as this lives.
+/// Counts a client's connection as open until it is dropped.
 #[derive(Debug)]
 #[must_use]
 pub(crate) struct ConnectionGuard {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a proxy share. All of it is used on one thread, so cells do.
+//! The state that the parts of a proxy share. All of it is used on one thread, so cells suffice and locks are not needed.
 
 use crate::backends::Backends;
 use crate::clock::Clock;
@@ -19,10 +19,10 @@
 use violetyoke_api::Settings;
 use violetyoke_balancing::Millis;
 
-/// Responses are kept for repeats of their requests for so long at most (s).
+/// The maximum time for which responses are kept for repeats of their requests (s).
 const MAX_RESPONSE_WINDOW_S: f64 = 3_600.0;
 
-/// One proxy: each part owns its state and changes it by its own methods alone.
+/// One proxy. Each part owns its state, which only the part's own methods change.
 pub(crate) struct Proxy {
     pub(crate) log: Logger,
     pub(crate) metrics: Rc<Metrics>,
@@ -34,9 +34,9 @@
     pub(crate) quota: QuotaClient,
     pub(crate) operations: Rc<OperationClient>,
     pub(crate) freshness: FreshnessCheck,
-    /// Draws for routes that split their requests.
+    /// Samples for routes that split their requests among services.
     pub(crate) splits: SplitSequences,
-    /// Requests that wait for a backend with capacity.
+    /// Requests that are queued until a backend has capacity.
     pub(crate) pending: PendingRequests,
     /// Idle connections to backends.
     pub(crate) connection_pool: ConnectionPool,
@@ -44,7 +44,8 @@
 }
 
 impl Proxy {
-    /// A proxy without any state; `incarnation` distinguishes this process from an earlier one on the same machine.
+    /// Creates a proxy that has not received any state; `incarnation` distinguishes this process from an earlier one on the
+    /// same machine.
     pub(crate) fn new(
         settings: &Settings,
         registries: RegistryConnections,
