--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
-use violetyoke_decision::interface::{Effect, Micros, Settings};
+use violetyoke_decision::interface::{Idempotency, Micros, Settings};
 
 pub const REQ_KIND: HeaderName = HeaderName::from_static("req-kind");
 const TIER: HeaderName = HeaderName::from_static("x-tier");
@@ -47,7 +47,7 @@
     /// Classes and plans by their numbers; an empty name is one that is no longer to be had.
     pub classes: Vec<String>,
     pub plans: Vec<String>,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     deadlines: Vec<Micros>,
     max_units: f64,
     ingress_count: f64,
@@ -71,12 +71,16 @@
         Rules {
             classes,
             plans,
-            effects: settings.classes.iter().map(|class| class.effect).collect(),
+            effects: settings.classes.iter().map(|class| class.idempotency).collect(),
             deadlines: settings.classes.iter().map(|class| class.deadline).collect(),
-            max_units: settings.largest_request,
+            max_units: settings.max_request_units,
             ingress_count: f64::from(settings.gateways),
             form,
-            query_class: settings.classes.iter().position(|class| class.asks_only).map(|place| place as u16),
+            query_class: settings
+                .classes
+                .iter()
+                .position(|class| class.admission_only)
+                .map(|place| place as u16),
             uncounted_plan: None,
         }
     }
@@ -208,8 +212,8 @@
             return Err(Rejection { code: StatusCode::NOT_FOUND, reason: "path: not of the class" });
         }
         let method = match rules.effects[usize::from(class)] {
-            Effect::Safe => Method::GET,
-            Effect::Keyed | Effect::Unsafe => Method::POST,
+            Idempotency::Idempotent => Method::GET,
+            Idempotency::Deduplicated | Idempotency::AtMostOnce => Method::POST,
         };
         if head.method != method {
             return Err(bad_request("method: not that of the class"));
