--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Settings, requests and answers that the module tests share.
-#![allow(dead_code)] // Each file of tests uses its own part.
+//! Settings, requests and events that the tests of this crate share.
+#![allow(dead_code)] // Each test file uses some of the functions.
 
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
 
 pub const TICK: Micros = 4_000;
 pub const SECOND: Micros = 1_000_000;
-/// A time that is the start of a window of one second, of two, and of four.
+/// A time at which quota windows of one, two and four seconds start.
 pub const START: Micros = 1_000 * SECOND;
 
 pub fn class(idempotency: Idempotency, dedup_scope: DedupScope) -> Class {
@@ -24,12 +24,12 @@
     }
 }
 
-/// One safe, one keyed (by zone) and one unsafe class; a plain plan, one with ceiling and cap, one without
-/// a quota.
+/// Three classes: idempotent, deduplicated within a zone, and at most once. Three plans: with a quota, with a
+/// quota and a hard limit, and without a quota.
 pub fn settings() -> Settings {
-    let plain = Plan { rate: 5.0, burst: 10.0, value: 1.0, ..Plan::default() };
-    let ceiling =
-        Plan { hard_limit_rate: 10.0, hard_limit_burst: 20.0, hard_limit_slack: 2.0, ..plain.clone() };
+    let quota = Plan { rate: 5.0, burst: 10.0, value: 1.0, ..Plan::default() };
+    let hard_limit =
+        Plan { hard_limit_rate: 10.0, hard_limit_burst: 20.0, hard_limit_slack: 2.0, ..quota.clone() };
     Settings {
         gateways: 2,
         tick: TICK,
@@ -38,7 +38,7 @@
             class(Idempotency::Deduplicated, DedupScope::Zone),
             class(Idempotency::AtMostOnce, DedupScope::All),
         ],
-        plans: vec![plain, ceiling, Plan { value: 1.0, ..Plan::default() }],
+        plans: vec![quota, hard_limit, Plan { value: 1.0, ..Plan::default() }],
         counter: Some(Counter { timeout: 50_000, fee: 0.01 }),
         max_request_units: 2.0,
         limits: Limits {
@@ -65,7 +65,7 @@
     BackendEntry { id, zone: (id % 2) as u16, condition, weight: 1.0, started_at, ..BackendEntry::default() }
 }
 
-pub fn list(ids: &[BackendId]) -> Event {
+pub fn full_list(ids: &[BackendId]) -> Event {
     let entries = ids.iter().map(|id| entry(*id, Condition::Ready, 0)).collect();
     Event::Backends { kind: ListKind::Full, version: 1, entries }
 }
@@ -85,7 +85,7 @@
     }
 }
 
-pub fn ended(request: RequestId, attempt: u8, backend: BackendId, outcome: Outcome) -> Event {
+pub fn attempt_ended(request: RequestId, attempt: u8, backend: BackendId, outcome: Outcome) -> Event {
     Event::AttemptEnded(AttemptEnd {
         request,
         attempt,
@@ -101,7 +101,7 @@
 
 pub fn gateway(settings: Settings, backends: &[BackendId]) -> Gateway {
     let mut gateway = Gateway::new(settings, 7);
-    step(&mut gateway, START, list(backends));
+    step(&mut gateway, START, full_list(backends));
     gateway
 }
 
--- a/crates/decision/tests/home.rs
+++ b/crates/decision/tests/home.rs
@@ -46,7 +46,7 @@
             settings.limits.peer_messages = true;
             settings.limits.peer_message_rate = 40.0;
             let mut gateway = Gateway::new(settings, u64::from(index) + 1);
-            step(&mut gateway, START, list(&(1..=40).collect::<Vec<_>>()));
+            step(&mut gateway, START, full_list(&(1..=40).collect::<Vec<_>>()));
             gateway
         });
         Fleet {
@@ -125,7 +125,7 @@
             Action::Send { request, backend, .. } => {
                 let (_, units) = self.open.remove(&request).expect("open");
                 self.sent.push((now, units));
-                self.due(now + 20 * MS, index, ended(request, 0, backend, Outcome::Ok));
+                self.due(now + 20 * MS, index, attempt_ended(request, 0, backend, Outcome::Ok));
             }
             Action::Reject { request, .. } | Action::Fail { request, .. } => {
                 let (came, _) = self.open.remove(&request).expect("open");
@@ -139,7 +139,8 @@
         self.sent.iter().map(|(_, units)| units).sum()
     }
 
-    /// The most units that were sent on in any stretch, beyond `burst` and `rate` (units a second) for its length.
+    /// The most units that were sent on in any stretch, beyond `burst` and `rate` (units a second) for its
+    /// length.
     fn beyond(&self, burst: f64, rate: f64) -> f64 {
         let mut most = f64::MIN;
         for (i, (from, _)) in self.sent.iter().enumerate() {
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -1,5 +1,6 @@
-//! Half of the fleet out by hand, a quarter cold, one node failing, and twice what the rest bears: what is worth most
-//! is served, and nothing waits for its deadline to be refused. Nodes have workers and queues, in virtual time.
+//! Half of the fleet out by hand, a quarter cold, one node failing, and twice what the rest bears: what is
+//! worth most is served, and nothing waits for its deadline to be refused. Nodes have workers and queues, in
+//! virtual time.
 
 mod common;
 
@@ -96,7 +97,9 @@
             seen.served = Some(self.now - seen.came);
         }
         let elapsed = self.now - seen.sent;
-        let Event::AttemptEnded(end) = ended(request, attempt, backend, outcome) else { unreachable!() };
+        let Event::AttemptEnded(end) = attempt_ended(request, attempt, backend, outcome) else {
+            unreachable!()
+        };
         self.give(Event::AttemptEnded(AttemptEnd { elapsed, ..end }));
     }
 
--- a/crates/decision/tests/plans.rs
+++ b/crates/decision/tests/plans.rs
@@ -37,7 +37,7 @@
     let actions = answer(gateway, now, totals, actions);
     for action in &actions {
         if let Action::Send { request, backend, .. } = action {
-            step(gateway, now + 1_000, ended(*request, 0, *backend, Outcome::Ok));
+            step(gateway, now + 1_000, attempt_ended(*request, 0, *backend, Outcome::Ok));
         }
     }
     actions.iter().any(|action| matches!(action, Action::Send { request, .. } if *request == id))
@@ -131,7 +131,7 @@
         _ => None,
     });
     gateway.reconfigure(START + 1_000, with_plan(&settings, 1.0, 2.0));
-    let end = step(&mut gateway, START + 2_000, ended(1, 0, to.unwrap(), Outcome::Reset));
+    let end = step(&mut gateway, START + 2_000, attempt_ended(1, 0, to.unwrap(), Outcome::Reset));
     assert_eq!(
         end.iter().filter(|action| matches!(action, Action::Fail { request: 1, .. })).count(),
         1,
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -209,7 +209,9 @@
             seen.attempts[usize::from(attempt)].2 = Some(outcome);
             let was_closed = seen.closed;
             seen.closed |= outcome == Outcome::Ok;
-            let Event::AttemptEnded(end) = ended(id, attempt, backend, outcome) else { unreachable!() };
+            let Event::AttemptEnded(end) = attempt_ended(id, attempt, backend, outcome) else {
+                unreachable!()
+            };
             events.push(Event::AttemptEnded(AttemptEnd {
                 elapsed,
                 closed: was_closed || seen.closed,
--- a/crates/decision/tests/succession.rs
+++ b/crates/decision/tests/succession.rs
@@ -1,5 +1,5 @@
-//! A gateway takes the place of another: what it is handed acts in it as it would have in the other one, nothing is
-//! in both, and what is too old is not believed.
+//! A gateway takes the place of another: what it is handed acts in it as it would have in the other one,
+//! nothing is in both, and what is too old is not believed.
 
 mod common;
 
@@ -25,7 +25,7 @@
             if let Action::Send { backend, .. } = action {
                 nodes.push(backend);
                 *now += 20_000;
-                step(gateway, *now, ended(id, 0, backend, Outcome::Ok));
+                step(gateway, *now, attempt_ended(id, 0, backend, Outcome::Ok));
             }
         }
     }
@@ -43,7 +43,7 @@
         });
         let Some(backend) = sent else { continue };
         let outcome = if backend == node { Outcome::Reset } else { Outcome::Ok };
-        step(gateway, *now + 10_000, ended(id, 0, backend, outcome));
+        step(gateway, *now + 10_000, attempt_ended(id, 0, backend, outcome));
         if gateway.fleet_view().backends.iter().any(|known| known.id == node && known.ejected) {
             return;
         }
@@ -53,7 +53,7 @@
 
 fn successor(settings: Settings, now: Micros, belief: LearnedState) -> (Gateway, bool) {
     let mut new = Gateway::new(settings, 8);
-    step(&mut new, now, list(&NODES));
+    step(&mut new, now, full_list(&NODES));
     new.set_overlapping(true);
     let believed = new.import_state(now, belief);
     (new, believed)
