--- a/crates/balancing/src/admission.rs
+++ b/crates/balancing/src/admission.rs
@@ -22,12 +22,7 @@
     /// the overload, so that proxies that know the same don't all stop and start at once. `left_ms` is the time until the
     /// request's latency target.
     #[must_use]
-    pub fn is_refused_in_overload(
-        &self,
-        now: Millis,
-        criteria: SelectionCriteria<'_>,
-        left_ms: Millis,
-    ) -> bool {
+    pub fn should_shed(&self, now: Millis, criteria: SelectionCriteria<'_>, left_ms: Millis) -> bool {
         let service = self.service_estimate(criteria.service);
         // Both, where the request may be sent to either.
         let regions = [true, false]
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`BackendDirectory::select`] picks a backend for one attempt.
 //! - [`retry_policy::RetryPolicy`] bounds queueing, attempts and time-outs of one request, and
 //!   [`retry_budget::RetryBudget`] the retries of all requests to a service.
-//! - [`BackendDirectory::is_refused_in_overload`] refuses a part of the requests while too much waits at backends.
+//! - [`BackendDirectory::should_shed`] refuses a part of the requests while too much waits at backends.
 //! - [`queue::PendingQueue`] orders the requests that wait until a backend has capacity.
 
 mod admission;
--- a/crates/balancing/tests/admission.rs
+++ b/crates/balancing/tests/admission.rs
@@ -22,7 +22,7 @@
 
 /// How many of 1,000 requests are refused.
 fn refused(directory: &BackendDirectory, now: u64, criteria: SelectionCriteria<'_>, left_ms: u64) -> usize {
-    (0..1_000).filter(|_| directory.is_refused_in_overload(now, criteria, left_ms)).count()
+    (0..1_000).filter(|_| directory.should_shed(now, criteria, left_ms)).count()
 }
 
 /// Guards against backends that work off requests which are too late by then, and against ones that get none.
--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -71,8 +71,8 @@
     }
 
     /// Whether a request that has `left_ms` until its latency target is to be refused, as its backends are overloaded.
-    pub(crate) fn is_refused_in_overload(&self, criteria: SelectionCriteria<'_>, left_ms: Millis) -> bool {
-        self.directory.borrow().is_refused_in_overload(self.clock.now(), criteria, left_ms)
+    pub(crate) fn should_shed(&self, criteria: SelectionCriteria<'_>, left_ms: Millis) -> bool {
+        self.directory.borrow().should_shed(self.clock.now(), criteria, left_ms)
     }
 
     /// A number drawn uniformly from 0 to 1.
--- a/crates/proxy/src/forward/select.rs
+++ b/crates/proxy/src/forward/select.rs
@@ -46,7 +46,7 @@
     let left = (request.arrived_at + target).saturating_duration_since(Instant::now());
     proxy.pending.is_full(&request.service)
         || matches!(select_now(proxy, request, &[]), Selection::NoBackend)
-        || proxy.backends.is_refused_in_overload(request.criteria(&[]), left.as_millis() as Millis)
+        || proxy.backends.should_shed(request.criteria(&[]), left.as_millis() as Millis)
 }
 
 /// The backend to which a connection was opened for this request, if it can still take it.
