--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -101,7 +101,7 @@
 
     /// The number of requests that wait for the service that has the most.
     #[must_use]
-    pub fn longest(&self) -> usize {
+    pub fn longest_queue_len(&self) -> usize {
         self.by_service.values().map(BTreeMap::len).max().unwrap_or(0)
     }
 }
--- a/crates/balancing/tests/queue.rs
+++ b/crates/balancing/tests/queue.rs
@@ -42,7 +42,7 @@
     assert!(queue.take_first_waker("finder", 10).is_some());
     assert!(queue.remove("finder", 0, awake), "another request is to be woken in its place");
     assert!(queue.is_empty("finder"));
-    assert_eq!((queue.longest(), queue.take_all_wakers().len()), (0, 0));
+    assert_eq!((queue.longest_queue_len(), queue.take_all_wakers().len()), (0, 0));
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let mut queue = PendingQueue::default();
     let tickets: Vec<_> =
         (0..MAX_PENDING).map(|_| queue.enqueue("finder", 0, 500, ()).expect("a place")).collect();
-    assert_eq!((queue.enqueue("finder", 0, 500, ()), queue.longest()), (None, MAX_PENDING));
+    assert_eq!((queue.enqueue("finder", 0, 500, ()), queue.longest_queue_len()), (None, MAX_PENDING));
     assert!(queue.enqueue("ledger", 0, 500, ()).is_some(), "each service has a queue of its own");
     assert!(queue.is_full("finder") && !queue.is_full("ledger"));
     queue.remove("finder", 0, tickets[7]);
--- a/crates/proxy/src/pending.rs
+++ b/crates/proxy/src/pending.rs
@@ -55,8 +55,8 @@
     }
 
     /// The number of requests that wait for the service that has the most.
-    pub(crate) fn longest(&self) -> usize {
-        self.queue.borrow().longest()
+    pub(crate) fn longest_queue_len(&self) -> usize {
+        self.queue.borrow().longest_queue_len()
     }
 
     /// A backend of the service may have capacity: wakes the first request that waits for it.
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -56,7 +56,7 @@
 }
 
 fn gauges(proxy: &Proxy) -> Gauges {
-    Gauges { longest_queue: proxy.pending.longest() }
+    Gauges { longest_queue: proxy.pending.longest_queue_len() }
 }
 
 /// What each backend was sent and has shown.
