--- a/crates/quota/src/reserve.rs
+++ b/crates/quota/src/reserve.rs
@@ -9,7 +9,7 @@
     ///
     /// Without a reservation the owner admits the whole limit beside what partitioned proxies admit
     /// (docs/incidents/cut-off-edges.md).
-    pub fn reserved_part(&self, now: Millis, tolerated_overshoot: f64) -> f64 {
+    pub fn reserved_fraction(&self, now: Millis, tolerated_overshoot: f64) -> f64 {
         if !self.is_majority_connected() {
             return 0.0;
         }
--- a/crates/quota/tests/partitions.rs
+++ b/crates/quota/tests/partitions.rs
@@ -23,12 +23,12 @@
 fn owner_reserves_the_local_share_of_partitioned_proxies_beyond_the_tolerated_overshoot() {
     let mut proxies = PartitionedProxies::default();
     proxies.update_members(1_000, &all(), &[]);
-    assert_eq!(proxies.reserved_part(1_000, TOLERATED), 0.0);
+    assert_eq!(proxies.reserved_fraction(1_000, TOLERATED), 0.0);
 
     proxies.update_members(2_000, &all()[..7], &[]);
 
     assert_eq!(proxies.partitioned(), [7, 8, 9]);
-    assert!((proxies.reserved_part(2_000, TOLERATED) - (0.3 * 0.75 - TOLERATED)).abs() < 1e-9);
+    assert!((proxies.reserved_fraction(2_000, TOLERATED) - (0.3 * 0.75 - TOLERATED)).abs() < 1e-9);
 }
 
 #[test]
@@ -37,8 +37,11 @@
 
     proxies.update_members(9_000, &all(), &[]);
 
-    assert!(proxies.reserved_part(13_000, TOLERATED) > 0.1, "what they admitted is within the span still");
-    assert_eq!(proxies.reserved_part(14_001, TOLERATED), 0.0);
+    assert!(
+        proxies.reserved_fraction(13_000, TOLERATED) > 0.1,
+        "what they admitted is within the span still"
+    );
+    assert_eq!(proxies.reserved_fraction(14_001, TOLERATED), 0.0);
 }
 
 #[test]
@@ -48,7 +51,7 @@
     proxies.update_members(16_000, &all(), &[7, 8, 9]);
     proxies.update_members(16_300, &all(), &[]);
 
-    assert_eq!(proxies.reserved_part(16_400, TOLERATED), 0.0);
+    assert_eq!(proxies.reserved_fraction(16_400, TOLERATED), 0.0);
 }
 
 #[test]
@@ -58,7 +61,7 @@
     proxies.merge(20_000, &[7, 8, 9]);
     proxies.update_members(20_000, &all()[..7], &[]);
 
-    assert!(proxies.reserved_part(20_000, TOLERATED) > 0.1);
+    assert!(proxies.reserved_fraction(20_000, TOLERATED) > 0.1);
 }
 
 #[test]
@@ -67,11 +70,11 @@
     proxies.update_members(1_000, &all(), &[]);
 
     proxies.update_members(30_000, &[], &[]);
-    assert_eq!(proxies.reserved_part(30_000, TOLERATED), 0.0);
+    assert_eq!(proxies.reserved_fraction(30_000, TOLERATED), 0.0);
 
     proxies.update_members(31_000, &all(), &[]);
     let message = "they admitted in place of what is counted here, not beside it";
-    assert_eq!(proxies.reserved_part(31_000, TOLERATED), 0.0, "{message}");
+    assert_eq!(proxies.reserved_fraction(31_000, TOLERATED), 0.0, "{message}");
 }
 
 #[test]
@@ -90,18 +93,18 @@
     let members = all();
     let mut proxies = three_partitioned();
     proxies.update_members(9_000, &members, &[]);
-    assert!(proxies.reserved_part(13_000, TOLERATED) > 0.1);
-    assert_eq!(proxies.reserved_part(14_001, TOLERATED), 0.0);
+    assert!(proxies.reserved_fraction(13_000, TOLERATED) > 0.1);
+    assert_eq!(proxies.reserved_fraction(14_001, TOLERATED), 0.0);
     // Killed, and restarted: those processes have admitted nothing.
     proxies.update_members(15_000, &members[..7], &[]);
     proxies.update_members(16_000, &members, &[7, 8, 9]);
     proxies.update_members(16_300, &members, &[]);
-    assert_eq!(proxies.reserved_part(16_400, TOLERATED), 0.0);
+    assert_eq!(proxies.reserved_fraction(16_400, TOLERATED), 0.0);
     // This registry is partitioned, and comes back.
     proxies.update_members(30_000, &[], &[]);
-    assert_eq!(proxies.reserved_part(30_000, TOLERATED), 0.0);
+    assert_eq!(proxies.reserved_fraction(30_000, TOLERATED), 0.0);
     proxies.update_members(31_000, &members, &[]);
-    assert_eq!(proxies.reserved_part(31_000, TOLERATED), 0.0);
+    assert_eq!(proxies.reserved_fraction(31_000, TOLERATED), 0.0);
     // One stays away for good.
     proxies.update_members(40_000, &members[..9], &[]);
     proxies.update_members(100_000, &members[..9], &[]);
--- a/crates/registry/src/quota_shards.rs
+++ b/crates/registry/src/quota_shards.rs
@@ -108,7 +108,7 @@
             return Err(NotOwner);
         }
         let covered = terms.allowed_overshoot * PARTITIONED_PART_OF_OVERSHOOT;
-        let available = 1.0 - self.partitioned.reserved_part(now, covered);
+        let available = 1.0 - self.partitioned.reserved_fraction(now, covered);
         let limit = limit.scaled(available, limit.window_ms);
         self.counters.increment(now, tenant, fencing_token, limit).map_err(|_| NotOwner)
     }
