--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -59,7 +59,7 @@
 
     /// Whether a backend that was selected a moment ago would still get the attempt.
     #[must_use]
-    pub fn can_take(&self, now: Millis, id: &str, criteria: SelectionCriteria<'_>) -> bool {
+    pub fn is_selectable(&self, now: Millis, id: &str, criteria: SelectionCriteria<'_>) -> bool {
         let Some(backend) = self.backends.get(id) else { return false };
         !backend.is_draining
             && backend.service == criteria.service
--- a/crates/balancing/tests/selection.rs
+++ b/crates/balancing/tests/selection.rs
@@ -177,14 +177,14 @@
 #[test]
 fn backend_that_was_selected_is_taken_only_while_it_is_well() {
     let mut directory = directory(vec![listed("one", "a1", 1)]);
-    assert!(directory.can_take(100, "one", ANY));
-    assert!(!directory.can_take(100, "none", ANY));
+    assert!(directory.is_selectable(100, "one", ANY));
+    assert!(!directory.is_selectable(100, "none", ANY));
     let attempted = ["one".to_owned()];
-    assert!(!directory.can_take(100, "one", SelectionCriteria { attempted: &attempted, ..ANY }));
+    assert!(!directory.is_selectable(100, "one", SelectionCriteria { attempted: &attempted, ..ANY }));
     for _ in 0..2 {
         directory.record_attempt_started(100, "one");
     }
-    assert!(!directory.can_take(100, "one", ANY), "it is full");
+    assert!(!directory.is_selectable(100, "one", ANY), "it is full");
     directory.record_attempt_finished(110, "one", Observation::WrongInstance);
-    assert!(!directory.can_take(120, "one", ANY), "it is gone");
+    assert!(!directory.is_selectable(120, "one", ANY), "it is gone");
 }
--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -66,8 +66,8 @@
     }
 
     /// Whether a backend can take an attempt now.
-    pub(crate) fn can_take(&self, id: &str, criteria: SelectionCriteria<'_>) -> bool {
-        self.directory.borrow().can_take(self.clock.now(), id, criteria)
+    pub(crate) fn is_selectable(&self, id: &str, criteria: SelectionCriteria<'_>) -> bool {
+        self.directory.borrow().is_selectable(self.clock.now(), id, criteria)
     }
 
     /// Whether a request that has `left_ms` until its latency target is to be refused, as its backends are overloaded.
--- a/crates/proxy/src/forward/select.rs
+++ b/crates/proxy/src/forward/select.rs
@@ -52,7 +52,7 @@
 /// The backend to which a connection was opened for this request, if it can still take it.
 fn take_preconnected(proxy: &Proxy, request: &ForwardRequest, attempted: &[String]) -> Option<String> {
     let id = request.preconnected.take()?;
-    proxy.backends.can_take(&id, request.criteria(attempted)).then_some(id)
+    proxy.backends.is_selectable(&id, request.criteria(attempted)).then_some(id)
 }
 
 fn select_now(proxy: &Proxy, request: &ForwardRequest, attempted: &[String]) -> Selection {
