--- a/crates/balancing/src/admission.rs
+++ b/crates/balancing/src/admission.rs
@@ -1,40 +1,45 @@
-//! Admission control: whether the backends can answer one more request by its latency target.
+//! Admission control: whether the backends can respond to one more request within its latency target.
 //!
-//! Queues are judged for all backends of a service in a region together: where there are many proxies, a proxy's last report
-//! of the single backend is old. In overload a part of the requests is refused before anything is spent on them, so that
-//! those that are admitted are answered in time.
+//! The queue length is estimated for all backends of a service in a region together. With many proxies, each
+//! one rarely hears from a single backend, so its last report of that backend is old. In overload a fraction
+//! of the requests is rejected before any work is done for them, so that the admitted ones get their
+//! responses in time.
 
 use crate::directory::BackendDirectory;
 use crate::load::{ServiceEstimate, DEFAULT_LATENCY_MS};
 use crate::selection::SelectionCriteria;
 use crate::Millis;
 
-/// The part of the time until the latency target, less the execution itself, that a request may wait at a backend on
-/// average. The rest is for longer queues and longer executions than usual.
+/// The mean wait in a backend's queue that is accepted, as a fraction of the time until the latency target
+/// minus the execution time. The rest is headroom for queues and executions that are longer than average.
 const QUEUE_WAIT_FRACTION: f64 = 0.3;
-/// So much may wait for each slot in any case: backends whose slots are just all in use are not overloaded.
+/// Queued requests per slot that are always accepted: backends that merely have all of their slots in use are
+/// not overloaded.
 const MIN_QUEUE_PER_SLOT: f64 = 0.5;
-/// The largest part of the requests that is refused: the responses to the others tell when the overload is over.
-const MAX_REFUSED_FRACTION: f64 = 0.8;
+/// Upper limit of the rejected fraction. The responses to the admitted requests show when the overload has
+/// ended.
+const MAX_REJECTED_FRACTION: f64 = 0.8;
 
 impl BackendDirectory {
-    /// Whether to refuse a request because too much waits at the backends that may get it. Decided at random, in proportion to
-    /// the overload, so that proxies that know the same don't all stop and start at once. `left_ms` is the time until the
-    /// request's latency target.
+    /// Whether to reject a request because the queues of the backends eligible for it are too long. The
+    /// decision is random, with a probability that grows with the overload: if all proxies decided by the
+    /// same threshold, they would stop and resume sending at the same moment. `remaining_ms` is the time
+    /// until the request's latency target.
     #[must_use]
-    pub fn should_shed(&self, now: Millis, criteria: SelectionCriteria<'_>, left_ms: Millis) -> bool {
+    pub fn should_shed(&self, now: Millis, criteria: SelectionCriteria<'_>, remaining_ms: Millis) -> bool {
         let service = self.service_estimate(criteria.service);
-        // Both, where the request may be sent to either.
+        // The less loaded region decides where backends of both are eligible.
         let regions = [true, false]
             .into_iter()
             .filter(|is_same_region| self.has_eligible_backend(criteria, *is_same_region));
         let fractions =
-            regions.map(|is_same_region| refused_fraction(now, &service, is_same_region, left_ms));
+            regions.map(|is_same_region| rejected_fraction(now, &service, is_same_region, remaining_ms));
         let fraction = fractions.min_by(f64::total_cmp).unwrap_or(0.0);
         fraction > 0.0 && self.sample_uniform() < fraction
     }
 
-    /// Whether a request may be sent to a backend of this proxy's region (`true`), or of another one.
+    /// Whether a backend of this proxy's region (`is_same_region`), or of another region, is eligible for a
+    /// request.
     fn has_eligible_backend(&self, criteria: SelectionCriteria<'_>, is_same_region: bool) -> bool {
         let ids = self.by_service.get(criteria.service).into_iter().flatten();
         let mut backends = ids.filter_map(|id| self.backends.get(id));
@@ -44,13 +49,18 @@
     }
 }
 
-/// The part of the requests to refuse that would go to backends of one region.
-fn refused_fraction(now: Millis, service: &ServiceEstimate, is_same_region: bool, left_ms: Millis) -> f64 {
+/// The fraction of the requests to reject, if all of them went to the backends of one region.
+fn rejected_fraction(
+    now: Millis,
+    service: &ServiceEstimate,
+    is_same_region: bool,
+    remaining_ms: Millis,
+) -> f64 {
     let queued_per_slot = service.queue(is_same_region).per_slot(now);
     let latency_ms = service.latency_ms(is_same_region).unwrap_or(DEFAULT_LATENCY_MS);
-    // What waits for a slot is executed before the request.
+    // The observed latency includes the execution of the requests queued before.
     let execution_ms = (latency_ms / (1.0 + queued_per_slot)).max(1.0);
-    let allowed_wait_ms = (left_ms as f64 - execution_ms) * QUEUE_WAIT_FRACTION;
+    let allowed_wait_ms = (remaining_ms as f64 - execution_ms) * QUEUE_WAIT_FRACTION;
     let allowed_per_slot = (allowed_wait_ms / execution_ms).max(MIN_QUEUE_PER_SLOT);
-    (queued_per_slot / allowed_per_slot - 1.0).clamp(0.0, MAX_REFUSED_FRACTION)
+    (queued_per_slot / allowed_per_slot - 1.0).clamp(0.0, MAX_REJECTED_FRACTION)
 }
--- a/crates/balancing/src/backend.rs
+++ b/crates/balancing/src/backend.rs
@@ -1,41 +1,42 @@
-//! One instance of a backend, from its start to its end: its properties, and what attempts have shown of it.
+//! One instance of a backend: its listed properties, and its load, latency and failures as attempts of this
+//! proxy observed them.
 
-use crate::load::{ForeignLoad, LatencyEstimate};
+use crate::load::{LatencyEstimate, PeerLoad};
 use crate::observation::{AttemptCounts, Observation};
 use crate::outlier::OutlierDetector;
 use crate::slow_start::{rank_seed, SlowStart};
 use crate::Millis;
 use std::net::SocketAddrV4;
 
-/// A backend as a list of the platform describes it.
+/// A backend as the platform's list of backends describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedBackend {
-    /// Name of this instance; a restarted one has another.
+    /// Name of this instance; a restarted instance gets a new one.
     pub id: String,
-    /// Name of the service that it belongs to.
+    /// Name of the service that the instance belongs to.
     pub service: String,
-    /// Where it takes requests.
+    /// Address on which the backend accepts requests.
     pub address: SocketAddrV4,
     /// Name of its zone.
     pub zone: String,
     /// Name of its region.
     pub region: String,
-    /// Requests that it executes at once; 0 counts as 1.
+    /// Number of requests that it executes concurrently; 0 is treated as 1.
     pub slots: u32,
-    /// It ends soon, and is to get no further requests.
+    /// The instance is shutting down and must not get new requests.
     pub is_draining: bool,
-    /// How long it still warms up (ms), from when the list was requested; 0: it is warm.
+    /// Remaining warm-up time (ms) when the list was requested; 0 if the warm-up is finished.
     pub slow_start_left_ms: Millis,
 }
 
-/// What is known of a backend's present load.
+/// How much this proxy knows about the current load of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadKnowledge {
-    /// It has reported lately that a slot is free.
+    /// A fresh load report says that a slot is free.
     Free,
-    /// It has reported lately, or has a request of this proxy.
+    /// There is a fresh load report, or a request of this proxy is in flight.
     Known,
-    /// Nothing that still holds.
+    /// There is no fresh load report, and no request of this proxy is in flight.
     Unknown,
 }
 
@@ -48,17 +49,17 @@
     pub(crate) zone: String,
     pub(crate) region: String,
     pub(crate) slots: u32,
-    /// Listed as draining, gone from the list, or another instance has its address.
+    /// Listed as draining, removed from the list, or replaced at its address by another instance.
     pub(crate) is_draining: bool,
-    /// Orders the members for its slow start.
+    /// Determines the order in which proxies get shares of its slow-start rate, see [`rank_seed()`].
     pub(crate) rank_seed: u64,
     pub(crate) slow_start: SlowStart,
-    /// Attempts of this proxy that have not ended.
+    /// Unfinished attempts of this proxy.
     pub(crate) in_flight: u32,
     pub(crate) latency: LatencyEstimate,
     pub(crate) outlier: OutlierDetector,
     pub(crate) counts: AttemptCounts,
-    foreign_load: ForeignLoad,
+    peer_load: PeerLoad,
 }
 
 impl Backend {
@@ -77,48 +78,49 @@
             latency: LatencyEstimate::default(),
             outlier: OutlierDetector::default(),
             counts: AttemptCounts::default(),
-            foreign_load: ForeignLoad::default(),
+            peer_load: PeerLoad::default(),
         }
     }
 
-    /// Where it takes requests.
+    /// Address on which the backend accepts requests.
     #[must_use]
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
 
-    /// Name of the region that it runs in.
+    /// Name of the region that the backend runs in.
     #[must_use]
     pub fn region(&self) -> &str {
         &self.region
     }
 
-    /// It gets no further requests, and no connection to it needs to be kept.
+    /// Whether the backend gets no new requests. Idle connections to it can be closed.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.is_draining
     }
 
-    /// Moving average of its response times (ms); `None` before the first response.
+    /// Moving average of the backend's response times (ms); `None` before the first response.
     #[must_use]
     pub fn latency_estimate_ms(&self) -> Option<f64> {
         self.latency.mean_ms()
     }
 
-    /// Requests of all proxies that are there now, as far as responses reported them.
+    /// Estimated number of requests of all proxies at the backend, from its load reports.
     pub(crate) fn load(&self, now: Millis) -> f64 {
-        f64::from(self.in_flight) + self.foreign_load.estimate(now)
+        f64::from(self.in_flight) + self.peer_load.estimate(now)
     }
 
-    /// Requests of all proxies that are to be expected there now, where the usual load of its service is known.
+    /// Expected number of requests of all proxies at the backend. As load reports age, the estimate
+    /// approaches the service's mean load, `usual_per_slot` (requests per slot).
     pub(crate) fn expected_load(&self, now: Millis, usual_per_slot: f64) -> f64 {
-        let usual = usual_per_slot * f64::from(self.slots);
-        f64::from(self.in_flight) + self.foreign_load.expected(now, usual)
+        let usual_load = usual_per_slot * f64::from(self.slots);
+        f64::from(self.in_flight) + self.peer_load.with_prior(now, usual_load)
     }
 
-    /// What this proxy knows of its present load: a response came lately, or one is awaited.
+    /// How much this proxy knows about the backend's current load.
     pub(crate) fn load_knowledge(&self, now: Millis) -> LoadKnowledge {
-        let is_fresh = self.foreign_load.is_fresh(now);
+        let is_fresh = self.peer_load.is_fresh(now);
         if is_fresh && self.load(now) + 1.0 <= f64::from(self.slots) {
             LoadKnowledge::Free
         } else if is_fresh || self.in_flight > 0 {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// It responded to nothing since it was ejected, and one attempt is probing it.
+    /// Whether the backend has not responded since its ejection and an attempt that probes it is in flight.
     pub(crate) fn is_being_probed(&self) -> bool {
         self.outlier.is_on_probation() && self.in_flight > 0
     }
@@ -148,12 +150,12 @@
                 self.outlier.record_success();
                 self.latency.record(latency_ms);
                 if let Some(load) = load {
-                    // The report was made while the finished request was still counted.
-                    self.foreign_load.report(now, load, in_flight);
+                    // The report was made while the backend still counted the finished request.
+                    self.peer_load.report(now, load, in_flight);
                 }
             }
             Observation::Rejected => {
-                self.foreign_load.saturate(now, self.slots);
+                self.peer_load.saturate(now, self.slots);
                 self.outlier.record_rejection(now);
             }
             Observation::Unreachable => self.outlier.record_unreachable(now),
--- a/crates/balancing/src/candidates.rs
+++ b/crates/balancing/src/candidates.rs
@@ -1,28 +1,29 @@
-//! The choice among the backends that may get an attempt.
+//! Chooses one of the backends that are eligible for an attempt.
 //!
-//! Where this proxy knows the load of most backends, the cheapest of all gets the attempt. Where it knows that of few, the
-//! cheapest of all would be one of those that look good by chance, and all proxies together would load a few: then the
-//! cheapest of a random sample gets it (the power of two choices; Mitzenmacher 2001), drawn in each locality, so that no
-//! sample consists of distant backends alone.
+//! If this proxy knows the load of most backends, the one with the lowest cost gets the attempt. If it knows
+//! the load of few, the lowest cost is mostly an error of estimation, and all proxies together would overload
+//! a few backends. The attempt then goes to the lowest cost of a random sample (the power of two choices;
+//! Mitzenmacher 2001). A sample is taken from each distance class, so that it never consists of distant
+//! backends only.
 
 use crate::backend::{Backend, LoadKnowledge};
 use crate::rng::SplitMix64;
 
-/// The least number of backends of a locality that are compared.
+/// Smallest sample from the backends at one distance.
 const MIN_SAMPLE: usize = 2;
 
 /// The result of a selection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Selection {
-    /// The id of the backend that gets the attempt.
+    /// Id of the backend that gets the attempt.
     Backend(String),
-    /// There are backends that may get it, and none has capacity now.
+    /// Backends are eligible, but none has free capacity.
     AtCapacity,
-    /// No known backend may get it.
+    /// No known backend is eligible.
     NoBackend,
 }
 
-/// How far a backend is from this proxy.
+/// Network distance of a backend from this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Distance {
     SameZone,
@@ -30,21 +31,22 @@
     OtherRegion,
 }
 
-/// A backend with its expected cost (ms).
+/// Expected cost (ms) and the backend.
 type Candidate<'a> = (f64, &'a Backend);
 
-/// The backends that may get the attempt, as far as they were looked at.
+/// The backends that were found eligible for an attempt.
 #[derive(Default)]
 pub(crate) struct Candidates<'a> {
     pub(crate) any_eligible: bool,
-    /// By [`Distance`].
+    /// Indexed by [`Distance`].
     by_distance: [Vec<Candidate<'a>>; 3],
-    /// How many of them have a known load.
+    /// Number of candidates whose load is known.
     known: usize,
-    /// The cheapest of those that have reported lately that a slot is free. What a backend reports, one proxy learns: no
-    /// other is sent there by the same report (compare join-idle-queue; Lu et al. 2011).
+    /// The cheapest candidate that has recently reported a free slot. Each load report reaches one proxy
+    /// only, so a report never sends several proxies to the same backend (compare join-idle-queue; Lu et al.
+    /// 2011).
     cheapest_free: Option<Candidate<'a>>,
-    /// Of the idle ones among the ejected, the one whose ejection ends first.
+    /// The ejected backend without attempts in flight whose ejection ends first.
     first_to_return: Option<&'a Backend>,
 }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Where all backends are ejected, one of them is probed rather than the request refused.
+    /// If all backends are ejected, one of them is probed instead of rejecting the request.
     pub(crate) fn into_selection(mut self, rng: &SplitMix64) -> Selection {
         match self.cheapest_of_samples(rng).or(self.first_to_return) {
             Some(backend) => Selection::Backend(backend.id.clone()),
@@ -83,9 +85,9 @@
 
     fn cheapest_of_samples(&mut self, rng: &SplitMix64) -> Option<&'a Backend> {
         let count: usize = self.by_distance.iter().map(Vec::len).sum();
-        let known_part = self.known as f64 / count.max(1) as f64;
+        let known_fraction = self.known as f64 / count.max(1) as f64;
         let samples = self.by_distance.iter_mut().flat_map(|candidates| {
-            let size = sample_size(candidates.len(), known_part);
+            let size = sample_size(candidates.len(), known_fraction);
             sample(candidates, size, rng)
         });
         let compared = samples.chain(self.cheapest_free.iter());
@@ -93,20 +95,20 @@
     }
 }
 
-/// How many of `count` backends are compared, where the load of this part of all is known: two where that of hardly any is,
-/// all where that of most is.
-fn sample_size(count: usize, known_part: f64) -> usize {
-    let compared = MIN_SAMPLE + (known_part * known_part * count as f64).round() as usize;
+/// How many of `count` backends are compared. The sample grows from [`MIN_SAMPLE`] to all backends with the
+/// fraction of backends whose load is known.
+fn sample_size(count: usize, known_fraction: f64) -> usize {
+    let compared = MIN_SAMPLE + (known_fraction * known_fraction * count as f64).round() as usize;
     compared.min(count)
 }
 
 /// A random sample without replacement (the first steps of a Fisher-Yates shuffle).
 fn sample<'a, 'b>(candidates: &'b mut [Candidate<'a>], size: usize, rng: &SplitMix64) -> &'b [Candidate<'a>] {
     if size < candidates.len() {
-        for drawn in 0..size {
-            let left = candidates.len() - drawn;
-            let offset = (rng.sample_uniform() * left as f64) as usize;
-            candidates.swap(drawn, drawn + offset.min(left - 1));
+        for index in 0..size {
+            let remaining = candidates.len() - index;
+            let offset = (rng.sample_uniform() * remaining as f64) as usize;
+            candidates.swap(index, index + offset.min(remaining - 1));
         }
     }
     &candidates[..size]
--- a/crates/balancing/src/directory.rs
+++ b/crates/balancing/src/directory.rs
@@ -1,4 +1,4 @@
-//! The backends of all services, kept up to date by lists of the platform and by the attempts of this proxy.
+//! The backends of all services, updated from the platform's lists and from the attempts of this proxy.
 
 use crate::backend::{Backend, ListedBackend};
 use crate::concurrency::ServiceLimits;
@@ -9,10 +9,10 @@
 use crate::Millis;
 use std::collections::{BTreeSet, HashMap};
 
-/// An instance that has ended is remembered for so long (ms): no list lags by more.
+/// How long terminated instances are remembered (ms). No list lags behind by more than this.
 const TERMINATED_TTL_MS: Millis = 60_000;
 
-/// All known backends, and the rules by which this proxy uses them.
+/// All known backends, with the limits and the membership that determine how this proxy uses them.
 #[derive(Debug, Default)]
 pub struct BackendDirectory {
     pub(crate) backends: HashMap<String, Backend>,
@@ -23,18 +23,18 @@
     pub(crate) rng: SplitMix64,
     membership: Membership,
     limits: HashMap<String, ServiceLimits>,
-    /// What the backends of each service have shown together.
+    /// Latency and load of the backends of each service taken together.
     estimates: HashMap<String, ServiceEstimate>,
     /// When the newest applied list was requested from the platform.
     list_requested_at: Option<Millis>,
-    /// By how much a list that arrives now may lag behind (ms).
+    /// Greatest lag of a list behind the actual state (ms).
     list_lag_ms: Millis,
-    /// Instances that have ended, and since when: an older list must not bring them back.
+    /// Terminated instances with the time of their removal, so that an older list does not add them again.
     terminated: HashMap<String, Millis>,
 }
 
 impl BackendDirectory {
-    /// An empty directory of the proxy `proxy_id`, which also seeds its random choices.
+    /// An empty directory for the proxy `proxy_id`. The id also seeds the random number generator.
     #[must_use]
     pub fn new(proxy_id: u32, locality: Locality) -> BackendDirectory {
         BackendDirectory {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Replaces all backends by a list that was requested at `requested_at`. Returns whether it was applied: a list
-    /// that is older than an applied one changes nothing.
+    /// Replaces all backends with a list that was requested at `requested_at`. Returns whether the list was
+    /// applied; one that is older than an already applied list is ignored.
     pub fn replace_all(&mut self, now: Millis, requested_at: Millis, listed: Vec<ListedBackend>) -> bool {
         if self.is_outdated(requested_at) {
             return false;
@@ -61,8 +61,8 @@
         true
     }
 
-    /// Applies the difference between the newest applied list and one that was requested at `requested_at`. Returns
-    /// whether it was applied.
+    /// Applies the difference between the newest applied list and one that was requested at `requested_at`.
+    /// Returns whether the difference was applied, see [`Self::replace_all`].
     pub fn apply_change(
         &mut self,
         now: Millis,
@@ -86,7 +86,7 @@
     fn terminate(&mut self, now: Millis, removed: Vec<String>) {
         for id in removed {
             match self.backends.get_mut(&id) {
-                // Removed when its last attempt ends.
+                // Removed when its last attempt finishes.
                 Some(backend) if backend.in_flight > 0 => backend.is_draining = true,
                 _ => {
                     self.backends.remove(&id);
@@ -104,7 +104,7 @@
             let (slots, is_draining) = (listed.slots.max(1), listed.is_draining);
             let slow_start_until = match listed.slow_start_left_ms {
                 0 => 0,
-                left_ms => requested_at + left_ms,
+                remaining_ms => requested_at + remaining_ms,
             };
             let backend = self.backends.entry(listed.id.clone()).or_insert_with(|| Backend::new(listed));
             backend.slots = slots;
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Applies a new configuration: limits by the name of the service, zones that get no requests, and by how much
-    /// lists may lag behind (`list_lag_ms`).
+    /// Applies a new configuration: limits by service name, zones that must not get requests, and the
+    /// greatest lag of lists behind the actual state (`list_lag_ms`).
     pub fn configure(
         &mut self,
         now: Millis,
@@ -137,7 +137,8 @@
         (self.limits, self.list_lag_ms) = (limits, list_lag_ms);
         self.estimates.retain(|service, _| self.limits.contains_key(service));
         for zone in self.evacuated_zones.difference(&evacuated_zones) {
-            // Its backends may have restarted during the evacuation, and a list that says so comes later.
+            // Backends of the zone may have restarted during the evacuation. Lists show that only after a
+            // lag.
             for backend in self.backends.values_mut().filter(|backend| backend.zone == *zone) {
                 let warm_up_ms = self.limits.get(&backend.service).map_or(0, |limits| limits.slow_start_ms);
                 backend.slow_start.assume_until(now + warm_up_ms + list_lag_ms);
@@ -146,8 +147,9 @@
         self.evacuated_zones = evacuated_zones;
     }
 
-    /// Replaces the proxies that share the backends: ids, sorted, this proxy's among them. Empty while membership is
-    /// unknown: this proxy then has no share of slow-start rates, and its share of connections stays.
+    /// Replaces the proxies that share the backends, given as sorted ids including this proxy's. An empty
+    /// list means that membership is unknown: this proxy then has no share of slow-start rates, and its share
+    /// of connections is unchanged.
     pub fn update_members(&mut self, members: Vec<u32>) {
         self.membership.update(members);
     }
@@ -159,7 +161,7 @@
         limits.connections_per_proxy(self.membership.proxy_count())
     }
 
-    /// Requests a second that this proxy may send to `backend` while that warms up.
+    /// Requests per second that this proxy may send to `backend` while the backend warms up.
     pub(crate) fn slow_start_share(&self, backend: &Backend) -> u32 {
         let rate_per_s = self.limits.get(&backend.service).map_or(0.0, |limits| limits.slow_start_rate_per_s);
         self.membership.rate_share(backend.rank_seed, rate_per_s)
@@ -169,14 +171,15 @@
         self.estimates.get(service).copied().unwrap_or_default()
     }
 
-    /// The response time that is to be expected of a backend (ms); `None` while none of its service has responded.
+    /// Expected response time of a backend (ms); `None` before the first response of any backend of its
+    /// service.
     #[must_use]
     pub fn expected_latency_ms(&self, backend: &Backend) -> Option<f64> {
         let prior_ms = self.service_estimate(&backend.service).latency_ms(self.is_same_region(backend))?;
         Some(backend.latency.expected_ms(prior_ms))
     }
 
-    /// The backend with that id, also one that is draining.
+    /// The backend with this id, which may be draining.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Backend> {
         self.backends.get(id)
@@ -188,7 +191,8 @@
         backend.region == self.locality.region
     }
 
-    /// Records that an attempt is sent to a backend; each is to be followed by one [`Self::record_attempt_finished`].
+    /// Records that an attempt is sent to a backend. Each call must be followed by one call of
+    /// [`Self::record_attempt_finished`].
     pub fn record_attempt_started(&mut self, now: Millis, id: &str) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.record_attempt_started(now);
@@ -201,7 +205,7 @@
         if let Observation::Response { latency_ms, load } = observation {
             let load = load.map(|load| (load, backend.slots));
             let is_same_region = backend.region == self.locality.region;
-            // The name is copied for a new entry only.
+            // `get_mut` first: the `entry` API would copy the service name on each call.
             if let Some(estimate) = self.estimates.get_mut(&backend.service) {
                 estimate.record(now, latency_ms, load, is_same_region);
             } else {
@@ -213,7 +217,8 @@
         backend.record_attempt_finished(now, observation);
         let is_unreachable = backend.outlier.is_unreachable();
         if was_unreachable || is_unreachable {
-            // An instance that was without power warms up again, and a list that says so comes later.
+            // An unreachable instance may have lost power and warms up again after its start. Lists show that
+            // only after a lag.
             let warm_up_ms = self.limits.get(&backend.service).map_or(0, |limits| limits.slow_start_ms);
             let assumed_ms = self.list_lag_ms + if is_unreachable { warm_up_ms } else { 0 };
             backend.slow_start.assume_until(now + assumed_ms);
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -1,17 +1,18 @@
-//! Load balancing decisions of one proxy: which backend gets a request, how many requests a backend gets at once, and
-//! whether a request may be attempted again.
+//! Load balancing decisions of one proxy: which backend gets a request, how many requests a backend gets at
+//! once, and whether a request may be retried.
 //!
-//! Nothing here does I/O, reads a clock or holds a timer: callers pass the time and carry out what is decided. Random
-//! choices come from a generator seeded with the proxy's id, so a simulation replays them.
+//! This crate does no I/O, reads no clock and sets no timers: callers pass the current time and carry out the
+//! decisions. The random number generator is seeded with the proxy's id, so that simulations are
+//! reproducible.
 //!
-//! - [`BackendDirectory`] holds the backends of all services as the platform lists them, and what attempts have shown
-//!   of
-//!   each: latency, load, failures (outlier ejection) and recent requests (slow start).
-//! - [`BackendDirectory::select`] picks a backend for one attempt.
-//! - [`retry_policy::RetryPolicy`] bounds queueing, attempts and time-outs of one request, and
-//!   [`retry_budget::RetryBudget`] the retries of all requests to a service.
-//! - [`BackendDirectory::should_shed`] refuses a part of the requests while too much waits at backends.
-//! - [`queue::PendingQueue`] orders the requests that wait until a backend has capacity.
+//! - [`BackendDirectory`] holds the backends of all services as the platform lists them, with each one's
+//!   observed latency, load, failures (outlier ejection) and recent requests (slow start).
+//! - [`BackendDirectory::select`] selects a backend for one attempt.
+//! - [`retry_policy::RetryPolicy`] limits queueing, attempts and time-outs of one request;
+//!   [`retry_budget::RetryBudget`] limits the retries of all requests to a service.
+//! - [`BackendDirectory::should_shed`] rejects a fraction of the requests while the backends' queues are too
+//!   long.
+//! - [`queue::PendingQueue`] orders the requests that wait for a backend with free capacity.
 
 mod admission;
 mod backend;
@@ -40,5 +41,5 @@
 pub use report::{BackendReport, BackendState};
 pub use selection::SelectionCriteria;
 
-/// Milliseconds of a monotonic clock of this process; its zero is arbitrary.
+/// Milliseconds on a monotonic clock of this process, with an arbitrary origin.
 pub type Millis = u64;
--- a/crates/balancing/src/membership.rs
+++ b/crates/balancing/src/membership.rs
@@ -1,8 +1,8 @@
-//! Where this proxy runs, and which proxies share the backends with it.
+//! The locality of this proxy, and the proxies that share the backends with it.
 
 use crate::slow_start;
 
-/// The failure domains that this proxy runs in.
+/// The failure domains of this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Locality {
     /// Name of the zone, as the list of backends spells it.
@@ -11,14 +11,14 @@
     pub region: String,
 }
 
-/// The proxies among which limits that hold for all of them together are divided.
+/// The proxies that divide fleet-wide limits among themselves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Membership {
-    /// This proxy.
+    /// Id of this proxy.
     proxy_id: u32,
-    /// All proxies with a session, sorted by id, this one among them; empty while no registry is in contact.
+    /// Ids of all proxies with a session, sorted, including this one; empty while no registry is reachable.
     members: Vec<u32>,
-    /// Size of the last membership that was not empty.
+    /// Size of the last non-empty membership.
     last_known_count: usize,
 }
 
@@ -27,8 +27,8 @@
         Membership { proxy_id, ..Membership::default() }
     }
 
-    /// Replaces the members. An empty list means that membership is unknown: the count stays at what it was, as a share
-    /// that is too small is safe and one that is too large is not.
+    /// Replaces the members. An empty list means that membership is unknown. [`Self::proxy_count`] then keeps
+    /// its value: a share that is too small is safe, one that is too large is not.
     pub(crate) fn update(&mut self, members: Vec<u32>) {
         if !members.is_empty() {
             self.last_known_count = members.len();
@@ -36,13 +36,12 @@
         self.members = members;
     }
 
-    /// This proxy's part of a rate that holds for all proxies together (requests a second); 0 while membership is
-    /// unknown.
+    /// This proxy's share of a fleet-wide rate (requests per second); 0 while membership is unknown.
     pub(crate) fn rate_share(&self, rank_seed: u64, rate_per_s: f64) -> u32 {
         slow_start::rate_share(rank_seed, rate_per_s, self.proxy_id, &self.members)
     }
 
-    /// How many proxies share what is divided among all of them; at least 1.
+    /// Number of proxies that share fleet-wide limits; at least 1.
     pub(crate) fn proxy_count(&self) -> usize {
         self.last_known_count.max(1)
     }
--- a/crates/balancing/src/observation.rs
+++ b/crates/balancing/src/observation.rs
@@ -1,8 +1,8 @@
-//! What an attempt showed of the backend that it was sent to.
+//! What the end of an attempt tells about the backend that it was sent to.
 
 use crate::Millis;
 
-/// The load that a backend reported with a response: requests of all proxies.
+/// The load that a backend reported with a response. It covers the requests of all proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
     /// Requests being executed.
@@ -12,51 +12,52 @@
 }
 
 impl ReportedLoad {
-    /// The requests in the backend's queue, for each of its slots.
+    /// Queued requests per slot.
     pub(crate) fn waiting_per_slot(self, slots: u32) -> f64 {
         f64::from(self.waiting) / f64::from(slots)
     }
 
-    /// The requests beside the one that was finished, for each of the backend's slots.
+    /// Requests per slot, without the one that the response finished.
     pub(crate) fn per_slot(self, slots: u32) -> f64 {
         f64::from((self.running + self.waiting).saturating_sub(1)) / f64::from(slots)
     }
 }
 
-/// How one attempt ended, as far as it says something about the backend.
+/// The outcome of one attempt with respect to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A complete response, or the beginning of one that is streamed.
+    /// A complete response, or the beginning of a streamed one.
     Response {
-        /// From sending the request to the response (ms).
+        /// Time from sending the request to the response (ms).
         latency_ms: Millis,
-        /// What the backend reported of its load, where it did.
+        /// The load report, if the response has one.
         load: Option<ReportedLoad>,
     },
-    /// The backend refused the request unexecuted: it is full or draining.
+    /// The backend rejected the request without executing it, because it is at capacity or draining.
     Rejected,
     /// No connection could be opened.
     Unreachable,
-    /// The connection broke, or what came was no valid response.
+    /// The connection broke, or the response was invalid.
     Broken,
     /// No response before the attempt's time-out.
     TimedOut,
-    /// Another instance answers at the backend's address.
+    /// Another instance responds at the backend's address.
     WrongInstance,
-    /// The attempt says nothing about the backend: the client left, or a reused connection broke.
+    /// The attempt tells nothing about the backend, for example because the client disconnected or a reused
+    /// connection broke.
     Inconclusive,
 }
 
-/// Attempts of this proxy at one backend, by how they ended.
+/// Attempts of this proxy at one backend, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// Attempts that were started.
+    /// Started attempts.
     pub sent: u64,
-    /// Those that got a response.
+    /// Attempts that got a response.
     pub answered: u64,
-    /// Those that were refused unexecuted.
+    /// Attempts that the backend rejected without executing them.
     pub rejected: u64,
-    /// Those that failed or timed out.
+    /// Attempts that failed or timed out.
     pub failed: u64,
 }
 
--- a/crates/balancing/src/outlier.rs
+++ b/crates/balancing/src/outlier.rs
@@ -2,13 +2,13 @@
 
 use crate::Millis;
 
-/// Consecutive failures that eject a backend. One broken response among many says little; several in a row, or silence,
-/// say that the backend is unhealthy.
+/// Consecutive failures that eject a backend. A single broken response is no sign of an unhealthy backend;
+/// consecutive failures or a time-out are.
 const EJECTION_THRESHOLD: u32 = 2;
-/// Length of the first ejection (ms); doubled with each further consecutive failure.
+/// Duration of the first ejection (ms); doubled with each further consecutive failure.
 const BASE_EJECTION_MS: Millis = 250;
 const MAX_EJECTION_MS: Millis = 4_000;
-/// A backend that refused a request as full is passed over for so long (ms).
+/// How long a backend gets no attempts after it rejected a request for lack of capacity (ms).
 const REJECTION_PAUSE_MS: Millis = 100;
 
 /// Failure history of one backend.
@@ -20,34 +20,35 @@
 }
 
 impl OutlierDetector {
-    /// A response ends the ejection and its history.
+    /// Records a response, which ends the ejection and resets the failure history.
     pub(crate) fn record_success(&mut self) {
         *self = OutlierDetector::default();
     }
 
-    /// The backend refused a request: it is healthy, but full.
+    /// Records a rejected request: the backend is healthy, but at capacity.
     pub(crate) fn record_rejection(&mut self, now: Millis) {
         self.ejected_until = self.ejected_until.max(now + REJECTION_PAUSE_MS);
     }
 
-    /// No connection could be opened; ejects at once.
+    /// Records that no connection could be opened. Ejects the backend immediately.
     pub(crate) fn record_unreachable(&mut self, now: Millis) {
         self.is_unreachable = true;
         self.record_failures(now, EJECTION_THRESHOLD);
     }
 
-    /// The attempt timed out; ejects at once.
+    /// Records a timed-out attempt. Ejects the backend immediately.
     pub(crate) fn record_timeout(&mut self, now: Millis) {
         self.record_failures(now, EJECTION_THRESHOLD);
     }
 
-    /// The connection broke, or the response was invalid; ejects when repeated.
+    /// Records a broken connection or an invalid response. Ejects the backend after [`EJECTION_THRESHOLD`]
+    /// consecutive failures.
     pub(crate) fn record_failure(&mut self, now: Millis) {
         self.record_failures(now, 0);
     }
 
-    fn record_failures(&mut self, now: Millis, at_least: u32) {
-        self.consecutive_failures = (self.consecutive_failures + 1).max(at_least);
+    fn record_failures(&mut self, now: Millis, min_failures: u32) {
+        self.consecutive_failures = (self.consecutive_failures + 1).max(min_failures);
         if self.consecutive_failures >= EJECTION_THRESHOLD {
             let doublings = (self.consecutive_failures - EJECTION_THRESHOLD).min(5);
             self.ejected_until = now + (BASE_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
@@ -58,17 +59,17 @@
         now < self.ejected_until
     }
 
-    /// When the ejection ends (ms); 0 where there was none.
+    /// When the ejection ends (ms); 0 if the backend was not ejected since its last response.
     pub(crate) fn ejected_until(&self) -> Millis {
         self.ejected_until
     }
 
-    /// Was ejected and has not responded since: it gets one request at a time.
+    /// Whether the backend was ejected and has not responded since. It then gets one request at a time.
     pub(crate) fn is_on_probation(&self) -> bool {
         self.consecutive_failures >= EJECTION_THRESHOLD
     }
 
-    /// Nothing listened there at the last attempt: the machine may have lost its power.
+    /// Whether no connection could be opened since the last response: the machine may have lost power.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.is_unreachable
     }
--- a/crates/balancing/src/report.rs
+++ b/crates/balancing/src/report.rs
@@ -1,4 +1,4 @@
-//! What each backend was sent and has shown, for operators (`/api/backends`).
+//! State, load and attempt counts of each backend, for operators (`/api/backends`).
 
 use crate::backend::Backend;
 use crate::concurrency::has_capacity;
@@ -7,21 +7,21 @@
 use crate::Millis;
 use std::fmt;
 
-/// Why a backend gets fewer requests than it could execute, or none. [`fmt::Display`] writes the operators' word for
-/// it.
+/// Why a backend gets no requests, or fewer than it could execute. [`fmt::Display`] writes the name that the
+/// API for operators uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// It gets what it has capacity for.
+    /// Gets as many requests as it has capacity for.
     Available,
-    /// It ends, or has ended with attempts in flight.
+    /// Shutting down, or terminated with attempts still in flight.
     Draining,
-    /// Its zone is evacuated.
+    /// In an evacuated zone.
     Evacuated,
-    /// It failed, and is left alone for a while.
+    /// Ejected after failures.
     Ejected,
-    /// It warms up.
+    /// Warming up.
     SlowStart,
-    /// All of its capacity is in use.
+    /// Without free capacity.
     AtCapacity,
 }
 
@@ -38,26 +38,26 @@
     }
 }
 
-/// One backend as this proxy sees it.
+/// One backend from the point of view of this proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendReport {
     /// Name of the instance.
     pub id: String,
-    /// Name of its service.
+    /// Name of the service.
     pub service: String,
-    /// Name of its zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Requests that it executes at once.
+    /// Number of requests that it executes concurrently.
     pub slots: u32,
-    /// Attempts of this proxy that have not ended.
+    /// Unfinished attempts of this proxy.
     pub in_flight: u32,
-    /// Requests of all proxies, estimated.
+    /// Estimated number of requests of all proxies at the backend.
     pub load: f64,
-    /// Moving average of its response times (ms).
+    /// Moving average of the response times (ms).
     pub latency_estimate_ms: Option<f64>,
-    /// Attempts of this proxy by how they ended.
+    /// Attempts of this proxy, by outcome.
     pub counts: AttemptCounts,
-    /// Why it gets less than it could.
+    /// Whether the backend can get requests, and if not, why.
     pub state: BackendState,
 }
 
--- a/crates/balancing/src/retry_policy.rs
+++ b/crates/balancing/src/retry_policy.rs
@@ -1,4 +1,4 @@
-//! How long a request waits for capacity, after how long an attempt is given up, and whether another may be made.
+//! How long a request waits for capacity, when an attempt times out, and whether a retry is allowed.
 //!
 //! ```
 //! use violetyoke_balancing::retry_policy::RetryPolicy;
@@ -6,7 +6,7 @@
 //! let search =
 //!     RetryPolicy { is_idempotent: true, max_attempts: 2, latency_target_ms: 400, deadline_ms: 1_000 };
 //! assert_eq!(search.max_queue_wait_ms(), 88);
-//! // A backend that usually takes 50 ms is given 360 ms where enough time is left for another attempt.
+//! // A backend with a usual latency of 50 ms gets 360 ms if enough time remains for a retry.
 //! assert_eq!(search.attempt_timeout_ms(1_000, Some(50.0)), Some(360));
 //! assert_eq!(search.attempt_timeout_ms(420, Some(50.0)), None);
 //! let booking = RetryPolicy { is_idempotent: false, ..search };
@@ -16,51 +16,51 @@
 use crate::load::DEFAULT_LATENCY_MS;
 use crate::Millis;
 
-/// With less time than this until the deadline no attempt is made (ms).
+/// No attempt is made with less time than this until the deadline (ms).
 pub const MIN_ATTEMPT_MS: Millis = 20;
-/// Clients whose request was refused for want of capacity are told to retry after this (ms).
+/// `Retry-After` of requests that were rejected for lack of capacity (ms).
 pub const RETRY_AFTER_MS: Millis = 120;
 
-/// A request waits for capacity no longer than this fraction of its latency target.
+/// Longest wait for capacity, as a fraction of the latency target.
 const QUEUE_WAIT_FRACTION: f64 = 0.22;
-/// An attempt is given this multiple of the backend's usual latency, and at least [`TIMEOUT_TARGET_FRACTION`] of the
-/// latency target.
+/// An attempt's time-out is this multiple of the backend's usual latency, but at least
+/// [`TIMEOUT_TARGET_FRACTION`] of the latency target.
 const TIMEOUT_LATENCY_FACTOR: f64 = 6.0;
 const TIMEOUT_TARGET_FRACTION: f64 = 0.9;
 
-/// What bounds the attempts of one request.
+/// Limits on the attempts of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
     /// The request may be executed more than once.
     pub is_idempotent: bool,
-    /// Backends that it may be sent to.
+    /// Maximum number of attempts, each at another backend.
     pub max_attempts: u32,
-    /// A response within this time has its full value (ms from arrival).
+    /// A later response is of less value to the client (ms from arrival).
     pub latency_target_ms: Millis,
-    /// The client waits no longer than this (ms from arrival).
+    /// The client stops waiting for a response after this time (ms from arrival).
     pub deadline_ms: Millis,
 }
 
 impl RetryPolicy {
-    /// How long the request may wait for capacity (ms from its arrival).
+    /// How long the request may wait for capacity (ms from arrival).
     #[must_use]
     pub fn max_queue_wait_ms(&self) -> Millis {
         ((self.latency_target_ms as f64 * QUEUE_WAIT_FRACTION) as Millis).min(self.deadline_ms)
     }
 
-    /// After how long an attempt may be given up for another one (ms). `left_ms` is the time until the deadline,
-    /// `latency_ms` the backend's usual latency where it is known. `None` where another attempt would be too late or
-    /// may not be made.
+    /// Time after which an attempt may be abandoned for a retry (ms). `remaining_ms` is the time until the
+    /// deadline, `latency_ms` the backend's usual latency if known. `None` if a retry is not allowed or would
+    /// be too late.
     #[must_use]
-    pub fn attempt_timeout_ms(&self, left_ms: Millis, latency_ms: Option<f64>) -> Option<Millis> {
+    pub fn attempt_timeout_ms(&self, remaining_ms: Millis, latency_ms: Option<f64>) -> Option<Millis> {
         let usual_ms = latency_ms.unwrap_or(DEFAULT_LATENCY_MS);
         let target_ms = self.latency_target_ms as f64 * TIMEOUT_TARGET_FRACTION;
         let timeout_ms = (usual_ms * TIMEOUT_LATENCY_FACTOR).max(target_ms);
-        let is_worthwhile = left_ms as f64 >= timeout_ms + usual_ms * 2.0;
-        (self.is_idempotent && is_worthwhile).then_some(timeout_ms as Millis)
+        let leaves_time_for_retry = remaining_ms as f64 >= timeout_ms + usual_ms * 2.0;
+        (self.is_idempotent && leaves_time_for_retry).then_some(timeout_ms as Millis)
     }
 
-    /// Whether the route allows one more attempt after `made`.
+    /// Whether the route allows one more attempt after `made` attempts.
     #[must_use]
     pub fn allows_another_attempt(&self, made: usize) -> bool {
         (made as u32) < self.max_attempts
--- a/crates/balancing/src/selection.rs
+++ b/crates/balancing/src/selection.rs
@@ -1,4 +1,4 @@
-//! The choice of a backend for one attempt: by estimated response time and network distance.
+//! Selects a backend for one attempt by estimated response time and network distance.
 
 use crate::backend::Backend;
 use crate::candidates::{Candidates, Distance, Selection};
@@ -7,28 +7,29 @@
 use crate::load::{ServiceEstimate, DEFAULT_LATENCY_MS};
 use crate::Millis;
 
-/// What a network path costs, as milliseconds of waiting: traffic between zones and between regions is paid for.
+/// Cost of a network path in equivalent latency (ms). Traffic between zones and regions is billed.
 const OTHER_ZONE_COST_MS: f64 = 25.0;
 const OTHER_REGION_COST_MS: f64 = 350.0;
-/// A backend that warms up is slower by about this factor.
+/// Latency of a backend that warms up, relative to its usual latency.
 const SLOW_START_FACTOR: f64 = 2.0;
-/// Costs that differ by less than this fraction count as equal: all proxies see the same list, and must not all choose
-/// the same backend.
+/// Largest random increase of a cost, as a fraction. All proxies have the same list, and without jitter they
+/// would all select the same backend.
 const COST_JITTER: f64 = 0.3;
 
-/// What a backend has to meet to get an attempt.
+/// Requirements on the backend for one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionCriteria<'a> {
-    /// Name of the service that the request goes to.
+    /// Name of the service.
     pub service: &'a str,
-    /// Ids of the backends that this request was sent to already.
+    /// Ids of the backends that this request was already sent to.
     pub attempted: &'a [String],
-    /// Regions that the request is bound to, by its route and by its tenant; an empty list binds to none.
+    /// Regions in which the request may be executed, by its route and by its tenant; an empty list allows
+    /// all.
     pub home_regions: [&'a [String]; 2],
 }
 
 impl BackendDirectory {
-    /// Selects a backend for one attempt. Nothing is recorded: the caller sends the attempt and calls
+    /// Selects a backend for one attempt without recording anything. The caller sends the attempt and calls
     /// [`BackendDirectory::record_attempt_started`].
     #[must_use]
     pub fn select(&self, now: Millis, criteria: SelectionCriteria<'_>) -> Selection {
@@ -48,7 +49,7 @@
                 candidates.offer_ejected(backend);
                 continue;
             }
-            if has_room(now, backend, max_connections) {
+            if can_accept_attempt(now, backend, max_connections) {
                 let jitter = 1.0 + COST_JITTER * self.rng.sample_uniform();
                 let cost = self.cost_ms(now, backend, &service) * jitter;
                 candidates.offer(cost, backend, self.distance(backend), backend.load_knowledge(now));
@@ -57,7 +58,7 @@
         candidates.into_selection(&self.rng)
     }
 
-    /// Whether a backend that was selected a moment ago would still get the attempt.
+    /// Whether a backend that was selected earlier may still get the attempt.
     #[must_use]
     pub fn is_selectable(&self, now: Millis, id: &str, criteria: SelectionCriteria<'_>) -> bool {
         let Some(backend) = self.backends.get(id) else { return false };
@@ -66,7 +67,7 @@
             && self.is_eligible(backend, criteria)
             && self.has_slow_start_capacity(now, backend)
             && !backend.outlier.is_ejected(now)
-            && has_room(now, backend, self.max_connections(criteria.service))
+            && can_accept_attempt(now, backend, self.max_connections(criteria.service))
     }
 
     /// The next random number, uniform in `0.0..1.0`.
@@ -75,7 +76,7 @@
     }
 
     pub(crate) fn is_eligible(&self, backend: &Backend, criteria: SelectionCriteria<'_>) -> bool {
-        let is_home = |homes: &&[String]| homes.is_empty() || homes.contains(&backend.region);
+        let is_home = |regions: &&[String]| regions.is_empty() || regions.contains(&backend.region);
         !self.evacuated_zones.contains(&backend.zone)
             && criteria.home_regions.iter().all(is_home)
             && !criteria.attempted.contains(&backend.id)
@@ -86,7 +87,7 @@
             || backend.slow_start.has_capacity(now, self.slow_start_share(backend))
     }
 
-    /// The expected response time with the price of the network path (ms).
+    /// The expected response time plus the cost of the network path (ms).
     fn cost_ms(&self, now: Millis, backend: &Backend, service: &ServiceEstimate) -> f64 {
         let slow_start = if backend.slow_start.is_active(now) { SLOW_START_FACTOR } else { 1.0 };
         let is_same_region = self.is_same_region(backend);
@@ -115,8 +116,9 @@
     }
 }
 
-/// Whether a backend that is well takes one more request, and this proxy may open one more connection to it.
-fn has_room(now: Millis, backend: &Backend, max_connections: u32) -> bool {
+/// Whether a healthy backend can accept one more attempt, with respect to its capacity and to this proxy's
+/// share of its connections.
+fn can_accept_attempt(now: Millis, backend: &Backend, max_connections: u32) -> bool {
     backend.in_flight < max_connections
         && !backend.is_being_probed()
         && has_capacity(backend.slots, backend.load(now))
