--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! Directories of backends, and what a proxy sends to them.
+//! Fixtures: directories of backends, and helpers that send attempts.
 
-#![allow(dead_code, unreachable_pub, reason = "each file of tests uses its own part")]
+#![allow(dead_code, unreachable_pub, reason = "each test file uses a part of the fixtures")]
 
 use std::collections::{BTreeSet, HashMap};
 use violetyoke_balancing::{
     BackendDirectory, ListedBackend, Locality, Selection, SelectionCriteria, ServiceLimits,
 };
 
-/// A warm backend of the service `finder`; its region is the first letter of its zone.
+/// A backend of the service `finder` that is not warming up. Its region is the first letter of its zone.
 pub fn listed(id: &str, zone: &str, slots: u32) -> ListedBackend {
     ListedBackend {
         id: id.into(),
@@ -25,7 +25,7 @@
     (0..count).collect()
 }
 
-/// Requests a second that a backend which warms up takes from all proxies.
+/// Requests per second that a backend accepts from all proxies together while it warms up.
 pub const SLOW_START_RATE_PER_S: f64 = 21.0;
 
 pub fn limits() -> HashMap<String, ServiceLimits> {
@@ -37,7 +37,7 @@
     HashMap::from([("finder".into(), limits)])
 }
 
-/// The directory of proxy 0 of nine, in zone `a1`.
+/// The directory of proxy 0 in zone `a1`, one of nine proxies.
 pub fn directory(backends: Vec<ListedBackend>) -> BackendDirectory {
     let mut directory = empty_directory(0);
     directory.update_members(members(9));
@@ -46,12 +46,12 @@
     directory
 }
 
-/// A directory without backends, limits and members.
+/// A directory without backends, limits or members.
 pub fn empty_directory(proxy_id: u32) -> BackendDirectory {
     BackendDirectory::new(proxy_id, Locality { zone: "a1".into(), region: "a".into() })
 }
 
-/// Any backend of `finder`.
+/// Criteria that any backend of `finder` meets.
 pub const ANY: SelectionCriteria<'static> =
     SelectionCriteria { service: "finder", attempted: &[], home_regions: [&[], &[]] };
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Starts as many attempts as are allowed, `limit` at most; how many each backend got.
+/// Starts as many attempts as are allowed, at most `limit`. Returns the number of attempts by backend.
 pub fn fill(directory: &mut BackendDirectory, now: u64, limit: usize) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for _ in 0..limit {
--- a/crates/balancing/tests/retry_budget.rs
+++ b/crates/balancing/tests/retry_budget.rs
@@ -1,11 +1,11 @@
-//! Retries stay within one proxy's part of the budget.
+//! The retry budget: retries stay within one proxy's share.
 
 #![cfg(test)]
 
 use violetyoke_balancing::retry_budget::{RetryBudget, RetryBudgetLimits};
 
 #[test]
-fn retries_stay_within_the_part_of_one_proxy_in_every_window() {
+fn retries_stay_within_the_share_of_one_proxy_in_every_window() {
     let limits = RetryBudgetLimits { ratio: 0.2, window_ms: 10_000, allowance: 58.0 };
     let mut budget = RetryBudget::new(limits);
     let mut retries: Vec<u64> = Vec::new();
--- a/crates/balancing/tests/selection.rs
+++ b/crates/balancing/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which backend gets an attempt: locality, capacity, latency, outlier ejection and membership of lists.
+//! Backend selection by locality, capacity, latency, outlier ejection and the platform's lists.
 
 #![cfg(test)]
 
@@ -9,7 +9,7 @@
 use violetyoke_balancing::{ListedBackend, Observation, ReportedLoad, Selection, SelectionCriteria};
 
 #[test]
-fn own_zone_is_preferred_then_region_and_no_backend_exceeds_its_capacity() {
+fn nearer_backends_are_preferred_and_no_backend_exceeds_its_capacity() {
     let mut directory =
         directory(vec![listed("near", "a1", 6), listed("next", "a2", 6), listed("far", "b1", 6)]);
     let counts = fill(&mut directory, 100, 1000);
@@ -17,7 +17,7 @@
     for id in ["near", "next", "far"] {
         assert_eq!(counts[id], 8, "{counts:?}");
     }
-    // Capacity that becomes free in another region is used when there is none nearer.
+    // Capacity that becomes free in another region is used while nearer backends have none.
     directory.record_attempt_finished(150, "far", Observation::Inconclusive);
     assert_eq!(selected(&directory, 150, ANY).as_deref(), Some("far"));
 }
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn home_regions_of_route_and_tenant_both_bind() {
+fn home_regions_of_route_and_tenant_both_apply() {
     let directory = directory(vec![listed("west", "a1", 6), listed("east", "b1", 6)]);
     let (west, east) = ([String::from("a")], [String::from("b")]);
-    let bound_to = |home_regions| SelectionCriteria { home_regions, ..ANY };
-    assert_eq!(selected(&directory, 100, bound_to([&east, &[]])).as_deref(), Some("east"));
-    assert_eq!(selected(&directory, 100, bound_to([&[], &west])).as_deref(), Some("west"));
-    assert_eq!(directory.select(100, bound_to([&east, &west])), Selection::NoBackend);
+    let within = |home_regions| SelectionCriteria { home_regions, ..ANY };
+    assert_eq!(selected(&directory, 100, within([&east, &[]])).as_deref(), Some("east"));
+    assert_eq!(selected(&directory, 100, within([&[], &west])).as_deref(), Some("west"));
+    assert_eq!(directory.select(100, within([&east, &west])), Selection::NoBackend);
 }
 
 #[test]
@@ -97,8 +97,12 @@
     assert_eq!(selected(&directory, 110, ANY).as_deref(), Some("well"));
     directory.record_attempt_started(110, "well");
     directory.record_attempt_finished(111, "well", Observation::Unreachable);
-    assert_eq!(selected(&directory, 120, ANY).as_deref(), Some("dead"), "its ejection ends first");
-    assert_eq!(selected(&directory, 5_000, ANY).as_deref(), Some("dead"), "back, and nearer");
+    assert_eq!(selected(&directory, 120, ANY).as_deref(), Some("dead"), "the ejection of `dead` ends first");
+    assert_eq!(
+        selected(&directory, 5_000, ANY).as_deref(),
+        Some("dead"),
+        "`dead` is no longer ejected, and it is nearer"
+    );
 }
 
 #[test]
@@ -112,19 +116,19 @@
         vec![draining, listed("two", "a2", 6), listed("three", "b1", 6)]
     ));
     assert_eq!(selected(&directory, 1_001, ANY).as_deref(), Some("two"));
-    // An older list that arrives late brings nothing back.
+    // An older list that arrives late does not add removed backends again.
     assert!(!directory.replace_all(1_010, 500, vec![listed("one", "a1", 6)]));
     directory.configure(1_020, HashMap::new(), BTreeSet::from(["a2".to_owned()]), 0);
     assert_eq!(selected(&directory, 1_030, ANY).as_deref(), Some("three"));
     assert!(directory.replace_all(1_100, 1_090, vec![listed("two", "a2", 6)]));
     assert_eq!(directory.select(1_110, ANY), Selection::NoBackend);
-    // An instance that has ended never comes back, whatever a list says.
+    // A terminated instance is never added again, even if a newer list contains it.
     assert!(directory.replace_all(1_200, 1_190, vec![listed("two", "a2", 6), listed("three", "b1", 6)]));
     assert_eq!(directory.select(1_210, ANY), Selection::NoBackend);
 }
 
 #[test]
-fn another_instance_at_its_address_ends_a_backend() {
+fn backend_whose_address_another_instance_uses_gets_no_requests() {
     let mut directory = directory(vec![listed("one", "a1", 6)]);
     directory.record_attempt_started(100, "one");
     directory.record_attempt_finished(110, "one", Observation::WrongInstance);
@@ -132,18 +136,19 @@
 }
 
 #[test]
-fn tie_breaks_follow_a_sequence_that_the_proxy_id_fixes() {
-    // A simulation replays a proxy's choices, so the sequence stays: SplitMix64 from `proxy_id << 32`.
+fn random_sequence_is_determined_by_the_proxy_id() {
+    // Simulations depend on this sequence to reproduce a proxy's choices: SplitMix64 seeded with `proxy_id <<
+    // 32`.
     let directory = empty_directory(7);
     let samples = [(); 3].map(|()| directory.sample_uniform());
     assert_eq!(samples, [0.737_705_618_204_509_3, 0.372_527_779_262_982_97, 0.017_255_399_359_289_214]);
 }
 
 #[test]
-fn few_slow_responses_do_not_take_a_backend_out_of_use() {
+fn few_slow_responses_do_not_stop_requests_to_a_backend() {
     let ids: Vec<String> = (0..40).map(|n| format!("i-{n}")).collect();
     let mut directory = directory(ids.iter().map(|id| listed(id, "a1", 6)).collect());
-    // Requests take 400 ms or 1,600 ms, whichever backend executes them.
+    // Requests take 400 ms or 1,600 ms, regardless of the backend.
     let mut now = 100;
     for round in 0..400 {
         let id = selected(&directory, now, ANY).expect("a backend");
@@ -158,7 +163,7 @@
 }
 
 #[test]
-fn backends_of_another_region_are_not_tried_for_want_of_an_estimate() {
+fn backends_of_another_region_are_not_selected_for_lack_of_a_latency_estimate() {
     let mut all: Vec<ListedBackend> = (0..10).map(|n| listed(&format!("near-{n}"), "a1", 6)).collect();
     all.extend((0..10).map(|n| listed(&format!("far-{n}"), "b1", 6)));
     let mut directory = directory(all);
@@ -167,15 +172,15 @@
         let id = selected(&directory, now, ANY).expect("a backend");
         far += usize::from(id.starts_with("far"));
         directory.record_attempt_started(now, &id);
-        // Far more than the estimate of a service that has not responded yet.
+        // Far more than the default latency that is assumed before the first response.
         let response = Observation::Response { latency_ms: 900, load: None };
         directory.record_attempt_finished(now + 50, &id, response);
     }
-    assert_eq!(far, 0, "the backends of this region have room");
+    assert_eq!(far, 0, "the backends of this region have capacity");
 }
 
 #[test]
-fn backend_that_was_selected_is_taken_only_while_it_is_well() {
+fn selected_backend_stays_selectable_only_while_it_has_capacity_and_is_not_draining() {
     let mut directory = directory(vec![listed("one", "a1", 1)]);
     assert!(directory.is_selectable(100, "one", ANY));
     assert!(!directory.is_selectable(100, "none", ANY));
@@ -184,7 +189,7 @@
     for _ in 0..2 {
         directory.record_attempt_started(100, "one");
     }
-    assert!(!directory.is_selectable(100, "one", ANY), "it is full");
+    assert!(!directory.is_selectable(100, "one", ANY), "the backend is at capacity");
     directory.record_attempt_finished(110, "one", Observation::WrongInstance);
-    assert!(!directory.is_selectable(120, "one", ANY), "it is gone");
+    assert!(!directory.is_selectable(120, "one", ANY), "another instance has replaced the backend");
 }
--- a/crates/balancing/tests/slow_start.rs
+++ b/crates/balancing/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Backends that warm up get their rate from all proxies together, also where only an assumption says that they do.
+//! Slow start: the fleet-wide rate of requests to a backend that warms up, according to a list or by
+//! assumption.
 
 #![cfg(test)]
 
@@ -18,12 +19,12 @@
             assert_eq!(members.iter().map(share).sum::<u32>(), 21, "{count} proxies");
         }
     }
-    // A proxy without a session has no share: others have it by then.
+    // A proxy without a session has no share: the other proxies have divided it among themselves.
     assert_eq!(rate_share(1, SLOW_START_RATE_PER_S, 0, &[]), 0);
 }
 
 #[test]
-fn zone_after_evacuation_is_in_slow_start_until_a_list_could_say_otherwise() {
+fn zone_is_in_slow_start_after_its_evacuation_for_as_long_as_lists_may_lag() {
     let mut directory = directory(vec![listed("one", "a1", 6)]);
     directory.configure(1_000, limits(), BTreeSet::from(["a1".to_owned()]), 1_500);
     directory.configure(9_000, limits(), BTreeSet::new(), 1_500);
@@ -34,7 +35,7 @@
     );
 }
 
-/// What one backend is sent in a second by a proxy that has 400 requests for it.
+/// Number of requests that a proxy with 400 requests for one backend sends within a second.
 fn sent_in_a_second(directory: &mut BackendDirectory, from: u64) -> u32 {
     let mut sent = 0;
     for now in from..from + 1_000 {
@@ -53,19 +54,19 @@
 }
 
 #[test]
-fn backend_that_was_unreachable_is_probed_by_one_request_and_then_in_slow_start() {
+fn unreachable_backend_is_probed_by_one_request_and_then_in_slow_start() {
     let mut directory = directory(vec![listed("one", "a1", 6)]);
     directory.record_attempt_started(1_000, "one");
     directory.record_attempt_finished(1_150, "one", Observation::Unreachable);
     assert!(directory.replace_all(3_000, 2_990, vec![listed("one", "a1", 6)]));
-    // Long after the ejection, the first attempt is alone there until it has a response.
+    // Long after the ejection, no second attempt is allowed until the first has a response.
     assert_eq!(fill(&mut directory, 9_000, 5), HashMap::from([("one".to_owned(), 1)]));
     let response = Observation::Response { latency_ms: 50, load: None };
     directory.record_attempt_finished(9_050, "one", response);
     assert_eq!(
         sent_in_a_second(&mut directory, 9_051),
         own_share() - 1,
-        "until a list could say that it warms up"
+        "slow start is assumed for as long as lists may lag"
     );
-    assert_eq!(sent_in_a_second(&mut directory, 11_000), 400, "no list said so");
+    assert_eq!(sent_in_a_second(&mut directory, 11_000), 400, "no list shows a warm-up");
 }
