--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -10,7 +10,8 @@
     Admitted,
     /// The request would exceed the limit and is not counted.
     Denied {
-        /// How long until the limit may have capacity again, if nobody else uses it up (ms).
+        /// Time until the limit may have capacity for one more request, if no other request uses it first
+        /// (ms).
         retry_after_ms: Millis,
     },
 }
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -1,25 +1,25 @@
-//! Which registry owns which tenant's counter.
+//! Assigns the tenants' counters to registries.
 
 use std::net::Ipv4Addr;
 use violetyoke_ownership::{shard_of, Assignment};
 
-/// Tenants are hashed into so many shards. All programs of a system have to agree on it.
+/// Number of shards that tenants are hashed into. Must be the same in all programs of a deployment.
 const SHARD_COUNT: u32 = 64;
-/// The name that the hash of each shard begins with. All programs of a system have to agree on it.
+/// Prefix of the hashed name of each shard. Must be the same in all programs of a deployment.
 const GROUP: &str = "counts";
 /// A registry may own any number of shards.
 const UNLIMITED: u32 = 0;
 
-/// The assignment of tenants to registries, by rendezvous hashing of the registries' addresses: when a registry leaves,
-/// only its own tenants move.
+/// The assignment of tenants to registries, by rendezvous hashing of the registries' addresses: when a
+/// registry is removed, only its own tenants are reassigned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardAssignment {
-    /// The owner of each shard; empty where no registry is known.
+    /// The owner of each shard; empty if no registry is known.
     owners: Vec<Ipv4Addr>,
 }
 
 impl ShardAssignment {
-    /// Assigns all shards to these registries; the order in which they are given makes no difference.
+    /// Assigns all shards to these registries; their order is irrelevant.
     pub fn new(registries: &[Ipv4Addr]) -> ShardAssignment {
         let names: Vec<String> = registries.iter().map(ToString::to_string).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -29,7 +29,7 @@
         ShardAssignment { owners: owners.unwrap_or_default() }
     }
 
-    /// The registry that owns a tenant's counter, or `None` where no registry is known.
+    /// The registry that owns a tenant's counter, or `None` if no registry is known.
     pub fn owner(&self, tenant: &str) -> Option<Ipv4Addr> {
         self.owners.get(shard_of(tenant, SHARD_COUNT) as usize).copied()
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,15 +1,16 @@
-//! Tenant rate limits: the counters behind them, without I/O and without a clock.
+//! Counters for tenant rate limits, without I/O and without a clock.
 //!
-//! A limit is enforced for a tenant over all proxies together. One registry, the *owner* ([`ShardAssignment`] says which),
-//! counts the tenant's requests in a [`SlidingWindow`] and admits or denies each one ([`OwnerCounters`], [`Admission`]).
-//! Two things go wrong with a single owner, and both are handled here:
+//! A tenant's limit applies to all proxies together. One registry, the *owner* (determined by
+//! [`ShardAssignment`]), counts the tenant's requests in a [`SlidingWindow`] and admits or denies each one
+//! ([`OwnerCounters`], [`Admission`]). A single owner has two failure cases, both handled here:
 //!
-//! - The owner changes, and its counters are lost. Each proxy remembers what it has admitted ([`LocalUsage`]) and transfers
-//!   that to the new owner, which rebuilds the counter from it.
-//! - A proxy can't reach the owner. It then admits a bounded share of the limit on its own ([`LocalUsage`]); owners set
-//!   aside what such proxies may admit ([`PartitionedProxies`]).
+//! - The owner changes, and its counters are lost. Each proxy keeps counts of the requests that it forwarded
+//!   ([`LocalUsage`]) and transfers them to the new owner, which rebuilds its counter from them.
+//! - A proxy can't reach the owner. It then admits a bounded share of the limit locally ([`LocalUsage`]);
+//!   owners reserve the shares of such proxies ([`PartitionedProxies`]).
 //!
-//! Sending increments, timing them out and learning the assignment belong to the proxy and the registry.
+//! Sending increments, their time-outs and the distribution of the assignment are up to the proxy and the
+//! registry.
 //!
 //! ```
 //! use violetyoke_quota::{Admission, Limit, SlidingWindow};
@@ -18,8 +19,8 @@
 //! let mut window = SlidingWindow::default();
 //! let admitted = (0..20).filter(|_| window.try_increment(1_000, limit).is_admitted()).count();
 //! assert_eq!(admitted, 5);
-//! // Windows are 500 ms long. At the start of the next one the previous one still counts in full; a window later it
-//! // is gone.
+//! // Windows are 500 ms long. At the start of the next window, the previous one counts in full; a window later it
+//! // no longer counts.
 //! assert!(matches!(window.try_increment(1_501, limit), Admission::Denied { .. }));
 //! assert_eq!(window.try_increment(2_001, limit), Admission::Admitted);
 //! ```
@@ -33,7 +34,7 @@
 mod reserve;
 mod window;
 
-/// Milliseconds of a monotonic clock; differences are what counts, the origin is the caller's.
+/// Milliseconds on a monotonic clock with an origin that the caller chooses.
 pub type Millis = u64;
 
 pub use admission::Admission;
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -2,27 +2,27 @@
 
 use crate::Millis;
 
-/// Shortest window (ms): in a shorter one, the time that an increment travels to the owner blurs the count.
+/// Shortest window (ms). In a shorter one, the network delay of increments would distort the count.
 const MIN_WINDOW_MS: f64 = 200.0;
-/// Longest window (ms): a longer one holds a burst against its tenant for too long.
+/// Longest window (ms). In a longer one, a burst would restrict its tenant for too long.
 const MAX_WINDOW_MS: f64 = 10_000.0;
-/// Window of a limit that allows no burst (ms).
+/// Window of a limit without a burst (ms).
 const DEFAULT_WINDOW_MS: f64 = 1_000.0;
 
-/// What a tenant may send: a number of requests in each window.
+/// A tenant's limit: a maximum number of requests in each window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// Length of a window (ms).
     pub window_ms: Millis,
-    /// Most requests in one window.
+    /// Maximum number of requests in one window.
     pub max_requests: f64,
 }
 
 impl Limit {
-    /// A limit of `rate_per_s` requests a second with bursts of `burst` requests, or `None` where requests are not limited
-    /// (`rate_per_s` is zero, negative or not finite).
+    /// A limit of `rate_per_s` requests per second with bursts of `burst` requests, or `None` if requests are
+    /// not limited (`rate_per_s` is zero, negative or not finite).
     ///
-    /// A window is `burst / rate_per_s` long, within bounds, so that the burst is the most that fits into it.
+    /// The window length is `burst / rate_per_s`, within bounds, so that a window admits exactly one burst.
     pub fn new(rate_per_s: f64, burst: f64) -> Option<Limit> {
         if rate_per_s <= 0.0 || !rate_per_s.is_finite() {
             return None;
@@ -33,8 +33,8 @@
         Some(Limit { window_ms: window_ms as Millis, max_requests })
     }
 
-    /// The part `share` (0 to 1) of this limit, in windows of at least `min_window_ms`. At least one request is allowed
-    /// in a window: the window has to be long enough for whole requests.
+    /// The fraction `share` (0 to 1) of this limit, in windows of at least `min_window_ms`. A window allows
+    /// at least one request, so it should be long enough for the share to amount to one.
     #[must_use]
     pub fn scaled(self, share: f64, min_window_ms: Millis) -> Limit {
         let requests_per_ms = self.max_requests / self.window_ms as f64;
--- a/crates/quota/src/local.rs
+++ b/crates/quota/src/local.rs
@@ -1,15 +1,17 @@
-//! A proxy's side: what it has admitted of each tenant, and what it may admit while the owner can't be reached.
+//! The proxy's counters: admitted requests of each tenant, and local admission while the owner is
+//! unreachable.
 
 use crate::{Admission, Limit, Millis, SlidingWindow, WindowCounts};
 use std::collections::HashMap;
 
-/// Part of its even share of a limit that a proxy admits on its own while it can't reach the owner. Not all of it: other
-/// proxies may still reach the owner, and the shares of proxies that have just left are not yet known to be free.
+/// Fraction of its even share of a limit that a proxy admits locally while it can't reach the owner. Less
+/// than 1 because other proxies may still reach the owner, and a recent change of the number of proxies may
+/// not be known yet.
 pub(crate) const LOCAL_SHARE: f64 = 0.75;
-/// Window of that share (ms): the span over which the operators' rule on quotas is measured.
+/// Window of the local share (ms), equal to the interval over which operators measure compliance with quotas.
 pub(crate) const LOCAL_WINDOW_MS: Millis = 5_000;
 
-/// What one proxy has admitted, by tenant.
+/// Requests that one proxy has admitted, by tenant.
 #[derive(Clone, Debug, Default)]
 pub struct LocalUsage {
     tenants: HashMap<String, TenantUsage>,
@@ -17,10 +19,11 @@
 
 #[derive(Clone, Debug, Default)]
 struct TenantUsage {
-    /// All admitted requests, in the windows of the tenant's limit: what a new owner is told.
+    /// All admitted requests, in the windows of the tenant's limit. These counts are transferred to a new
+    /// owner.
     admitted: SlidingWindow,
-    /// All admitted requests, in windows of [`LOCAL_WINDOW_MS`]: requests that the owner admitted use up the local
-    /// share too.
+    /// All admitted requests, in windows of [`LOCAL_WINDOW_MS`]. Requests that the owner admitted count
+    /// against the local share too.
     local: SlidingWindow,
 }
 
@@ -32,8 +35,8 @@
         usage.local.record(now, limit.scaled(1.0, LOCAL_WINDOW_MS), WindowCounts::ONE_REQUEST);
     }
 
-    /// Decides on a request while the owner can't be asked, as one of `proxy_count` proxies, and records it if it is
-    /// admitted.
+    /// Decides on a request while the owner is unreachable, as one of `proxy_count` proxies. Records the
+    /// request if it is admitted.
     pub fn try_admit_locally(
         &mut self,
         now: Millis,
@@ -50,7 +53,8 @@
         admission
     }
 
-    /// What this proxy has admitted in the tenant's last two windows, for a new owner.
+    /// Requests that this proxy has admitted in the current and the previous window of the tenant, for a new
+    /// owner.
     pub fn usage(&mut self, now: Millis, tenant: &str, limit: Limit) -> WindowCounts {
         self.usage_of(tenant).admitted.counts(now, limit)
     }
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -1,10 +1,11 @@
-//! The owner's side: counters of the tenants that are assigned to a registry.
+//! The owner's counters: requests of the tenants that are assigned to a registry.
 
 use crate::{Admission, Limit, Millis, SlidingWindow, WindowCounts};
 use std::collections::HashMap;
 use std::fmt::Debug;
 
-/// A request bears an older fencing token than one seen before: it was sent under an assignment that is no longer in force.
+/// A request has an older fencing token than an earlier request: it was sent under an assignment that has
+/// been replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("fencing token {received:?} is older than {newest:?}")]
 pub struct StaleFence<F: Debug> {
@@ -14,36 +15,38 @@
     pub newest: F,
 }
 
-/// Counters by tenant, fenced by the assignment's token `F`; a newer assignment has a greater token.
+/// Counters by tenant, fenced by the assignment's token `F`. A newer assignment has a greater token.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerCounters<F> {
     counters: HashMap<String, TenantCounter<F>>,
     newest_token: F,
 }
 
-/// Two counts of the same requests. The larger one decides: an owner that kept its tenant over a change of the
-/// assignment has counted more than the few proxies that transfer their usage report, and a new owner has counted less.
+/// Two counts of the same requests, of which the larger one decides. An owner that keeps its tenant when the
+/// assignment changes has counted more requests than the few proxies that transfer their usage to it. A new
+/// owner has counted fewer.
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantCounter<F> {
-    /// Requests that were admitted here.
+    /// Requests that this owner admitted.
     counted: SlidingWindow,
-    /// Usage that proxies transferred under `token`, and requests that were admitted here since.
+    /// Usage that proxies transferred under `token`, plus requests that this owner has admitted since.
     imported: SlidingWindow,
-    /// The assignment under which usage was last transferred.
+    /// Token of the assignment under which usage was last transferred.
     token: F,
 }
 
 impl<F: Copy + Ord + Default + Debug> OwnerCounters<F> {
-    /// A newer assignment is in force: what bears an older token is rejected from now on.
+    /// Advances to the token of a newer assignment. Requests with an older token are rejected from now on.
     pub fn advance_fence(&mut self, token: F) {
         self.newest_token = self.newest_token.max(token);
     }
 
-    /// Decides on one more request of a tenant, and counts it if it is admitted.
+    /// Decides on one request of a tenant and counts the request if it is admitted.
     ///
     /// # Errors
     ///
-    /// [`StaleFence`] where the request was sent under an older assignment: this registry may no longer be the owner.
+    /// [`StaleFence`] if the request was sent under an older assignment. This registry may no longer be the
+    /// owner.
     pub fn increment(
         &mut self,
         now: Millis,
@@ -65,12 +68,12 @@
         Ok(admission)
     }
 
-    /// Adds what one proxy has admitted of a tenant. Proxies transfer this to an owner that they have a new connection to;
-    /// an owner that is new to the tenant rebuilds its counter from it.
+    /// Adds the requests of a tenant that one proxy has admitted. Proxies transfer their usage over each new
+    /// connection to an owner, and a new owner rebuilds its counter from it.
     ///
     /// # Errors
     ///
-    /// [`StaleFence`] where the usage was sent under an older assignment.
+    /// [`StaleFence`] if the usage was sent under an older assignment.
     pub fn import(
         &mut self,
         now: Millis,
@@ -82,8 +85,8 @@
         self.check_fence(token)?;
         let counter = self.counter(tenant);
         if counter.token < token {
-            // Under another assignment proxies transfer everything anew: adding to what they transferred before would
-            // count it twice.
+            // Under a new assignment, proxies transfer their complete usage again. Adding it to the previous
+            // transfer would count requests twice.
             let counted = counter.counted.max(counter.imported, now, limit);
             *counter = TenantCounter { counted, imported: SlidingWindow::default(), token };
         }
--- a/crates/quota/src/window.rs
+++ b/crates/quota/src/window.rs
@@ -1,13 +1,14 @@
-//! A sliding window counter: two fixed windows, the previous one weighted by how much of it a sliding window still covers.
+//! A sliding window counter: two fixed windows, of which the previous one is weighted by the fraction of it
+//! that the sliding window covers.
 
 use crate::{Admission, Limit, Millis};
 
 /// Requests admitted in the current and in the previous fixed window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowCounts {
-    /// Requests in the window that contains the present.
+    /// Requests in the current window.
     pub current: f64,
-    /// Requests in the window before that.
+    /// Requests in the previous window.
     pub previous: f64,
 }
 
@@ -21,11 +22,11 @@
     }
 }
 
-/// A tenant's counter. All calls on one counter take the same limit: the limit's window length decides which window a time
-/// belongs to.
+/// A tenant's counter. All calls on one counter must pass a limit with the same window length, which
+/// determines the window that a time belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlidingWindow {
-    /// Number of the current window since the clock's origin.
+    /// Number of the current window, counted from the clock's origin.
     index: u64,
     counts: WindowCounts,
 }
@@ -41,11 +42,12 @@
         }
     }
 
-    /// Requests in the window length that ends now, assuming that those of the previous window were evenly spread.
+    /// Estimated number of requests in the sliding window that ends now, assuming an even distribution within
+    /// the previous fixed window.
     pub fn estimate(&mut self, now: Millis, limit: Limit) -> f64 {
         self.advance(now, limit);
-        let elapsed_part = (now % limit.window_ms) as f64 / limit.window_ms as f64;
-        self.counts.previous * (1.0 - elapsed_part) + self.counts.current
+        let elapsed_fraction = (now % limit.window_ms) as f64 / limit.window_ms as f64;
+        self.counts.previous * (1.0 - elapsed_fraction) + self.counts.current
     }
 
     /// Counts one request if the limit allows it.
@@ -57,23 +59,23 @@
         Admission::Denied { retry_after_ms: self.retry_after_ms(now, limit) }
     }
 
-    /// Time until one more request fits, if no other is admitted in between (ms, at least 1).
+    /// Time until one more request can be admitted, if no other is admitted before (ms, at least 1).
     fn retry_after_ms(&self, now: Millis, limit: Limit) -> Millis {
         let window_ms = limit.window_ms as f64;
         let elapsed_ms = (now % limit.window_ms) as f64;
         let WindowCounts { current, previous } = self.counts;
-        let left_for_previous = limit.max_requests - 1.0 - current;
-        let capacity_at_ms = if left_for_previous >= 0.0 && previous > 0.0 {
-            // In this window, once the weight of the previous one has fallen far enough.
-            window_ms * (1.0 - left_for_previous / previous)
+        let remaining_for_previous = limit.max_requests - 1.0 - current;
+        let capacity_at_ms = if remaining_for_previous >= 0.0 && previous > 0.0 {
+            // Within this window, when the weight of the previous window is low enough.
+            window_ms * (1.0 - remaining_for_previous / previous)
         } else {
-            // In the next window, once the weight of this one has fallen far enough.
+            // Within the next window, when the weight of this window is low enough.
             window_ms + window_ms * (1.0 - (limit.max_requests - 1.0) / current.max(1.0)).max(0.0)
         };
         (capacity_at_ms - elapsed_ms).max(1.0).ceil() as Millis
     }
 
-    /// The larger count of two counters of the same requests, window by window.
+    /// The larger count of two counters of the same requests, for each of the two windows.
     #[must_use]
     pub fn max(mut self, mut other: SlidingWindow, now: Millis, limit: Limit) -> SlidingWindow {
         self.advance(now, limit);
@@ -85,14 +87,14 @@
         SlidingWindow { index: self.index, counts }
     }
 
-    /// Adds requests that were admitted elsewhere, whatever the limit.
+    /// Adds requests that were admitted elsewhere, even beyond the limit.
     pub fn record(&mut self, now: Millis, limit: Limit, admitted: WindowCounts) {
         self.advance(now, limit);
         self.counts.current += admitted.current;
         self.counts.previous += admitted.previous;
     }
 
-    /// The counts of the two windows.
+    /// The counts of the current and the previous window.
     pub fn counts(&mut self, now: Millis, limit: Limit) -> WindowCounts {
         self.advance(now, limit);
         self.counts
