--- a/crates/quota/tests/assignment.rs
+++ b/crates/quota/tests/assignment.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn registry_that_leaves_moves_only_its_own_tenants() {
+fn removal_of_a_registry_reassigns_only_its_own_tenants() {
     let all = ShardAssignment::new(&[registry(1), registry(2), registry(3)]);
     let without_second = ShardAssignment::new(&[registry(1), registry(3)]);
 
@@ -24,17 +24,17 @@
         }
     }
 
-    assert!((20..120).contains(&moved), "{moved} of 200 moved");
+    assert!((20..120).contains(&moved), "{moved} of 200 tenants reassigned");
 }
 
 #[test]
-fn no_registry_means_no_owner() {
+fn tenant_has_no_owner_without_registries() {
     assert_eq!(ShardAssignment::new(&[]).owner("tenant-1"), None);
 }
 
-/// All versions of all programs have to agree: these owners are those of version 0.2.0.
+/// All versions of all programs must compute the same owners. These are the owners in version 0.2.0.
 #[test]
-fn assignment_is_the_same_in_every_build() {
+fn assignment_is_the_same_in_all_versions() {
     let all = ShardAssignment::new(&[registry(1), registry(2), registry(3)]);
     let owners: Vec<u8> =
         (0..12).map(|n| all.owner(&format!("tenant-{n}")).expect("an owner").octets()[3]).collect();
--- a/crates/quota/tests/owner_counters.rs
+++ b/crates/quota/tests/owner_counters.rs
@@ -1,4 +1,4 @@
-//! Counters at their owner, and what becomes of them when the owner changes.
+//! Counters at their owner, and the transfer of usage when the owner changes.
 
 #![cfg(test)]
 
@@ -39,7 +39,7 @@
 
     let admission = new_owner.increment(5_200, TENANT, 2, limit);
     assert!(matches!(admission, Ok(Admission::Denied { .. })), "the limit was used up at the old owner");
-    // The negative control: without the transfer, a new owner admits another whole window.
+    // Negative control: without the transfer, a new owner admits another full window.
     let mut without_transfer: OwnerCounters<u32> = OwnerCounters::default();
     assert_eq!(without_transfer.increment(5_200, TENANT, 2, limit), Ok(Admission::Admitted));
 }
@@ -57,14 +57,15 @@
 }
 
 #[test]
-fn counter_that_returns_to_its_owner_is_not_counted_twice() {
+fn usage_is_not_counted_twice_when_a_tenant_returns_to_a_former_owner() {
     let limit = ten_per_second();
     let mut owner: OwnerCounters<u32> = OwnerCounters::default();
     for _ in 0..6 {
         assert_eq!(owner.increment(2_000, TENANT, 1, limit), Ok(Admission::Admitted));
     }
 
-    // Owned by another registry under token 2, and here again under 3: proxies transfer all that they admitted.
+    // Another registry owned the tenant under token 2. Under token 3 this one owns it again, and proxies
+    // transfer their complete usage.
     owner.import(2_100, TENANT, 3, limit, usage(6.0)).expect("the newest assignment");
 
     assert_eq!(admitted_of_ten(&mut owner, 2_200, 3), 4);
@@ -78,10 +79,10 @@
         assert_eq!(owner.increment(2_000, TENANT, 1, limit), Ok(Admission::Admitted));
     }
 
-    // Another registry has joined and this tenant has stayed; one proxy was partitioned and returns under the new
-    // assignment.
+    // Another registry has joined, and the tenant's owner is unchanged. One proxy was partitioned and
+    // reconnects under the new assignment.
     owner.advance_fence(2);
     owner.import(2_100, TENANT, 2, limit, usage(2.0)).expect("the newest assignment");
 
-    assert_eq!(admitted_of_ten(&mut owner, 2_200, 2), 1, "nine of ten were counted here");
+    assert_eq!(admitted_of_ten(&mut owner, 2_200, 2), 1, "this owner has counted nine of ten");
 }
--- a/crates/quota/tests/partitions.rs
+++ b/crates/quota/tests/partitions.rs
@@ -1,18 +1,19 @@
-//! Proxies that can't reach the owner: what they admit, and what owners reserve for them.
+//! Proxies that can't reach the owner: their local admissions, and the owners' reservations for them.
 
 #![cfg(test)]
 
 use violetyoke_quota::{Limit, LocalUsage, PartitionedProxies};
 
-/// The part by which a limit may be exceeded in these tests.
+/// Fraction by which a limit may be exceeded in these tests.
 const TOLERATED: f64 = 0.06;
 
 fn all() -> Vec<u32> {
     (0..10).collect()
 }
 
-/// A registry that has seen all ten proxies at 1 s, and that three of them were partitioned at 2 s.
-fn three_partitioned() -> PartitionedProxies {
+/// The history of a registry to which ten proxies were connected at 1 s, and three of them partitioned from 2
+/// s on.
+fn with_three_partitioned() -> PartitionedProxies {
     let mut proxies = PartitionedProxies::default();
     proxies.update_members(1_000, &all(), &[]);
     proxies.update_members(2_000, &all()[..7], &[]);
@@ -32,21 +33,21 @@
 }
 
 #[test]
-fn reservation_lasts_as_long_as_local_admissions_count() {
-    let mut proxies = three_partitioned();
+fn reservation_lasts_one_local_window_after_reconnection() {
+    let mut proxies = with_three_partitioned();
 
     proxies.update_members(9_000, &all(), &[]);
 
     assert!(
         proxies.reserved_fraction(13_000, TOLERATED) > 0.1,
-        "what they admitted is within the span still"
+        "their local admissions are within the local window"
     );
     assert_eq!(proxies.reserved_fraction(14_001, TOLERATED), 0.0);
 }
 
 #[test]
 fn nothing_is_reserved_for_restarted_proxies() {
-    let mut proxies = three_partitioned();
+    let mut proxies = with_three_partitioned();
 
     proxies.update_members(16_000, &all(), &[7, 8, 9]);
     proxies.update_members(16_300, &all(), &[]);
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn registry_that_is_partitioned_itself_reserves_nothing() {
+fn partitioned_registry_reserves_nothing() {
     let mut proxies = PartitionedProxies::default();
     proxies.update_members(1_000, &all(), &[]);
 
@@ -73,12 +74,12 @@
     assert_eq!(proxies.reserved_fraction(30_000, TOLERATED), 0.0);
 
     proxies.update_members(31_000, &all(), &[]);
-    let message = "they admitted in place of what is counted here, not beside it";
+    let message = "another registry counted their requests during the partition";
     assert_eq!(proxies.reserved_fraction(31_000, TOLERATED), 0.0, "{message}");
 }
 
 #[test]
-fn proxy_that_does_not_return_is_forgotten() {
+fn proxy_that_does_not_reconnect_is_removed() {
     let mut proxies = PartitionedProxies::default();
     proxies.update_members(31_000, &all(), &[]);
 
@@ -89,23 +90,23 @@
 }
 
 #[test]
-fn reservation_follows_a_history_of_partitions_and_restarts() {
+fn reservation_is_correct_over_a_sequence_of_partitions_and_restarts() {
     let members = all();
-    let mut proxies = three_partitioned();
+    let mut proxies = with_three_partitioned();
     proxies.update_members(9_000, &members, &[]);
     assert!(proxies.reserved_fraction(13_000, TOLERATED) > 0.1);
     assert_eq!(proxies.reserved_fraction(14_001, TOLERATED), 0.0);
-    // Killed, and restarted: those processes have admitted nothing.
+    // Proxies that were killed and restarted have not admitted any requests locally.
     proxies.update_members(15_000, &members[..7], &[]);
     proxies.update_members(16_000, &members, &[7, 8, 9]);
     proxies.update_members(16_300, &members, &[]);
     assert_eq!(proxies.reserved_fraction(16_400, TOLERATED), 0.0);
-    // This registry is partitioned, and comes back.
+    // This registry is partitioned and reconnects.
     proxies.update_members(30_000, &[], &[]);
     assert_eq!(proxies.reserved_fraction(30_000, TOLERATED), 0.0);
     proxies.update_members(31_000, &members, &[]);
     assert_eq!(proxies.reserved_fraction(31_000, TOLERATED), 0.0);
-    // One stays away for good.
+    // One proxy does not reconnect.
     proxies.update_members(40_000, &members[..9], &[]);
     proxies.update_members(100_000, &members[..9], &[]);
     assert_eq!(proxies.partitioned(), [0u32; 0]);
--- a/crates/quota/tests/sliding_window.rs
+++ b/crates/quota/tests/sliding_window.rs
@@ -5,7 +5,7 @@
 use violetyoke_quota::{Admission, Limit, SlidingWindow};
 
 #[test]
-fn sustained_overload_is_admitted_at_the_limit_in_every_span() {
+fn sustained_overload_is_admitted_at_the_limit_in_every_interval() {
     let limit = Limit::new(245.0, 245.0).expect("a limit");
     let mut window = SlidingWindow::default();
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn denied_request_fits_after_its_retry_time() {
+fn denied_request_is_admitted_after_its_retry_time() {
     let limit = Limit::new(50.0, 50.0).expect("a limit");
     let mut window = SlidingWindow::default();
     let mut now = 10_000;
@@ -29,14 +29,14 @@
             assert!((1..=2_000).contains(&retry_after_ms), "{retry_after_ms} ms");
             let mut later = window;
             let retried = later.try_increment(now + retry_after_ms + 1, limit);
-            assert!(retried.is_admitted(), "no capacity {retry_after_ms} ms after {now}");
+            assert!(retried.is_admitted(), "not admitted {retry_after_ms} ms after {now}");
             now += retry_after_ms;
         }
     }
 }
 
 #[test]
-fn rate_of_zero_is_no_limit_and_burst_of_zero_allows_one_second() {
+fn zero_rate_is_unlimited_and_zero_burst_gives_a_window_of_one_second() {
     assert_eq!(Limit::new(0.0, 10.0), None);
     let limit = Limit::new(20.0, 0.0).map(|limit| (limit.window_ms, limit.max_requests));
     assert_eq!(limit, Some((1000, 20.0)));
