--- a/crates/proxy/src/request/error.rs
+++ b/crates/proxy/src/request/error.rs
@@ -1,4 +1,4 @@
-//! Why a request is answered by the proxy itself.
+//! Errors for which the proxy itself responds to a request.
 
 use super::lookup::Denial;
 use crate::forward::{ForwardError, ForwardRequest};
@@ -7,43 +7,44 @@
 use violetyoke_api::Execution;
 use violetyoke_balancing::Millis;
 
-/// The end of a request without a backend's response.
+/// Why a request ends without a response of a backend.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
-    /// This proxy holds no configuration yet.
+    /// This proxy has not received a configuration yet.
     #[error("the proxy is not ready")]
     NotReady,
-    /// No route or no tenant is known for the request, and no registry confirms in time that this is the newest state.
-    #[error("the state of control could not be confirmed")]
+    /// The known configuration has no route or no tenant for the request, and no registry confirmed in time
+    /// that it is the newest one.
+    #[error("no registry confirmed in time that the configuration is up to date")]
     Unconfirmed,
     /// The newest configuration has no route or no tenant for the request.
     #[error(transparent)]
     Denied(#[from] Denial),
-    /// The client's body can't be taken.
+    /// The client's body is too large or incomplete.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// The tenant is over its rate limit.
-    #[error("over the tenant's limit")]
+    /// The tenant's rate limit is exceeded.
+    #[error("the tenant's rate limit is exceeded")]
     OverLimit {
-        /// When there may be room (ms).
+        /// Time until the limit may have capacity again (ms).
         retry_after_ms: Millis,
     },
-    /// The route leads to no service.
-    #[error("the route leads to no service")]
+    /// The route has no service.
+    #[error("the route has no service")]
     NoService,
     /// The route is keyed, and the request has no valid operation key.
-    #[error("no valid operation key")]
+    #[error("missing or invalid operation key")]
     InvalidOperationKey,
     /// Another request of the same operation is being executed.
     #[error("the operation is in progress")]
     OperationInProgress {
-        /// When it has likely ended (ms).
+        /// Time after which the operation has probably finished (ms).
         retry_after_ms: Millis,
     },
-    /// The operation may have been executed, by this request or an earlier one, and there is no response.
-    #[error("whether the operation was executed is not known")]
+    /// The operation may have been executed by this request or an earlier one, but no response is available.
+    #[error("it is unknown whether the operation was executed")]
     UnknownOutcome,
-    /// No store decided in time whether this request may execute the operation.
+    /// No store decided in time on the claim of the operation.
     #[error("the operation could not be claimed")]
     ClaimUnavailable,
     /// No backend responded.
@@ -52,8 +53,8 @@
 }
 
 impl RequestError {
-    /// What the end of an unsuccessful `request` is to its client: a body that the client broke off is the client's
-    /// fault, whatever became of the attempts.
+    /// Converts the error of a `request` that could not be forwarded. An error in the client's body takes
+    /// precedence, whatever the results of the attempts.
     pub(super) fn from_forward(request: &ForwardRequest, error: ForwardError) -> RequestError {
         match request.body.error() {
             Some(body_error) => RequestError::Body(body_error),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Counts the request among those that ended so.
+    /// Increments the metric of requests that ended with this error.
     pub(super) fn record(&self, metrics: &Metrics) {
         let counter = match self {
             RequestError::Denied(Denial::NoRoute) => &metrics.unknown_routes,
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! A client's request, from its head to the response, as a row of steps.
+//! The steps of serving a client's request, from its head to the response.
 
 mod error;
 mod lookup;
@@ -33,7 +33,7 @@
 use violetyoke_balancing::Millis;
 use violetyoke_quota::Admission;
 
-/// Answers one request.
+/// Serves one request.
 pub(crate) async fn handle(proxy: &Rc<Proxy>, request: Request<Incoming>) -> ClientResponse {
     proxy.metrics.requests.inc();
     match serve(proxy, request).await {
@@ -79,8 +79,9 @@
     forward(proxy, request).await.map_err(|error| RequestError::from_forward(request, error))
 }
 
-/// The configuration that the request is served by. A request is denied only by one that is known to be the newest:
-/// what a proxy that is cut off lacks may have been acknowledged to an operator.
+/// The configuration by which the request is served. A request is denied only if the configuration is
+/// confirmed to be the newest: a partitioned proxy may lack a route or tenant whose creation was already
+/// acknowledged to an operator.
 async fn admit(proxy: &Proxy, parts: &Parts) -> Result<Rc<ActiveConfiguration>, RequestError> {
     let snapshot = proxy.configuration.snapshot().filter(|_| proxy.serving.is_ready());
     let configuration = snapshot.ok_or(RequestError::NotReady)?;
@@ -94,7 +95,7 @@
     }
 }
 
-/// Counts the request at the owner of its tenant's count.
+/// Counts the request at the registry that owns its tenant's counter.
 async fn check_quota(proxy: &Proxy, tenant: Option<&Tenant>) -> Result<(), RequestError> {
     let Some(tenant) = tenant else { return Ok(()) };
     match proxy.quota.admit(tenant).await {
@@ -103,7 +104,8 @@
     }
 }
 
-/// Checks the tenant's limit, and meanwhile connects to a distant backend. A request past the limit is refused at once.
+/// Checks the tenant's limit and concurrently opens a connection to a backend in another region. A request
+/// over the limit is rejected without waiting for the connection.
 async fn check_quota_and_connect(
     proxy: &Proxy,
     tenant: Option<&Tenant>,
@@ -122,7 +124,7 @@
     }
 }
 
-/// The service that gets the request, drawn by the weights of the route's split.
+/// The service that gets the request, selected by the weights of the route's split.
 fn select_service<'a>(
     proxy: &Proxy,
     table: &'a RoutingTable,
--- a/crates/proxy/src/request/operation.rs
+++ b/crates/proxy/src/request/operation.rs
@@ -1,4 +1,5 @@
-//! Requests on keyed routes: each operation is claimed before it is forwarded, and a repeat gets the recorded response.
+//! Requests on keyed routes: each operation is claimed before its request is forwarded, and repeated requests
+//! of the same operation get the recorded response.
 
 use super::error::RequestError;
 use super::{check_quota, check_quota_and_connect, forward_to_backend};
@@ -19,10 +20,10 @@
 
 /// The longest operation key (bytes).
 const MAX_KEY_BYTES: usize = 256;
-/// An operation in progress has likely ended after so many times the latency target of its route.
-const LIKELY_END_TARGETS: Millis = 2;
+/// Expected duration of an operation in progress, as a multiple of the latency target of its route.
+const EXPECTED_DURATION_FACTOR: Millis = 2;
 
-/// What a keyed request gets.
+/// The response to a request on a keyed route.
 pub(super) enum OperationResponse {
     /// A backend's response to this request.
     Forwarded(ForwardResponse),
@@ -30,10 +31,10 @@
     Recorded(RecordedResponse),
 }
 
-/// The operation of a request; `None` on a route that is not keyed.
+/// The operation key of a request; `None` on a route that is not keyed.
 ///
 /// # Errors
-/// The route is keyed, and the request does not have exactly one valid key.
+/// The route is keyed, but the request does not have exactly one valid key.
 pub(super) fn operation_key(
     route: &RouteEntry,
     tenant: Option<&Tenant>,
@@ -53,8 +54,8 @@
     Ok(Some(OperationKey { tenant, key: key.to_owned() }))
 }
 
-/// Claims the operation of a request, and forwards the request if the claim is granted. Where no backend could take it, it
-/// is refused without a claim, which would only have to be given back.
+/// Claims the operation of a request, and forwards the request if the claim is granted. In overload, the
+/// request is rejected before the claim, which would only have to be released again.
 pub(super) async fn serve_operation(
     proxy: &Rc<Proxy>,
     tenant: Option<&Tenant>,
@@ -63,7 +64,7 @@
     mut request: ForwardRequest,
 ) -> Result<OperationResponse, RequestError> {
     if let Err(error) = check_overload(proxy, &request) {
-        // Each request counts, as it does on other routes.
+        // Rejected requests count against the tenant's limit too, as on other routes.
         check_quota(proxy, tenant).await?;
         return Err(RequestError::from_forward(&request, error));
     }
@@ -74,23 +75,23 @@
     match claim_and_connect(proxy, tenant, &request, &claim).await? {
         ClaimDecision::Granted { store_regions } => {
             request.claim = Some(claim);
-            forward_to_end(proxy, request, store_regions).await.map(OperationResponse::Forwarded)
+            forward_detached(proxy, request, store_regions).await.map(OperationResponse::Forwarded)
         }
         ClaimDecision::Executed { holder } => {
             let response = proxy.operations.read_response(holder, request.deadline).await;
             response.map(OperationResponse::Recorded).ok_or(RequestError::UnknownOutcome)
         }
         ClaimDecision::InProgress { retry_after_ms } => {
-            let likely_ms = latency_target_ms * LIKELY_END_TARGETS;
-            Err(RequestError::OperationInProgress { retry_after_ms: retry_after_ms.min(likely_ms) })
+            let expected_ms = latency_target_ms * EXPECTED_DURATION_FACTOR;
+            Err(RequestError::OperationInProgress { retry_after_ms: retry_after_ms.min(expected_ms) })
         }
         ClaimDecision::Unknown => Err(RequestError::UnknownOutcome),
         ClaimDecision::Unavailable => Err(RequestError::ClaimUnavailable),
     }
 }
 
-/// Claims the operation while the tenant's limit is checked and a distant backend is connected to. A request past the limit
-/// is refused at once, and so is one whose operation another request has claimed.
+/// Claims the operation while the tenant's limit is checked and a connection to a backend in another region
+/// is opened. Returns at once if the request is over the limit or the claim is not granted.
 async fn claim_and_connect(
     proxy: &Proxy,
     tenant: Option<&Tenant>,
@@ -115,9 +116,9 @@
     }
 }
 
-/// Forwards a claimed request by a task of its own: the operation goes on, and its end is reported, also where the client
-/// leaves.
-async fn forward_to_end(
+/// Forwards a claimed request in a separate task, so that the operation continues and its result is reported
+/// even if the client disconnects.
+async fn forward_detached(
     proxy: &Rc<Proxy>,
     request: ForwardRequest,
     store_regions: Vec<String>,
@@ -126,36 +127,39 @@
     let proxy = proxy.clone();
     tokio::task::spawn_local(async move {
         let result = forward_to_backend(&proxy, &request).await;
-        record_end(&request, &store_regions, &result);
-        // Before the client can send the request again.
+        report_response(&request, &store_regions, &result);
+        // The claim is dropped, and its result reported, before the client can repeat the request.
         drop(request);
-        // Lost where the client has left.
+        // Fails if the client has disconnected.
         drop(sender.send(result));
     });
-    // The task ends without a result only by a panic.
+    // The task ends without a result only if it panics.
     result.await.unwrap_or(Err(RequestError::UnknownOutcome))
 }
 
-/// Reports a response. Without one, dropping the claim reports what is known of the attempts.
-fn record_end(
+/// Reports the response of an operation. Without a response, dropping the claim reports what is known about
+/// the attempts.
+fn report_response(
     request: &ForwardRequest,
     store_regions: &[String],
     result: &Result<ForwardResponse, RequestError>,
 ) {
     let (Some(claim), Ok(forwarded)) = (&request.claim, result) else { return };
     let is_complete = forwarded.rest.is_none();
-    let is_kept = is_complete && may_keep_response(request, store_regions);
-    claim.complete(is_kept.then(|| recorded_response(&forwarded.response)));
+    let is_recorded = is_complete && may_record_response(request, store_regions);
+    claim.complete(is_recorded.then(|| recorded_response(&forwarded.response)));
 }
 
-/// Whether the response to a request may be sent by way of these regions: not where the homes of its route or its tenant
-/// leave out one of them. A repeat of one that may not gets 502.
-fn may_keep_response(request: &ForwardRequest, store_regions: &[String]) -> bool {
-    let contain_stores = |homes: &Vec<String>| store_regions.iter().all(|region| homes.contains(region));
-    request.home_regions.iter().all(|homes| homes.is_empty() || contain_stores(homes))
+/// Whether the response to a request may be recorded by stores in `store_regions`: each of them must be a
+/// home region of the request's route and of its tenant, where these have home regions. If the response is
+/// not recorded, repeated requests get 502.
+fn may_record_response(request: &ForwardRequest, store_regions: &[String]) -> bool {
+    let contains_all_stores = |homes: &Vec<String>| store_regions.iter().all(|region| homes.contains(region));
+    request.home_regions.iter().all(|homes| homes.is_empty() || contains_all_stores(homes))
 }
 
-/// What a repeat gets: all that is forwarded but the id of the attempt, which is the repeat's own.
+/// The response for repeated requests: all forwarded fields except the attempt id, which each repeat has its
+/// own of.
 fn recorded_response(response: &UpstreamResponse) -> RecordedResponse {
     let fields = response.headers.iter().filter(|(name, _)| name != header::ATTEMPT);
     RecordedResponse {
--- a/crates/proxy/src/request/upstream_head.rs
+++ b/crates/proxy/src/request/upstream_head.rs
@@ -1,4 +1,4 @@
-//! The head of a request as a backend gets it.
+//! The head of a request as it is sent to a backend.
 
 use super::lookup::header_text;
 use crate::request_body::RequestBody;
@@ -7,8 +7,8 @@
 use hyper::Method;
 use violetyoke_api::calls::header;
 
-/// Fields that are not forwarded: those that concern one connection (RFC 9110, section 7.6.1), and those that the proxy
-/// sets itself or keeps to itself.
+/// Fields that are not forwarded: connection-specific ones (RFC 9110, section 7.6.1), those that the proxy
+/// sets itself, and the client's credential.
 const NOT_FORWARDED: &[&str] = &[
     "connection",
     "keep-alive",
@@ -25,8 +25,8 @@
     header::DEADLINE,
 ];
 
-/// The head up to the fields that each attempt sets: method, target and the client's fields as they came, the framing
-/// of the body as it is forwarded, and the tenant.
+/// The head without the fields that each attempt adds: the client's method, target and fields, the framing of
+/// the forwarded body, and the tenant.
 pub(super) fn upstream_head(parts: &Parts, tenant: Option<&str>, body: &RequestBody) -> Bytes {
     let mut out = BytesMut::with_capacity(512);
     write_request_line(&mut out, parts);
