--- a/crates/proxy/src/forward/attempts.rs
+++ b/crates/proxy/src/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts at one request: which backend, whether another may follow, and what all of them say together.
+//! The attempts of one request: their backends, whether a retry is allowed, and their combined outcome.
 
 use super::select::select_backend;
 use super::{AttemptGuard, ForwardError, ForwardRequest, ForwardResponse, StreamedRest, MIN_ATTEMPT};
@@ -15,16 +15,17 @@
 use violetyoke_balancing::retry_policy::RETRY_AFTER_MS;
 use violetyoke_balancing::{Millis, Selection};
 
-/// The deadline that a backend is told is so much earlier than the client's, for the way back.
-const RETURN_MARGIN: Duration = Duration::from_millis(5);
+/// The deadline in a backend's request is this much earlier than the client's, to allow for the transfer of
+/// the response.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(5);
 
-/// The attempts at one request so far.
+/// The attempts of one request so far.
 pub(super) struct Attempts<'a> {
     proxy: &'a Rc<Proxy>,
     request: &'a ForwardRequest,
-    /// Ids of the backends that it was sent to.
+    /// Ids of the backends that the request was sent to.
     attempted: Vec<String>,
-    /// What is certain of all attempts together.
+    /// Whether any of the attempts may have executed the request.
     execution: Execution,
     last_error: Option<AttemptError>,
 }
@@ -40,7 +41,7 @@
         select_backend(self.proxy, self.request, &self.attempted).await
     }
 
-    /// Takes each attempt but the first from the retry budget; returns whether the attempt may be made.
+    /// Takes each attempt except the first from the retry budget. Returns whether the attempt is allowed.
     pub(super) fn acquire_retry(&self) -> bool {
         if self.attempted.is_empty() {
             return true;
@@ -53,7 +54,7 @@
         is_allowed
     }
 
-    /// Makes one attempt. Returns `None` where another one is to follow.
+    /// Makes one attempt. Returns `None` if it should be retried.
     pub(super) async fn send(&mut self, backend_id: String) -> Result<Option<ForwardResponse>, ForwardError> {
         let (proxy, request) = (self.proxy, self.request);
         let Some(target) = proxy.backends.target(&backend_id) else { return Ok(None) };
@@ -88,17 +89,17 @@
         }
     }
 
-    /// From when on another backend may be asked instead.
+    /// Time after which the attempt may be abandoned for a retry at another backend.
     fn attempt_timeout(&self, target: &BackendTarget) -> Option<Instant> {
         let left_ms = self.request.time_left().as_millis() as Millis;
         let timeout_ms = self.request.policy.attempt_timeout_ms(left_ms, target.latency_estimate_ms)?;
         Some(Instant::now() + Duration::from_millis(timeout_ms))
     }
 
-    /// The head with the fields of this attempt, and the buffered part of the body.
+    /// The head with the fields of this attempt, followed by the buffered part of the body.
     fn request_bytes(&self, backend_id: &str) -> Bytes {
         let request = self.request;
-        let deadline_ms = request.time_left().saturating_sub(RETURN_MARGIN).as_millis();
+        let deadline_ms = request.time_left().saturating_sub(DEADLINE_MARGIN).as_millis();
         let body_bytes = match request.body.length() {
             _ if request.body.is_streamed() => MAX_BUFFERED_BYTES,
             length => length.unwrap_or(0) as usize,
@@ -112,7 +113,8 @@
         bytes.freeze()
     }
 
-    /// The backend's own failure of a request that may be executed again is worth another backend.
+    /// Returns the response to forward; `None` if the backend failed (5xx) and the request can be retried at
+    /// another backend.
     fn on_response(&mut self, attempt: AttemptResponse, guard: AttemptGuard) -> Option<ForwardResponse> {
         self.execution = self.execution.combine(Execution::Unknown);
         let AttemptResponse { response, rest, .. } = attempt;
@@ -128,7 +130,7 @@
         (!is_retried).then_some(ForwardResponse { response, rest: None })
     }
 
-    /// `Ok` where another attempt may follow.
+    /// Returns `Ok` if the request may be retried.
     fn on_error(&mut self, error: AttemptError) -> Result<(), ForwardError> {
         self.execution = self.execution.combine(error.execution());
         self.update_claim();
@@ -142,7 +144,7 @@
         Err(self.give_up(reason, retry_after_ms))
     }
 
-    /// What is reported of an operation whose request ends now.
+    /// Updates what is reported of the operation if its request ends now.
     fn update_claim(&self) {
         let Some(claim) = &self.request.claim else { return };
         match self.execution {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Ends the request without a response.
+    /// The error with which the request ends without a response.
     pub(super) fn give_up(&mut self, reason: FailureReason, retry_after_ms: Option<Millis>) -> ForwardError {
         let last_attempt = self.last_error.take();
         ForwardError { execution: self.execution, reason, retry_after_ms, last_attempt }
@@ -164,8 +166,8 @@
             && !self.request.body.is_consumed()
     }
 
-    /// Whether another attempt may and can be made now: none is broken off for one that could not be. Not by a proxy
-    /// that drains: it waits for what backends work on.
+    /// Whether a retry is allowed and a backend has capacity for it now; otherwise a running attempt must not
+    /// be aborted. A draining proxy never aborts attempts, but waits for the backends' responses.
     fn can_retry_elsewhere(&self) -> bool {
         let (proxy, request) = (self.proxy, self.request);
         !proxy.serving.is_draining()
--- a/crates/proxy/src/forward/guard.rs
+++ b/crates/proxy/src/forward/guard.rs
@@ -1,18 +1,18 @@
-//! Records the end of an attempt, however it comes.
+//! Records the end of an attempt in all cases.
 
 use super::ForwardRequest;
 use crate::state::Proxy;
 use std::rc::Rc;
 use violetyoke_balancing::Observation;
 
-/// An attempt that has been started. Dropping it records the end, also where the client leaves and the request's task
-/// is dropped midway.
-#[must_use = "dropping it ends the attempt"]
+/// A started attempt. Dropping the guard records the end of the attempt, even if the client disconnects and
+/// the request's task is dropped before the attempt finishes.
+#[must_use = "dropping the guard records the end of the attempt"]
 pub(crate) struct AttemptGuard {
     proxy: Rc<Proxy>,
     pub(super) backend_id: String,
     service: String,
-    /// What the attempt showed of the backend.
+    /// The outcome that is recorded when the guard is dropped.
     pub(super) observation: Observation,
 }
 
--- a/crates/proxy/src/forward/mod.rs
+++ b/crates/proxy/src/forward/mod.rs
@@ -1,5 +1,5 @@
-//! Forwards a request: attempts at one backend after another, as far as the outcome of each, the retry budget and the
-//! deadline allow.
+//! Forwards a request to one backend after another, as long as the outcome of the last attempt, the retry
+//! budget and the deadline allow a retry.
 
 mod attempts;
 mod guard;
@@ -12,7 +12,7 @@
 use attempts::Attempts;
 use bytes::Bytes;
 pub(crate) use guard::AttemptGuard;
-use select::is_refused_at_once;
+use select::is_rejected_immediately;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,30 +21,31 @@
 use violetyoke_balancing::retry_policy::{RetryPolicy, MIN_ATTEMPT_MS, RETRY_AFTER_MS};
 use violetyoke_balancing::{Millis, SelectionCriteria};
 
-/// With less time than this until the deadline no attempt is made.
+/// No attempt is made with less time than this until the deadline.
 const MIN_ATTEMPT: Duration = Duration::from_millis(MIN_ATTEMPT_MS);
 
-/// A request with all that its attempts need.
+/// A request with everything that its attempts need.
 pub(crate) struct ForwardRequest {
     pub(crate) service: String,
-    /// Regions that it is bound to by its route and by its tenant.
+    /// Regions in which the request may be executed, by its route and by its tenant; an empty list allows
+    /// all.
     pub(crate) home_regions: [Vec<String>; 2],
     pub(crate) policy: RetryPolicy,
-    /// 0 is the highest.
+    /// Priority among pending requests; 0 is the highest.
     pub(crate) priority: i64,
-    /// It is a HEAD request.
+    /// Whether this is a HEAD request.
     pub(crate) is_head: bool,
-    /// The client's id of the request, which each response has to bear.
+    /// The client's id for the request, which each response must repeat.
     pub(crate) attempt_id: String,
-    /// The head up to the fields that each attempt sets.
+    /// The head without the fields that each attempt adds.
     pub(crate) head: Bytes,
     pub(crate) body: RequestBody,
     pub(crate) arrived_at: Instant,
-    /// When the client, or the operator, waits no longer.
+    /// When the time-out of the client or of the route expires.
     pub(crate) deadline: Instant,
-    /// The backend to which a connection was opened for this request.
+    /// Id of the backend to which a connection was opened in advance for this request.
     pub(crate) preconnected: Cell<Option<String>>,
-    /// The claim of its operation, on a keyed route.
+    /// The claim of the request's operation, on a keyed route.
     pub(crate) claim: Option<Claim>,
 }
 
@@ -53,7 +54,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// What a backend has to meet, those in `attempted` left out.
+    /// The requirements on a backend, which excludes the `attempted` ones.
     pub(crate) fn criteria<'a>(&'a self, attempted: &'a [String]) -> SelectionCriteria<'a> {
         let home_regions = [self.home_regions[0].as_slice(), self.home_regions[1].as_slice()];
         SelectionCriteria { service: &self.service, attempted, home_regions }
@@ -64,45 +65,46 @@
 pub(crate) struct ForwardResponse {
     /// The response, or the beginning of one that is too large to be buffered.
     pub(crate) response: UpstreamResponse,
-    /// What follows that beginning.
+    /// The rest of a response that is too large to be buffered.
     pub(crate) rest: Option<StreamedRest>,
 }
 
-/// The rest of a response, with its attempt, which lasts until the rest is forwarded.
+/// The rest of a response. Its attempt stays in flight until the rest is forwarded.
 pub(crate) struct StreamedRest {
     pub(crate) stream: Box<ResponseStream>,
     pub(crate) attempt: AttemptGuard,
 }
 
-/// The request was given up.
+/// The request ended without a response that can be forwarded.
 #[derive(Debug, thiserror::Error)]
 #[error("no response of a backend: {reason}")]
 pub(crate) struct ForwardError {
-    /// Whether a backend may have executed it.
+    /// Whether a backend may have executed the request.
     pub(crate) execution: Execution,
     pub(crate) reason: FailureReason,
-    /// When the client may try again (ms), where that is known.
+    /// Time after which the client may retry (ms), if known.
     pub(crate) retry_after_ms: Option<Millis>,
-    /// How the last attempt ended, where there was one.
+    /// The error of the last attempt, if there was one.
     #[source]
     last_attempt: Option<AttemptError>,
 }
 
-/// Whether it makes sense to prepare an attempt at a request. Takes nothing: that it may be made is decided by [`forward`].
+/// Checks before [`forward`] whether an attempt is likely to be possible. Acquires nothing, so [`forward`]
+/// may still fail.
 ///
 /// # Errors
-/// [`forward`] would give the request up at once, with this error.
+/// The request should be rejected now, with this error.
 pub(crate) fn check_overload(proxy: &Rc<Proxy>, request: &ForwardRequest) -> Result<(), ForwardError> {
-    if is_refused_at_once(proxy, request) {
+    if is_rejected_immediately(proxy, request) {
         return Err(Attempts::new(proxy, request).give_up(FailureReason::Overloaded, Some(RETRY_AFTER_MS)));
     }
     Ok(())
 }
 
-/// Forwards a request until a backend responds or no further attempt may be made.
+/// Forwards a request until a backend responds or no further attempt is allowed.
 ///
 /// # Errors
-/// The request is given up; the error says whether it may have been executed.
+/// No attempt got a response. The error tells whether the request may have been executed.
 pub(crate) async fn forward(
     proxy: &Rc<Proxy>,
     request: &ForwardRequest,
--- a/crates/proxy/src/forward/select.rs
+++ b/crates/proxy/src/forward/select.rs
@@ -1,4 +1,4 @@
-//! Finds a backend with capacity for an attempt; the request waits for one as long as that is worth it.
+//! Selects a backend with capacity for an attempt. If there is none, the request waits for a limited time.
 
 use super::ForwardRequest;
 use crate::pending::PendingRequest;
@@ -7,18 +7,18 @@
 use tokio::time::{timeout_at, Instant};
 use violetyoke_balancing::{Millis, Selection};
 
-/// A pending request tries again after this also without being woken: reported loads decay, and slow-start shares are
-/// renewed, with time alone.
+/// A pending request checks for capacity at this interval even if it is not woken, because the decay of
+/// reported loads and the renewal of slow-start shares wake no requests.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The id of a backend that is not among the `attempted`. `None` where no backend may get the request, the queue is
-/// full, or none had capacity in time.
+/// The id of a backend that is not among the `attempted`. `None` if no backend is eligible, the queue is
+/// full, or no backend had capacity in time.
 pub(super) async fn select_backend(
     proxy: &Proxy,
     request: &ForwardRequest,
     attempted: &[String],
 ) -> Option<String> {
-    // Requests that wait already go first.
+    // Requests that are already queued are served first.
     if proxy.pending.is_empty(&request.service) {
         if let Some(id) = take_preconnected(proxy, request, attempted) {
             return Some(id);
@@ -39,17 +39,17 @@
     Some(backend_id)
 }
 
-/// Whether [`select_backend`] would find no backend for a first attempt now, and not wait for one either, or whether the
-/// request is refused for what waits at the backends already.
-pub(super) fn is_refused_at_once(proxy: &Proxy, request: &ForwardRequest) -> bool {
+/// Whether a first attempt should be rejected without waiting: the queue is full, no backend is eligible, or
+/// admission control rejects the request because of the backends' queues.
+pub(super) fn is_rejected_immediately(proxy: &Proxy, request: &ForwardRequest) -> bool {
     let target = Duration::from_millis(request.policy.latency_target_ms);
-    let left = (request.arrived_at + target).saturating_duration_since(Instant::now());
+    let remaining = (request.arrived_at + target).saturating_duration_since(Instant::now());
     proxy.pending.is_full(&request.service)
         || matches!(select_now(proxy, request, &[]), Selection::NoBackend)
-        || proxy.backends.should_shed(request.criteria(&[]), left.as_millis() as Millis)
+        || proxy.backends.should_shed(request.criteria(&[]), remaining.as_millis() as Millis)
 }
 
-/// The backend to which a connection was opened for this request, if it can still take it.
+/// The backend to which a connection was opened in advance for this request, if it may still get the request.
 fn take_preconnected(proxy: &Proxy, request: &ForwardRequest, attempted: &[String]) -> Option<String> {
     let id = request.preconnected.take()?;
     proxy.backends.is_selectable(&id, request.criteria(attempted)).then_some(id)
