--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one backend, on an idle connection or a new one, and its response is judged.
+//! One attempt: sends a request to one backend, on an idle or a new connection, and validates the response.
 
 use super::exchange::{exchange, ExchangeError};
 use super::pool::Connection;
@@ -12,24 +12,25 @@
 use violetyoke_balancing::Observation;
 use violetyoke_transport::net;
 
-/// A connection within the region comes up within this, or the backend counts as unreachable. An attempt that fails
-/// here is certain not to have been executed, so the limit is short: the time that is left goes to another backend.
+/// Time-out for connecting to a backend of the same region. It is short because a request whose connection
+/// fails is certain not to have been executed, and the remaining time can be used for another backend.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// The same to another region, with room for round trips of 55 ms and more (docs/incidents/warm-too-early.md).
+/// Time-out for connecting to a backend of another region, for round trips of 55 ms and more
+/// (docs/incidents/warm-too-early.md).
 const CONNECT_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(450);
 
-/// A response that can be forwarded.
+/// A valid response that can be forwarded.
 pub(crate) struct AttemptResponse {
     pub(crate) response: UpstreamResponse,
-    /// The rest of the body, where it is too large to be buffered.
+    /// The rest of the body, if it is too large to be buffered.
     pub(crate) rest: Option<Box<ResponseStream>>,
     pub(crate) observation: Observation,
 }
 
-/// Sends the request to its backend. Once the attempt has timed out it is broken off only where `can_retry_elsewhere`.
+/// Sends the request to its backend. An attempt that has timed out is aborted only if `can_retry_elsewhere`.
 ///
 /// # Errors
-/// There is no response that can be forwarded; the error says whether the request may have been executed.
+/// There is no response that can be forwarded. The error tells whether the request may have been executed.
 pub(crate) async fn send(
     proxy: &Proxy,
     request: &AttemptRequest<'_>,
@@ -43,9 +44,10 @@
     };
     let started_at = Instant::now();
     let mut result = exchange(&mut connection, request, is_reused, can_retry_elsewhere).await;
-    if is_reused && result.as_ref().is_err_and(ExchangeError::is_before_response) {
+    if is_reused && result.as_ref().is_err_and(ExchangeError::precedes_response) {
         proxy.connection_pool.record_reset();
-        // The replay counts as a retry: the backend may have executed the request before it closed the connection.
+        // The replay counts against the retry budget because the backend may have executed the request before
+        // it closed the connection.
         if request.is_replayable && proxy.retry_budgets.try_acquire(request.service) {
             connection = open_connection(proxy, request).await.map_err(AttemptError::Reconnect)?;
             result =
@@ -53,7 +55,7 @@
         }
     }
     let response = result.map_err(|error| attempt_error(error, is_reused && !request.is_replayable))?;
-    finish(proxy, request, connection, response, started_at.elapsed())
+    complete(proxy, request, connection, response, started_at.elapsed())
 }
 
 async fn open_connection(proxy: &Proxy, request: &AttemptRequest<'_>) -> io::Result<Connection> {
@@ -74,7 +76,8 @@
     Ok(Connection { stream, buffer: BytesMut::new() })
 }
 
-/// The backend may have executed what was sent on the connection before.
+/// Converts an error of a replay: the request may have been executed on the first connection, so it can't
+/// count as not sent.
 fn after_reset(error: ExchangeError) -> ExchangeError {
     match error {
         ExchangeError::TooLate => ExchangeError::TimedOut,
@@ -82,38 +85,37 @@
     }
 }
 
-fn attempt_error(error: ExchangeError, is_unreplayable_on_reused: bool) -> AttemptError {
+fn attempt_error(error: ExchangeError, is_unreplayable: bool) -> AttemptError {
     match error {
         ExchangeError::TooLate => AttemptError::TooLate,
         ExchangeError::TimedOut => AttemptError::TimedOut,
         ExchangeError::Client(source) => AttemptError::ClientBody(source),
-        ExchangeError::Connection { source, .. } if is_unreplayable_on_reused => {
-            AttemptError::ReusedConnection(source)
-        }
+        ExchangeError::Connection { source, .. } if is_unreplayable => AttemptError::ReusedConnection(source),
         ExchangeError::Connection { source, .. } => AttemptError::Connection(source),
     }
 }
 
-/// Judges the response, and keeps the connection for the next request or for the rest of this response.
-fn finish(
+/// Validates the response, and keeps the connection for the next request or for the rest of this response.
+fn complete(
     proxy: &Proxy,
     request: &AttemptRequest<'_>,
     connection: Connection,
     response: UpstreamResponse,
     latency: Duration,
 ) -> Result<AttemptResponse, AttemptError> {
-    // Refusals may bear no id: a second one on a kept connection would be taken for the response to the next request.
-    let is_reusable = response.is_keep_alive && !response.is_refusal();
+    // Rejections may have no attempt id. If the connection were reused after one, a second rejection would be
+    // taken for the response to the next request.
+    let is_reusable = response.is_keep_alive && !response.is_rejection();
     let observation = Observation::Response { latency_ms: latency.as_millis() as u64, load: response.load };
     let keep_alive = response.keep_alive_timeout;
     let Some(reader) = response.rest else {
-        // Bytes past a complete response belong to no request: the connection is closed with them.
+        // Bytes after a complete response belong to no request, so the connection is closed.
         if is_reusable && connection.buffer.is_empty() {
             release(proxy, request, connection, keep_alive);
         }
-        return accept(response).map(|response| AttemptResponse { response, rest: None, observation });
+        return validate(response).map(|response| AttemptResponse { response, rest: None, observation });
     };
-    let response = accept(response)?;
+    let response = validate(response)?;
     let rest = ResponseStream {
         reader,
         connection,
@@ -136,8 +138,8 @@
     proxy.connection_pool.release(request.backend_id, connection, keep_alive, max_connections);
 }
 
-/// Whether a response may go to the client.
-fn accept(response: UpstreamResponse) -> Result<UpstreamResponse, AttemptError> {
+/// Returns the response if it may be forwarded to the client.
+fn validate(response: UpstreamResponse) -> Result<UpstreamResponse, AttemptError> {
     if response.status == 421 {
         return Err(AttemptError::WrongInstance);
     }
@@ -145,7 +147,7 @@
         return Err(AttemptError::Rejected);
     }
     if matches!(response.status, 408 | 429 | 503) {
-        return Err(AttemptError::UnprovenRefusal(response.status));
+        return Err(AttemptError::UnconfirmedRejection(response.status));
     }
     if (200..300).contains(&response.status) && !response.is_sealed {
         return Err(AttemptError::Unsealed);
--- a/crates/proxy/src/upstream/error.rs
+++ b/crates/proxy/src/upstream/error.rs
@@ -1,50 +1,52 @@
-//! Why an attempt ended without a response that can be forwarded, and whether the request may have been executed.
+//! Errors of attempts, and whether the request may have been executed.
 
 use crate::request_body::BodyError;
 use std::io;
 use violetyoke_api::Execution;
 use violetyoke_balancing::Observation;
 
-/// The end of an attempt without a response.
+/// Why an attempt ended without a response that can be forwarded.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AttemptError {
-    /// No connection came up.
-    #[error("no connection to the backend")]
+    /// The connection could not be established.
+    #[error("could not connect to the backend")]
     Connect(#[source] io::Error),
-    /// A reused connection broke, and no new one came up.
-    #[error("the reused connection broke, and no new one came up")]
+    /// A reused connection broke, and no new connection could be established.
+    #[error("the reused connection broke, and no new one could be established")]
     Reconnect(#[source] io::Error),
-    /// A reused connection broke, and the request must not be sent again.
+    /// A reused connection broke, and the request must not be replayed.
     #[error("the reused connection broke")]
     ReusedConnection(#[source] io::Error),
-    /// The connection broke, or what came was no response to this request.
+    /// The connection broke, or the response is invalid or belongs to another request.
     #[error("the connection broke, or the response is invalid")]
     Connection(#[source] io::Error),
-    /// The deadline had passed before anything was sent.
-    #[error("too late to be sent")]
+    /// The deadline passed before the request was sent.
+    #[error("the deadline passed before the request was sent")]
     TooLate,
-    /// No response before the deadline, or before another backend was asked instead.
+    /// There was no response before the deadline, or the attempt was abandoned for a retry at another
+    /// backend.
     #[error("no response in time")]
     TimedOut,
-    /// The client broke off its body.
-    #[error("the request's body is not complete")]
+    /// The client's body was too large or incomplete.
+    #[error("the client's request body is too large or incomplete")]
     ClientBody(#[source] BodyError),
-    /// Another instance answers at the backend's address; it did not execute the request.
-    #[error("another instance answers at the backend's address")]
+    /// Another instance responded at the backend's address and did not execute the request.
+    #[error("another instance responded at the backend's address")]
     WrongInstance,
-    /// The backend says that it did not execute the request.
-    #[error("the backend refused the request")]
+    /// The backend rejected the request without executing it.
+    #[error("the backend rejected the request")]
     Rejected,
-    /// A status that promises a client that nothing was executed, which the backend has not said.
-    #[error("status {0} without a proof that the request was not executed")]
-    UnprovenRefusal(u16),
-    /// A success without the server's seal.
-    #[error("a success without a seal")]
+    /// The response has a status by which clients take the request for not executed, but no confirmation of
+    /// that.
+    #[error("status {0} without confirmation that the request was not executed")]
+    UnconfirmedRejection(u16),
+    /// A successful response lacks the backend's seal.
+    #[error("successful response without a seal")]
     Unsealed,
 }
 
 impl AttemptError {
-    /// Whether the backend may have executed the request, or still will.
+    /// Whether the backend may have executed the request or may still execute it.
     pub(crate) fn execution(&self) -> Execution {
         match self {
             AttemptError::Connect(_)
@@ -56,20 +58,21 @@
             | AttemptError::Connection(_)
             | AttemptError::TimedOut
             | AttemptError::ClientBody(_)
-            | AttemptError::UnprovenRefusal(_)
+            | AttemptError::UnconfirmedRejection(_)
             | AttemptError::Unsealed => Execution::Unknown,
         }
     }
 
-    /// What it says about the backend.
+    /// The observation that the error gives about the backend.
     pub(crate) fn observation(&self) -> Observation {
         match self {
             AttemptError::Connect(_) | AttemptError::Reconnect(_) => Observation::Unreachable,
-            // An idle connection may be reset at any time; the client's faults are not the backend's.
+            // Backends may close an idle connection at any time, and errors of the client are not those of
+            // the backend.
             AttemptError::ReusedConnection(_) | AttemptError::ClientBody(_) | AttemptError::TooLate => {
                 Observation::Inconclusive
             }
-            AttemptError::Connection(_) | AttemptError::UnprovenRefusal(_) | AttemptError::Unsealed => {
+            AttemptError::Connection(_) | AttemptError::UnconfirmedRejection(_) | AttemptError::Unsealed => {
                 Observation::Broken
             }
             AttemptError::TimedOut => Observation::TimedOut,
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -13,41 +13,42 @@
 use tokio::io::{split, AsyncRead, AsyncWriteExt};
 use tokio::time::{timeout_at, Instant};
 
-/// Past its time-out, an attempt that can't be made elsewhere checks so often whether it can by now.
+/// Interval at which an attempt that has timed out checks again whether it can be retried elsewhere.
 const RETRY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Responses to earlier requests that are skipped before the one that is due.
+/// Maximum number of responses to earlier requests that are skipped before the expected one.
 const MAX_STALE_RESPONSES: usize = 4;
 
 /// Why no response was read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
-    /// The client broke off its body.
-    #[error("the request's body is not complete")]
+    /// The client's body was too large or incomplete.
+    #[error("the client's request body is too large or incomplete")]
     Client(#[source] BodyError),
-    /// The connection broke, or what came was no response to this request.
+    /// The connection broke, or the response is invalid or belongs to another request.
     #[error("the connection broke, or the response is invalid")]
     Connection {
-        /// Bytes of a response had arrived before.
+        /// Whether bytes of a response had arrived.
         has_responded: bool,
         source: io::Error,
     },
-    /// The deadline had passed before anything was written, as where the process was stopped for a while.
-    #[error("too late to be sent")]
+    /// The deadline passed before the request was written, for example because the process was suspended.
+    #[error("the deadline passed before the request was sent")]
     TooLate,
-    /// The deadline has passed, or the attempt timed out and another backend can be asked.
+    /// The deadline passed, or the attempt timed out and can be retried at another backend.
     #[error("no response in time")]
     TimedOut,
 }
 
 impl ExchangeError {
-    /// The connection ended before anything came back on it.
-    pub(super) fn is_before_response(&self) -> bool {
+    /// Whether the connection failed before any byte of a response arrived.
+    pub(super) fn precedes_response(&self) -> bool {
         matches!(self, ExchangeError::Connection { has_responded: false, .. })
     }
 }
 
 /// Sends a request and waits for its response until the deadline, or until the attempt has timed out and
-/// `can_retry_elsewhere`: breaking it off for a retry that can't be made would fail a request that a backend works on.
+/// `can_retry_elsewhere`. If no retry is possible, aborting the attempt would only fail a request that a
+/// backend may still complete.
 pub(super) async fn exchange(
     connection: &mut Connection,
     request: &AttemptRequest<'_>,
@@ -58,7 +59,7 @@
     with_timeouts(response, request, can_retry_elsewhere).await.unwrap_or(Err(ExchangeError::TimedOut))
 }
 
-/// `None` once the attempt has timed out.
+/// Runs the exchange. Returns `None` if the attempt timed out.
 async fn with_timeouts<T>(
     exchange: impl Future<Output = T>,
     request: &AttemptRequest<'_>,
@@ -66,17 +67,17 @@
 ) -> Option<T> {
     let mut exchange = pin!(exchange);
     let mut timeout = request.timeout;
-    while let Some(at) = timeout.filter(|at| *at < request.deadline) {
-        match timeout_at(at, exchange.as_mut()).await {
+    while let Some(next_check) = timeout.filter(|next_check| *next_check < request.deadline) {
+        match timeout_at(next_check, exchange.as_mut()).await {
             Ok(result) => return Some(result),
             Err(_) if can_retry_elsewhere() => return None,
-            Err(_) => timeout = Some(at + RETRY_CHECK_INTERVAL),
+            Err(_) => timeout = Some(next_check + RETRY_CHECK_INTERVAL),
         }
     }
     timeout_at(request.deadline, exchange).await.ok()
 }
 
-/// Writes the request and reads the response, which may come before all is written.
+/// Writes the request and reads the response, which may arrive before the request is completely written.
 async fn write_and_read(
     connection: &mut Connection,
     request: &AttemptRequest<'_>,
@@ -99,7 +100,8 @@
         written = writing.as_mut() => match written {
             Ok(()) => reading.await,
             Err(SendError::Client(error)) => Err(ExchangeError::Client(error)),
-            // The backend may have said why before it closed, where it had got a part.
+            // The backend may have responded before it closed the connection, having received a part of the
+            // body.
             Err(SendError::Backend(_)) if request.body.is_consumed() => reading.await.map(close_after),
             Err(SendError::Backend(source)) => {
                 Err(ExchangeError::Connection { has_responded: false, source })
@@ -109,14 +111,14 @@
     }
 }
 
-/// The connection is not kept: not all of the request has gone out on it.
+/// Marks the connection as not reusable because the request was not completely written.
 fn close_after(response: UpstreamResponse) -> UpstreamResponse {
     UpstreamResponse { is_keep_alive: false, ..response }
 }
 
-/// Reads until the response with the attempt's id. One without an id is believed only where it refuses, and only as the
-/// first on its connection: on a reused one it may be a second response to an earlier request, while this one is
-/// executed.
+/// Reads responses until the one with the attempt's id. A response without an id is accepted only if it is a
+/// rejection and the first response on its connection: on a reused connection it may be a second response to
+/// an earlier request, while the backend executes this one.
 async fn read_matching(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -130,9 +132,9 @@
         })?;
         match response.attempt_id.as_deref() {
             Some(id) if id == request.attempt_id => return Ok(response),
-            None if response.is_refusal() && !is_reused && skipped == 0 => return Ok(response),
-            // One with another id is late: it belongs to no request, also where it says that one was not executed. A
-            // large one is not read to its end.
+            None if response.is_rejection() && !is_reused && skipped == 0 => return Ok(response),
+            // A response with another id belongs to an earlier request and is skipped, even if it is a
+            // rejection. A large one is not read to its end.
             _ if response.rest.is_some() => break,
             _ => {}
         }
--- a/crates/proxy/src/upstream/framing.rs
+++ b/crates/proxy/src/upstream/framing.rs
@@ -4,19 +4,19 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The largest head, chunk-size line or trailer section that is read (bytes).
+/// Maximum size of a head, a chunk-size line or a trailer section (bytes).
 pub(super) const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Space that is made for each read (bytes).
+/// Buffer space reserved for each read (bytes).
 const READ_BYTES: usize = 4096;
-/// Fields of a trailer section, which are read and dropped.
+/// Maximum number of trailer fields. Trailers are discarded.
 const MAX_TRAILERS: usize = 16;
 
-/// An error that says what of a response is not valid HTTP.
+/// An error for a response that is not valid HTTP. `reason` names the invalid part.
 pub(super) fn invalid(reason: &'static str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-/// Reads more bytes into `buffer`. The end of the stream is an error, as more is due.
+/// Reads more bytes into `buffer`. The end of the stream is an error because callers need more bytes.
 pub(super) async fn read_more(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -28,18 +28,18 @@
     }
 }
 
-/// Reads the body of one response: what is due next on its connection.
+/// Reads the body of one response. The state is the next expected part of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyReader {
-    /// So many bytes, as `Content-Length` says.
+    /// The number of remaining bytes of a body with `Content-Length`.
     Length(u64),
     /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The number of remaining bytes of a chunk.
     ChunkData(u64),
     /// The line end after a chunk.
     ChunkEnd,
-    /// Nothing: the body is complete.
+    /// The body is complete.
     Complete,
 }
 
@@ -56,16 +56,17 @@
         loop {
             match *self {
                 BodyReader::Complete | BodyReader::Length(0) => return Ok(None),
-                BodyReader::Length(left) => {
-                    let data = read_data(stream, buffer, left).await?;
-                    *self = BodyReader::Length(left - data.len() as u64);
+                BodyReader::Length(remaining) => {
+                    let data = read_data(stream, buffer, remaining).await?;
+                    *self = BodyReader::Length(remaining - data.len() as u64);
                     return Ok(Some(data));
                 }
                 BodyReader::ChunkSize => *self = read_chunk_size(stream, buffer).await?,
-                BodyReader::ChunkData(left) => {
-                    let data = read_data(stream, buffer, left).await?;
-                    let left = left - data.len() as u64;
-                    *self = if left == 0 { BodyReader::ChunkEnd } else { BodyReader::ChunkData(left) };
+                BodyReader::ChunkData(remaining) => {
+                    let data = read_data(stream, buffer, remaining).await?;
+                    let remaining = remaining - data.len() as u64;
+                    *self =
+                        if remaining == 0 { BodyReader::ChunkEnd } else { BodyReader::ChunkData(remaining) };
                     return Ok(Some(data));
                 }
                 BodyReader::ChunkEnd => {
@@ -82,7 +83,7 @@
     }
 }
 
-/// The bytes that have arrived, `limit` at most; waits for some where there are none.
+/// Returns bytes that have arrived, at most `limit`. Waits if there are none.
 async fn read_data(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -95,7 +96,7 @@
     Ok(buffer.split_to(size).freeze())
 }
 
-/// Reads a chunk-size line; after the last chunk's also the trailer section.
+/// Reads a chunk-size line, and the trailer section after that of the last chunk.
 async fn read_chunk_size(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -116,7 +117,7 @@
     }
 }
 
-/// Reads past the trailer section, up to the empty line at its end.
+/// Skips the trailer section, including the empty line at its end.
 async fn skip_trailers(stream: &mut (impl AsyncRead + Unpin), buffer: &mut BytesMut) -> io::Result<()> {
     loop {
         let mut trailers = [httparse::EMPTY_HEADER; MAX_TRAILERS];
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to backends: one request at a time on each, kept for the next while the backend keeps them open.
+//! Connections to backends: each carries one request at a time and is reused while the backend keeps it open.
 
 mod attempt;
 mod error;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to backends, kept for the next request while the backend keeps them open.
+//! Pool of idle connections to backends.
 
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -7,27 +7,28 @@
 use tokio::time::Instant;
 use violetyoke_transport::net::Stream;
 
-/// Idle connections that are kept to one backend at most.
+/// Maximum number of idle connections to one backend.
 const MAX_IDLE_PER_BACKEND: usize = 8;
-/// How long an idle connection is kept where the backend does not announce a time.
+/// How long an idle connection is kept if the backend announces no keep-alive time-out.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(5);
-/// A connection is closed so long before the backend would: nobody knows whether a request that crosses the close was
-/// executed.
+/// Connections are closed this long before the backend's keep-alive time-out. If the backend closes a
+/// connection while a request is on the way, it is unknown whether the request was executed.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// For how long a connection may have been idle to be reused by an idempotent request, which goes out again on a new
-/// connection where the idle one fails: no bound of its own.
+/// Maximum idle time of a connection that an idempotent request reuses. Effectively unlimited, as such a
+/// request is replayed on a new connection if the idle one fails.
 const MAX_IDLE_IDEMPOTENT: Duration = Duration::from_secs(3600);
-/// The same for other requests. Where the backend closes the connection just then, nobody knows whether the request was
-/// executed, so it ends with 502.
+/// Maximum idle time of a connection that a non-idempotent request reuses. If the backend closes the
+/// connection at that moment, it is unknown whether the request was executed, and the client gets 502.
 const MAX_IDLE: Duration = Duration::from_millis(2_500);
-/// The same while backends reset idle connections before the announced time, as they did when more connections were
-/// held to them than they take: 1,352 answers 502 on one day (rioni-rooms-grown, scale-2).
+/// Maximum idle time for non-idempotent requests while backends reset idle connections before the announced
+/// time. Backends did so when they had more connections than they accept, which caused 1,352 responses 502 on
+/// one day (rioni-rooms-grown, scale-2).
 const MAX_IDLE_AFTER_RESET: Duration = Duration::from_millis(60);
 /// How long after the last reset of an idle connection [`MAX_IDLE_AFTER_RESET`] holds.
-const RESET_MEMORY: Duration = Duration::from_secs(20);
+const RESET_EXPECTATION_PERIOD: Duration = Duration::from_secs(20);
 
-/// A connection to a backend, with the bytes that were read from it and not used.
+/// A connection to a backend, with the bytes that were read from it but not yet parsed.
 pub(super) struct Connection {
     pub(super) stream: Stream,
     pub(super) buffer: BytesMut,
@@ -43,13 +44,13 @@
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
-    /// Until when backends are expected to reset idle connections early.
+    /// Until this time, backends are expected to reset idle connections early.
     resets_expected_until: Cell<Option<Instant>>,
 }
 
 impl ConnectionPool {
-    /// Takes out the connection that became idle last and is usable. One on which bytes or an end have arrived unasked
-    /// is not; nor is, for a request that may be executed once only, one that has been idle for long.
+    /// Takes the usable connection that became idle last. A connection is unusable if bytes or the end of the
+    /// stream have arrived on it, or if it has been idle for too long for the kind of request.
     pub(super) fn acquire(&self, backend_id: &str, is_idempotent: bool) -> Option<Connection> {
         let now = Instant::now();
         let max_idle = self.max_idle(now, is_idempotent);
@@ -64,7 +65,7 @@
         None
     }
 
-    /// Whether an idle connection to a backend can be expected to be usable.
+    /// Whether the newest idle connection to a backend is probably usable.
     pub(super) fn has_usable(&self, backend_id: &str, is_idempotent: bool) -> bool {
         let now = Instant::now();
         let max_idle = self.max_idle(now, is_idempotent);
@@ -82,14 +83,14 @@
         }
     }
 
-    /// An idle connection was reset as soon as it was reused.
+    /// Records that the backend reset an idle connection when it was reused.
     pub(super) fn record_reset(&self) {
-        self.resets_expected_until.set(Some(Instant::now() + RESET_MEMORY));
+        self.resets_expected_until.set(Some(Instant::now() + RESET_EXPECTATION_PERIOD));
     }
 
-    /// Keeps a connection whose last response was complete. `keep_alive`: for how long the backend keeps it, where it
-    /// said so; `max_connections`: how many this proxy may hold to the backend. The connection is closed where that is
-    /// reached.
+    /// Adds a connection whose last response was complete. `keep_alive` is the backend's keep-alive time-out,
+    /// if it announced one. The connection is closed if the number of idle connections has reached
+    /// `max_connections`, this proxy's share of the backend's connections.
     pub(super) fn release(
         &self,
         backend_id: &str,
@@ -104,7 +105,7 @@
             return;
         }
         let mut by_backend = self.idle.borrow_mut();
-        // The id is copied for a new entry only.
+        // Copies the id only if a new entry is needed.
         if !by_backend.contains_key(backend_id) {
             by_backend.insert(backend_id.to_owned(), Vec::new());
         }
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Closes expired connections, and those to backends that are not `is_available` any more.
+    /// Closes expired connections and those to backends for which `is_available` returns false.
     pub(crate) fn retain(&self, is_available: impl Fn(&str) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|id, idle| {
--- a/crates/proxy/src/upstream/preconnect.rs
+++ b/crates/proxy/src/upstream/preconnect.rs
@@ -1,13 +1,14 @@
-//! Opens a connection to a distant backend before the request may be sent there.
+//! Opens a connection to a backend in another region before the request may be sent there.
 
 use super::attempt::connect;
 use crate::forward::ForwardRequest;
 use crate::state::Proxy;
 use violetyoke_balancing::Selection;
 
-/// Opens a connection to the backend that would get the request now, where its home regions are others and no connection to
-/// it is idle, and keeps it as an idle one. The round trip between regions is then over by the time that the request has
-/// passed the check of its tenant's limit, which may take one as well. Nothing is sent on the connection.
+/// Opens a connection to the backend that would be selected for the request now, and adds it to the pool as
+/// an idle connection. Only done if the home regions exclude this proxy's region and no idle connection is
+/// usable. The handshake takes a round trip between regions and runs concurrently with the check of the
+/// tenant's limit, which may take one as well. Nothing is sent on the connection.
 pub(crate) async fn preconnect(proxy: &Proxy, request: &ForwardRequest) {
     if !proxy.backends.excludes_local_region(&request.home_regions) {
         return;
@@ -18,7 +19,7 @@
     if target.is_same_region || proxy.connection_pool.has_usable(&backend_id, is_replayable) {
         return;
     }
-    // An error is found again, and counted, by the attempt that needs the connection.
+    // Errors are ignored: the attempt that needs the connection fails in the same way and records it.
     if let Ok(connection) = connect(proxy, target.address, false, request.deadline).await {
         let max_connections = proxy.backends.max_connections(&request.service);
         proxy.connection_pool.release(&backend_id, connection, None, max_connections);
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! The request of one attempt.
+//! Parameters of one attempt.
 
 use crate::operations::Claim;
 use crate::request_body::RequestBody;
@@ -6,26 +6,26 @@
 use std::net::SocketAddrV4;
 use tokio::time::Instant;
 
-/// What is sent, where, and for how long its response is waited for.
+/// The request of one attempt, its backend, and its time limits.
 pub(crate) struct AttemptRequest<'a> {
     pub(crate) backend_id: &'a str,
     pub(crate) service: &'a str,
     pub(crate) address: SocketAddrV4,
     pub(crate) is_same_region: bool,
-    /// The response has to bear this id.
+    /// Id that the response must repeat.
     pub(crate) attempt_id: &'a str,
-    /// The head, and the body as far as it is buffered.
+    /// The head and the buffered part of the body.
     pub(crate) bytes: Bytes,
-    /// The body; its rest is sent after `bytes`.
+    /// The body, of which the unbuffered rest is sent after `bytes`.
     pub(crate) body: &'a RequestBody,
-    /// It is a HEAD request, whose response has no body.
+    /// Whether this is a HEAD request, whose response has no body.
     pub(crate) is_head: bool,
-    /// The request may be executed more than once, and can be sent again.
+    /// Whether the request is idempotent and completely buffered, so that it can be sent again.
     pub(crate) is_replayable: bool,
-    /// The claim of its operation, on a keyed route.
+    /// The claim of the request's operation, on a keyed route.
     pub(crate) claim: Option<&'a Claim>,
-    /// From when on another backend may be asked instead.
+    /// Time after which the attempt may be abandoned for a retry at another backend.
     pub(crate) timeout: Option<Instant>,
-    /// When the client waits no longer.
+    /// When the time-out of the client or of the route expires.
     pub(crate) deadline: Instant,
 }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reads a backend's response: its head, and its body as far as it is buffered.
+//! Reads a backend's response: its head, and the buffered part of its body.
 
 use super::framing::{invalid, read_more, BodyReader, MAX_HEAD_BYTES};
 use crate::request_body::MAX_BUFFERED_BYTES;
@@ -9,47 +9,47 @@
 use violetyoke_api::calls::header;
 use violetyoke_balancing::ReportedLoad;
 
-/// Fields that a response's head may have.
+/// Maximum number of header fields of a response.
 const MAX_HEADERS: usize = 96;
 
-/// A response as it came.
+/// A response of a backend.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamResponse {
     pub(crate) status: u16,
-    /// Fields that are forwarded, in their order; names in lower case.
+    /// Forwarded fields in their original order, with names in lower case.
     pub(crate) headers: Vec<(String, Bytes)>,
-    /// The body, or its beginning where it is too large to be buffered.
+    /// The body, or its beginning if it is too large to be buffered.
     pub(crate) body: Bytes,
-    /// Reads what is left of the body; `None` where [`Self::body`] is all of it.
+    /// Reads the rest of the body; `None` if [`Self::body`] is complete.
     pub(super) rest: Option<BodyReader>,
     /// `Content-Length` (bytes).
     pub(crate) content_length: Option<u64>,
-    /// The id of the attempt that it answers.
+    /// The id of the attempt that the response belongs to, if it has one.
     pub(super) attempt_id: Option<String>,
-    /// It bears the server's seal, as each success must.
+    /// Whether the response has the backend's seal, which is required of each successful response.
     pub(super) is_sealed: bool,
-    /// The backend says that it did not execute the request.
+    /// Whether the backend states that it did not execute the request.
     pub(super) is_not_executed: bool,
     pub(super) load: Option<ReportedLoad>,
-    /// The backend keeps the connection open for another request, and for how long where it says so.
+    /// Whether the backend keeps the connection open for another request.
     pub(super) is_keep_alive: bool,
     pub(super) keep_alive_timeout: Option<Duration>,
 }
 
 impl UpstreamResponse {
-    /// The backend proves that it did not execute the request.
-    pub(super) fn is_refusal(&self) -> bool {
+    /// Whether the response confirms that the backend did not execute the request.
+    pub(super) fn is_rejection(&self) -> bool {
         self.is_not_executed || self.status == 421
     }
 }
 
-/// Reads one response; interim ones (1xx) are skipped. The body is read to its end, or until more than
-/// [`MAX_BUFFERED_BYTES`] of it are here.
+/// Reads one response, skipping interim ones (1xx). The body is read to its end, or until more than
+/// [`MAX_BUFFERED_BYTES`] of it have arrived.
 ///
-/// `is_head`: it answers a HEAD request, so it has no body.
+/// `is_head`: the request was a HEAD request, so the response has no body.
 ///
 /// # Errors
-/// The connection fails or ends early, or what came is no valid response of known length.
+/// The connection fails or ends early, or the response is invalid or of unknown length.
 pub(super) async fn read_response(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Copies only where there is more than one part.
+/// Concatenates the parts. Copies only if there is more than one.
 fn concat(mut parts: Vec<Bytes>) -> Bytes {
     match parts.len() {
         0 | 1 => parts.pop().unwrap_or_default(),
@@ -83,7 +83,7 @@
     }
 }
 
-/// A head, how its body is to be read, and how many bytes the head takes.
+/// A parsed head, the reader for the body, and the size of the head (bytes).
 struct ParsedHead {
     response: UpstreamResponse,
     body: BodyReader,
@@ -107,7 +107,7 @@
     }
 }
 
-/// `None` while the head is incomplete.
+/// Returns `None` while the head is incomplete.
 fn parse_head(buffer: &[u8], is_head: bool) -> io::Result<Option<ParsedHead>> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut fields);
@@ -119,7 +119,7 @@
     if !(100..600).contains(&status) {
         return Err(invalid("status"));
     }
-    // HTTP/1.0 closes after each response.
+    // HTTP/1.0 servers close the connection after each response.
     let is_keep_alive = parsed.version == Some(1);
     let mut response = UpstreamResponse { status, is_keep_alive, ..UpstreamResponse::default() };
     let mut is_chunked = false;
@@ -132,14 +132,15 @@
         (_, true, Some(_)) => return Err(invalid("both a length and chunks")),
         (_, true, None) => BodyReader::ChunkSize,
         (_, _, Some(length)) => BodyReader::Length(length),
-        // The body would end with the connection: a truncated one could not be told from a complete one.
+        // The body would end with the connection, and a truncated body could not be distinguished from a
+        // complete one.
         _ => return Err(invalid("neither a length nor chunks")),
     };
     Ok(Some(ParsedHead { response, body, size }))
 }
 
-/// Takes over one header field; returns whether it says that the body is chunked. Fields that concern the connection
-/// alone are not forwarded.
+/// Adds one header field to the response; connection-specific fields are not forwarded. Returns whether the
+/// field declares the body as chunked.
 fn read_field(response: &mut UpstreamResponse, field: &httparse::Header<'_>) -> io::Result<bool> {
     let name = field.name.to_ascii_lowercase();
     let value = std::str::from_utf8(field.value).unwrap_or("").trim();
@@ -176,13 +177,13 @@
     Ok(false)
 }
 
-/// A length: digits alone, no sign.
+/// Parses a length. Only digits are allowed, no sign.
 fn parse_length(text: &str) -> Option<u64> {
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-/// The load of `running, waiting, slots`.
+/// Parses a load report, `running, waiting, slots`.
 fn parse_load(text: &str) -> Option<ReportedLoad> {
-    let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>().ok());
-    Some(ReportedLoad { running: figures.next()??, waiting: figures.next()?? })
+    let mut fields = text.split(',').map(|field| field.trim().parse::<u32>().ok());
+    Some(ReportedLoad { running: fields.next()??, waiting: fields.next()?? })
 }
--- a/crates/proxy/src/upstream/streaming.rs
+++ b/crates/proxy/src/upstream/streaming.rs
@@ -1,7 +1,7 @@
 //! The rest of a response that is too large to be buffered, forwarded as it arrives.
 //!
-//! Backpressure: the channel to the client's connection holds one piece, so nothing more is read from the backend until
-//! the client has taken it.
+//! Backpressure: the channel to the client's connection holds one chunk, so no more is read from the backend
+//! until the client has received it.
 
 use super::framing::BodyReader;
 use super::pool::Connection;
@@ -12,20 +12,21 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// A connection on which the rest of a response is due.
+/// A connection from which the rest of a response is read.
 pub(crate) struct ResponseStream {
     pub(super) reader: BodyReader,
     pub(super) connection: Connection,
     pub(super) is_reusable: bool,
     pub(super) keep_alive: Option<Duration>,
-    /// When the client waits no longer.
+    /// When the time-out of the client or of the route expires.
     pub(super) deadline: Instant,
     pub(super) backend_id: String,
     pub(super) service: String,
 }
 
 impl ResponseStream {
-    /// Forwards the rest. A response that ends early is aborted at the client too, so that it does not look complete.
+    /// Forwards the rest. If the backend's response ends early, the client's response is aborted too, so that
+    /// it does not look complete.
     pub(crate) async fn forward(mut self, proxy: &Proxy, mut client: Sender<Bytes, io::Error>) {
         match timeout_at(self.deadline, self.copy_to(&mut client)).await {
             Ok(Ok(())) => self.release(proxy),
@@ -42,7 +43,7 @@
         Ok(())
     }
 
-    /// Keeps the connection, unless bytes have come that belong to no request.
+    /// Returns the connection to the pool, unless bytes have arrived that belong to no request.
     fn release(self, proxy: &Proxy) {
         if self.is_reusable && self.connection.buffer.is_empty() {
             let max_connections = proxy.backends.max_connections(&self.service);
