--- a/crates/proxy/src/operations/decision.rs
+++ b/crates/proxy/src/operations/decision.rs
@@ -203,7 +203,7 @@
         let now = Instant::now();
         let registry = self.connection(&self.state.borrow().registries, &[]).map(|(id, _)| id.registry);
         let round_trip = registry.map(|registry| self.round_trip(registry)).unwrap_or_default();
-        let least = round_trip.usual() * MIN_ROUND_TRIPS;
+        let least = round_trip.mean() * MIN_ROUND_TRIPS;
         let most = deadline.saturating_duration_since(now).mul_f64(MAX_FRACTION_LEFT);
         now + latency_target.mul_f64(TARGET_FRACTION).max(least).min(most)
     }
--- a/crates/proxy/src/replies/round_trip.rs
+++ b/crates/proxy/src/replies/round_trip.rs
@@ -33,7 +33,7 @@
     }
 
     /// How long a reply usually takes.
-    pub(crate) fn usual(self) -> Duration {
+    pub(crate) fn mean(self) -> Duration {
         Duration::from_millis(self.0 as u64)
     }
 
