--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -198,7 +198,7 @@
         response: FinalResponse<ClientAnswer>,
     ) {
         if let Some(account) = &mut self.account {
-            account.over(now, summary.request, summary.attempts, response.kind(), summary.why);
+            account.over(now, summary.request, summary.attempts, response.kind(), summary.reason);
         }
         let answer = match response {
             FinalResponse::Served(answer) => answer,
