--- a/crates/decision/tests/home.rs
+++ b/crates/decision/tests/home.rs
@@ -1,4 +1,5 @@
-//! Counting at a home: a fleet of gateways with a counter that cannot take their calls, on played time.
+//! Quota counting at home gateways: a fleet of gateways in virtual time, with a counter that is overloaded or
+//! late.
 
 mod common;
 
@@ -8,35 +9,39 @@
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
 
-const PLAIN: u16 = 0;
-const UNDER_CEILING: u16 = 1;
+const QUOTA_PLAN: u16 = 0;
+const HARD_LIMIT_PLAN: u16 = 1;
 const MS: Micros = 1_000;
 
-/// What the counter does with a call.
+/// How the counter responds to calls.
 #[derive(Clone, Copy, PartialEq)]
 enum Counter {
-    Answers,
-    TurnsAway,
-    /// Adds, but answers nobody in time.
-    IsLate,
+    Healthy,
+    Rejects,
+    /// Adds the units, but answers only after the time-out.
+    TimesOut,
 }
 
 struct Fleet {
     gateways: Vec<Gateway>,
     counter: Counter,
     totals: BTreeMap<u64, f64>,
-    /// Gateways that neither hear nor are heard by their peers.
-    cut_off: Vec<u16>,
+    /// Gateways that can't exchange messages with their peers.
+    isolated: Vec<u16>,
+    /// Times and numbers of pending events, and the events with their gateways by number.
     events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, (u16, Event)>,
-    next: u64,
-    request: RequestId,
-    /// When units were sent on, and how long after its arrival each request was refused.
-    sent: Vec<(Micros, f64)>,
-    refused: Vec<Micros>,
+    scheduled: BTreeMap<u64, (u16, Event)>,
+    next_number: u64,
+    next_request: RequestId,
+    /// Times and units of forwarded requests.
+    forwarded: Vec<(Micros, f64)>,
+    /// Time from arrival to rejection of each rejected request.
+    rejected: Vec<Micros>,
+    /// Arrival times and units of requests without a final response.
     open: BTreeMap<RequestId, (Micros, f64)>,
-    calls: u32,
-    told: Vec<u32>,
+    counter_calls: u32,
+    /// Number of peer messages to each gateway.
+    messages_to: Vec<u32>,
 }
 
 impl Fleet {
@@ -53,216 +58,225 @@
             gateways: gateways.collect(),
             counter,
             totals: BTreeMap::new(),
-            cut_off: Vec::new(),
+            isolated: Vec::new(),
             events: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            next: 0,
-            request: 0,
-            sent: Vec::new(),
-            refused: Vec::new(),
+            scheduled: BTreeMap::new(),
+            next_number: 0,
+            next_request: 0,
+            forwarded: Vec::new(),
+            rejected: Vec::new(),
             open: BTreeMap::new(),
-            calls: 0,
-            told: vec![0; usize::from(count)],
+            counter_calls: 0,
+            messages_to: vec![0; usize::from(count)],
         }
     }
 
-    fn due(&mut self, at: Micros, gateway: u16, event: Event) {
-        self.events.push(Reverse((at, self.next)));
-        self.what.insert(self.next, (gateway, event));
-        self.next += 1;
+    fn schedule(&mut self, at: Micros, gateway: u16, event: Event) {
+        self.events.push(Reverse((at, self.next_number)));
+        self.scheduled.insert(self.next_number, (gateway, event));
+        self.next_number += 1;
     }
 
-    /// Requests of one unit for one customer, evenly over its set and over the time.
-    fn ask(&mut self, customer: CustomerId, plan: u16, spread: u16, rate: f64, from: Micros, until: Micros) {
-        let apart = (1e6 / rate) as Micros;
-        for (i, at) in (from..until).step_by(apart as usize).enumerate() {
-            // A stride that has no factor in common with the set's size, so that neighbours take no turns.
-            let gateway = (i * 7 % usize::from(spread)) as u16;
-            let id = self.request;
-            self.request += 1;
-            let asked = Request { plan, gateway_count: f64::from(spread), ..request(id, customer) };
-            self.open.insert(id, (at, asked.units));
-            self.due(at, gateway, Event::Request(asked));
+    /// Schedules requests of one unit for a customer, evenly distributed over its gateways and over the time.
+    fn add_requests(
+        &mut self,
+        customer: CustomerId,
+        plan: u16,
+        gateway_count: u16,
+        rate: f64,
+        from: Micros,
+        until: Micros,
+    ) {
+        let interval = (1e6 / rate) as Micros;
+        for (i, at) in (from..until).step_by(interval as usize).enumerate() {
+            // The stride has no common factor with the number of gateways, so that successive requests don't go
+            // to neighbouring gateways.
+            let gateway = (i * 7 % usize::from(gateway_count)) as u16;
+            let id = self.next_request;
+            self.next_request += 1;
+            let added = Request { plan, gateway_count: f64::from(gateway_count), ..request(id, customer) };
+            self.open.insert(id, (at, added.units));
+            self.schedule(at, gateway, Event::Request(added));
         }
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         while let Some(Reverse((now, number))) = self.events.pop() {
-            let (index, event) = self.what.remove(&number).expect("due once");
+            let (index, event) = self.scheduled.remove(&number).expect("scheduled once");
             for action in step(&mut self.gateways[usize::from(index)], now, event) {
-                self.act(now, index, action);
+                self.perform(now, index, action);
             }
         }
-        assert!(self.open.is_empty(), "{} requests have no final answer", self.open.len());
+        assert!(self.open.is_empty(), "{} requests have no final response", self.open.len());
     }
 
-    fn act(&mut self, now: Micros, index: u16, action: Action) {
+    fn perform(&mut self, now: Micros, index: u16, action: Action) {
         match action {
             Action::AddToCounter { counter_id, amount, .. } => {
-                self.calls += 1;
+                self.counter_calls += 1;
                 let (outcome, after) = match self.counter {
-                    Counter::Answers => (Outcome::Ok, 4 * MS),
-                    Counter::TurnsAway => (Outcome::Full, 4 * MS),
-                    Counter::IsLate => (Outcome::Timeout, 50 * MS),
+                    Counter::Healthy => (Outcome::Ok, 4 * MS),
+                    Counter::Rejects => (Outcome::Full, 4 * MS),
+                    Counter::TimesOut => (Outcome::Timeout, 50 * MS),
                 };
                 let total = self.totals.entry(counter_id).or_default();
                 *total += if outcome == Outcome::Full { 0.0 } else { amount };
                 let total = if outcome == Outcome::Ok { *total } else { 0.0 };
-                self.due(
+                self.schedule(
                     now + after,
                     index,
                     Event::CounterAnswered { counter_id, outcome, total, elapsed: after },
                 );
             }
             Action::SendPeerMessage { to, data } => {
-                let to = to.expect("to one gateway");
-                self.told[usize::from(to)] += 1;
-                if !self.cut_off.contains(&to) && !self.cut_off.contains(&index) {
-                    self.due(now + 20 * MS, to, Event::PeerMessage { from: index.into(), data });
+                let to = to.expect("a message to one gateway");
+                self.messages_to[usize::from(to)] += 1;
+                if !self.isolated.contains(&to) && !self.isolated.contains(&index) {
+                    self.schedule(now + 20 * MS, to, Event::PeerMessage { from: index.into(), data });
                 }
             }
-            Action::Timer { at, token } => self.due(at, index, Event::Timer { token }),
+            Action::Timer { at, token } => self.schedule(at, index, Event::Timer { token }),
             Action::Send { request, backend, .. } => {
                 let (_, units) = self.open.remove(&request).expect("open");
-                self.sent.push((now, units));
-                self.due(now + 20 * MS, index, attempt_ended(request, 0, backend, Outcome::Ok));
+                self.forwarded.push((now, units));
+                self.schedule(now + 20 * MS, index, attempt_ended(request, 0, backend, Outcome::Ok));
             }
             Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                let (came, _) = self.open.remove(&request).expect("open");
-                self.refused.push(now - came);
+                let (arrived_at, _) = self.open.remove(&request).expect("open");
+                self.rejected.push(now - arrived_at);
             }
             _ => {}
         }
     }
 
     fn units(&self) -> f64 {
-        self.sent.iter().map(|(_, units)| units).sum()
+        self.forwarded.iter().map(|(_, units)| units).sum()
     }
 
-    /// The most units that were sent on in any stretch, beyond `burst` and `rate` (units a second) for its
-    /// length.
-    fn beyond(&self, burst: f64, rate: f64) -> f64 {
-        let mut most = f64::MIN;
-        for (i, (from, _)) in self.sent.iter().enumerate() {
+    /// The largest excess in any period of forwarded units over `burst` plus `rate` (units a second) times the period.
+    fn max_excess(&self, burst: f64, rate: f64) -> f64 {
+        let mut max = f64::MIN;
+        for (i, (from, _)) in self.forwarded.iter().enumerate() {
             let mut units = 0.0;
-            for (at, sent) in &self.sent[i..] {
-                units += sent;
-                most = most.max(units - burst - rate * (at - from) as f64 / 1e6);
+            for (at, forwarded) in &self.forwarded[i..] {
+                units += forwarded;
+                max = max.max(units - burst - rate * (at - from) as f64 / 1e6);
             }
         }
-        most
+        max
     }
 }
 
-/// Five units a second, ten at once, for twenty seconds.
-const SPAN: Micros = 20 * SECOND;
+const DURATION: Micros = 20 * SECOND;
+/// The quota for [`DURATION`]: a burst of ten units, and five units a second.
 const QUOTA: f64 = 10.0 + 5.0 * 20.0;
 
 #[test]
-fn a_wide_customer_far_beyond_its_quota_gets_its_quota() {
-    for counter in [Counter::TurnsAway, Counter::IsLate] {
+fn customer_of_many_gateways_far_beyond_its_quota_gets_its_quota() {
+    for counter in [Counter::Rejects, Counter::TimesOut] {
         let mut fleet = Fleet::new(100, counter);
-        fleet.ask(77, PLAIN, 60, 40.0, START, START + SPAN);
-        fleet.play();
-        let part = fleet.units() / QUOTA;
-        assert!((0.8..=1.15).contains(&part), "{part} of the quota");
+        fleet.add_requests(77, QUOTA_PLAN, 60, 40.0, START, START + DURATION);
+        fleet.run();
+        let share = fleet.units() / QUOTA;
+        assert!((0.8..=1.15).contains(&share), "{share} of the quota");
     }
 }
 
 #[test]
-fn a_wide_customer_just_below_its_quota_is_not_refused() {
-    for counter in [Counter::TurnsAway, Counter::IsLate, Counter::Answers] {
+fn customer_of_many_gateways_just_below_its_quota_is_not_rejected() {
+    for counter in [Counter::Rejects, Counter::TimesOut, Counter::Healthy] {
         let mut fleet = Fleet::new(100, counter);
-        fleet.ask(77, PLAIN, 60, 4.5, START, START + SPAN);
-        fleet.play();
-        assert!(fleet.refused.len() <= 2, "{} of 90 refused", fleet.refused.len());
+        fleet.add_requests(77, QUOTA_PLAN, 60, 4.5, START, START + DURATION);
+        fleet.run();
+        assert!(fleet.rejected.len() <= 2, "{} of 90 rejected", fleet.rejected.len());
     }
 }
 
 #[test]
-fn a_lost_home_is_passed_over_for_the_next() {
-    let mut found = 0;
-    for lost in 0..12 {
-        let mut fleet = Fleet::new(100, Counter::TurnsAway);
-        fleet.cut_off = vec![lost];
-        fleet.ask(77, PLAIN, 12, 4.0, START, START + SPAN);
-        fleet.play();
-        // The requests that come to the one that is cut off are counted by nobody else.
-        assert!(fleet.refused.len() <= 12, "{} of 80 refused without {lost}", fleet.refused.len());
-        found += u32::from(fleet.told[usize::from(lost)] > 0);
+fn unreachable_home_gateway_is_replaced_by_the_next_one() {
+    let mut homes = 0;
+    for unreachable in 0..12 {
+        let mut fleet = Fleet::new(100, Counter::Rejects);
+        fleet.isolated = vec![unreachable];
+        fleet.add_requests(77, QUOTA_PLAN, 12, 4.0, START, START + DURATION);
+        fleet.run();
+        // Requests that arrive at the isolated gateway are not counted at another one.
+        assert!(fleet.rejected.len() <= 12, "{} of 80 rejected without {unreachable}", fleet.rejected.len());
+        homes += u32::from(fleet.messages_to[usize::from(unreachable)] > 0);
         assert!(fleet.units() <= QUOTA);
     }
-    assert_eq!(found, 1, "the home was among those lost");
+    assert_eq!(homes, 1, "exactly one of the isolated gateways is the home");
 }
 
 #[test]
-fn without_homes_or_counter_each_request_still_ends_soon() {
-    let mut fleet = Fleet::new(100, Counter::IsLate);
-    fleet.cut_off = (0..100).collect();
-    fleet.ask(77, PLAIN, 60, 20.0, START, START + SPAN);
-    fleet.play();
-    let longest = fleet.refused.iter().max();
-    assert!(longest < Some(&(500 * MS)), "held for {longest:?} us");
+fn requests_are_decided_soon_without_home_gateways_and_counter() {
+    let mut fleet = Fleet::new(100, Counter::TimesOut);
+    fleet.isolated = (0..100).collect();
+    fleet.add_requests(77, QUOTA_PLAN, 60, 20.0, START, START + DURATION);
+    fleet.run();
+    let longest = fleet.rejected.iter().max();
+    assert!(longest < Some(&(500 * MS)), "queued for {longest:?} us");
     assert!(fleet.units() > 0.0 && fleet.units() < 2.5 * QUOTA, "{}", fleet.units());
 }
 
 #[test]
-fn alone_in_a_small_set_of_a_wide_fleet_each_sends_its_part() {
-    // Nobody tells what the set's others send on, so own units must stand for theirs. Only the two homes take
-    // themselves for the ones that count: a quota each, and a sixth for each of the other four.
-    let mut fleet = Fleet::new(100, Counter::IsLate);
-    fleet.cut_off = (0..100).collect();
-    fleet.ask(77, PLAIN, 6, 40.0, START, START + SPAN);
-    fleet.play();
-    let part = fleet.units() / QUOTA;
-    assert!((0.5..=2.0 + 4.0 / 6.0).contains(&part), "{part} of the quota");
+fn isolated_gateways_of_a_customer_with_few_gateways_forward_about_their_share() {
+    // The gateways don't know what the customer's other gateways forward, so each one extrapolates from its own
+    // units. Only the two home gateways count for all: they forward a full quota each, the other four a sixth
+    // each.
+    let mut fleet = Fleet::new(100, Counter::TimesOut);
+    fleet.isolated = (0..100).collect();
+    fleet.add_requests(77, QUOTA_PLAN, 6, 40.0, START, START + DURATION);
+    fleet.run();
+    let share = fleet.units() / QUOTA;
+    assert!((0.5..=2.0 + 4.0 / 6.0).contains(&share), "{share} of the quota");
 }
 
 #[test]
-fn a_ceiling_holds_whoever_counts() {
-    // Ten units a second and twenty at once, with a slack of two, at ten times the quota.
-    for counter in [Counter::Answers, Counter::TurnsAway, Counter::IsLate] {
-        for cut_off in [vec![], vec![0], vec![1], vec![2], vec![0, 1, 2]] {
+fn hard_limit_holds_with_any_counter_and_any_isolated_gateways() {
+    // A hard limit of ten units a second and a burst of twenty, with a slack of two, at ten times the quota.
+    for counter in [Counter::Healthy, Counter::Rejects, Counter::TimesOut] {
+        for isolated in [vec![], vec![0], vec![1], vec![2], vec![0, 1, 2]] {
             let mut fleet = Fleet::new(100, counter);
-            fleet.cut_off = cut_off.clone();
-            fleet.ask(78, UNDER_CEILING, 3, 50.0, START, START + SPAN);
-            fleet.play();
-            let beyond = fleet.beyond(20.0, 10.0);
-            assert!(beyond <= 2.0, "{beyond} beyond, without {cut_off:?}");
+            fleet.isolated = isolated.clone();
+            fleet.add_requests(78, HARD_LIMIT_PLAN, 3, 50.0, START, START + DURATION);
+            fleet.run();
+            let excess = fleet.max_excess(20.0, 10.0);
+            assert!(excess <= 2.0, "{excess} above the limit, without {isolated:?}");
         }
     }
 }
 
 #[test]
-fn under_a_ceiling_a_set_of_three_gets_its_quota_from_a_counter_that_takes_few_calls() {
-    let mut fleet = Fleet::new(100, Counter::Answers);
-    fleet.ask(78, UNDER_CEILING, 3, 20.0, START, START + SPAN);
-    fleet.play();
-    let part = fleet.units() / QUOTA;
-    assert!((0.8..=1.15).contains(&part), "{part} of the quota");
+fn customer_of_three_gateways_under_a_hard_limit_gets_its_quota_with_few_counter_calls() {
+    let mut fleet = Fleet::new(100, Counter::Healthy);
+    fleet.add_requests(78, HARD_LIMIT_PLAN, 3, 20.0, START, START + DURATION);
+    fleet.run();
+    let share = fleet.units() / QUOTA;
+    assert!((0.8..=1.15).contains(&share), "{share} of the quota");
 }
 
 #[test]
-fn a_home_makes_few_calls_for_many_requests_and_takes_in_two_messages_a_request_at_most() {
-    let mut fleet = Fleet::new(100, Counter::Answers);
-    fleet.ask(77, PLAIN, 60, 40.0, START, START + SPAN);
-    fleet.play();
-    let requests = fleet.request;
-    assert!(fleet.calls < requests / 2, "{} calls for {requests} requests", fleet.calls);
-    let told: u32 = fleet.told.iter().sum();
-    assert!(told <= 2 * requests, "{told} messages for {requests} requests");
+fn home_gateway_needs_few_counter_calls_and_at_most_two_messages_for_each_request() {
+    let mut fleet = Fleet::new(100, Counter::Healthy);
+    fleet.add_requests(77, QUOTA_PLAN, 60, 40.0, START, START + DURATION);
+    fleet.run();
+    let requests = fleet.next_request;
+    assert!(fleet.counter_calls < requests / 2, "{} calls for {requests} requests", fleet.counter_calls);
+    let messages: u32 = fleet.messages_to.iter().sum();
+    assert!(messages <= 2 * requests, "{messages} messages for {requests} requests");
 }
 
 #[test]
-fn a_small_fleet_asks_no_home() {
-    let mut fleet = Fleet::new(4, Counter::IsLate);
-    fleet.ask(77, PLAIN, 1, 4.0, START, START + SPAN);
-    fleet.play();
-    assert_eq!(fleet.told.iter().sum::<u32>(), 0);
+fn small_fleet_sends_no_queries_to_home_gateways() {
+    let mut fleet = Fleet::new(4, Counter::TimesOut);
+    fleet.add_requests(77, QUOTA_PLAN, 1, 4.0, START, START + DURATION);
+    fleet.run();
+    assert_eq!(fleet.messages_to.iter().sum::<u32>(), 0);
 }
 
-/// A message that asks a home of customer 77, whose set are the first sixty.
-fn asks(id: RequestId, plan: u16, units: f32) -> Vec<u8> {
+/// A query to the home gateway of customer 77, who uses the first sixty gateways.
+fn home_query(id: RequestId, plan: u16, units: f32) -> Vec<u8> {
     let mut data = id.to_le_bytes().to_vec();
     data.extend(77u64.to_le_bytes());
     data.extend(plan.to_le_bytes());
@@ -272,41 +286,46 @@
 }
 
 #[test]
-fn words_that_make_no_sense_change_nothing() {
+fn invalid_peer_messages_change_nothing() {
     let mut settings = Settings { gateways: 100, index: 3, ..settings() };
     settings.limits.peer_messages = true;
     let mut gateway = gateway(settings, &[1, 2]);
-    let ask = |plan, units| asks(9, plan, units);
-    let mut tell = |from, data| step(&mut gateway, START, Event::PeerMessage { from, data });
-    let absurd = [ask(9, 1.0), ask(2, 1.0), ask(0, f32::NAN), ask(0, f32::INFINITY), ask(0, 1e9)];
-    let malformed = [vec![], vec![1], vec![0; 8], vec![9; 9], vec![255; 256], ask(0, 1.0)[..21].to_vec()];
-    for data in absurd.into_iter().chain(malformed) {
-        assert!(tell(4, data).is_empty());
+    let query = |plan, units| home_query(9, plan, units);
+    let mut receive = |from, data| step(&mut gateway, START, Event::PeerMessage { from, data });
+    let out_of_range =
+        [query(9, 1.0), query(2, 1.0), query(0, f32::NAN), query(0, f32::INFINITY), query(0, 1e9)];
+    let malformed = [vec![], vec![1], vec![0; 8], vec![9; 9], vec![255; 256], query(0, 1.0)[..21].to_vec()];
+    for data in out_of_range.into_iter().chain(malformed) {
+        assert!(receive(4, data).is_empty());
     }
-    assert!(tell(100, ask(0, 1.0)).is_empty(), "from none of the fleet");
-    let answered = tell(4, ask(0, 1.0));
+    assert!(receive(100, query(0, 1.0)).is_empty(), "the sender is not in the fleet");
+    let answers = receive(4, query(0, 1.0));
     assert!(
-        answered.iter().any(|action| matches!(action, Action::SendPeerMessage { to: Some(4), .. })),
-        "{answered:?}"
+        answers.iter().any(|action| matches!(action, Action::SendPeerMessage { to: Some(4), .. })),
+        "{answers:?}"
     );
 }
 
 #[test]
-fn what_is_given_back_can_be_used_again() {
+fn units_returned_to_a_home_gateway_can_be_used_again() {
     let mut settings = Settings { gateways: 100, index: 3, ..settings() };
     settings.limits.peer_messages = true;
     let mut gateway = gateway(settings, &[1, 2]);
-    let mut within = |id, units| {
-        let actions = step(&mut gateway, START, Event::PeerMessage { from: 4, data: asks(id, PLAIN, units) });
-        let word = actions.iter().find_map(|action| match action {
+    let mut is_admitted = |id, units| {
+        let actions = step(
+            &mut gateway,
+            START,
+            Event::PeerMessage { from: 4, data: home_query(id, QUOTA_PLAN, units) },
+        );
+        let answer = actions.iter().find_map(|action| match action {
             Action::SendPeerMessage { to: Some(4), data } if data.len() == 9 => Some(data[4] == 1),
             _ => None,
         });
-        word
+        answer
     };
-    let let_in = (0..20).filter(|id| within(*id, 1.0) == Some(true)).count();
-    assert_eq!(let_in, 10, "the burst");
-    assert_eq!(within(30, -1.0), None, "what is given back is not answered");
-    assert_eq!(within(31, 1.0), Some(true));
-    assert_eq!(within(32, 1.0), Some(false));
+    let admitted = (0..20).filter(|id| is_admitted(*id, 1.0) == Some(true)).count();
+    assert_eq!(admitted, 10, "the burst");
+    assert_eq!(is_admitted(30, -1.0), None, "a return of units is not answered");
+    assert_eq!(is_admitted(31, 1.0), Some(true));
+    assert_eq!(is_admitted(32, 1.0), Some(false));
 }
