--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -1,6 +1,6 @@
-//! Half of the fleet out by hand, a quarter cold, one node failing, and twice what the rest bears: what is
-//! worth most is served, and nothing waits for its deadline to be refused. Nodes have workers and queues, in
-//! virtual time.
+//! Overload of a degraded fleet: half of the nodes are manually ejected, a quarter is in slow start, one node
+//! fails, and the load is twice the remaining capacity. Requests of high value must be served, and rejections
+//! must not wait for the deadline. Nodes have workers and queues, in virtual time.
 
 mod common;
 
@@ -10,132 +10,150 @@
 use violetyoke_decision::Gateway;
 
 const WORKERS: usize = 4;
-/// Work of one request at a warm node: four workers do 200 a second.
-const WORK: f64 = 20_000.0;
-const COLD_TIME: Micros = 60 * SECOND;
-/// Nodes 1 to 4 are out by hand, 5 and 6 cold, 7 fails, 8 is well.
-const COLD: [BackendId; 2] = [5, 6];
+/// Service time of a request at a node of full speed (µs): four workers complete 200 requests a second.
+const SERVICE_TIME_US: f64 = 20_000.0;
+const SLOW_START_TIME: Micros = 60 * SECOND;
+/// Nodes 1 to 4 are manually ejected, 5 and 6 are in slow start, 7 fails, 8 is healthy.
+const IN_SLOW_START: [BackendId; 2] = [5, 6];
 const FAILING: BackendId = 7;
-const NODES: BackendId = 8;
-/// Worth much, worth little; together about twice what is left of the fleet can do.
-const MUCH_A_SECOND: u32 = 200;
-const LITTLE_A_SECOND: u32 = 400;
+const LAST_NODE: BackendId = 8;
+/// Requests a second of high and of low value; together about twice the capacity of the remaining fleet.
+const HIGH_VALUE_RATE: u32 = 200;
+const LOW_VALUE_RATE: u32 = 400;
 
 struct Node {
-    started: Option<Micros>,
-    /// When each busy worker is free, and for whom it works.
-    busy: Vec<(Micros, RequestId, u8)>,
-    waiting: VecDeque<(RequestId, u8)>,
+    /// Start of the slow start; `None`: the node has full speed.
+    slow_start_since: Option<Micros>,
+    /// For each running attempt: when it ends, its request and its number.
+    running: Vec<(Micros, RequestId, u8)>,
+    queue: VecDeque<(RequestId, u8)>,
 }
 
 impl Node {
     fn speed(&self, now: Micros) -> f64 {
-        self.started.map_or(1.0, |started| 0.2 + 0.8 * ((now - started) as f64 / COLD_TIME as f64).min(1.0))
+        self.slow_start_since
+            .map_or(1.0, |since| 0.2 + 0.8 * ((now - since) as f64 / SLOW_START_TIME as f64).min(1.0))
     }
 
-    /// Takes up what waits; ends of work until `now`.
+    /// Starts queued attempts on free workers. Returns the attempts that have ended by `now`.
     fn work(&mut self, now: Micros) -> Vec<(RequestId, u8)> {
-        let (over, busy) = std::mem::take(&mut self.busy).into_iter().partition(|(end, ..)| *end <= now);
-        self.busy = busy;
-        let over: Vec<(Micros, RequestId, u8)> = over;
-        while self.busy.len() < WORKERS {
-            let Some((request, attempt)) = self.waiting.pop_front() else { break };
-            let end = now + (WORK / self.speed(now)) as Micros;
-            self.busy.push((end, request, attempt));
+        let (ended, running) =
+            std::mem::take(&mut self.running).into_iter().partition(|(end, ..)| *end <= now);
+        self.running = running;
+        let ended: Vec<(Micros, RequestId, u8)> = ended;
+        while self.running.len() < WORKERS {
+            let Some((request, attempt)) = self.queue.pop_front() else { break };
+            let end = now + (SERVICE_TIME_US / self.speed(now)) as Micros;
+            self.running.push((end, request, attempt));
         }
-        over.into_iter().map(|(_, request, attempt)| (request, attempt)).collect()
+        ended.into_iter().map(|(_, request, attempt)| (request, attempt)).collect()
     }
 }
 
 #[derive(Clone, Copy)]
-struct Try {
-    came: Micros,
-    much: bool,
+struct RequestState {
+    arrived_at: Micros,
+    high_value: bool,
     attempts: u8,
-    sent: Micros,
-    out: Option<(BackendId, Micros)>,
-    /// How long it took to be served, or to be given up.
-    served: Option<Micros>,
-    given_up: Option<Micros>,
+    sent_at: Micros,
+    /// Backend and expiry of the attempt in flight.
+    attempt_in_flight: Option<(BackendId, Micros)>,
+    /// Time from arrival to the response.
+    served_after: Option<Micros>,
+    /// Time from arrival to the rejection or failure.
+    rejected_after: Option<Micros>,
 }
 
-struct World {
+struct Simulation {
     gateway: Gateway,
     nodes: BTreeMap<BackendId, Node>,
-    tries: Vec<Try>,
+    requests: Vec<RequestState>,
     now: Micros,
 }
 
-impl World {
-    fn give(&mut self, event: Event) {
+impl Simulation {
+    fn handle(&mut self, event: Event) {
         for action in step(&mut self.gateway, self.now, event) {
             match action {
                 Action::Send { request, backend, expires } => {
-                    assert!(backend > 4, "node {backend} is out by hand");
-                    let seen = &mut self.tries[request as usize];
-                    assert!(seen.out.is_none(), "two attempts at a time");
-                    seen.out = Some((backend, expires));
-                    (seen.attempts, seen.sent) = (seen.attempts + 1, self.now);
-                    let attempt = seen.attempts - 1;
-                    self.nodes.get_mut(&backend).unwrap().waiting.push_back((request, attempt));
+                    assert!(backend > 4, "node {backend} is manually ejected");
+                    let state = &mut self.requests[request as usize];
+                    assert!(state.attempt_in_flight.is_none(), "two attempts in flight");
+                    state.attempt_in_flight = Some((backend, expires));
+                    (state.attempts, state.sent_at) = (state.attempts + 1, self.now);
+                    let attempt = state.attempts - 1;
+                    self.nodes.get_mut(&backend).unwrap().queue.push_back((request, attempt));
                 }
                 Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                    let seen = &mut self.tries[request as usize];
-                    assert!(seen.given_up.is_none() && seen.served.is_none(), "two answers");
-                    seen.given_up = Some(self.now - seen.came);
+                    let state = &mut self.requests[request as usize];
+                    assert!(
+                        state.rejected_after.is_none() && state.served_after.is_none(),
+                        "two final responses"
+                    );
+                    state.rejected_after = Some(self.now - state.arrived_at);
                 }
                 _ => {}
             }
         }
     }
 
-    fn ended(&mut self, request: RequestId, attempt: u8, outcome: Outcome) {
-        let seen = &mut self.tries[request as usize];
-        let Some((backend, _)) = seen.out.filter(|_| seen.attempts == attempt + 1) else { return };
-        seen.out = None;
+    fn end_attempt(&mut self, request: RequestId, attempt: u8, outcome: Outcome) {
+        let state = &mut self.requests[request as usize];
+        let Some((backend, _)) = state.attempt_in_flight.filter(|_| state.attempts == attempt + 1) else {
+            return;
+        };
+        state.attempt_in_flight = None;
         if outcome == Outcome::Ok {
-            seen.served = Some(self.now - seen.came);
+            state.served_after = Some(self.now - state.arrived_at);
         }
-        let elapsed = self.now - seen.sent;
+        let elapsed = self.now - state.sent_at;
         let Event::AttemptEnded(end) = attempt_ended(request, attempt, backend, outcome) else {
             unreachable!()
         };
-        self.give(Event::AttemptEnded(AttemptEnd { elapsed, ..end }));
+        self.handle(Event::AttemptEnded(AttemptEnd { elapsed, ..end }));
     }
 
     fn tick(&mut self) {
         self.now += TICK;
-        for node in 1..=NODES {
-            let of = self.nodes.get_mut(&node).unwrap();
-            let over = if node == FAILING { of.waiting.drain(..).collect() } else { of.work(self.now) };
+        for node in 1..=LAST_NODE {
+            let state = self.nodes.get_mut(&node).unwrap();
+            let ended = if node == FAILING { state.queue.drain(..).collect() } else { state.work(self.now) };
             let outcome = if node == FAILING { Outcome::Reset } else { Outcome::Ok };
-            over.into_iter().for_each(|(request, attempt)| self.ended(request, attempt, outcome));
+            ended.into_iter().for_each(|(request, attempt)| self.end_attempt(request, attempt, outcome));
         }
-        for request in 0..self.tries.len() {
-            let seen = self.tries[request];
-            if seen.out.is_some_and(|(_, expires)| self.now >= expires) {
-                let (backend, _) = seen.out.unwrap();
-                // Waiting work is dropped; what has begun runs on.
+        for request in 0..self.requests.len() {
+            let state = self.requests[request];
+            if state.attempt_in_flight.is_some_and(|(_, expires)| self.now >= expires) {
+                let (backend, _) = state.attempt_in_flight.unwrap();
+                // A queued attempt is dropped; a running one continues.
                 let id = request as RequestId;
-                self.nodes.get_mut(&backend).unwrap().waiting.retain(|(waiting, _)| *waiting != id);
-                self.ended(id, seen.attempts - 1, Outcome::Timeout);
+                self.nodes.get_mut(&backend).unwrap().queue.retain(|(queued, _)| *queued != id);
+                self.end_attempt(id, state.attempts - 1, Outcome::Timeout);
             }
         }
-        self.give(Event::Timer { token: self.now });
+        self.handle(Event::Timer { token: self.now });
     }
 
-    fn arrive(&mut self, much: bool) {
-        let id = self.tries.len() as RequestId;
-        let (came, none) = (self.now, None);
-        self.tries.push(Try { came, much, attempts: 0, sent: 0, out: None, served: none, given_up: none });
-        // Without a quota: all of it is wanted.
-        let class = u16::from(much);
-        self.give(Event::Request(Request { class, plan: 2, ..request(id, u64::from(id % 50)) }));
+    fn arrive(&mut self, high_value: bool) {
+        let id = self.requests.len() as RequestId;
+        let (arrived_at, none) = (self.now, None);
+        self.requests.push(RequestState {
+            arrived_at,
+            high_value,
+            attempts: 0,
+            sent_at: 0,
+            attempt_in_flight: None,
+            served_after: none,
+            rejected_after: none,
+        });
+        // A plan without a quota, so that all requests are within it.
+        let class = u16::from(high_value);
+        self.handle(Event::Request(Request { class, plan: 2, ..request(id, u64::from(id % 50)) }));
     }
 }
 
 #[test]
-fn what_is_worth_most_is_served_and_nothing_is_refused_late() {
+fn overload_does_not_displace_requests_of_high_value_or_delay_rejections() {
     let mut settings = settings();
     settings.gateways = 1;
     settings.classes[0].value = 1.0;
@@ -145,60 +163,72 @@
         dedup_scope: DedupScope::All,
         ..settings.classes[0].clone()
     };
-    settings.safety.slow_start_time = COLD_TIME;
-    let aim = settings.classes[0].latency_target;
-    let node = || Node { started: None, busy: Vec::new(), waiting: VecDeque::new() };
-    let mut world = World {
+    settings.safety.slow_start_time = SLOW_START_TIME;
+    let latency_target = settings.classes[0].latency_target;
+    let node = || Node { slow_start_since: None, running: Vec::new(), queue: VecDeque::new() };
+    let mut simulation = Simulation {
         gateway: Gateway::new(settings, 5),
-        nodes: (1..=NODES).map(|id| (id, node())).collect(),
-        tries: Vec::new(),
+        nodes: (1..=LAST_NODE).map(|id| (id, node())).collect(),
+        requests: Vec::new(),
         now: START,
     };
     let entries =
-        (1..=NODES).map(|id| entry(id, if id <= 4 { Condition::Draining } else { Condition::Ready }, 0));
-    world.give(Event::Backends { kind: ListKind::Full, version: 1, entries: entries.collect() });
-    for id in COLD {
-        world.nodes.get_mut(&id).unwrap().started = Some(START);
+        (1..=LAST_NODE).map(|id| entry(id, if id <= 4 { Condition::Draining } else { Condition::Ready }, 0));
+    simulation.handle(Event::Backends { kind: ListKind::Full, version: 1, entries: entries.collect() });
+    for id in IN_SLOW_START {
+        simulation.nodes.get_mut(&id).unwrap().slow_start_since = Some(START);
         let entries = vec![entry(id, Condition::Ready, START)];
-        world.give(Event::Backends { kind: ListKind::Delta, version: 2, entries });
+        simulation.handle(Event::Backends { kind: ListKind::Delta, version: 2, entries });
     }
-    let (mut much, mut little) = (0.0, 0.0);
-    while world.now < START + 20 * SECOND {
-        world.tick();
-        much += f64::from(MUCH_A_SECOND) * TICK as f64 / 1e6;
-        little += f64::from(LITTLE_A_SECOND) * TICK as f64 / 1e6;
-        while much >= 1.0 {
-            much -= 1.0;
-            world.arrive(true);
+    let (mut high_value, mut low_value) = (0.0, 0.0);
+    while simulation.now < START + 20 * SECOND {
+        simulation.tick();
+        high_value += f64::from(HIGH_VALUE_RATE) * TICK as f64 / 1e6;
+        low_value += f64::from(LOW_VALUE_RATE) * TICK as f64 / 1e6;
+        while high_value >= 1.0 {
+            high_value -= 1.0;
+            simulation.arrive(true);
         }
-        while little >= 1.0 {
-            little -= 1.0;
-            world.arrive(false);
+        while low_value >= 1.0 {
+            low_value -= 1.0;
+            simulation.arrive(false);
         }
     }
-    let until = world.now + 2 * SECOND;
-    while world.now < until {
-        world.tick();
+    let until = simulation.now + 2 * SECOND;
+    while simulation.now < until {
+        simulation.tick();
     }
-    // The first seconds go on learning what the nodes can do.
-    let of = |much: bool| -> Vec<&Try> {
-        let late = |seen: &&Try| seen.much == much && seen.came >= START + 5 * SECOND;
-        world.tries.iter().filter(late).collect()
+    // In the first seconds the gateway still learns the capacity of the nodes.
+    let measured = |high_value: bool| -> Vec<&RequestState> {
+        let is_measured =
+            |state: &&RequestState| state.high_value == high_value && state.arrived_at >= START + 5 * SECOND;
+        simulation.requests.iter().filter(is_measured).collect()
     };
-    let share = |of: &[&Try]| {
-        let in_time = of.iter().filter(|seen| seen.served.is_some_and(|took| took <= aim)).count();
-        in_time as f64 / of.len() as f64
+    let share_in_time = |requests: &[&RequestState]| {
+        let in_time = requests
+            .iter()
+            .filter(|state| state.served_after.is_some_and(|after| after <= latency_target))
+            .count();
+        in_time as f64 / requests.len() as f64
     };
-    let (much, little) = (of(true), of(false));
-    let (much, little) = (share(&much), share(&little));
-    assert!(much >= 0.9 && little < 0.5, "served in time: {much:.3} of much worth, {little:.3} of little");
-    let open = world.tries.iter().filter(|seen| seen.served.is_none() && seen.given_up.is_none()).count();
-    assert_eq!(open, 0, "without an answer");
-    // Each is given up while its client would still wait four times as long.
-    let latest = world.tries.iter().filter_map(|seen| seen.given_up).max().unwrap();
-    assert!(latest <= aim, "{latest} us after it came, and the deadline is {}", 2 * SECOND);
-    let mut given_up: Vec<Micros> = world.tries.iter().filter_map(|seen| seen.given_up).collect();
-    given_up.sort_unstable();
-    let usual = given_up[given_up.len() * 9 / 10];
-    assert!(usual <= aim * 4 / 10, "nine in ten within {usual} us");
+    let (high_value, low_value) = (measured(true), measured(false));
+    let (high_value, low_value) = (share_in_time(&high_value), share_in_time(&low_value));
+    assert!(
+        high_value >= 0.9 && low_value < 0.5,
+        "served in time: {high_value:.3} of high value, {low_value:.3} of low value"
+    );
+    let open = simulation
+        .requests
+        .iter()
+        .filter(|state| state.served_after.is_none() && state.rejected_after.is_none())
+        .count();
+    assert_eq!(open, 0, "requests without a final response");
+    // Each request is rejected within the latency target, a quarter of the time that its client waits.
+    let latest = simulation.requests.iter().filter_map(|state| state.rejected_after).max().unwrap();
+    assert!(latest <= latency_target, "{latest} us after its arrival, and the deadline is {}", 2 * SECOND);
+    let mut rejected_after: Vec<Micros> =
+        simulation.requests.iter().filter_map(|state| state.rejected_after).collect();
+    rejected_after.sort_unstable();
+    let p90 = rejected_after[rejected_after.len() * 9 / 10];
+    assert!(p90 <= latency_target * 4 / 10, "nine in ten within {p90} us");
 }
--- a/crates/decision/tests/plans.rs
+++ b/crates/decision/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the service runs: what a customer has used stays used.
+//! Settings that change while the service runs: units that a customer has used stay used.
 
 mod common;
 
@@ -6,16 +6,17 @@
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
 
-/// A counter in memory: answers each call of `actions` at once, and all that follow from it.
-fn answer(
+/// Answers all counter calls of `actions`, and all that follow from them, from totals in memory. Returns all
+/// actions.
+fn answer_calls(
     gateway: &mut Gateway,
     now: Micros,
     totals: &mut Vec<(u64, f64)>,
     actions: Vec<Action>,
 ) -> Vec<Action> {
     let mut seen = Vec::new();
-    let mut todo: Vec<Action> = actions.into_iter().rev().collect();
-    while let Some(action) = todo.pop() {
+    let mut pending: Vec<Action> = actions.into_iter().rev().collect();
+    while let Some(action) = pending.pop() {
         if let Action::AddToCounter { counter_id, amount, .. } = action {
             if !totals.iter().any(|(name, _)| *name == counter_id) {
                 totals.push((counter_id, 0.0));
@@ -24,17 +25,17 @@
             total.1 += amount;
             let event =
                 Event::CounterAnswered { counter_id, outcome: Outcome::Ok, total: total.1, elapsed: 1_000 };
-            todo.extend(step(gateway, now, event).into_iter().rev());
+            pending.extend(step(gateway, now, event).into_iter().rev());
         }
         seen.push(action);
     }
     seen
 }
 
-/// Whether a request of customer 1 is sent on.
-fn passes(gateway: &mut Gateway, now: Micros, id: RequestId, totals: &mut Vec<(u64, f64)>) -> bool {
+/// Whether a request of customer 1 is forwarded.
+fn is_forwarded(gateway: &mut Gateway, now: Micros, id: RequestId, totals: &mut Vec<(u64, f64)>) -> bool {
     let actions = step(gateway, now, Event::Request(Request { gateway_count: 1.0, ..request(id, 1) }));
-    let actions = answer(gateway, now, totals, actions);
+    let actions = answer_calls(gateway, now, totals, actions);
     for action in &actions {
         if let Action::Send { request, backend, .. } = action {
             step(gateway, now + 1_000, attempt_ended(*request, 0, *backend, Outcome::Ok));
@@ -43,14 +44,14 @@
     actions.iter().any(|action| matches!(action, Action::Send { request, .. } if *request == id))
 }
 
-/// How many of `tries` requests pass, 10 ms apart from `now` on.
-fn passed(
+/// How many of the requests are forwarded, which arrive every 10 ms from `now` on.
+fn count_forwarded(
     gateway: &mut Gateway,
     now: Micros,
     ids: std::ops::Range<u32>,
     totals: &mut Vec<(u64, f64)>,
 ) -> usize {
-    ids.enumerate().filter(|(i, id)| passes(gateway, now + *i as u64 * 10_000, *id, totals)).count()
+    ids.enumerate().filter(|(i, id)| is_forwarded(gateway, now + *i as u64 * 10_000, *id, totals)).count()
 }
 
 fn one_gateway() -> (Settings, Gateway) {
@@ -65,44 +66,47 @@
 }
 
 #[test]
-fn a_reload_hands_nobody_its_quota_anew() {
-    // The windows of the plan (rate 5, burst 10) get longer, shorter, and stay as they are.
+fn reload_does_not_reset_the_used_quota() {
+    // The windows of the plan (rate 5, burst 10) stay the same, get longer or get shorter.
     for (rate, burst) in [(5.0, 10.0), (5.0, 20.0), (5.0, 5.0), (10.0, 10.0), (2.0, 10.0), (0.5, 10.0)] {
         let (settings, mut gateway) = one_gateway();
         let mut totals = Vec::new();
-        assert!(passed(&mut gateway, START, 1..40, &mut totals) >= 10);
+        assert!(count_forwarded(&mut gateway, START, 1..40, &mut totals) >= 10);
         let now = START + 500_000;
         gateway.reconfigure(now, with_plan(&settings, rate, burst));
-        // What the new plan holds beyond what was used, and what refills meanwhile.
-        let more = passed(&mut gateway, now, 100..140, &mut totals) as f64;
-        let room = (burst - 10.0).max(0.0) + rate * 1.0 + 1.0;
-        assert!(more <= room, "{more} of {room} at {rate} a second and {burst} at once");
+        // The burst of the new plan beyond the used one, and the units refilled in the meantime.
+        let forwarded = count_forwarded(&mut gateway, now, 100..140, &mut totals) as f64;
+        let limit = (burst - 10.0).max(0.0) + rate * 1.0 + 1.0;
+        assert!(forwarded <= limit, "{forwarded} of {limit} at rate {rate} and burst {burst}");
     }
 }
 
 #[test]
-fn fifty_reloads_give_no_more_than_none() {
-    let mut most = Vec::new();
+fn fifty_reloads_do_not_increase_the_quota() {
+    let mut forwarded_by_run = Vec::new();
     for reloads in [0, 50] {
         let (settings, mut gateway) = one_gateway();
         let (mut totals, mut sent) = (Vec::new(), 0);
         for i in 0..500 {
             let now = START + i * 10_000;
-            sent += usize::from(passes(&mut gateway, now, i as u32 + 1, &mut totals));
+            sent += usize::from(is_forwarded(&mut gateway, now, i as u32 + 1, &mut totals));
             if reloads > 0 && i % 10 == 9 {
                 let burst = if i % 20 == 9 { 9.0 } else { 10.0 };
                 gateway.reconfigure(now, with_plan(&settings, 5.0, burst));
             }
         }
-        most.push(sent);
+        forwarded_by_run.push(sent);
     }
-    // Five seconds of five units, ten at once, and the estimate's error of a unit or two.
-    assert!(most[0] >= 30 && most[0] <= 37, "{most:?}");
-    assert!(most[1] <= most[0] + 2 && most[1] + 6 >= most[0], "{most:?}");
+    // Five seconds at five units a second, a burst of ten, and an estimation error of one or two units.
+    assert!(forwarded_by_run[0] >= 30 && forwarded_by_run[0] <= 37, "{forwarded_by_run:?}");
+    assert!(
+        forwarded_by_run[1] <= forwarded_by_run[0] + 2 && forwarded_by_run[1] + 6 >= forwarded_by_run[0],
+        "{forwarded_by_run:?}"
+    );
 }
 
 #[test]
-fn what_was_on_its_way_to_the_counter_at_a_reload_still_counts() {
+fn counter_calls_pending_at_a_reload_still_count() {
     let (settings, mut gateway) = one_gateway();
     let mut totals = Vec::new();
     let mut out = Vec::new();
@@ -113,19 +117,19 @@
     }
     assert_eq!(out.len(), 10);
     gateway.reconfigure(START + 1_000, with_plan(&settings, 5.0, 20.0));
-    // They are answered under their old names, and their requests sent.
-    answer(&mut gateway, START + 2_000, &mut totals, out);
-    let more = passed(&mut gateway, START + 10_000, 100..130, &mut totals);
-    assert!(more <= 12, "{more}");
+    // They are answered under their old counter ids, and their requests are forwarded.
+    answer_calls(&mut gateway, START + 2_000, &mut totals, out);
+    let forwarded = count_forwarded(&mut gateway, START + 10_000, 100..130, &mut totals);
+    assert!(forwarded <= 12, "{forwarded}");
 }
 
 #[test]
-fn a_shrunk_plan_holds_at_once_and_open_requests_end_once() {
+fn reduced_plan_applies_immediately_and_open_requests_fail_exactly_once() {
     let (settings, mut gateway) = one_gateway();
     let mut totals = Vec::new();
     let actions =
         step(&mut gateway, START, Event::Request(Request { gateway_count: 1.0, class: 2, ..request(1, 1) }));
-    let actions = answer(&mut gateway, START, &mut totals, actions);
+    let actions = answer_calls(&mut gateway, START, &mut totals, actions);
     let to = actions.iter().find_map(|action| match action {
         Action::Send { backend, .. } => Some(*backend),
         _ => None,
@@ -137,12 +141,12 @@
         1,
         "{end:?}"
     );
-    let more = passed(&mut gateway, START + 3_000, 100..120, &mut totals);
-    assert!(more <= 2, "{more}");
+    let forwarded = count_forwarded(&mut gateway, START + 3_000, 100..120, &mut totals);
+    assert!(forwarded <= 2, "{forwarded}");
 }
 
 #[test]
-fn plans_and_classes_that_are_added_can_be_used() {
+fn plans_and_classes_added_by_a_reload_can_be_used() {
     let (mut settings, mut gateway) = one_gateway();
     settings.plans.push(Plan { rate: 1.0, burst: 3.0, value: 1.0, ..Plan::default() });
     settings.classes.push(class(Idempotency::Idempotent, DedupScope::All));
@@ -152,59 +156,60 @@
     for id in 1..10 {
         let fresh = Request { class: 3, plan: 3, gateway_count: 1.0, ..request(id, 9) };
         let actions = step(&mut gateway, START + 2, Event::Request(fresh));
-        let actions = answer(&mut gateway, START + 2, &mut totals, actions);
+        let actions = answer_calls(&mut gateway, START + 2, &mut totals, actions);
         sent += actions.iter().filter(|action| matches!(action, Action::Send { .. })).count();
     }
     assert_eq!(sent, 3);
 }
 
 #[test]
-fn what_stands_of_a_quota_can_be_read() {
+fn quota_state_reports_remaining_units_and_time_to_reset() {
     let (_, mut gateway) = one_gateway();
     assert_eq!(gateway.quota_state(1), None);
     let mut totals = Vec::new();
-    let sent = passed(&mut gateway, START, 1..5, &mut totals) as f64;
-    let standing = gateway.quota_state(1).unwrap();
-    assert_eq!((standing.burst, standing.rate, sent), (10.0, 5.0, 4.0));
-    assert!((standing.remaining - 6.0).abs() < 0.5, "{standing:?}");
-    let full = (standing.burst - standing.remaining) / standing.rate * 1e6;
-    assert!((standing.reset_after as f64 - full).abs() < 2.0, "{standing:?}");
-    passed(&mut gateway, START + 100_000, 10..40, &mut totals);
+    let sent = count_forwarded(&mut gateway, START, 1..5, &mut totals) as f64;
+    let quota_state = gateway.quota_state(1).unwrap();
+    assert_eq!((quota_state.burst, quota_state.rate, sent), (10.0, 5.0, 4.0));
+    assert!((quota_state.remaining - 6.0).abs() < 0.5, "{quota_state:?}");
+    let full = (quota_state.burst - quota_state.remaining) / quota_state.rate * 1e6;
+    assert!((quota_state.reset_after as f64 - full).abs() < 2.0, "{quota_state:?}");
+    count_forwarded(&mut gateway, START + 100_000, 10..40, &mut totals);
     assert!(gateway.quota_state(1).unwrap().remaining < 1.0);
-    // A plan without a quota has none to tell of.
+    // A plan without a quota has no quota state.
     step(&mut gateway, START + 500_000, Event::Request(Request { plan: 2, ..request(50, 2) }));
     assert_eq!(gateway.quota_state(2), None);
 }
 
 #[test]
-fn what_only_asks_is_counted_and_sent_nowhere_and_can_be_taken_back() {
-    let asking = Class { admission_only: true, ..class(Idempotency::Idempotent, DedupScope::All) };
+fn admission_check_is_counted_but_not_sent_and_can_be_withdrawn() {
+    let admission_only_class =
+        Class { admission_only: true, ..class(Idempotency::Idempotent, DedupScope::All) };
     let settings = Settings { gateways: 1, ..settings() };
-    let classes = settings.classes.iter().cloned().chain([asking]).collect();
+    let classes = settings.classes.iter().cloned().chain([admission_only_class]).collect();
     let mut gateway = gateway(Settings { classes, ..settings }, &[]);
     let mut totals = Vec::new();
-    let ask = |gateway: &mut Gateway, totals: &mut Vec<(u64, f64)>, id, now| {
+    let is_admitted = |gateway: &mut Gateway, totals: &mut Vec<(u64, f64)>, id, now| {
         let event = Event::Request(Request { class: 3, gateway_count: 1.0, units: 2.0, ..request(id, 1) });
         let actions = step(gateway, now, event);
-        let actions = answer(gateway, now, totals, actions);
+        let actions = answer_calls(gateway, now, totals, actions);
         assert!(!actions.iter().any(|action| matches!(action, Action::Send { .. })));
         actions.iter().any(|action| matches!(action, Action::Admit { request } if *request == id))
     };
-    // There is no backend at all: five questions of two units are the burst of ten.
-    assert!((1..=5).all(|id| ask(&mut gateway, &mut totals, id, START)));
-    assert!(!ask(&mut gateway, &mut totals, 6, START));
-    let taken_back = step(&mut gateway, START + 1, Event::Withdrawn { request: 5 });
-    let taken_back = answer(&mut gateway, START + 1, &mut totals, taken_back);
-    let amounts = taken_back.iter().filter_map(|action| match action {
+    // There is no backend. Five admission checks of two units use up the burst of ten.
+    assert!((1..=5).all(|id| is_admitted(&mut gateway, &mut totals, id, START)));
+    assert!(!is_admitted(&mut gateway, &mut totals, 6, START));
+    let withdrawn = step(&mut gateway, START + 1, Event::Withdrawn { request: 5 });
+    let withdrawn = answer_calls(&mut gateway, START + 1, &mut totals, withdrawn);
+    let amounts = withdrawn.iter().filter_map(|action| match action {
         Action::AddToCounter { amount, .. } => Some(*amount),
         _ => None,
     });
-    assert_eq!(amounts.sum::<f64>(), -2.0, "{taken_back:?}");
+    assert_eq!(amounts.sum::<f64>(), -2.0, "{withdrawn:?}");
     step(&mut gateway, START + 1, Event::Abandoned { request: 4 });
-    // One more has room, as one was taken back; one that has been settled can't be.
+    // One more is admitted because one was withdrawn. An abandoned one can no longer be withdrawn.
     assert!(step(&mut gateway, START + 2, Event::Withdrawn { request: 4 }).is_empty());
-    assert!(ask(&mut gateway, &mut totals, 7, START + 2));
-    assert!(!ask(&mut gateway, &mut totals, 8, START + 2));
-    // None of them is left to fall due.
+    assert!(is_admitted(&mut gateway, &mut totals, 7, START + 2));
+    assert!(!is_admitted(&mut gateway, &mut totals, 8, START + 2));
+    // No timer of any of them remains.
     assert!(step(&mut gateway, START + 10 * SECOND, Event::Timer { token: 0 }).is_empty());
 }
