--- a/crates/decision/tests/plans.rs
+++ b/crates/decision/tests/plans.rs
@@ -14,7 +14,7 @@
     totals: &mut Vec<(u64, f64)>,
     actions: Vec<Action>,
 ) -> Vec<Action> {
-    let mut seen = Vec::new();
+    let mut handled = Vec::new();
     let mut pending: Vec<Action> = actions.into_iter().rev().collect();
     while let Some(action) = pending.pop() {
         if let Action::AddToCounter { counter_id, amount, .. } = action {
@@ -27,9 +27,9 @@
                 Event::CounterAnswered { counter_id, outcome: Outcome::Ok, total: total.1, elapsed: 1_000 };
             pending.extend(step(gateway, now, event).into_iter().rev());
         }
-        seen.push(action);
+        handled.push(action);
     }
-    seen
+    handled
 }
 
 /// Whether a request of customer 1 is forwarded.
@@ -109,16 +109,17 @@
 fn counter_calls_pending_at_a_reload_still_count() {
     let (settings, mut gateway) = one_gateway();
     let mut totals = Vec::new();
-    let mut out = Vec::new();
+    let mut counter_calls = Vec::new();
     for id in 1..=10 {
         let actions =
             step(&mut gateway, START, Event::Request(Request { gateway_count: 1.0, ..request(id, 1) }));
-        out.extend(actions.into_iter().filter(|action| matches!(action, Action::AddToCounter { .. })));
+        counter_calls
+            .extend(actions.into_iter().filter(|action| matches!(action, Action::AddToCounter { .. })));
     }
-    assert_eq!(out.len(), 10);
+    assert_eq!(counter_calls.len(), 10);
     gateway.reconfigure(START + 1_000, with_plan(&settings, 5.0, 20.0));
     // They are answered under their old counter ids, and their requests are forwarded.
-    answer_calls(&mut gateway, START + 2_000, &mut totals, out);
+    answer_calls(&mut gateway, START + 2_000, &mut totals, counter_calls);
     let forwarded = count_forwarded(&mut gateway, START + 10_000, 100..130, &mut totals);
     assert!(forwarded <= 12, "{forwarded}");
 }
@@ -130,12 +131,12 @@
     let actions =
         step(&mut gateway, START, Event::Request(Request { gateway_count: 1.0, class: 2, ..request(1, 1) }));
     let actions = answer_calls(&mut gateway, START, &mut totals, actions);
-    let to = actions.iter().find_map(|action| match action {
+    let target = actions.iter().find_map(|action| match action {
         Action::Send { backend, .. } => Some(*backend),
         _ => None,
     });
     gateway.reconfigure(START + 1_000, with_plan(&settings, 1.0, 2.0));
-    let end = step(&mut gateway, START + 2_000, attempt_ended(1, 0, to.unwrap(), Outcome::Reset));
+    let end = step(&mut gateway, START + 2_000, attempt_ended(1, 0, target.unwrap(), Outcome::Reset));
     assert_eq!(
         end.iter().filter(|action| matches!(action, Action::Fail { request: 1, .. })).count(),
         1,
@@ -154,8 +155,8 @@
     let mut totals = Vec::new();
     let mut sent = 0;
     for id in 1..10 {
-        let fresh = Request { class: 3, plan: 3, gateway_count: 1.0, ..request(id, 9) };
-        let actions = step(&mut gateway, START + 2, Event::Request(fresh));
+        let added = Request { class: 3, plan: 3, gateway_count: 1.0, ..request(id, 9) };
+        let actions = step(&mut gateway, START + 2, Event::Request(added));
         let actions = answer_calls(&mut gateway, START + 2, &mut totals, actions);
         sent += actions.iter().filter(|action| matches!(action, Action::Send { .. })).count();
     }
