--- a/crates/proxy/src/downstream/head_timer.rs
+++ b/crates/proxy/src/downstream/head_timer.rs
@@ -1,7 +1,7 @@
-//! The time-out for a request's head, apart from how long a connection may be idle between requests.
+//! The time-out for reading a request's head, separate from the idle time-out between requests.
 //!
-//! hyper has one time-out for both: from when it waits for a head to when the head is complete. A client that keeps a
-//! connection idle may be silent for longer than one that has begun a head may take for it.
+//! hyper has a single time-out, which runs from when it starts to wait for a head until the head is complete.
+//! Idle connections need a longer time-out than clients that have started to send a head.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -14,18 +14,19 @@
 use tokio::time::{sleep_until, Instant};
 use violetyoke_transport::net::Stream;
 
-/// What a connection waits for.
+/// The phase of a connection, which determines its time-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The first byte of a head.
+    /// Waiting for the first byte of a head.
     Idle,
-    /// The rest of a head, whose first byte came then.
+    /// Reading a head, whose first byte arrived at this time.
     ReadingHead(Instant),
-    /// The body, and the response: the time-outs of the request hold.
+    /// Receiving the body and sending the response. The time-outs of the request apply.
     Responding,
 }
 
-/// Measures how long the head of each request on a connection takes; shared by the connection's bytes and its service.
+/// Measures how long the client takes to send the head of each request. Shared by the [`TimedStream`] and the
+/// service of a connection.
 #[derive(Debug)]
 pub(super) struct HeadTimer {
     phase: Cell<Phase>,
@@ -37,20 +38,20 @@
         Rc::new(HeadTimer { phase: Cell::new(Phase::Idle), head_started: Notify::new() })
     }
 
-    /// A head is complete.
+    /// Records that a head is complete.
     pub(super) fn head_completed(&self) {
         self.phase.set(Phase::Responding);
     }
 
-    /// The response is being sent, and the next head may come. The end of a response that `is_streamed` is not seen
-    /// here: from then on the idle time-out alone holds on that connection.
+    /// Records that the response is being sent, so the next head may follow. The end of a streamed response
+    /// can't be observed here, so after one only the idle time-out applies to the connection.
     pub(super) fn response_started(&self, is_streamed: bool) {
         if !is_streamed {
             self.phase.set(Phase::Idle);
         }
     }
 
-    /// Completes once a head takes longer than `timeout`.
+    /// Completes when a client has taken longer than `timeout` to send a head.
     pub(super) async fn expired(&self, timeout: Duration) {
         loop {
             match self.phase.get() {
@@ -61,7 +62,7 @@
         }
     }
 
-    fn bytes_received(&self) {
+    fn record_received(&self) {
         if self.phase.get() == Phase::Idle {
             self.phase.set(Phase::ReadingHead(Instant::now()));
             self.head_started.notify_one();
@@ -84,7 +85,7 @@
         let before = into.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, into);
         if into.filled().len() > before {
-            self.timer.bytes_received();
+            self.timer.record_received();
         }
         read
     }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,4 +1,5 @@
-//! Connections of clients: accepted, served one request at a time, closed in order when the process drains.
+//! Client connections: accepts them, serves one request at a time on each, and closes them gracefully when
+//! the process drains.
 
 mod head_timer;
 
@@ -16,20 +17,20 @@
 use violetyoke_api::configuration::Limits;
 use violetyoke_transport::net::{Listener, Stream};
 
-/// The least that hyper accepts as the size of its read buffer (bytes).
+/// Minimum size of hyper's read buffer (bytes).
 const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// Time-outs while no configuration is known: requests are answered with 503 then.
+/// Time-outs while the proxy has no configuration and responds to all requests with 503.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
 const DEFAULT_HEAD_TIMEOUT_MS: f64 = 5_000.0;
-/// After an accept that failed, as when no file descriptor is left, the next is made so much later.
+/// Delay after a failed accept, for example when the process has run out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a connection may take.
+/// Limits of a client connection.
 struct ConnectionLimits {
-    /// For how long it may be silent between requests. hyper's time-out of the head holds from then on, so this is no
-    /// less than `head_timeout`.
+    /// How long a connection may be idle between requests. Also used for hyper's head time-out, which
+    /// includes the idle time, so it must not be less than `head_timeout`.
     idle_timeout: Duration,
-    /// How long the head of a request may take from its first byte.
+    /// Time-out for receiving the head of a request, from its first byte.
     head_timeout: Duration,
     max_head_bytes: usize,
 }
@@ -38,25 +39,25 @@
     fn new(limits: Option<Limits>) -> ConnectionLimits {
         let Some(limits) = limits else {
             return ConnectionLimits {
-                idle_timeout: from_ms(DEFAULT_IDLE_TIMEOUT_MS),
-                head_timeout: from_ms(DEFAULT_HEAD_TIMEOUT_MS),
+                idle_timeout: duration_from_ms(DEFAULT_IDLE_TIMEOUT_MS),
+                head_timeout: duration_from_ms(DEFAULT_HEAD_TIMEOUT_MS),
                 max_head_bytes: MIN_BUFFER_BYTES,
             };
         };
         ConnectionLimits {
-            idle_timeout: from_ms(limits.idle_timeout_ms.max(limits.header_timeout_ms)),
-            head_timeout: from_ms(limits.header_timeout_ms),
+            idle_timeout: duration_from_ms(limits.idle_timeout_ms.max(limits.header_timeout_ms)),
+            head_timeout: duration_from_ms(limits.header_timeout_ms),
             max_head_bytes: (limits.max_header_bytes as usize).max(MIN_BUFFER_BYTES),
         }
     }
 }
 
-fn from_ms(ms: f64) -> Duration {
+fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-/// Accepts connections for as long as it is polled. Each connection has a task of its own, which ends with the
-/// connection.
+/// Accepts connections until the future is dropped. Each connection is served in a separate task, which ends
+/// with the connection.
 pub(crate) async fn serve(listener: Listener, proxy: Rc<Proxy>) {
     loop {
         match listener.accept().await {
@@ -91,11 +92,11 @@
     let stream = TimedStream { stream, timer: timer.clone() };
     let mut served = pin!(builder.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
-        // An error here is the client's: it broke off, or sent what is no request.
+        // Errors are ignored: the client disconnected or sent an invalid request.
         _ = served.as_mut() => return,
         () = timer.expired(limits.head_timeout) => return,
         () = proxy.serving.connections_closing() => served.as_mut().graceful_shutdown(),
     }
-    // The same; the request that was being served has its response.
+    // Errors are ignored here too. A request that was being served has got its response.
     drop(served.await);
 }
