--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,17 +1,18 @@
-//! The proxy: carries clients' requests to backends. One process runs on each edge machine ([`daemon`]).
+//! The proxy forwards clients' requests to backends. One process runs on each edge machine ([`daemon`]).
 //!
-//! The **data path**: `downstream` accepts clients' connections, `request` finds the route, the tenant and the limit of
-//! a request, `forward` decides which backends it is sent to and whether it waits for one (`pending`), `upstream` makes
-//! one attempt on one connection.
+//! The **data path**: `downstream` accepts clients' connections, `request` looks up the route and the tenant
+//! of a request and checks the tenant's limit, `forward` selects backends and queues requests while none has
+//! capacity (`pending`), and `upstream` makes one attempt on one connection.
 //!
-//! The **control path**: `control_client` keeps connections to all registries and applies what they send: configurations
-//! (`configuration`), backend lists (`backends`), membership (`registries`). `quota_client` asks the owner of a
-//! tenant's counter for each request; `operations` claims those that have to be executed once; `freshness` asks whether there is a newer configuration before a request is
-//! denied. `readiness` answers the platform.
+//! The **control path**: `control_client` keeps connections to all registries and applies their updates:
+//! configurations (`configuration`), backend lists (`backends`), membership (`registries`). `quota_client`
+//! checks each request against its tenant's limit at the owner of the tenant's counter. `operations` claims
+//! requests that must be executed at most once. `freshness` asks whether there is a newer configuration
+//! before a request is denied. `readiness` serves the platform's readiness checks.
 //!
-//! Which backend is best, whether a retry is allowed and what a limit admits are decided in `violetyoke-balancing` and
-//! `violetyoke-quota`, without I/O. The proxy keeps nothing on disk: all it knows, registries tell it again after a
-//! restart.
+//! Backend selection, retry decisions and rate limits are implemented without I/O in `violetyoke-balancing`
+//! and `violetyoke-quota`. The proxy stores nothing on disk: after a restart it gets its state from the
+//! registries.
 
 mod backends;
 mod clock;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `proxy`: the proxy.
+//! The `proxy` program.
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/pending.rs
+++ b/crates/proxy/src/pending.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for capacity: the queue decides whose turn it is, and this wakes the one.
+//! Requests that wait for a backend with free capacity. Wraps [`PendingQueue`] with wakers for the requests'
+//! tasks.
 
 use crate::clock::Clock;
 use std::cell::RefCell;
@@ -13,16 +14,16 @@
     queue: RefCell<PendingQueue<oneshot::Sender<()>>>,
 }
 
-/// The place of one request in the queue. Dropping it gives the place up, also where the client leaves and the request's
-/// task is dropped midway.
+/// The queue entry of one request. Dropping it removes the entry, even if the client disconnects and the
+/// request's task is dropped while it waits.
 #[derive(Debug)]
-#[must_use = "dropping it gives up the place"]
+#[must_use = "dropping it removes the request from the queue"]
 pub(crate) struct PendingRequest<'a> {
     requests: &'a PendingRequests,
     service: &'a str,
     priority: i64,
     ticket: Ticket,
-    /// Completes when the request is to try again.
+    /// Completes when the request should check for capacity.
     woken: oneshot::Receiver<()>,
     has_backend: bool,
 }
@@ -32,7 +33,7 @@
         PendingRequests { clock, queue: RefCell::default() }
     }
 
-    /// Adds a request that waits until `expires_at`. `None` when too many wait for the service.
+    /// Adds a request that waits until `expires_at`. Returns `None` if the queue of the service is full.
     pub(crate) fn enqueue<'a>(
         &'a self,
         service: &'a str,
@@ -44,22 +45,22 @@
         Some(PendingRequest { requests: self, service, priority, ticket, woken, has_backend: false })
     }
 
-    /// Whether no request waits for the service.
+    /// Whether no request is queued for the service.
     pub(crate) fn is_empty(&self, service: &str) -> bool {
         self.queue.borrow().is_empty(service)
     }
 
-    /// Whether no further request may wait for the service.
+    /// Whether the queue of the service is full.
     pub(crate) fn is_full(&self, service: &str) -> bool {
         self.queue.borrow().is_full(service)
     }
 
-    /// The number of requests that wait for the service that has the most.
+    /// Length of the longest queue of any service.
     pub(crate) fn longest_queue_len(&self) -> usize {
         self.queue.borrow().longest_queue_len()
     }
 
-    /// A backend of the service may have capacity: wakes the first request that waits for it.
+    /// Wakes the first request in the queue of the service, after a backend may have got free capacity.
     pub(crate) fn wake_first(&self, service: &str) {
         let waker = self.queue.borrow_mut().take_first_waker(service, self.clock.now());
         if let Some(waker) = waker {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The list of backends or the configuration has changed: wakes all requests.
+    /// Wakes all requests, after the list of backends or the configuration has changed.
     pub(crate) fn wake_all(&self) {
         for waker in self.queue.borrow_mut().take_all_wakers() {
             wake(waker);
@@ -76,25 +77,26 @@
 }
 
 fn wake(waker: oneshot::Sender<()>) {
-    // Fails where the request has stopped waiting in this very moment: it passes its turn on as it leaves.
+    // Fails if the request has just stopped waiting. Dropping its entry then wakes the next request.
     waker.send(()).ok();
 }
 
 impl PendingRequest<'_> {
-    /// Completes when the request is to try again.
+    /// Completes when the request should check for capacity.
     pub(crate) async fn woken(&mut self) {
-        // A sender is dropped with its entry alone, and the entry is this request's.
+        // The sender can't be dropped early: it is in the queue entry that this request owns.
         (&mut self.woken).await.ok();
     }
 
-    /// The request was woken and found no capacity: it keeps its position.
+    /// Waits again after the request was woken and found no capacity. The request keeps its position.
     pub(crate) fn rearm(&mut self) {
         let (waker, woken) = oneshot::channel();
         self.woken = woken;
         self.requests.queue.borrow_mut().rearm(self.service, self.priority, self.ticket, waker);
     }
 
-    /// The request got a backend, so it uses the capacity that it was woken for.
+    /// Records that the request got a backend. The capacity that it was woken for is then in use, so no other
+    /// request is woken.
     pub(crate) fn finish(mut self) {
         self.has_backend = true;
     }
--- a/crates/proxy/src/replies/mod.rs
+++ b/crates/proxy/src/replies/mod.rs
@@ -1,4 +1,4 @@
-//! Replies of registries to requests of this proxy: which are outstanding, and how long they are waited for.
+//! Outstanding replies of registries to requests of this proxy, and their time-outs.
 
 mod pending;
 mod round_trip;
--- a/crates/proxy/src/replies/pending.rs
+++ b/crates/proxy/src/replies/pending.rs
@@ -1,4 +1,4 @@
-//! Requests to registries whose reply is outstanding.
+//! Requests to registries that wait for their reply.
 
 use crate::registries::RegistryConnectionId;
 use std::collections::HashMap;
@@ -31,7 +31,8 @@
         self.last_request_id
     }
 
-    /// Adds a request that is sent on a connection. Returns its request id, and where its reply arrives.
+    /// Adds a request that is sent on the connection `sent_on`. Returns the request id and the receiver of
+    /// the reply.
     pub(crate) fn register(&mut self, sent_on: RegistryConnectionId) -> (u32, oneshot::Receiver<R>) {
         let request_id = self.next_request_id();
         let (reply, receiver) = oneshot::channel();
@@ -39,28 +40,28 @@
         (request_id, receiver)
     }
 
-    /// Passes on a reply, and returns whether it was waited for. One that came on another connection than the request was
-    /// sent on belongs to none of ours.
+    /// Delivers a reply. Returns whether a request was waiting for it. A reply from another connection than
+    /// that of its request is ignored, as it does not belong to this request.
     pub(crate) fn complete(&mut self, from: RegistryConnectionId, request_id: u32, reply: R) -> bool {
         if self.by_request_id.get(&request_id).is_none_or(|pending| pending.sent_on != from) {
             return false;
         }
         let Some(pending) = self.by_request_id.remove(&request_id) else { return false };
-        // Lost if whoever waited has just given up.
+        // Fails if the waiting request has just been dropped.
         pending.reply.send(reply).is_ok()
     }
 
-    /// Whether a reply may still come.
+    /// Whether the request still waits for its reply.
     pub(crate) fn is_outstanding(&self, request_id: u32) -> bool {
         self.by_request_id.contains_key(&request_id)
     }
 
-    /// Drops a request whose reply is no longer waited for.
+    /// Removes a request whose reply is no longer needed.
     pub(crate) fn cancel(&mut self, request_id: u32) {
         self.by_request_id.remove(&request_id);
     }
 
-    /// Drops all requests that were sent to a registry: whoever waits learns at once that no reply will come.
+    /// Removes all requests that were sent to a registry. Their receivers fail immediately.
     pub(crate) fn fail_all(&mut self, registry: Ipv4Addr) {
         self.by_request_id.retain(|_, pending| pending.sent_on.registry != registry);
     }
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -1,5 +1,5 @@
-//! A request's body: buffered where it is small, so that it can be sent to a second backend; otherwise its beginning is
-//! buffered, and the rest is streamed to one backend as it arrives.
+//! Request bodies. Small ones are buffered, so that they can be sent again to another backend. Of larger ones
+//! only the beginning is buffered, and the rest is streamed to one backend as it arrives.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -8,19 +8,19 @@
 use std::io;
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
-/// Bodies up to this size are buffered (bytes).
+/// Maximum size of a body that is buffered completely (bytes).
 pub(crate) const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
-/// Why a body could not be read from a client.
+/// Why a body could not be read from the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum BodyError {
     #[error("the body is larger than the configuration allows")]
     TooLarge,
-    #[error("the client ended the body early, or its framing is invalid")]
+    #[error("the body ended early, or its framing is invalid")]
     Incomplete,
 }
 
-/// Why the rest of a body did not reach a backend.
+/// Why the rest of a body could not be sent to a backend.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SendError {
     #[error("the body could not be read from the client")]
@@ -32,18 +32,18 @@
 /// The body of a client's request.
 #[derive(Debug)]
 pub(crate) struct RequestBody {
-    /// All of the body where it is buffered, else its beginning.
+    /// The complete body if it is buffered, otherwise its beginning.
     beginning: Bytes,
-    /// Size of the whole body (bytes), where it is known beforehand.
+    /// Size of the complete body (bytes), if known in advance.
     length: Option<u64>,
-    /// What the client still sends; taken by the first attempt that gets so far.
+    /// The part that the client is still sending. Taken by the first attempt that sends it.
     rest: RefCell<Option<LimitedBody>>,
     is_streamed: bool,
-    /// What was wrong with the rest.
+    /// The error that occurred while the rest was read.
     error: Cell<Option<BodyError>>,
 }
 
-/// A body from which at most so many more bytes are taken.
+/// A body that fails with [`BodyError::TooLarge`] after `bytes_left` more bytes.
 #[derive(Debug)]
 struct LimitedBody {
     incoming: Incoming,
@@ -51,7 +51,7 @@
 }
 
 impl LimitedBody {
-    /// The next bytes; `None` at the end of the body. Trailers are dropped.
+    /// Returns the next bytes, or `None` at the end of the body. Trailers are discarded.
     async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         while let Some(frame) = self.incoming.frame().await {
             let Ok(data) = frame.map_err(|_| BodyError::Incomplete)?.into_data() else { continue };
@@ -65,11 +65,11 @@
 }
 
 impl RequestBody {
-    /// Reads a body from a client, up to its end or to more than [`MAX_BUFFERED_BYTES`]; it may be of `max_bytes` in
-    /// all.
+    /// Reads a body from a client until its end, or until more than [`MAX_BUFFERED_BYTES`] have arrived.
+    /// `max_bytes` is the maximum size of the complete body.
     pub(crate) async fn read(incoming: Incoming, max_bytes: u64) -> Result<RequestBody, BodyError> {
-        let announced = incoming.size_hint().exact();
-        if announced.is_some_and(|length| length > max_bytes) {
+        let announced_length = incoming.size_hint().exact();
+        if announced_length.is_some_and(|length| length > max_bytes) {
             return Err(BodyError::TooLarge);
         }
         let mut rest = LimitedBody { incoming, bytes_left: max_bytes };
@@ -82,7 +82,7 @@
         }
         Ok(RequestBody {
             beginning: beginning.freeze(),
-            length: announced,
+            length: announced_length,
             rest: RefCell::new(Some(rest)),
             is_streamed: true,
             error: Cell::new(None),
@@ -99,27 +99,27 @@
         }
     }
 
-    /// Size of the whole body (bytes); `None`: it goes out in chunks.
+    /// Size of the complete body (bytes). `None` if it is unknown; the body is then sent in chunks.
     pub(crate) fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// The body is too large to be buffered, so it can be sent once only.
+    /// Whether the body is too large to be buffered, so that it can be sent only once.
     pub(crate) fn is_streamed(&self) -> bool {
         self.is_streamed
     }
 
-    /// The rest of the body was taken by an attempt: there is nothing to send to another backend.
+    /// Whether an attempt has taken the rest of the body, so that the body can't be sent to another backend.
     pub(crate) fn is_consumed(&self) -> bool {
         self.is_streamed && self.rest.borrow().is_none()
     }
 
-    /// What was wrong with what the client sent after the beginning.
+    /// The error that occurred while the rest of the body was read from the client.
     pub(crate) fn error(&self) -> Option<BodyError> {
         self.error.get()
     }
 
-    /// Appends the buffered part, framed as [`Self::length`] says.
+    /// Appends the buffered part, as a chunk if [`Self::length`] is `None`.
     pub(crate) fn write_beginning(&self, out: &mut BytesMut) {
         if self.length.is_some() {
             out.extend_from_slice(&self.beginning);
@@ -130,8 +130,9 @@
         }
     }
 
-    /// Sends what follows the beginning, once. Where the client breaks off, what the backend has got can't be taken for
-    /// a complete body.
+    /// Sends the rest of the body on the first call; later calls send nothing. If the client's body ends
+    /// early, the backend gets neither the announced length nor the last chunk, so it can't take the body for
+    /// complete.
     pub(crate) async fn send_rest(&self, writer: &mut (impl AsyncWrite + Unpin)) -> Result<(), SendError> {
         let Some(mut rest) = self.rest.borrow_mut().take() else { return Ok(()) };
         loop {
--- a/crates/proxy/src/retry_budgets.rs
+++ b/crates/proxy/src/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries, one for each service.
+//! Retry budgets, one for each service.
 
 use crate::clock::Clock;
 use crate::registries::RegistryConnections;
@@ -9,7 +9,7 @@
 use violetyoke_balancing::retry_budget::{RetryBudget, RetryBudgetLimits};
 use violetyoke_balancing::Millis;
 
-/// This proxy's part of each service's retry budget; the whole is shared by all proxies.
+/// This proxy's share of each service's retry budget.
 #[derive(Debug)]
 pub(crate) struct RetryBudgets {
     limits: RetryBudgetLimits,
@@ -28,7 +28,7 @@
         RetryBudgets { limits, clock, registries, by_service: RefCell::default() }
     }
 
-    /// Records a client's request: the budget is a ratio of these.
+    /// Records a client's request. The budget is a ratio of the number of requests.
     pub(crate) fn record_request(&self, service: &str) {
         let now = self.clock.now();
         self.with_budget(service, |budget| budget.record_request(now));
--- a/crates/proxy/src/split.rs
+++ b/crates/proxy/src/split.rs
@@ -1,22 +1,24 @@
-//! Draws for routes that split their requests over services.
+//! Number sequences for routes that split their requests over several services.
 //!
-//! Each proxy draws from a low-discrepancy sequence for each route, in place of independent random numbers: of few
-//! requests, too, each service gets nearly the share that its weight says. Sequences outlast a change of the
-//! configuration, so that shares hold right after one as well.
+//! Each proxy uses a low-discrepancy sequence per route instead of independent random numbers, so that even
+//! with few requests each service gets nearly the share of its weight. Sequences continue after a change of
+//! the configuration, so that the shares are accurate right after the change as well.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 
-/// Between two numbers of a sequence: the golden ratio's fractional part spreads them most evenly (Weyl sequence).
+/// Difference between consecutive numbers (Weyl sequence). The fractional part of the golden ratio
+/// distributes the numbers most evenly.
 const STEP: f64 = 0.618_033_988_749_894_9;
 
-/// The sequence of each route, by the route's name.
+/// The last number of each route's sequence, by the route's name.
 #[derive(Debug, Default)]
 pub(crate) struct SplitSequences(RefCell<HashMap<String, f64>>);
 
 impl SplitSequences {
-    /// The next number of a route's sequence, in `0.0..1.0`. A new sequence begins at `start`, which is to be random:
-    /// proxies that all began with the same number would all send their first request to the same service.
+    /// The next number of a route's sequence, in `0.0..1.0`. A new sequence begins at `start`, which should
+    /// be random: if all proxies began with the same number, all of them would send their first request to
+    /// the same service.
     pub(crate) fn next(&self, route: &str, start: impl FnOnce() -> f64) -> f64 {
         let mut by_route = self.0.borrow_mut();
         if let Some(last) = by_route.get_mut(route) {
