--- a/crates/proxy/tests/proxy/connections.rs
+++ b/crates/proxy/tests/proxy/connections.rs
@@ -86,8 +86,8 @@
         let left_at = Instant::now();
         drop(request);
 
-        assert!(wait_until(Duration::from_millis(500), || finder.broken_off_at("left").is_some()).await);
-        assert!(finder.broken_off_at("left").is_some_and(|at| at < left_at + Duration::from_millis(100)));
+        assert!(wait_until(Duration::from_millis(500), || finder.disconnected_at("left").is_some()).await);
+        assert!(finder.disconnected_at("left").is_some_and(|at| at < left_at + Duration::from_millis(100)));
         sleep(Duration::from_secs(3)).await;
         assert_eq!(finder.times_received("left"), 1, "and no further attempt is made");
     });
--- a/crates/proxy/tests/proxy/operation_ends.rs
+++ b/crates/proxy/tests/proxy/operation_ends.rs
@@ -75,7 +75,7 @@
         drop(leaver);
 
         assert!(wait_until(Duration::from_secs(1), || is_executed(&stores)).await);
-        assert_eq!(ledger.broken_off_at("leaver"), None);
+        assert_eq!(ledger.disconnected_at("leaver"), None);
         let repeat = send_commit("key-1", "repeat", KEY).await;
         assert_eq!((repeat.status, repeat.body.as_str()), (200, "booked"));
     });
--- a/crates/proxy/tests/proxy/support/backends.rs
+++ b/crates/proxy/tests/proxy/support/backends.rs
@@ -142,7 +142,7 @@
     }
 
     /// When the connection of a request was closed before its response.
-    pub(crate) fn broken_off_at(&self, attempt_id: &str) -> Option<Instant> {
+    pub(crate) fn disconnected_at(&self, attempt_id: &str) -> Option<Instant> {
         self.broken_off.borrow().iter().find(|(id, _)| id == attempt_id).map(|(_, at)| *at)
     }
 
