--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -2,9 +2,9 @@
 
 #![cfg(test)]
 
+mod client_disconnects;
 mod connections;
 mod control_updates;
-mod leaving_clients;
 mod metrics;
 mod operation_ends;
 mod operation_registries;
