--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -1,4 +1,4 @@
-//! One proxy in virtual time, between scripted registries and backends.
+//! Tests of one proxy in virtual time, with scripted registries and backends.
 
 #![cfg(test)]
 
--- a/crates/proxy/tests/proxy/support/backends.rs
+++ b/crates/proxy/tests/proxy/support/backends.rs
@@ -1,4 +1,4 @@
-//! Backends that behave as a test scripts them, byte for byte.
+//! Scripted backends. Tests determine each byte of their responses.
 
 pub(crate) use super::http::{ok_response, raw_response, ReceivedRequest};
 use super::http::{read_head, read_request};
@@ -11,18 +11,18 @@
 use violetyoke_transport::messages;
 use violetyoke_transport::net::{listen, Stream};
 
-/// What a backend does once it has received a whole request.
+/// What a backend does after it has received a complete request.
 #[derive(Clone, Debug)]
 pub(crate) enum Behavior {
     /// Sends these bytes and waits for the next request.
     Respond(String),
-    /// Sends these bytes and closes.
+    /// Sends these bytes and closes the connection.
     RespondAndClose(String),
-    /// Closes its sending direction alone, and keeps reading.
+    /// Closes only its sending direction and continues to read.
     HalfClose,
     /// Never responds.
     Hang,
-    /// Responds after this time, unless the connection is closed before.
+    /// Responds after this time, unless the proxy closes the connection before.
     RespondAfter(Duration, String),
 }
 
@@ -44,14 +44,15 @@
     zone: &'static str,
     address: SocketAddrV4,
     received: Rc<RefCell<Vec<ReceivedRequest>>>,
-    /// Connections that were opened to it, with requests or without.
+    /// Number of connections that were opened to the backend, with or without requests.
     connections_opened: Rc<Cell<usize>>,
-    /// The ids of requests whose connection was closed before their response, and when.
-    broken_off: Rc<RefCell<Vec<(String, Instant)>>>,
+    /// The attempt ids of requests whose connection was closed before their response, with the time of the
+    /// close.
+    disconnected: Rc<RefCell<Vec<(String, Instant)>>>,
 }
 
 impl Backend {
-    /// A backend that is listed, and at whose address nothing listens.
+    /// A listed backend without a listener at its address.
     pub(crate) fn unreachable(id: &'static str, service: &'static str, number: u8) -> Backend {
         let address = SocketAddrV4::new([10, 8, 0, number].into(), 8080);
         Backend {
@@ -61,11 +62,11 @@
             address,
             received: Rc::default(),
             connections_opened: Rc::default(),
-            broken_off: Rc::default(),
+            disconnected: Rc::default(),
         }
     }
 
-    /// Starts a backend; `number` distinguishes its address.
+    /// Starts a backend whose address is distinguished by `number`.
     pub(crate) fn start(
         id: &'static str,
         service: &'static str,
@@ -75,34 +76,35 @@
         let backend = Backend::unreachable(id, service, number);
         let listener = listen(backend.address.into()).expect("a listener");
         let (received, script): (_, Script) = (backend.received.clone(), Rc::new(RefCell::new(script)));
-        let (connections_opened, broken_off) =
-            (backend.connections_opened.clone(), backend.broken_off.clone());
+        let (connections_opened, disconnected) =
+            (backend.connections_opened.clone(), backend.disconnected.clone());
         tokio::task::spawn_local(async move {
             let mut connection = 0;
             while let Ok((stream, _)) = listener.accept().await {
                 connection += 1;
                 connections_opened.set(connection);
-                let observers = Observers { received: received.clone(), broken_off: broken_off.clone() };
-                tokio::task::spawn_local(serve(stream, connection, observers, script.clone()));
+                let records =
+                    RequestRecords { received: received.clone(), disconnected: disconnected.clone() };
+                tokio::task::spawn_local(serve(stream, connection, records, script.clone()));
             }
         });
         backend
     }
 
-    /// Starts the only backend of the service `finder`, whose requests may be retried.
+    /// Starts the only backend of the service `finder`, whose requests are idempotent.
     pub(crate) fn finder(script: impl FnMut(&ReceivedRequest) -> Behavior + 'static) -> Backend {
         Backend::start("finder-1", "finder", 1, script)
     }
 
-    /// Starts the backend `ledger-1`, which responds as soon as it has a request's head, keeps the connection, and takes
-    /// what follows for the rest of the body.
-    pub(crate) fn early_ledger(mut response: impl FnMut(&str) -> String + 'static) -> Backend {
+    /// Starts the backend `ledger-1`, which responds as soon as it has received a request's head. It keeps
+    /// the connection open and discards all further bytes as the rest of the body.
+    pub(crate) fn early_responding_ledger(mut response: impl FnMut(&str) -> String + 'static) -> Backend {
         let backend = Backend::unreachable("ledger-1", "ledger", 1);
         let listener = listen(backend.address.into()).expect("a listener");
         let received = backend.received.clone();
         tokio::task::spawn_local(async move {
             let mut connection = 0;
-            let mut kept = Vec::new();
+            let mut drain_tasks = Vec::new();
             while let Ok((mut stream, _)) = listener.accept().await {
                 connection += 1;
                 let mut buffer = Vec::new();
@@ -110,13 +112,13 @@
                 request.connection = connection;
                 received.borrow_mut().push(request.clone());
                 drop(stream.write_all(response(&request.attempt_id).as_bytes()).await);
-                kept.push(tokio::task::spawn_local(drain(stream)));
+                drain_tasks.push(tokio::task::spawn_local(drain(stream)));
             }
         });
         backend
     }
 
-    /// Starts the backend `ledger-1`, which books a room for each request.
+    /// Starts the backend `ledger-1`, which responds to each request with a booked room.
     pub(crate) fn booking_ledger() -> Backend {
         Backend::ledger(1, |request| {
             let id = &request.attempt_id;
@@ -125,7 +127,7 @@
         })
     }
 
-    /// Starts one of two backends of the service `ledger`, whose requests may run only once.
+    /// Starts one of two backends of the service `ledger`, whose requests are not idempotent.
     pub(crate) fn ledger(number: u8, script: impl FnMut(&ReceivedRequest) -> Behavior + 'static) -> Backend {
         let ids = ["", "ledger-1", "ledger-2"];
         Backend::start(ids[usize::from(number)], "ledger", number, script)
@@ -136,23 +138,27 @@
         Backend { zone, ..self }
     }
 
-    /// The number of connections that were opened to it so far.
+    /// The number of connections that were opened to the backend so far.
     pub(crate) fn connections_opened(&self) -> usize {
         self.connections_opened.get()
     }
 
-    /// When the connection of a request was closed before its response.
+    /// When the connection of a request was closed before its response, if it was.
     pub(crate) fn disconnected_at(&self, attempt_id: &str) -> Option<Instant> {
-        self.broken_off.borrow().iter().find(|(id, _)| id == attempt_id).map(|(_, at)| *at)
+        self.disconnected.borrow().iter().find(|(id, _)| id == attempt_id).map(|(_, at)| *at)
     }
 
-    /// What a request's `X-Deadline-Ms` said, each time that it came.
+    /// The values of `X-Deadline-Ms` in all attempts of a request.
     pub(crate) fn deadlines_ms(&self, attempt_id: &str) -> Vec<u64> {
         let received = self.received.borrow();
-        received.iter().filter(|it| it.attempt_id == attempt_id).map(|it| it.deadline_ms).collect()
+        received
+            .iter()
+            .filter(|request| request.attempt_id == attempt_id)
+            .map(|request| request.deadline_ms)
+            .collect()
     }
 
-    /// Its entry in the platform's list.
+    /// The backend's entry in the platform's list.
     pub(crate) fn list_entry(&self) -> messages::Backend {
         messages::Backend {
             id: self.id.into(),
@@ -165,35 +171,35 @@
         }
     }
 
-    /// All requests so far.
+    /// All requests that the backend has received so far.
     pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
         self.received.borrow().clone()
     }
 
-    /// The connections on which requests came, one for each request.
+    /// The number of the connection of each received request.
     pub(crate) fn connections_used(&self) -> Vec<usize> {
         self.received.borrow().iter().map(|request| request.connection).collect()
     }
 
-    /// How often a request came.
+    /// How often the backend received a request.
     pub(crate) fn times_received(&self, attempt_id: &str) -> usize {
         self.received.borrow().iter().filter(|request| request.attempt_id == attempt_id).count()
     }
 }
 
-/// What a backend notes of its requests.
-struct Observers {
+/// What a backend records about its requests.
+struct RequestRecords {
     received: Rc<RefCell<Vec<ReceivedRequest>>>,
-    broken_off: Rc<RefCell<Vec<(String, Instant)>>>,
+    disconnected: Rc<RefCell<Vec<(String, Instant)>>>,
 }
 
-async fn serve(mut stream: Stream, connection: usize, observers: Observers, script: Script) {
+async fn serve(mut stream: Stream, connection: usize, records: RequestRecords, script: Script) {
     let mut buffer = Vec::new();
     while let Some(mut request) = read_request(&mut stream, &mut buffer).await {
         request.connection = connection;
-        observers.received.borrow_mut().push(request.clone());
+        records.received.borrow_mut().push(request.clone());
         let behavior = (script.borrow_mut())(&request);
-        // Writes fail where the proxy has closed first, which the next read finds.
+        // Writes fail if the proxy has closed the connection. The next read detects that.
         match behavior {
             Behavior::Respond(text) => drop(stream.write_all(text.as_bytes()).await),
             Behavior::RespondAndClose(text) => {
@@ -203,10 +209,11 @@
             Behavior::HalfClose => drop(stream.shutdown().await),
             Behavior::Hang => std::future::pending().await,
             Behavior::RespondAfter(time, text) => {
-                // The proxy sends nothing until it has the response: what is read is the end of the connection.
+                // The proxy sends nothing before it has the response, so a completed read means that it
+                // closed the connection.
                 if timeout(time, stream.read_buf(&mut buffer)).await.is_ok() {
-                    let mut broken_off = observers.broken_off.borrow_mut();
-                    return broken_off.push((request.attempt_id, Instant::now()));
+                    let mut disconnected = records.disconnected.borrow_mut();
+                    return disconnected.push((request.attempt_id, Instant::now()));
                 }
                 drop(stream.write_all(text.as_bytes()).await);
             }
--- a/crates/proxy/tests/proxy/support/client.rs
+++ b/crates/proxy/tests/proxy/support/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the proxy, as a client and as the platform make them.
+//! Requests to the proxy from clients and from the platform.
 
 use super::{FRONT_ADDRESS, READINESS_ADDRESS};
 use std::time::Duration;
@@ -14,9 +14,9 @@
     pub(crate) body: String,
 }
 
-/// Sends one request to the proxy and returns the response. `attempt_id` is the client's id of the request.
+/// Sends one request to the proxy and returns the response. `attempt_id` is the client's id for the request.
 pub(crate) async fn send(path: &str, credential: &str, attempt_id: &str, body: &[u8]) -> Response {
-    let method = method_of(path);
+    let method = method_for(path);
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: rooms.example\r\nx-attempt-id: {attempt_id}\r\nx-deadline-ms: 1500\r\n\
          x-credential: {credential}\r\n"
@@ -24,12 +24,12 @@
     call(FRONT_ADDRESS, &head, body).await.expect("a response")
 }
 
-/// Sends a request on the keyed route, with these further header fields.
+/// Sends a request to the keyed route with these additional header fields.
 pub(crate) async fn send_commit(credential: &str, attempt_id: &str, fields: &str) -> Response {
     start_commit(credential, attempt_id, fields).await.wait().await.expect("a response")
 }
 
-/// The same, without waiting for the response.
+/// [`send_commit`] without waiting for the response.
 pub(crate) async fn start_commit(credential: &str, attempt_id: &str, fields: &str) -> StartedRequest {
     let mut stream = net::connect(FRONT_ADDRESS.parse().expect("an address")).await.expect("a connection");
     let request = format!(
@@ -40,15 +40,15 @@
     StartedRequest(stream)
 }
 
-/// Whether the proxy tells the platform that it is ready.
+/// Whether the proxy's readiness check succeeds.
 pub(crate) async fn is_ready() -> bool {
     let response = get("/api/readiness").await;
     response.is_some_and(|response| response.status == 200)
 }
 
-/// Waits until the proxy is ready. Returns whether it was, within that time.
-pub(crate) async fn is_ready_within(within: Duration) -> bool {
-    let ready = timeout(within, async {
+/// Waits until the proxy is ready. Returns whether that was within `max_wait`.
+pub(crate) async fn is_ready_within(max_wait: Duration) -> bool {
+    let ready = timeout(max_wait, async {
         while !is_ready().await {
             sleep(Duration::from_millis(10)).await;
         }
@@ -72,7 +72,7 @@
     call(READINESS_ADDRESS, &format!("GET {path} HTTP/1.1\r\nhost: edge\r\n"), b"").await
 }
 
-/// A request whose response has not been read; its client leaves when this is dropped.
+/// A request whose response has not been read. Dropping it disconnects the client.
 pub(crate) struct StartedRequest(net::Stream);
 
 impl StartedRequest {
@@ -82,12 +82,12 @@
     }
 }
 
-/// Sends a search and does not wait for its response.
+/// Sends a request without a body and does not wait for the response.
 pub(crate) async fn start(path: &str, attempt_id: &str) -> StartedRequest {
     start_with_body(path, attempt_id, 0, 0).await
 }
 
-/// Sends a request of which only the first `sent` bytes of the body come, and does not wait for its response.
+/// Sends a request with only the first `sent` bytes of its body, and does not wait for the response.
 pub(crate) async fn start_with_body(
     path: &str,
     attempt_id: &str,
@@ -97,7 +97,7 @@
     start_with_body_as(path, "key-1", attempt_id, length, sent).await
 }
 
-/// The same with a credential.
+/// [`start_with_body`] with a credential.
 pub(crate) async fn start_with_body_as(
     path: &str,
     credential: &str,
@@ -109,14 +109,14 @@
     let head = format!(
         "{} {path} HTTP/1.1\r\nhost: rooms.example\r\nx-attempt-id: {attempt_id}\r\nx-deadline-ms: 1500\r\n\
          x-credential: {credential}\r\ncontent-length: {length}\r\n\r\n",
-        method_of(path)
+        method_for(path)
     );
     stream.write_all(head.as_bytes()).await.expect("a head");
     stream.write_all(&vec![7; sent]).await.expect("a body");
     StartedRequest(stream)
 }
 
-fn method_of(path: &str) -> &'static str {
+fn method_for(path: &str) -> &'static str {
     if path.starts_with("/book/") || path.starts_with("/commit/") {
         "POST"
     } else {
@@ -124,19 +124,19 @@
     }
 }
 
-/// One request on a connection of its own; `None` if that ended without a response.
+/// Sends one request on a new connection. Returns `None` if the connection ended without a response.
 async fn call(to: &str, head: &str, body: &[u8]) -> Option<Response> {
     let mut stream = net::connect(to.parse().expect("an address")).await.ok()?;
     let request = format!("{head}connection: close\r\ncontent-length: {}\r\n\r\n", body.len());
     stream.write_all(request.as_bytes()).await.ok()?;
-    // Fails where the proxy responds before it has read everything: the response is what counts.
+    // Fails if the proxy responds before it has read the complete body. The response is still valid.
     drop(stream.write_all(body).await);
     read_response(stream).await
 }
 
 async fn read_response(mut stream: net::Stream) -> Option<Response> {
     let mut bytes = Vec::new();
-    // What came before an error is looked at below.
+    // Bytes that arrived before an error are parsed below.
     drop(stream.read_to_end(&mut bytes).await);
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -144,19 +144,19 @@
     Some(Response { status, head: head.to_ascii_lowercase(), body: body.to_owned() })
 }
 
-/// A connection on which requests are sent one after the other.
-pub(crate) struct KeptConnection {
+/// A connection for several requests, one after the other.
+pub(crate) struct KeepAliveConnection {
     stream: net::Stream,
     received: Vec<u8>,
 }
 
-impl KeptConnection {
-    pub(crate) async fn open() -> KeptConnection {
+impl KeepAliveConnection {
+    pub(crate) async fn open() -> KeepAliveConnection {
         let stream = net::connect(FRONT_ADDRESS.parse().expect("an address")).await.expect("a connection");
-        KeptConnection { stream, received: Vec::new() }
+        KeepAliveConnection { stream, received: Vec::new() }
     }
 
-    /// Sends a request without a body, of a client that waits for five seconds.
+    /// Sends a request without a body and with a deadline of five seconds.
     pub(crate) async fn send(&mut self, path: &str, attempt_id: &str) {
         self.send_with_deadline(path, attempt_id, 5_000).await;
     }
@@ -173,15 +173,15 @@
         let head = format!(
             "{} {path} HTTP/1.1\r\nhost: rooms.example\r\nx-attempt-id: {attempt_id}\r\n\
              x-deadline-ms: {deadline_ms}\r\nx-credential: key-1\r\ncontent-length: {}\r\n\r\n",
-            method_of(path),
+            method_for(path),
             body.len()
         );
-        // Fails where the proxy has closed: that is seen by reading.
+        // Fails if the proxy has closed the connection. The next read detects that.
         drop(self.stream.write_all(head.as_bytes()).await);
         drop(self.stream.write_all(body).await);
     }
 
-    /// The status of the next response, of which all is read; `None` once the connection has ended.
+    /// Reads the next response completely and returns its status; `None` if the connection has ended.
     pub(crate) async fn read_status(&mut self) -> Option<u16> {
         loop {
             let text = String::from_utf8_lossy(&self.received).into_owned();
--- a/crates/proxy/tests/proxy/support/mod.rs
+++ b/crates/proxy/tests/proxy/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts a proxy in virtual time.
+//! Runs a proxy in virtual time with a test configuration.
 
 pub(crate) mod backends;
 pub(crate) mod client;
@@ -23,7 +23,7 @@
 pub(crate) const FRONT_ADDRESS: &str = "10.1.0.9:8089";
 pub(crate) const READINESS_ADDRESS: &str = "10.1.0.9:8085";
 
-/// Runs a test in virtual time, on a network in memory.
+/// Runs a test in virtual time and with an in-memory network.
 pub(crate) fn run_in_virtual_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.expect("a runtime");
@@ -49,7 +49,8 @@
     })
 }
 
-/// The same with one more route, `/commit/` to the service `ledger`, whose requests need an operation key.
+/// [`configuration`] with an additional keyed route, `/commit/` to the service `ledger`, whose requests need
+/// an operation key.
 pub(crate) fn configuration_with_keyed_route(version: u64) -> Value {
     let mut configuration = configuration(version);
     let route = json!(["commit", "rooms.example", "/commit/", "keyed", 2000, 800, 2, "ledger"]);
@@ -57,7 +58,7 @@
     configuration
 }
 
-/// The same, with the tenant of `key-1` bound to these regions; the proxy is in `west`.
+/// [`configuration_with_keyed_route`] with home regions for the tenant of `key-1`. The proxy is in `west`.
 pub(crate) fn configuration_with_tenant_homes(version: u64, homes: &[&str]) -> Value {
     let mut configuration = configuration_with_keyed_route(version);
     let tenants = &mut configuration["tenants"];
@@ -68,7 +69,7 @@
     configuration
 }
 
-/// The same as [`configuration`], with bookings bound to the region `east`; the proxy is in `west`.
+/// [`configuration`] with `east` as the home region of bookings. The proxy is in `west`.
 pub(crate) fn configuration_with_distant_home(version: u64) -> Value {
     let mut configuration = configuration(version);
     let routes = &mut configuration["routes"];
@@ -79,7 +80,7 @@
     configuration
 }
 
-/// The same with one more route.
+/// [`configuration`] with an additional route for `prefix`.
 pub(crate) fn configuration_with_route(version: u64, prefix: &str) -> Value {
     let mut configuration = configuration(version);
     let route = json!([prefix, "rooms.example", prefix, "idempotent", 2000, 800, 2, "finder"]);
@@ -87,14 +88,14 @@
     configuration
 }
 
-/// A running proxy; it would shut down if this were dropped.
+/// A running proxy. Dropping the handle shuts it down.
 #[must_use]
 pub(crate) struct RunningProxy {
     lifecycle: LifecycleSender,
 }
 
 impl RunningProxy {
-    /// Asks it to shut down gracefully, as SIGTERM does.
+    /// Starts a graceful shutdown, as SIGTERM does.
     pub(crate) fn shut_down(&self) {
         self.lifecycle.shutdown.send(()).expect("a running proxy");
     }
@@ -114,19 +115,19 @@
     let (lifecycle, sender) = Lifecycle::new(7);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     tokio::task::spawn_local(async move {
-        // Its tasks end with it, as those of a process do.
+        // Dropping the set ends the proxy's tasks, as the end of a process would.
         let tasks = tokio::task::LocalSet::new();
         tasks.run_until(violetyoke_proxy::daemon::run(settings, lifecycle, log)).await
     });
     RunningProxy { lifecycle: sender }
 }
 
-/// Starts a proxy with one registry and these backends, and waits until it is ready.
+/// Starts a proxy with one registry and these backends, and waits until the proxy is ready.
 pub(crate) async fn start_ready_proxy(backends: &[&Backend]) -> (RunningProxy, Registry) {
     start_ready_proxy_with(&configuration(1), backends).await
 }
 
-/// The same with another configuration.
+/// [`start_ready_proxy`] with another configuration.
 pub(crate) async fn start_ready_proxy_with(
     configuration: &Value,
     backends: &[&Backend],
@@ -139,9 +140,9 @@
     (proxy, registry)
 }
 
-/// Waits in virtual time until a condition is met. Returns whether it was, within that time.
-pub(crate) async fn wait_until(within: Duration, is_met: impl Fn() -> bool) -> bool {
-    let met = timeout(within, async {
+/// Waits in virtual time until a condition is met. Returns whether that was within `max_wait`.
+pub(crate) async fn wait_until(max_wait: Duration, is_met: impl Fn() -> bool) -> bool {
+    let met = timeout(max_wait, async {
         while !is_met() {
             sleep(Duration::from_millis(1)).await;
         }
--- a/crates/proxy/tests/proxy/support/network.rs
+++ b/crates/proxy/tests/proxy/support/network.rs
@@ -1,4 +1,4 @@
-//! A network in memory: connections are up at once, and nothing is lost.
+//! An in-memory network without losses, whose connections are established without delay by default.
 
 use futures_util::future::LocalBoxFuture;
 use futures_util::FutureExt;
@@ -14,19 +14,19 @@
 use tokio::time::sleep;
 use violetyoke_transport::environment::{Disk, Environment, Incoming};
 
-/// Bytes that a connection holds in each direction.
+/// Buffer size of a connection in each direction (bytes).
 const BUFFER_BYTES: usize = 64 << 10;
 
 thread_local! {
     static CONNECT_DELAY: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// Has connections take so long to come up, on this thread, until its next test.
+/// Sets the delay for establishing connections on this thread, until the next test starts.
 pub(crate) fn delay_connections(delay: Duration) {
     CONNECT_DELAY.set(delay);
 }
 
-/// Listeners by their address; connections to any other address are refused.
+/// Listeners by address. Connections to other addresses are refused.
 #[derive(Default)]
 pub(crate) struct InMemoryNetwork {
     listeners: RefCell<HashMap<SocketAddr, UnboundedSender<(DuplexStream, SocketAddr)>>>,
