--- a/crates/proxy/tests/proxy/preconnect.rs
+++ b/crates/proxy/tests/proxy/preconnect.rs
@@ -1,4 +1,4 @@
-//! Connections to distant backends, opened while a request's limit is checked.
+//! Connections to backends in other regions, which are opened while a request's rate limit is checked.
 
 use crate::support::backends::{Backend, Behavior};
 use crate::support::client::{is_ready_within, send, start_with_body_as};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A proxy in `west`, and a backend that takes bookings in `east`.
+/// A proxy in the region `west` and a backend of bookings in `east`.
 async fn start() -> (RunningProxy, Registry, Backend) {
     let ledger = Backend::ledger(1, Behavior::respond_ok("booked")).in_zone("b");
     let registry = Registry::start(1);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn distant_backend_is_connected_to_before_the_owner_of_the_count_has_replied() {
+fn backend_in_another_region_is_connected_before_the_quota_owner_replies() {
     run_in_virtual_time(|| async {
         let (_proxy, registry, ledger) = start().await;
         registry.set_quota_behavior(QuotaBehavior::Hang);
@@ -31,17 +31,21 @@
         assert_eq!(
             (ledger.connections_opened(), ledger.received().len()),
             (1, 0),
-            "connected, and nothing sent"
+            "the connection is open, and nothing was sent"
         );
 
-        // No reply comes, so the request is counted here.
+        // No reply arrives, so the proxy admits the request locally.
         assert_eq!(request.wait().await.map(|response| response.status), Some(200));
-        assert_eq!(ledger.connections_used(), [1], "on that connection");
+        assert_eq!(
+            ledger.connections_used(),
+            [1],
+            "the request was sent on the connection that was already open"
+        );
     });
 }
 
 #[test]
-fn denied_request_is_answered_at_once_and_its_connection_is_used_by_the_next() {
+fn connection_opened_for_a_denied_request_is_used_by_the_next_requests() {
     run_in_virtual_time(|| async {
         let (_proxy, registry, ledger) = start().await;
         registry.set_quota_behavior(QuotaBehavior::Deny { retry_ms: 500 });
@@ -52,6 +56,10 @@
         registry.set_quota_behavior(QuotaBehavior::Admit);
         assert_eq!(send("/book/1", "key-2", "b", b"x").await.status, 200);
         assert_eq!(send("/book/1", "key-2", "c", b"x").await.status, 200);
-        assert_eq!(ledger.connections_used(), [ledger.connections_opened(); 2], "kept for the next request");
+        assert_eq!(
+            ledger.connections_used(),
+            [ledger.connections_opened(); 2],
+            "the connection is kept for the next requests"
+        );
     });
 }
--- a/crates/proxy/tests/proxy/response_matching.rs
+++ b/crates/proxy/tests/proxy/response_matching.rs
@@ -1,4 +1,4 @@
-//! Each response of a backend belongs to one request: by its connection, and by the attempt id that it bears.
+//! Responses are matched to requests by connection and attempt id.
 
 use crate::support::backends::{ok_response, raw_response, Backend, Behavior, ReceivedRequest};
 use crate::support::client::send;
@@ -9,12 +9,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A backend's rejection that names no request.
+/// A rejection without an attempt id.
 fn anonymous_rejection() -> String {
     raw_response(503, "x-not-executed: 1\r\n", "")
 }
 
-/// A response with which a backend reports its own failure.
+/// A response with status 500.
 fn failure(request: &ReceivedRequest) -> Behavior {
     let headers = format!("x-attempt-id: {}\r\nx-server-seal: seal\r\n", request.attempt_id);
     Behavior::Respond(raw_response(500, &headers, "no"))
@@ -79,7 +79,7 @@
 fn rejection_without_an_attempt_id_is_inconclusive_on_a_reused_connection() {
     run_in_virtual_time(|| async {
         let script = |request: &ReceivedRequest| match request.attempt_id.as_str() {
-            // It may be a second response to the request before, while this one runs.
+            // Could be a second response to the previous request while the backend executes this one.
             "second" => Behavior::Respond(anonymous_rejection()),
             id => Behavior::Respond(ok_response(id, "booked")),
         };
@@ -99,11 +99,11 @@
 #[test]
 fn rejection_with_the_attempt_id_is_retried_on_another_backend() {
     run_in_virtual_time(|| async {
-        // Whichever backend is asked first rejects the request.
-        let rejected = Rc::new(RefCell::new(BTreeSet::new()));
+        // The backend that gets the first attempt rejects the request.
+        let rejected_ids = Rc::new(RefCell::new(BTreeSet::new()));
         let script = move |request: &ReceivedRequest| {
             let id = &request.attempt_id;
-            let is_first = rejected.borrow_mut().insert(id.clone());
+            let is_first = rejected_ids.borrow_mut().insert(id.clone());
             let rejection = || raw_response(503, &format!("x-attempt-id: {id}\r\nx-not-executed: 1\r\n"), "");
             Behavior::Respond(if is_first { rejection() } else { ok_response(id, "booked") })
         };
@@ -115,7 +115,7 @@
             let response = send("/book/1", "key-1", &id, b"x").await;
             assert_eq!((response.status, response.body.as_str()), (200, "booked"));
             assert_eq!((first.times_received(&id), second.times_received(&id)), (1, 1));
-            // A backend that was full is not used for a moment.
+            // A backend gets no attempts for a while after it rejected one.
             sleep(Duration::from_secs(1)).await;
         }
     });
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn attempts_do_not_exceed_the_route_s_maximum() {
+fn attempts_do_not_exceed_the_maximum_of_the_route() {
     run_in_virtual_time(|| async {
         let finders: Vec<Backend> = [("finder-1", 1), ("finder-2", 2), ("finder-3", 3)]
             .into_iter()
--- a/crates/proxy/tests/proxy/retry_safety.rs
+++ b/crates/proxy/tests/proxy/retry_safety.rs
@@ -1,10 +1,12 @@
-//! A request that may have run and is not idempotent is not sent again: one case a test, by what backends received.
+//! A non-idempotent request that a backend may have executed is not retried. Each test covers one kind of
+//! failure and checks the requests that backends received.
 
 use crate::support::backends::{ok_response, raw_response, Backend, Behavior, ReceivedRequest};
 use crate::support::client::{send, Response};
 use crate::support::{run_in_virtual_time, start_ready_proxy};
 
-/// Sends one booking to two backends that behave alike, checks that it was sent once, and passes the response to `check`.
+/// Sends one booking to two backends with the same behavior, checks that only one attempt was made, and
+/// passes the response to `check`.
 fn assert_sent_once(
     body: &'static [u8],
     behavior: impl Fn(&str) -> Behavior + Clone + 'static,
@@ -22,7 +24,8 @@
     });
 }
 
-/// A booking is sent once, and the client gets this status and no seal: nothing that promises success.
+/// Checks that a booking is sent once, and that the client gets this status and no seal, which would confirm
+/// a success.
 fn assert_not_retried(status: u16, behavior: impl Fn(&str) -> Behavior + Clone + 'static) {
     assert_sent_once(b"two nights", behavior, |response| {
         assert_eq!(response.status, status, "{response:?}");
@@ -30,7 +33,7 @@
     });
 }
 
-/// Responds to all requests but those with the id `second`, before which it closes an idle connection.
+/// Responds to all requests except those with the id `second`, for which it closes the idle connection.
 fn closes_before_second(request: &ReceivedRequest) -> Behavior {
     match request.attempt_id.as_str() {
         "second" => Behavior::RespondAndClose(String::new()),
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn booking_is_not_retried_after_bytes_that_are_no_response() {
+fn booking_is_not_retried_after_an_invalid_response() {
     assert_not_retried(502, |_| Behavior::Respond("HTTP/1.1 2x0 ?\r\n\r\n".into()));
 }
 
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn invalid_status_code_is_no_response() {
+fn response_with_an_invalid_status_code_is_not_forwarded() {
     assert_not_retried(502, |id| {
         let headers = format!("x-attempt-id: {id}\r\nx-server-seal: seal\r\n");
         Behavior::Respond(raw_response(42, &headers, ""))
@@ -166,7 +169,7 @@
 }
 
 #[test]
-fn large_booking_that_was_interrupted_is_not_retried() {
+fn booking_with_a_streamed_body_is_not_retried_after_a_close_or_a_timeout() {
     const LARGE_BODY: &[u8] = &[7; 300 << 10];
     let check = |response: Response| {
         assert!(response.status == 502 || response.status == 504, "{response:?}");
--- a/crates/proxy/tests/proxy/splits.rs
+++ b/crates/proxy/tests/proxy/splits.rs
@@ -1,4 +1,4 @@
-//! Routes that split their requests over services by weights.
+//! Routes that split their requests over several services by weight.
 
 use crate::support::backends::{Backend, Behavior};
 use crate::support::client::send;
@@ -47,16 +47,20 @@
 }
 
 #[test]
-fn few_requests_follow_the_weights_as_nearly_as_whole_requests_can() {
+fn shares_of_few_requests_match_the_weights() {
     run_in_virtual_time(|| async {
         let (_proxy, _registry, [finder, ledger]) = start(&split(1, 90, 10)).await;
         for requests in [20, 50, 100, 300] {
             let before = ledger.received().len();
             search(finder.received().len() + before, requests).await;
-            let got = ledger.received().len() - before;
-            // Independent draws would be off by more than this in one run of three at 300 requests.
-            let due = requests as f64 / 10.0;
-            assert!((got as f64 - due).abs() <= 2.0, "{got} of {requests} requests, {due} are due");
+            let actual = ledger.received().len() - before;
+            // With independent random numbers, one of three runs with 300 requests would exceed this
+            // difference.
+            let expected = requests as f64 / 10.0;
+            assert!(
+                (actual as f64 - expected).abs() <= 2.0,
+                "{actual} of {requests} requests, expected {expected}"
+            );
         }
     });
 }
@@ -70,13 +74,13 @@
         sleep(Duration::from_millis(200)).await;
         let before = [finder.received().len(), ledger.received().len()];
         search(100, 40).await;
-        let got = [finder.received().len() - before[0], ledger.received().len() - before[1]];
-        assert!((9..=11).contains(&got[0]) && (29..=31).contains(&got[1]), "{got:?}");
+        let actual = [finder.received().len() - before[0], ledger.received().len() - before[1]];
+        assert!((9..=11).contains(&actual[0]) && (29..=31).contains(&actual[1]), "{actual:?}");
     });
 }
 
 #[test]
-fn part_without_a_weight_gets_nothing() {
+fn service_with_zero_weight_gets_no_requests() {
     run_in_virtual_time(|| async {
         let (_proxy, _registry, [_, ledger]) = start(&split(1, 1, 0)).await;
         search(0, 40).await;
