--- a/crates/balancing/src/admission.rs
+++ b/crates/balancing/src/admission.rs
@@ -16,8 +16,8 @@
 /// Queued requests per slot that are always accepted: backends that merely have all of their slots in use are
 /// not overloaded.
 const MIN_QUEUE_PER_SLOT: f64 = 0.5;
-/// Upper limit of the rejected fraction. The responses to the admitted requests show when the overload has
-/// ended.
+/// Upper limit of the rejected fraction. Some requests are always admitted, because their responses show when
+/// the overload has ended.
 const MAX_REJECTED_FRACTION: f64 = 0.8;
 
 impl BackendDirectory {
--- a/crates/balancing/src/candidates.rs
+++ b/crates/balancing/src/candidates.rs
@@ -1,8 +1,8 @@
 //! Chooses one of the backends that are eligible for an attempt.
 //!
 //! If this proxy knows the load of most backends, the one with the lowest cost gets the attempt. If it knows
-//! the load of few, the lowest cost is mostly an error of estimation, and all proxies together would overload
-//! a few backends. The attempt then goes to the lowest cost of a random sample (the power of two choices;
+//! the load of few, the lowest cost is often due to chance, and all proxies together would overload a few
+//! backends. The attempt then goes to the lowest cost of a random sample (the power of two choices;
 //! Mitzenmacher 2001). A sample is taken from each distance class, so that it never consists of distant
 //! backends only.
 
--- a/crates/balancing/src/load.rs
+++ b/crates/balancing/src/load.rs
@@ -60,8 +60,8 @@
 }
 
 /// Response times and loads of all backends of a service, separately for this proxy's region and the other
-/// regions. With one estimate per region, an overloaded region loses requests to the others even if this
-/// proxy has used few of its backends.
+/// regions. The separate estimates make an overloaded region lose requests to the others even if this proxy
+/// has used few of its backends.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceEstimate {
     same_region: RegionEstimate,
--- a/crates/balancing/src/retry_policy.rs
+++ b/crates/balancing/src/retry_policy.rs
@@ -35,9 +35,9 @@
     pub is_idempotent: bool,
     /// Maximum number of attempts, each at another backend.
     pub max_attempts: u32,
-    /// A later response is of less value to the client (ms from arrival).
+    /// Latency target (ms from arrival). Later responses are of less value to the client.
     pub latency_target_ms: Millis,
-    /// The client stops waiting for a response after this time (ms from arrival).
+    /// Deadline (ms from arrival), after which the client no longer waits for a response.
     pub deadline_ms: Millis,
 }
 
--- a/crates/proxy/src/request/operation.rs
+++ b/crates/proxy/src/request/operation.rs
@@ -158,8 +158,8 @@
     request.home_regions.iter().all(|homes| homes.is_empty() || contains_all_stores(homes))
 }
 
-/// The response for repeated requests: all forwarded fields except the attempt id, which each repeat has its
-/// own of.
+/// The response for repeated requests: all forwarded fields except the attempt id, which is replaced by that
+/// of the repeat.
 fn recorded_response(response: &UpstreamResponse) -> RecordedResponse {
     let fields = response.headers.iter().filter(|(name, _)| name != header::ATTEMPT);
     RecordedResponse {
--- a/crates/proxy/src/request/upstream_head.rs
+++ b/crates/proxy/src/request/upstream_head.rs
@@ -8,7 +8,7 @@
 use violetyoke_api::calls::header;
 
 /// Fields that are not forwarded: connection-specific ones (RFC 9110, section 7.6.1), those that the proxy
-/// sets itself, and the client's credential.
+/// sets itself, and those that are only meant for the proxy.
 const NOT_FORWARDED: &[&str] = &[
     "connection",
     "keep-alive",
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -12,8 +12,9 @@
 use violetyoke_balancing::Observation;
 use violetyoke_transport::net;
 
-/// Time-out for connecting to a backend of the same region. It is short because a request whose connection
-/// fails is certain not to have been executed, and the remaining time can be used for another backend.
+/// Time-out for connecting to a backend of the same region, after which the backend counts as unreachable. It
+/// is short because a request whose connection fails is certain not to have been executed, and the remaining
+/// time can be used for another backend.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time-out for connecting to a backend of another region, for round trips of 55 ms and more
 /// (docs/incidents/warm-too-early.md).
@@ -76,8 +77,8 @@
     Ok(Connection { stream, buffer: BytesMut::new() })
 }
 
-/// Converts an error of a replay: the request may have been executed on the first connection, so it can't
-/// count as not sent.
+/// Converts an error of a replay. The request may have been executed on the first connection, so `TooLate`,
+/// which rules out an execution, becomes `TimedOut`.
 fn after_reset(error: ExchangeError) -> ExchangeError {
     match error {
         ExchangeError::TooLate => ExchangeError::TimedOut,
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -33,6 +33,7 @@
     pub(super) load: Option<ReportedLoad>,
     /// Whether the backend keeps the connection open for another request.
     pub(super) is_keep_alive: bool,
+    /// The keep-alive time-out that the backend announced.
     pub(super) keep_alive_timeout: Option<Duration>,
 }
 
