--- a/crates/ingress/src/account.rs
+++ b/crates/ingress/src/account.rs
@@ -2,8 +2,8 @@
 
 use crate::ClientRequest;
 use std::collections::HashMap;
-use violetyoke_account::{Belief, NodeState, Record};
-use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RequestId, Settings, Why};
+use violetyoke_account::{NodeHealth, NodeState, Record};
+use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RejectionReason, RequestId, Settings};
 use violetyoke_decision::view::{BackendView, FleetView};
 
 /// Asks for the account when it is set, to anything.
@@ -14,7 +14,7 @@
     class: u16,
     plan: u16,
     units: f64,
-    arrived: Micros,
+    arrived_at: Micros,
 }
 
 pub struct Account {
@@ -43,37 +43,45 @@
 
     pub fn change(&mut self, settings: &Settings, classes: &[String], plans: &[String]) {
         let classes = settings.classes.iter().zip(classes);
-        self.classes = classes.map(|(class, name)| (name.clone(), class.value, class.aim)).collect();
+        self.classes =
+            classes.map(|(class, name)| (name.clone(), class.value, class.latency_target)).collect();
         let plans = settings.plans.iter().zip(plans);
-        self.plans = plans.map(|(plan, name)| (name.clone(), plan.worth)).collect();
+        self.plans = plans.map(|(plan, name)| (name.clone(), plan.value)).collect();
     }
 
     pub fn begun(&mut self, request: &ClientRequest) {
-        let ClientRequest { id, class, plan, units, arrived, .. } = *request;
-        self.begun.insert(id, Begun { class, plan, units, arrived });
+        let ClientRequest { id, class, plan, units, arrived_at, .. } = *request;
+        self.begun.insert(id, Begun { class, plan, units, arrived_at });
     }
 
-    pub fn over(&mut self, at: Micros, request: RequestId, attempts: u8, end: &str, why: Option<Why>) {
+    pub fn over(
+        &mut self,
+        at: Micros,
+        request: RequestId,
+        attempts: u8,
+        end: &str,
+        why: Option<RejectionReason>,
+    ) {
         let Some(begun) = self.begun.remove(&request) else { return };
         let (class, value, aim) = self.classes.get(usize::from(begun.class)).cloned().unwrap_or_default();
         let (plan, price) = self.plans.get(usize::from(begun.plan)).cloned().unwrap_or_default();
         write(&Record::Final {
-            at,
+            timestamp: at,
             process: self.process,
             class,
             plan,
-            worth: value * price * begun.units,
-            end: end.into(),
-            why: why.map(|why| format!("{why:?}")).unwrap_or_default(),
-            age: at.saturating_sub(begun.arrived),
-            aim,
+            value: value * price * begun.units,
+            outcome: end.into(),
+            reason: why.map(|why| format!("{why:?}")).unwrap_or_default(),
+            latency: at.saturating_sub(begun.arrived_at),
+            latency_target: aim,
             attempts,
         });
     }
 
     pub fn attempt(&self, at: Micros, node: &str, end: &AttemptEnd) {
-        let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.waited);
-        write(&Record::Attempt { at, process: self.process, node, outcome, waited });
+        let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.elapsed);
+        write(&Record::Attempt { timestamp: at, process: self.process, node, outcome, duration: waited });
     }
 
     pub fn call(&mut self, outcome: Outcome) {
@@ -84,20 +92,37 @@
 
     pub fn state(&mut self, at: Micros, view: FleetView, name: impl Fn(u32) -> String) {
         let node = |backend: &BackendView| NodeState {
-            node: name(backend.id),
-            belief: match backend {
-                BackendView { away: true, .. } => Belief::Away,
-                BackendView { left_out: true, .. } => Belief::LeftOut,
-                BackendView { cold: true, .. } => Belief::Cold,
-                _ => Belief::Ready,
+            name: name(backend.id),
+            health: match backend {
+                BackendView { unavailable: true, .. } => NodeHealth::Away,
+                BackendView { ejected: true, .. } => NodeHealth::LeftOut,
+                BackendView { warming_up: true, .. } => NodeHealth::Cold,
+                _ => NodeHealth::Ready,
             },
-            slow: backend.slow,
-            fails: backend.fails,
-            out: backend.out,
+            relative_latency: backend.relative_latency,
+            failure_rate: backend.failure_rate,
+            in_flight: backend.in_flight,
         };
-        let FleetView { room, out, pace, spacing, bad, backends } = view;
+        let FleetView {
+            concurrency_limit: room,
+            in_flight: out,
+            relative_latency: pace,
+            counter_query_interval: spacing,
+            counter_failures: bad,
+            backends,
+        } = view;
         let (nodes, calls) = (backends.iter().map(node).collect(), std::mem::take(&mut self.calls));
-        write(&Record::State { at, process: self.process, room, out, pace, spacing, bad, calls, nodes });
+        write(&Record::State {
+            timestamp: at,
+            process: self.process,
+            concurrency_limit: room,
+            in_flight: out,
+            relative_latency: pace,
+            counter_interval: spacing,
+            counter_errors: bad,
+            counter_calls: calls,
+            nodes,
+        });
     }
 }
 
