--- a/crates/proxy/tests/proxy/control_updates.rs
+++ b/crates/proxy/tests/proxy/control_updates.rs
@@ -1,4 +1,4 @@
-//! Configurations and backend lists that a registry sends without being asked.
+//! Updates of the configuration and of the backend list that a registry sends without a poll.
 
 use crate::support::backends::{Backend, Behavior};
 use crate::support::client::send;
@@ -16,7 +16,8 @@
     BackendListChange, Epoch, ListDigest, ProxyReply, ProxyRequest, Revision,
 };
 
-const SOON: Duration = Duration::from_secs(1);
+/// The time within which an update must take effect.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn revision(sequence: u64) -> Revision {
     Revision { epoch: Epoch(1), sequence }
@@ -26,7 +27,7 @@
     Configuration::parse(configuration.to_string().as_bytes()).expect("valid")
 }
 
-/// The change from [`configuration`] to the same with the route `/new/`, declared as one between these revisions.
+/// The change that adds the route `/new/` to [`configuration`], as a change from the revision `from` to the revision `to`.
 fn state_change(from: Revision, to: Revision) -> ProxyReply {
     let (old, new) = (parse(&configuration(1)), parse(&configuration_with_route(2, "/new/")));
     let change = ConfigurationChange::between(&old, &new).expect("a change");
@@ -44,20 +45,22 @@
 }
 
 #[test]
-fn state_change_from_the_configuration_in_force_is_installed() {
+fn state_change_based_on_the_configuration_in_force_is_installed() {
     run_in_virtual_time(|| async {
         let finder = Backend::finder(Behavior::respond_ok("found"));
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
 
         registry.send(&state_change(revision(1), revision(2)));
 
-        assert!(wait_until(SOON, || polled_revisions(&registry).last() == Some(&revision(2))).await);
+        assert!(
+            wait_until(UPDATE_TIMEOUT, || polled_revisions(&registry).last() == Some(&revision(2))).await
+        );
         assert_eq!(send("/new/1", "key-1", "a", b"").await.status, 200);
     });
 }
 
 #[test]
-fn state_change_from_another_configuration_makes_the_proxy_poll_for_the_full_state() {
+fn state_change_based_on_another_configuration_makes_the_proxy_poll_for_the_full_state() {
     run_in_virtual_time(|| async {
         let finder = Backend::finder(Behavior::respond_ok("found"));
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
@@ -66,7 +69,9 @@
 
         registry.send(&state_change(revision(7), revision(8)));
 
-        assert!(wait_until(SOON, || polled_revisions(&registry).last() == Some(&revision(8))).await);
+        assert!(
+            wait_until(UPDATE_TIMEOUT, || polled_revisions(&registry).last() == Some(&revision(8))).await
+        );
         assert_eq!(polled_revisions(&registry)[polls_before], Revision::default());
         assert_eq!(send("/new/1", "key-1", "a", b"").await.status, 200);
     });
@@ -78,7 +83,9 @@
         let finder = Backend::finder(Behavior::respond_ok("found"));
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
         registry.send(&state_change(revision(1), revision(3)));
-        assert!(wait_until(SOON, || polled_revisions(&registry).last() == Some(&revision(3))).await);
+        assert!(
+            wait_until(UPDATE_TIMEOUT, || polled_revisions(&registry).last() == Some(&revision(3))).await
+        );
         let polls_before = polled_revisions(&registry).len();
 
         let configuration = Compressed::encode(&parse(&configuration(1))).expect("encoded");
@@ -88,14 +95,14 @@
             configuration,
         });
 
-        assert!(wait_until(SOON, || polled_revisions(&registry).len() > polls_before).await);
+        assert!(wait_until(UPDATE_TIMEOUT, || polled_revisions(&registry).len() > polls_before).await);
         assert_eq!(polled_revisions(&registry).last(), Some(&revision(3)));
         assert_eq!(send("/new/1", "key-1", "a", b"").await.status, 200);
     });
 }
 
 #[test]
-fn backend_list_change_from_another_list_is_not_applied() {
+fn backend_list_change_based_on_another_list_is_not_applied() {
     run_in_virtual_time(|| async {
         let finder = Backend::finder(Behavior::respond_ok("found"));
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
@@ -110,12 +117,12 @@
 
         registry.send(&ProxyReply::BackendListChange(removal(ListDigest(1))));
 
-        assert!(wait_until(SOON, || polled_revisions(&registry).len() > polls_before).await);
+        assert!(wait_until(UPDATE_TIMEOUT, || polled_revisions(&registry).len() > polls_before).await);
         assert_eq!(send("/search/1", "key-1", "a", b"").await.status, 200);
-        // The negative control: from the list in force, the same change removes the backend.
+        // Counter-check: based on the list in force, the same change removes the backend.
         registry.set_backend_list_digest(ListDigest(78));
         registry.send(&ProxyReply::BackendListChange(removal(ListDigest(77))));
-        assert!(wait_until(SOON, || polled_revisions(&registry).len() > polls_before + 1).await);
+        assert!(wait_until(UPDATE_TIMEOUT, || polled_revisions(&registry).len() > polls_before + 1).await);
         assert_eq!(send("/search/1", "key-1", "b", b"").await.status, 503);
     });
 }
--- a/crates/proxy/tests/proxy/metrics.rs
+++ b/crates/proxy/tests/proxy/metrics.rs
@@ -4,7 +4,7 @@
 use crate::support::client::{metrics, send};
 use crate::support::{run_in_virtual_time, start_ready_proxy};
 
-/// Names and help texts are part of the interface to operators.
+/// The expected text. Names and help texts are part of the interface to operators.
 const PUBLISHED: &str = "\
 # HELP violetyoke_proxy_requests requests of clients.
 # TYPE violetyoke_proxy_requests counter
@@ -76,7 +76,7 @@
 ";
 
 #[test]
-fn metrics_are_published_under_their_fixed_names() {
+fn names_and_help_texts_of_the_metrics_are_unchanged() {
     run_in_virtual_time(|| async {
         let finder = Backend::finder(Behavior::respond_ok("found"));
         let _proxy = start_ready_proxy(&[&finder]).await;
--- a/crates/proxy/tests/proxy/operations.rs
+++ b/crates/proxy/tests/proxy/operations.rs
@@ -1,4 +1,4 @@
-//! Operations: a keyed request is claimed before it is forwarded, and a repeat of it is not executed again.
+//! Operations: the operation of a keyed request is claimed before the request is forwarded, and repeats are not executed.
 
 use crate::support::backends::{ok_response, Backend, Behavior, ReceivedRequest};
 use crate::support::client::{metric, send, send_commit, start, start_commit, Response};
@@ -12,8 +12,9 @@
     ClaimHolder, OperationReply, OperationRequest, ProxyReply, RecordedField, RecordedResponse,
 };
 
-/// Status, body, and the header fields that a repeat gets as well.
-fn parts(response: &Response) -> (u16, &str, Vec<&str>) {
+/// The parts of a response that a repeat must get as well: status, body, and all header fields but the two that are made
+/// for each response.
+fn repeated_parts(response: &Response) -> (u16, &str, Vec<&str>) {
     let fields = response.head.lines().skip(1);
     let mut fields: Vec<&str> =
         fields.filter(|line| !line.starts_with("x-attempt-id") && !line.starts_with("date")).collect();
@@ -21,7 +22,7 @@
     (response.status, &response.body, fields)
 }
 
-/// Takes half a second for each request.
+/// A backend that takes half a second for each request.
 fn slow_ledger() -> Backend {
     let script = |request: &ReceivedRequest| {
         Behavior::RespondAfter(Duration::from_millis(500), ok_response(&request.attempt_id, "booked"))
@@ -29,9 +30,9 @@
     Backend::ledger(1, script)
 }
 
-/// Guards against a repeat that is executed again, and one that gets another response than the first.
+/// Guards against a repeat that is executed again, and against one that gets another response than the first request.
 #[test]
-fn repeat_gets_the_first_response_bit_by_bit_and_is_not_executed() {
+fn repeat_gets_an_identical_response_and_is_not_executed() {
     run_in_virtual_time(|| async {
         let ledger = Backend::booking_ledger();
         let (_proxy, _registry, stores) = start_keyed(&[&ledger]).await;
@@ -44,15 +45,15 @@
         assert_eq!((first.status, first.body.as_str()), (201, "booked"));
         assert!(first.head.contains("x-attempt-id: first"), "{first:?}");
         assert!(first.head.contains("x-room: 12") && first.head.contains("x-server-seal: seal"), "{first:?}");
-        assert_eq!(parts(&first), parts(&repeat));
+        assert_eq!(repeated_parts(&first), repeated_parts(&repeat));
         assert!(repeat.head.contains("x-attempt-id: repeat"), "{repeat:?}");
         assert_eq!(ledger.received().len(), 1);
     });
 }
 
-/// Guards against a repeat that does not find the response of another proxy, or waits for it past its deadline.
+/// Guards against a repeat that does not get the response from another proxy, or waits for it past the deadline.
 #[test]
-fn repeat_gets_the_response_that_another_proxy_has() {
+fn repeat_gets_the_response_that_another_proxy_has_recorded() {
     run_in_virtual_time(|| async {
         let ledger = Backend::booking_ledger();
         let (_proxy, registry, _stores) = start_keyed(&[&ledger]).await;
@@ -61,33 +62,33 @@
         let field = RecordedField { name: "x-server-seal".into(), value: b"seal-5".to_vec() };
         let response = RecordedResponse { status: 201, headers: vec![field], body: b"booked".to_vec() };
 
-        assert_eq!(send_commit("key-1", "too-early", KEY).await.status, 502, "nobody has it");
+        assert_eq!(send_commit("key-1", "too-early", KEY).await.status, 502, "no proxy has recorded it");
         registry.set_other_response(holder, response);
         let repeat = send_commit("key-1", "repeat", KEY).await;
         registry.set_replies_to_reads(false);
-        let started = Instant::now();
-        let silent = send_commit("key-1", "silent", KEY).await;
+        let started_at = Instant::now();
+        let unanswered = send_commit("key-1", "silent", KEY).await;
 
         assert_eq!((repeat.status, repeat.body.as_str()), (201, "booked"));
         assert!(repeat.head.contains("x-server-seal: seal-5"), "{repeat:?}");
-        assert_eq!(silent.status, 502);
-        assert!(started.elapsed() <= Duration::from_secs(2), "{:?}", started.elapsed());
+        assert_eq!(unanswered.status, 502);
+        assert!(started_at.elapsed() <= Duration::from_secs(2), "{:?}", started_at.elapsed());
         assert_eq!(ledger.received(), []);
     });
 }
 
-/// Guards against keyed requests without a key that would be executed without a claim.
+/// Guards against requests on a keyed route that have no valid key and are executed without a claim.
 #[test]
-fn request_without_exactly_one_valid_key_is_refused_with_the_name_of_the_header() {
+fn request_without_exactly_one_valid_key_is_rejected_with_the_name_of_the_header() {
     run_in_virtual_time(|| async {
         let ledger = Backend::booking_ledger();
         let (_proxy, registry, _stores) = start_keyed(&[&ledger]).await;
-        let long = format!("x-operation-key: {}\r\n", "k".repeat(257));
+        let too_long = format!("x-operation-key: {}\r\n", "k".repeat(257));
         let invalid =
-            ["", "x-operation-key:\r\n", "x-operation-key: a b\r\n", "x-operation-key: é\r\n", &long];
-        let twice = format!("{KEY}{KEY}");
+            ["", "x-operation-key:\r\n", "x-operation-key: a b\r\n", "x-operation-key: é\r\n", &too_long];
+        let repeated = format!("{KEY}{KEY}");
 
-        for fields in invalid.into_iter().chain([twice.as_str()]) {
+        for fields in invalid.into_iter().chain([repeated.as_str()]) {
             let response = send_commit("key-1", "a", fields).await;
             assert_eq!(response.status, 400, "{fields:?}");
             assert!(response.body.contains("x-operation-key"), "{response:?}");
@@ -102,14 +103,14 @@
     });
 }
 
-/// Guards against a backend that gets a request whose claim was not granted.
+/// Guards against a request that is sent to a backend although its claim was not granted.
 #[test]
-fn claim_that_is_not_granted_decides_on_the_response() {
+fn request_without_a_granted_claim_is_rejected_with_the_status_of_the_decision() {
     run_in_virtual_time(|| async {
         let ledger = Backend::booking_ledger();
         let (_proxy, registry, _stores) = start_keyed(&[&ledger]).await;
         let cases = [
-            // No later than twice the latency target, and than the claim's end.
+            // Retry-After is at most twice the latency target, and at most the time until the end of the claim.
             (OperationReply::InProgress { retry_after_ms: 2_250 }, 409, Some("retry-after: 1.600")),
             (OperationReply::InProgress { retry_after_ms: 1_250 }, 409, Some("retry-after: 1.250")),
             (OperationReply::Unknown, 502, None),
@@ -127,16 +128,16 @@
     });
 }
 
-/// Guards against two executions where a client sends an operation again while it is executed.
+/// Guards against two executions when a client sends an operation again while it is executed.
 #[test]
-fn of_two_requests_at_once_one_is_executed_and_the_other_gets_409() {
+fn of_two_concurrent_requests_with_one_key_one_is_executed_and_the_other_gets_409() {
     run_in_virtual_time(|| async {
         let ledger = slow_ledger();
         let (_proxy, _registry, _stores) = start_keyed(&[&ledger]).await;
 
-        let tries = [start_commit("key-1", "a", KEY).await, start_commit("key-1", "b", KEY).await];
+        let requests = [start_commit("key-1", "a", KEY).await, start_commit("key-1", "b", KEY).await];
         let mut statuses = Vec::new();
-        for started in tries {
+        for started in requests {
             statuses.push(started.wait().await.map(|response| response.status));
         }
 
@@ -146,17 +147,17 @@
     });
 }
 
-/// Guards against a round trip for the claim after the one for the count.
+/// Guards against a claim that is sent only after the reply to the quota increment, which would cost a second round trip.
 #[test]
-fn claim_is_sent_beside_the_increment_and_released_when_the_quota_denies() {
+fn claim_is_sent_in_parallel_with_the_increment_and_released_when_the_quota_denies() {
     run_in_virtual_time(|| async {
         let ledger = Backend::booking_ledger();
         let (_proxy, registry, stores) = start_keyed(&[&ledger]).await;
         registry.set_quota_behavior(QuotaBehavior::Hang);
         let started = start_commit("key-2", "a", KEY).await;
         sleep(Duration::from_millis(5)).await;
-        assert_eq!((claims(&registry).len(), ledger.received().len()), (1, 0), "claimed, and not sent");
-        assert_eq!(started.wait().await.map(|response| response.status), Some(201), "counted here");
+        assert_eq!((claims(&registry).len(), ledger.received().len()), (1, 0), "claimed, but not sent");
+        assert_eq!(started.wait().await.map(|response| response.status), Some(201), "admitted locally");
 
         registry.set_quota_behavior(QuotaBehavior::Deny { retry_ms: 500 });
         let denied = send_commit("key-2", "b", "x-operation-key: k-2\r\n").await;
@@ -168,17 +169,18 @@
     });
 }
 
-/// Guards against claims, and releases of them, for requests that no backend may get; and against ones that don't count.
+/// Guards against claims and releases for requests that no backend may get, and against such requests that are not counted
+/// against the tenant's limit.
 #[test]
-fn request_that_no_backend_may_get_is_counted_and_refused_without_a_claim() {
+fn request_that_no_backend_may_get_is_counted_and_rejected_without_a_claim() {
     run_in_virtual_time(|| async {
         let finder = Backend::finder(Behavior::respond_ok("rooms"));
         let (_proxy, registry, _stores) = start_keyed(&[&finder]).await;
 
         let on_another_route = send("/book/1", "key-1", "a", b"x").await;
-        let refused = send_commit("key-1", "a", KEY).await;
-        assert_eq!((refused.status, parts(&refused)), (503, parts(&on_another_route)));
-        assert!(refused.head.contains("retry-after: 0.120"), "{refused:?}");
+        let rejected = send_commit("key-1", "a", KEY).await;
+        assert_eq!((rejected.status, repeated_parts(&rejected)), (503, repeated_parts(&on_another_route)));
+        assert!(rejected.head.contains("retry-after: 0.120"), "{rejected:?}");
         registry.set_quota_behavior(QuotaBehavior::Deny { retry_ms: 500 });
         assert_eq!(send_commit("key-2", "b", KEY).await.status, 429);
 
@@ -186,15 +188,15 @@
     });
 }
 
-/// Guards against two messages by the stores for each request that an overloaded service refuses.
+/// Guards against the cost of a claim and its release for each request that is rejected in an overload.
 #[test]
-fn request_that_finds_the_queue_full_is_refused_without_a_claim() {
+fn request_that_finds_the_queue_full_is_rejected_without_a_claim() {
     run_in_virtual_time(|| async {
         let ledger = slow_ledger();
         let (_proxy, registry, _stores) = start_keyed(&[&ledger]).await;
-        let mut waiting = Vec::new();
+        let mut queued = Vec::new();
         for number in 0..MAX_PENDING + 8 {
-            waiting.push(start("/book/1", &number.to_string()).await);
+            queued.push(start("/book/1", &number.to_string()).await);
         }
         sleep(Duration::from_millis(20)).await;
         assert_eq!(metric("violetyoke_proxy_longest_queue").await as usize, MAX_PENDING);
@@ -202,16 +204,16 @@
         assert_eq!(send_commit("key-1", "refused", KEY).await.status, 503);
         assert_eq!(registry.operations(), Vec::<OperationRequest>::new());
 
-        drop(waiting);
+        drop(queued);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(send_commit("key-1", "next", KEY).await.status, 200);
         assert_eq!(claims(&registry).len(), 1);
     });
 }
 
-/// Guards against an execution after the client was told that there was none.
+/// Guards against an execution after the client has got a response saying that there was none.
 #[test]
-fn grant_that_comes_after_the_refusal_executes_nothing_and_is_given_back() {
+fn grant_that_arrives_after_the_rejection_is_released_and_nothing_is_executed() {
     run_in_virtual_time(|| async {
         let ledger = Backend::booking_ledger();
         let (_proxy, registry, stores) = start_keyed(&[&ledger]).await;
@@ -230,9 +232,9 @@
     });
 }
 
-/// Guards against a cost of operations for requests that are none.
+/// Guards against messages to the stores for requests that need no claim.
 #[test]
-fn request_on_another_route_sends_nothing_about_operations() {
+fn request_on_a_route_without_keys_sends_no_messages_about_operations() {
     run_in_virtual_time(|| async {
         let ledger = Backend::booking_ledger();
         let (_proxy, registry, _stores) = start_keyed(&[&ledger]).await;
--- a/crates/proxy/tests/proxy/partitions.rs
+++ b/crates/proxy/tests/proxy/partitions.rs
@@ -1,4 +1,4 @@
-//! A registry that is partitioned from the others, as seen by a proxy that reaches it.
+//! A registry that is partitioned from the other registries but connected to the proxy.
 
 use crate::support::backends::{Backend, Behavior};
 use crate::support::client::{is_ready, is_ready_within, send};
@@ -17,7 +17,7 @@
     Backend::finder(Behavior::respond_ok("found"))
 }
 
-/// Three registries with the same state, in contact with each other.
+/// Starts three registries with the same state, in contact with each other.
 fn start_registries(backends: &[&Backend]) -> [Registry; 3] {
     let registries = [Registry::start(1), Registry::start(2), Registry::start(3)];
     for registry in &registries {
@@ -30,8 +30,9 @@
 /// The number of requests of the limited tenant that succeed, out of `requests`.
 async fn admitted_out_of(requests: usize) -> usize {
     let mut admitted = 0;
-    for n in 0..requests {
-        admitted += usize::from(send("/search/1", "key-2", &format!("try-{n}"), b"").await.status == 200);
+    for number in 0..requests {
+        admitted +=
+            usize::from(send("/search/1", "key-2", &format!("try-{number}"), b"").await.status == 200);
     }
     admitted
 }
@@ -58,7 +59,7 @@
     run_in_virtual_time(|| async {
         let finder = start_finder();
         let [partitioned, second, third] = start_registries(&[&finder]);
-        // The only seed is partitioned: it names the others, and has an old state.
+        // The only seed is partitioned and has an old state; it reports the other registries.
         partitioned.set_membership(1, &[&partitioned, &second, &third], false);
         for registry in [&second, &third] {
             registry.set_state(2, &configuration_with_route(2, "/new/"), &[&finder]);
@@ -81,14 +82,14 @@
 
         let _proxy = start_proxy(&[&partitioned]);
 
-        assert!(!is_ready_within(Duration::from_secs(2)).await, "others may turn up");
+        assert!(!is_ready_within(Duration::from_secs(2)).await, "other registries may connect");
         assert!(is_ready_within(Duration::from_secs(3)).await);
         assert_eq!(send("/search/1", "key-1", "a", b"").await.status, 200);
     });
 }
 
 #[test]
-fn proxy_denies_nothing_on_the_word_of_a_partitioned_registry() {
+fn freshness_reply_of_a_partitioned_registry_does_not_lead_to_a_denial() {
     run_in_virtual_time(|| async {
         let finder = start_finder();
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
@@ -100,7 +101,7 @@
         sleep(SETTLE).await;
 
         let response = send("/nowhere/1", "key-1", "c", b"").await;
-        assert_eq!(response.status, 503, "not executed, and not denied");
+        assert_eq!(response.status, 503, "rejected, but not denied for good");
         assert!(response.head.contains("retry-after"));
         assert_eq!(send("/search/1", "no-key", "d", b"").await.status, 503);
         assert_eq!(send("/search/1", "key-1", "e", b"").await.status, 200);
@@ -113,23 +114,23 @@
 }
 
 #[test]
-fn proxy_denies_nothing_on_a_stale_reply_or_on_the_word_of_a_registry_that_is_behind() {
+fn freshness_reply_to_an_old_query_or_of_a_registry_that_is_behind_does_not_lead_to_a_denial() {
     run_in_virtual_time(|| async {
         let finder = start_finder();
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
         registry.set_replies_to_freshness_checks(false);
         sleep(SETTLE).await;
-        let (newest, late) = (registry.revision(), registry.clone());
+        let (newest, replying) = (registry.revision(), registry.clone());
         tokio::task::spawn_local(async move {
             for _ in 0..40 {
-                // To a query of long ago.
-                late.send(&ProxyReply::Freshness { request_id: 9_999, newest });
+                // A reply to a query other than the present one.
+                replying.send(&ProxyReply::Freshness { request_id: 9_999, newest });
                 sleep(Duration::from_millis(5)).await;
             }
         });
         assert_eq!(send("/nowhere/1", "key-1", "a", b"").await.status, 503);
 
-        // It has lost its state, and knows of nothing newer: no proof that nothing newer exists.
+        // A registry that has lost its state reports no newer revision. This does not prove that none exists.
         registry.set_replies_to_freshness_checks(true);
         registry.clear_state();
         sleep(SETTLE).await;
@@ -138,11 +139,11 @@
 }
 
 #[test]
-fn quota_reply_of_another_registry_than_the_owner_is_ignored() {
+fn quota_reply_of_a_registry_other_than_the_owner_is_ignored() {
     run_in_virtual_time(|| async {
         let finder = start_finder();
         let [owner, other, _] = start_registries(&[&finder]);
-        // One registry owns all counters, and does not reply; the local share of one of 1,000 proxies is one request.
+        // One registry owns all counters, and does not reply. With 1,000 proxies, the local share of each is one request.
         for registry in [&owner, &other] {
             registry.set_membership_with_fence(2, 1_000, &[&owner], true);
         }
@@ -170,7 +171,7 @@
         registry.set_membership(30, &[&registry], true);
         registry.send_membership();
         sleep(SETTLE).await;
-        // Partitioned together with this proxy, it rejects increments, and sees one proxy.
+        // The registry is partitioned together with this proxy: it rejects increments, and reports a single proxy.
         registry.set_quota_behavior(QuotaBehavior::RejectAsNotOwner);
         registry.set_membership(1, &[&registry], false);
         registry.send_membership();
@@ -180,39 +181,40 @@
         let admitted = admitted_out_of(60).await;
 
         assert!(started_at.elapsed() < Duration::from_secs(1));
-        // Three quarters of a thirtieth of 100 in five seconds.
+        // The local share: three quarters of a thirtieth of the 100 requests in five seconds.
         assert!((1..=3).contains(&admitted), "{admitted}");
     });
 }
 
 #[test]
-fn proxy_that_has_lost_all_its_seeds_follows_registries_that_replaced_them() {
+fn proxy_whose_seeds_are_all_partitioned_uses_the_registries_that_replaced_them() {
     run_in_virtual_time(|| async {
         let finder = start_finder();
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
-        let newcomer = Registry::start(9);
-        newcomer.set_state(2, &configuration_with_route(2, "/new/"), &[&finder]);
-        newcomer.set_membership(9, &[&newcomer], true);
-        registry.set_membership(9, &[&registry, &newcomer], true);
+        let replacement = Registry::start(9);
+        replacement.set_state(2, &configuration_with_route(2, "/new/"), &[&finder]);
+        replacement.set_membership(9, &[&replacement], true);
+        registry.set_membership(9, &[&registry, &replacement], true);
         registry.send_membership();
-        assert!(wait_until(SETTLE, || newcomer.is_connected()).await);
+        assert!(wait_until(SETTLE, || replacement.is_connected()).await);
 
-        // The last seed is partitioned, and stays so: what it sends from now on is old.
+        // The only seed is partitioned for good: its state is old from now on.
         registry.set_membership(1, &[&registry], false);
         registry.send_membership();
 
-        assert!(wait_until(SETTLE, || newcomer.is_primary()).await);
+        assert!(wait_until(SETTLE, || replacement.is_primary()).await);
         assert_eq!(send("/new/1", "key-1", "a", b"").await.status, 200);
         assert!(is_ready().await);
     });
 }
 
 #[test]
-fn route_acknowledged_right_after_a_newer_state_is_found() {
+fn route_of_a_state_that_was_installed_right_after_another_one_is_found() {
     run_in_virtual_time(|| async {
         let finder = start_finder();
         let (_proxy, registry) = start_ready_proxy(&[&finder]).await;
-        // The registry alone knows each one: the proxy learns of it by its freshness check.
+        // The registry does not send the states: the proxy learns of each one by a freshness check, also right after
+        // the one before.
         for version in 2..6 {
             let prefix = format!("/new-{version}/");
             registry.set_state(version, &configuration_with_route(version, &prefix), &[&finder]);
--- a/crates/proxy/tests/proxy/quota.rs
+++ b/crates/proxy/tests/proxy/quota.rs
@@ -1,4 +1,4 @@
-//! Tenants' limits, as the owner of their counters decides.
+//! Rate limits of tenants, decided by the owner of their counters.
 
 use crate::support::backends::{Backend, Behavior};
 use crate::support::client::send;
@@ -8,7 +8,7 @@
 use violetyoke_transport::messages::ProxyRequest;
 
 #[test]
-fn denied_request_is_answered_with_the_owner_s_retry_time() {
+fn denied_request_gets_the_retry_time_of_the_owner() {
     run_in_virtual_time(|| async {
         let finder = Backend::finder(Behavior::respond_ok("found"));
         let (_proxy, owner) = start_ready_proxy(&[&finder]).await;
@@ -57,7 +57,7 @@
             ProxyRequest::Increment { .. } => Some(0),
             _ => None,
         });
-        assert_eq!(quota_messages.next(), Some(3), "what was admitted under the old owner");
+        assert_eq!(quota_messages.next(), Some(3), "the requests that were admitted under the old owner");
         assert_eq!(quota_messages.next(), Some(0), "the increment of this request");
     });
 }
--- a/crates/proxy/tests/proxy/support/operations.rs
+++ b/crates/proxy/tests/proxy/support/operations.rs
@@ -1,4 +1,4 @@
-//! The stores' side of operations, as registries pass it on: one record for each key, or whatever a test scripts.
+//! A stub of the stores behind the registries. It keeps one record for each operation key, or replies as a test has set.
 
 use super::backends::Backend;
 use super::registries::Registry;
@@ -11,15 +11,15 @@
 /// The region of the stores.
 pub(crate) const STORE_REGION: &str = "west";
 
-/// What stores reply to the holder of a claim.
+/// The reply of the stores that grants a claim.
 pub(crate) fn granted() -> OperationReply {
     OperationReply::Granted { store_regions: vec![STORE_REGION.to_owned()] }
 }
 
-/// The field with the key `k-1`.
+/// The header field with the key `k-1`.
 pub(crate) const KEY: &str = "x-operation-key: k-1\r\n";
 
-/// Starts a proxy with a keyed route, a registry, and the stores behind that.
+/// Starts a proxy with a keyed route, a registry, and the stores behind the registry.
 pub(crate) async fn start_keyed(backends: &[&Backend]) -> (RunningProxy, Registry, Stores) {
     let (proxy, registry) = start_ready_proxy_with(&configuration_with_keyed_route(1), backends).await;
     let stores = Stores::default();
@@ -27,7 +27,7 @@
     (proxy, registry, stores)
 }
 
-/// All claims that a registry got, each time that one came.
+/// All claims that a registry has received, resent ones included.
 pub(crate) fn claims(registry: &Registry) -> Vec<(OperationKey, ClaimHolder)> {
     let claim = |request| match request {
         OperationRequest::Claim { key, holder, .. } => Some((key, holder)),
@@ -36,20 +36,20 @@
     registry.operations().into_iter().filter_map(claim).collect()
 }
 
-/// What stores do.
+/// How the stores handle messages about operations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum OperationBehavior {
     /// They decide by their records.
     Decide,
-    /// They reply this to claims, and have no record.
+    /// They send this reply to all claims, and do not record them.
     Reply(OperationReply),
-    /// They grant all claims, and neither record nor confirm ends.
-    GrantAlone,
-    /// They reply to nothing.
+    /// They grant all claims, but neither record nor confirm the ends of operations.
+    GrantOnly,
+    /// They never reply.
     Hang,
 }
 
-/// How an operation stands.
+/// The recorded state of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Record {
     Claimed(ClaimHolder),
@@ -58,19 +58,19 @@
     Executed(ClaimHolder),
 }
 
-/// Records that all registries of a test share.
+/// The records of all operations, shared by all registries of a test.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Stores {
     records: Rc<RefCell<BTreeMap<String, Record>>>,
 }
 
 impl Stores {
-    /// How the operation with that key stands.
+    /// The record of the operation with this key.
     pub(crate) fn record(&self, key: &str) -> Option<Record> {
         self.records.borrow().get(key).cloned()
     }
 
-    /// `None`: no reply.
+    /// Handles a message, and returns the reply, if there is one.
     pub(super) fn reply(
         &self,
         behavior: &OperationBehavior,
@@ -78,7 +78,7 @@
     ) -> Option<OperationReply> {
         match (behavior, request) {
             (OperationBehavior::Hang, _) => None,
-            (OperationBehavior::GrantAlone, request) => {
+            (OperationBehavior::GrantOnly, request) => {
                 matches!(request, OperationRequest::Claim { .. }).then(granted)
             }
             (OperationBehavior::Reply(reply), OperationRequest::Claim { .. }) => Some(reply.clone()),
--- a/crates/proxy/tests/proxy/support/registries.rs
+++ b/crates/proxy/tests/proxy/support/registries.rs
@@ -1,4 +1,4 @@
-//! Registries that send what a test has set.
+//! Stubs of registries, which reply as a test has set.
 
 use super::backends::Backend;
 use super::operations::{OperationBehavior, Stores};
@@ -19,7 +19,7 @@
 
 const PORT: u16 = 7461;
 
-/// A registry at an address of its own.
+/// A stub of a registry, with its own address.
 #[derive(Clone)]
 pub(crate) struct Registry {
     pub(crate) ip: Ipv4Addr,
@@ -27,7 +27,7 @@
 }
 
 impl Registry {
-    /// Starts a registry that knows nothing yet; `number` distinguishes its address.
+    /// Starts a registry without any state. `number` is the last byte of its address.
     pub(crate) fn start(number: u8) -> Registry {
         let script = Script::default();
         let ip = Ipv4Addr::new(10, 9, 0, number);
@@ -54,12 +54,12 @@
         script.backends = BackendList { digest: ListDigest(77), age_ms: 10, backends };
     }
 
-    /// Sets the digest of its list of backends, and leaves the list as it is.
+    /// Sets the digest of its list of backends without a change of the list.
     pub(crate) fn set_backend_list_digest(&self, digest: ListDigest) {
         self.script.borrow_mut().backends.digest = digest;
     }
 
-    /// Forgets its configuration, as after a start with an empty disk.
+    /// Removes its configuration, as after a start with an empty disk.
     pub(crate) fn clear_state(&self) {
         self.script.borrow_mut().state = None;
     }
@@ -69,13 +69,13 @@
         self.script.borrow().state.as_ref().map(|(revision, _)| *revision).unwrap_or_default()
     }
 
-    /// Sets what it reports: that many proxies, these registries (all of them owners of quota shards), and whether it is in
-    /// contact with a majority of the registries.
+    /// Sets the membership that it reports: the number of proxies, the registries (all of them owners of quota shards), and
+    /// whether it is in contact with a majority of the registries.
     pub(crate) fn set_membership(&self, proxies: u32, registries: &[&Registry], in_contact: bool) {
         self.set_membership_with_fence(1, proxies, registries, in_contact);
     }
 
-    /// The same, with a fencing token of that epoch.
+    /// The same, with a fencing token of the given epoch.
     pub(crate) fn set_membership_with_fence(
         &self,
         fencing_epoch: u64,
@@ -99,27 +99,27 @@
         };
     }
 
-    /// Sets what it does with increments.
+    /// Sets how it handles quota increments.
     pub(crate) fn set_quota_behavior(&self, behavior: QuotaBehavior) {
         self.script.borrow_mut().quota = behavior;
     }
 
-    /// Sets what it does with messages about operations.
+    /// Sets how the stores behind it handle messages about operations.
     pub(crate) fn set_operation_behavior(&self, behavior: OperationBehavior) {
         self.script.borrow_mut().operations = behavior;
     }
 
-    /// Has it pass messages about operations to these stores.
+    /// Sets the stores to which it forwards messages about operations.
     pub(crate) fn set_stores(&self, stores: &Stores) {
         self.script.borrow_mut().stores = stores.clone();
     }
 
-    /// Sets which machine it takes for that of the leading store.
+    /// Sets the machine that it reports as that of the leading store.
     pub(crate) fn set_leader(&self, leader: Option<Ipv4Addr>) {
         self.script.borrow_mut().leader = leader;
     }
 
-    /// What it was asked and told about operations so far.
+    /// All messages about operations that it has received.
     pub(crate) fn operations(&self) -> Vec<OperationRequest> {
         let operation = |request| match request {
             ProxyRequest::Operation { request, .. } => Some(request),
@@ -128,7 +128,7 @@
         self.received().into_iter().filter_map(operation).collect()
     }
 
-    /// The ids of the messages about operations so far.
+    /// The request ids of all messages about operations that it has received.
     pub(crate) fn operation_ids(&self) -> Vec<u32> {
         let id = |request| match request {
             ProxyRequest::Operation { request_id, .. } => Some(request_id),
@@ -137,17 +137,17 @@
         self.received().into_iter().filter_map(id).collect()
     }
 
-    /// Sets whether it replies where a response of another proxy is asked for.
+    /// Sets whether it replies when the proxy reads a response of another proxy.
     pub(crate) fn set_replies_to_reads(&self, replies: bool) {
         self.script.borrow_mut().replies_to_reads = replies;
     }
 
-    /// Has another proxy hold a response.
+    /// Adds a response that another proxy has recorded.
     pub(crate) fn set_other_response(&self, holder: ClaimHolder, response: RecordedResponse) {
         self.script.borrow_mut().other_responses.insert(holder, response);
     }
 
-    /// The responses that it was sent, `None` where the proxy did not have one.
+    /// The responses that the proxy has sent when they were read; `None` if the proxy did not have the response.
     pub(crate) fn responses(&self) -> Vec<Option<RecordedResponse>> {
         let response = |request| match request {
             ProxyRequest::Response { response, .. } => Some(response),
@@ -156,7 +156,7 @@
         self.received().into_iter().filter_map(response).collect()
     }
 
-    /// Ends all connections.
+    /// Closes all connections.
     pub(crate) fn disconnect_all(&self) {
         self.script.borrow_mut().connections.clear();
     }
@@ -173,13 +173,13 @@
         }
     }
 
-    /// Sends what it reports of the membership to all connected proxies.
+    /// Sends the membership that it reports to all connected proxies.
     pub(crate) fn send_membership(&self) {
         let membership = self.script.borrow().membership.clone();
         self.send(&ProxyReply::Membership(membership));
     }
 
-    /// All messages received so far.
+    /// All messages that it has received.
     pub(crate) fn received(&self) -> Vec<ProxyRequest> {
         self.script.borrow().received.clone()
     }
@@ -188,7 +188,7 @@
         !self.script.borrow().connections.is_empty()
     }
 
-    /// Whether the newest poll named it the primary registry.
+    /// Whether the newest poll that it has received names it as the primary registry.
     pub(crate) fn is_primary(&self) -> bool {
         let script = self.script.borrow();
         let mut polls = script.received.iter().rev().filter_map(|request| match request {
--- a/crates/proxy/tests/proxy/support/registry_script.rs
+++ b/crates/proxy/tests/proxy/support/registry_script.rs
@@ -1,4 +1,4 @@
-//! What a scripted registry knows, and how it replies.
+//! The state of a stub of a registry, and its replies.
 
 use super::operations::{OperationBehavior, Stores};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,20 +11,20 @@
     RecordedResponse, Revision,
 };
 
-/// What a registry does with an increment.
+/// How a registry handles a quota increment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaBehavior {
     /// Admits every request.
     Admit,
     /// Never replies.
     Hang,
-    /// Denies every request, to be retried after this time (ms).
+    /// Denies every request, with this time until a retry (ms).
     Deny { retry_ms: u32 },
     /// Replies that it is not the owner.
     RejectAsNotOwner,
 }
 
-/// What a registry knows, and how it behaves.
+/// The state of a registry, and its behavior.
 pub(super) struct Script {
     pub(super) state: Option<(Revision, Configuration)>,
     pub(super) backends: BackendList,
@@ -32,13 +32,13 @@
     pub(super) quota: QuotaBehavior,
     pub(super) operations: OperationBehavior,
     pub(super) stores: Stores,
-    /// Where the leading store is, as far as it knows.
+    /// The machine of the leading store, as the registry reports it.
     pub(super) leader: Option<Ipv4Addr>,
     pub(super) replies_to_freshness_checks: bool,
     pub(super) replies_to_reads: bool,
     pub(super) received: Vec<ProxyRequest>,
     pub(super) connections: BTreeMap<ConnectionId, Sender>,
-    /// What other proxies have received, as their claims' responses are read.
+    /// The responses that other proxies have recorded, by their claims.
     pub(super) other_responses: BTreeMap<ClaimHolder, RecordedResponse>,
 }
 
@@ -108,7 +108,8 @@
         }
     }
 
-    /// All that is newer, whether it was polled as the primary or not.
+    /// All state that is newer than that of the poll. It is sent at once, whether the poll names this registry as the
+    /// primary or not.
     fn updates_since(
         &self,
         revision: Revision,
