--- a/crates/ingress/src/slots.rs
+++ b/crates/ingress/src/class_plan_indices.rs
@@ -1,6 +1,6 @@
 //! A pool's classes and plans at the numbers that its module knows them by.
 
-use crate::request::{Form, Rules};
+use crate::request::{RequestFormat, Rules};
 use std::collections::HashMap;
 use violetyoke_config as file;
 use violetyoke_decision::interface::{self as words, Plan};
@@ -12,21 +12,21 @@
 
 /// Numbers are never given to anything else: requests that are open go by them.
 #[derive(Clone, Default)]
-pub struct Slots {
+pub struct ClassPlanIndices {
     classes: Vec<(String, words::Class)>,
     plans: Vec<(String, Plan)>,
     /// The numbers of plans that are tenants', by their names.
-    pub hosted: HashMap<String, u16>,
+    pub tenant_plans: HashMap<String, u16>,
 }
 
-impl Slots {
+impl ClassPlanIndices {
     /// Finds places for a pool's classes and plans. A class that would have other effects than the one of its
     /// name before is another class: what is open ends by the rules that it came under.
-    pub fn take(&mut self, config: &file::Pool, hosted: &[(String, Plan)]) {
+    pub fn update(&mut self, config: &file::Pool, tenant_plans: &[(String, Plan)]) {
         for class in &config.classes {
             let alike = |old: &words::Class| {
-                (old.effect, old.group, old.repeat_window)
-                    == (class.class.effect, class.class.group, class.class.repeat_window)
+                (old.idempotency, old.dedup_scope, old.dedup_window)
+                    == (class.class.idempotency, class.class.dedup_scope, class.class.dedup_window)
             };
             match self.classes.iter_mut().find(|(name, old)| *name == class.name && alike(old)) {
                 Some(slot) => slot.1 = class.class.clone(),
@@ -36,9 +36,10 @@
         if !self.classes.iter().any(|(name, _)| name == ASKS) {
             // As long as the first class's: what is learned of times is not to be moved by it.
             let like = config.classes[0].class.clone();
-            let class = words::Class { effect: words::Effect::Safe, asks_only: true, ..like };
+            let class =
+                words::Class { idempotency: words::Idempotency::Idempotent, admission_only: true, ..like };
             self.classes.push((ASKS.to_string(), class));
-            self.plans.push((FREE.to_string(), Plan { worth: 1.0, ..Plan::default() }));
+            self.plans.push((FREE.to_string(), Plan { value: 1.0, ..Plan::default() }));
         }
         for (name, plan) in &config.plans {
             match self.plans.iter_mut().find(|(known, _)| known == name) {
@@ -46,9 +47,9 @@
                 None => self.plans.push((name.clone(), plan.clone())),
             }
         }
-        for (name, plan) in hosted {
+        for (name, plan) in tenant_plans {
             let next = self.plans.len() as u16;
-            let number = *self.hosted.entry(name.clone()).or_insert(next);
+            let number = *self.tenant_plans.entry(name.clone()).or_insert(next);
             match self.plans.get_mut(usize::from(number)) {
                 Some(slot) => slot.1 = plan.clone(),
                 None => self.plans.push((name.clone(), plan.clone())),
@@ -90,7 +91,8 @@
         };
         let plan = place(&plans, &config.default_plan);
         let class = place(&classes, &config.default_class);
-        let free = self.plans.iter().position(|(name, _)| name == FREE).unwrap_or(0);
-        Rules::new(&self.settings(config), classes, plans, Form::Open { plan, class }).with_free(free as u16)
+        let uncounted_plan = self.plans.iter().position(|(name, _)| name == FREE).unwrap_or(0);
+        Rules::new(&self.settings(config), classes, plans, RequestFormat::Service { plan, class })
+            .with_uncounted_plan(uncounted_plan as u16)
     }
 }
