--- a/crates/control/src/api/tenants.rs
+++ b/crates/control/src/api/tenants.rs
@@ -16,8 +16,8 @@
 }
 
 /// The path of a draining tenant's marker. Markers are in the order in which their draining ends.
-fn draining_path(gone_at: u64, name: &str) -> String {
-    format!("-draining/{gone_at:020}/{name}")
+fn draining_path(removed_at: u64, name: &str) -> String {
+    format!("-draining/{removed_at:020}/{name}")
 }
 
 /// Claims the hosts of a tenant, and releases those that it no longer has.
@@ -137,12 +137,12 @@
         if stored.state != TenantState::Active {
             return Err(Problem::new(409, "draining", "the tenant is draining already"));
         }
-        let gone_at = call.now + call.app.options.drain_ms;
-        stored.state = TenantState::Draining { gone_at };
+        let removed_at = call.now + call.app.options.drain_ms;
+        stored.state = TenantState::Draining { removed_at };
         let (name, body) = (stored.tenant.name.clone(), to_json(&stored)?);
         let writes = Writes::default()
             .put(format!("tenants/{name}"), body.clone())
-            .put(draining_path(gone_at, &name), Value::from(name));
+            .put(draining_path(removed_at, &name), Value::from(name));
         Ok((writes, Reply { status: 202, ..Reply::ok(body).with_version(version) }))
     })
 }
@@ -152,14 +152,14 @@
     call.transact(|read| {
         let (mut stored, version) = find_tenant(read, call.param("tenant"))?;
         call.require_if_match(version)?;
-        let TenantState::Draining { gone_at } = stored.state else {
+        let TenantState::Draining { removed_at } = stored.state else {
             return Err(Problem::new(409, "not-draining", "the tenant is not draining"));
         };
         stored.state = TenantState::Active;
         let (name, body) = (stored.tenant.name.clone(), to_json(&stored)?);
         let writes = Writes::default()
             .put(format!("tenants/{name}"), body.clone())
-            .delete(draining_path(gone_at, &name));
+            .delete(draining_path(removed_at, &name));
         Ok((writes, Reply::ok(body).with_version(version)))
     })
 }
@@ -175,7 +175,7 @@
         Err(problem) => return Err(problem),
     };
     match stored.state {
-        TenantState::Draining { gone_at } if gone_at <= now => {}
+        TenantState::Draining { removed_at } if removed_at <= now => {}
         _ => return Ok(Some(writes)),
     }
     let mut writes = writes.clear(format!("tenants/{name}/")).delete(format!("tenants/{name}"));
--- a/crates/control/tests/golden/documents.rs
+++ b/crates/control/tests/golden/documents.rs
@@ -14,9 +14,9 @@
         name: name.into(),
         weight: 3,
         limits: Limits {
-            open_requests: ResourceBounds { guaranteed: 1, most: 2 },
-            descriptors: ResourceBounds { guaranteed: 3, most: 4 },
-            buffered_bytes: ResourceBounds { guaranteed: 5, most: 70_000 },
+            open_requests: ResourceBounds { guaranteed: 1, max: 2 },
+            descriptors: ResourceBounds { guaranteed: 3, max: 4 },
+            buffered_bytes: ResourceBounds { guaranteed: 5, max: 70_000 },
         },
         hosts: vec![format!("{name}.example")],
         pools: vec!["main".into()],
@@ -29,10 +29,10 @@
         name: "basic".into(),
         rate,
         burst: 10.0,
-        open: 7,
-        worth: 0.5,
-        ceiling_rate: 11.0,
-        ceiling_burst: 22.0,
+        max_in_flight: 7,
+        value: 0.5,
+        hard_limit_rate: 11.0,
+        hard_limit_burst: 22.0,
     }
 }
 
@@ -118,7 +118,7 @@
         .put("tenants/acme/accounts/customer-1", body(&account()))
         .put("tenants/acme/routes/search", body(&route()))
         .put("tenants/acme/routes/rest", body(&bare_route()))
-        .put("tenants/globex", body(&tenant(TenantState::Draining { gone_at: 1_700_000_060_000 })));
+        .put("tenants/globex", body(&tenant(TenantState::Draining { removed_at: 1_700_000_060_000 })));
     let keys = keys().iter().fold(Writes::default(), |writes, key| {
         let place = path(&key.role, &key.id);
         writes.put(place.clone(), body(key)).put(index_path(&key.id), place.into())
--- a/crates/ingress/src/prepared.rs
+++ b/crates/ingress/src/prepared.rs
@@ -40,10 +40,10 @@
     Plan {
         rate: plan.rate,
         burst: plan.burst,
-        max_in_flight: f64::from(plan.open),
-        value: plan.worth,
-        hard_limit_rate: plan.ceiling_rate,
-        hard_limit_burst: plan.ceiling_burst,
+        max_in_flight: f64::from(plan.max_in_flight),
+        value: plan.value,
+        hard_limit_rate: plan.hard_limit_rate,
+        hard_limit_burst: plan.hard_limit_burst,
         ..Plan::default()
     }
 }
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -181,7 +181,7 @@
     }
 
     fn share(&self, config: &file::Service, tenant: &Tenant, view: &TenantView) {
-        let most = |part: ResourceBounds, all: u64| if part.most == 0 { all } else { part.most.min(all) };
+        let most = |part: ResourceBounds, all: u64| if part.max == 0 { all } else { part.max.min(all) };
         let limits = view.limits;
         let open = config.control.as_ref().map_or(u64::MAX, |control| control.open_requests);
         for (capacity, part, all) in [
--- a/crates/tenants/src/model/resource.rs
+++ b/crates/tenants/src/model/resource.rs
@@ -51,7 +51,8 @@
 #[serde(deny_unknown_fields, default)]
 pub struct ResourceBounds {
     pub guaranteed: u64,
-    pub most: u64,
+    #[serde(rename = "most")]
+    pub max: u64,
 }
 
 /// Where a tenant stands. Only the control plane writes it.
@@ -63,7 +64,8 @@
     Active,
     /// Nothing new is taken for it; at `gone_at` (Unix time in milliseconds) it and all that is its own goes.
     Draining {
-        gone_at: u64,
+        #[serde(rename = "gone_at")]
+        removed_at: u64,
     },
 }
 
@@ -92,16 +94,16 @@
     #[serde(default)]
     pub burst: f64,
     /// Requests on their way to nodes at once; 0: no bound.
-    #[serde(default)]
-    pub open: u32,
+    #[serde(default, rename = "open")]
+    pub max_in_flight: u32,
     /// Worth against other plans where not all can be served.
-    #[serde(default = "default_worth")]
-    pub worth: f64,
+    #[serde(default = "default_value", rename = "worth")]
+    pub value: f64,
     /// Held even while the counter does not answer; 0: none.
-    #[serde(default)]
-    pub ceiling_rate: f64,
-    #[serde(default)]
-    pub ceiling_burst: f64,
+    #[serde(default, rename = "ceiling_rate")]
+    pub hard_limit_rate: f64,
+    #[serde(default, rename = "ceiling_burst")]
+    pub hard_limit_burst: f64,
 }
 
 /// An account, by any name that its tenant gives it.
@@ -139,7 +141,7 @@
     1
 }
 
-fn default_worth() -> f64 {
+fn default_value() -> f64 {
     1.0
 }
 
--- a/crates/tenants/src/model/validation.rs
+++ b/crates/tenants/src/model/validation.rs
@@ -14,9 +14,9 @@
     (!is_valid).then(|| FieldError::new(field, "must be 1 to 40 letters, digits, - or _"))
 }
 
-fn check_range(errors: &mut Vec<FieldError>, field: &str, value: f64, most: f64) {
-    if !(0.0..=most).contains(&value) {
-        errors.push(FieldError::new(field, format!("must be 0 to {most}")));
+fn check_range(errors: &mut Vec<FieldError>, field: &str, value: f64, max: f64) {
+    if !(0.0..=max).contains(&value) {
+        errors.push(FieldError::new(field, format!("must be 0 to {max}")));
     }
 }
 
@@ -50,10 +50,10 @@
             ("descriptors", descriptors),
             ("buffered_bytes", buffered_bytes),
         ] {
-            if bounds.most > 0 && bounds.most < bounds.guaranteed {
+            if bounds.max > 0 && bounds.max < bounds.guaranteed {
                 errors.push(FieldError::new(format!("limits.{field}.most"), "is below what is guaranteed"));
             }
-            if bounds.guaranteed.max(bounds.most) > 1 << 40 {
+            if bounds.guaranteed.max(bounds.max) > 1 << 40 {
                 errors.push(FieldError::new(format!("limits.{field}"), "is too large"));
             }
         }
@@ -90,18 +90,20 @@
         for (field, value) in [
             ("rate", self.rate),
             ("burst", self.burst),
-            ("ceiling_rate", self.ceiling_rate),
-            ("ceiling_burst", self.ceiling_burst),
+            ("ceiling_rate", self.hard_limit_rate),
+            ("ceiling_burst", self.hard_limit_burst),
         ] {
             check_range(&mut errors, field, value, 1e9);
         }
-        if !(1e-6..=1e6).contains(&self.worth) {
+        if !(1e-6..=1e6).contains(&self.value) {
             errors.push(FieldError::new("worth", "must be 0.000001 to 1000000"));
         }
         if self.rate > 0.0 && self.burst < 1.0 {
             errors.push(FieldError::new("burst", "must be 1 or more where there is a rate"));
         }
-        if self.ceiling_rate > 0.0 && (self.ceiling_rate < self.rate || self.ceiling_burst < self.burst) {
+        if self.hard_limit_rate > 0.0
+            && (self.hard_limit_rate < self.rate || self.hard_limit_burst < self.burst)
+        {
             errors.push(FieldError::new(
                 "ceiling_rate",
                 "rate and burst of the ceiling must not be below the plan's",
--- a/crates/tenants/src/snapshot/directory.rs
+++ b/crates/tenants/src/snapshot/directory.rs
@@ -31,7 +31,7 @@
     pub fn apply(&self, snapshot: Snapshot) -> Result<TenantDirectory, SnapshotError> {
         snapshot.check_envelope()?;
         let mut tenants = self.base_of(&snapshot)?;
-        for name in &snapshot.gone {
+        for name in &snapshot.removed {
             tenants.remove(name);
         }
         for mut tenant in snapshot.tenants {
--- a/crates/tenants/src/snapshot/message.rs
+++ b/crates/tenants/src/snapshot/message.rs
@@ -19,16 +19,17 @@
     pub revision: u64,
     pub tenants: Vec<TenantView>,
     /// Tenants that are no longer there, of a part only.
-    pub gone: Vec<String>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<String>,
     /// SHA-256 of all the above, as 64 hex digits.
     pub sum: String,
 }
 
 impl Snapshot {
-    /// A snapshot with its checksum. `base`: the revision that it changes, or `None` if it is full. `gone`: the tenants
+    /// A snapshot with its checksum. `base`: the revision that it changes, or `None` if it is full. `removed`: the tenants
     /// that were removed since `base`.
-    pub fn new(base: Option<u64>, revision: u64, tenants: Vec<TenantView>, gone: Vec<String>) -> Snapshot {
-        let mut snapshot = Snapshot { format: FORMAT, base, revision, tenants, gone, sum: String::new() };
+    pub fn new(base: Option<u64>, revision: u64, tenants: Vec<TenantView>, removed: Vec<String>) -> Snapshot {
+        let mut snapshot = Snapshot { format: FORMAT, base, revision, tenants, removed, sum: String::new() };
         snapshot.sum = snapshot.checksum_of_content();
         snapshot
     }
@@ -39,7 +40,7 @@
         for part in [
             serde_json::to_vec(&(self.format, self.base, self.revision)),
             serde_json::to_vec(&self.tenants),
-            serde_json::to_vec(&self.gone),
+            serde_json::to_vec(&self.removed),
         ] {
             // Strings, numbers and lists of them always encode; were one not to, both sides would leave it out alike.
             if let Ok(bytes) = part {
--- a/crates/tenants/tests/golden/main.rs
+++ b/crates/tenants/tests/golden/main.rs
@@ -25,9 +25,9 @@
         name: name.into(),
         weight: 3,
         limits: Limits {
-            open_requests: ResourceBounds { guaranteed: 1, most: 2 },
-            descriptors: ResourceBounds { guaranteed: 3, most: 4 },
-            buffered_bytes: ResourceBounds { guaranteed: 5, most: 70_000 },
+            open_requests: ResourceBounds { guaranteed: 1, max: 2 },
+            descriptors: ResourceBounds { guaranteed: 3, max: 4 },
+            buffered_bytes: ResourceBounds { guaranteed: 5, max: 70_000 },
         },
         hosts: vec![format!("{name}.example"), format!("*.{name}.example")],
         pools: vec!["main".into(), "batch".into()],
@@ -39,10 +39,10 @@
         name: "basic".into(),
         rate: 5.5,
         burst: 10.0,
-        open: 7,
-        worth: 0.5,
-        ceiling_rate: 11.0,
-        ceiling_burst: 22.0,
+        max_in_flight: 7,
+        value: 0.5,
+        hard_limit_rate: 11.0,
+        hard_limit_burst: 22.0,
     }
 }
 
@@ -71,7 +71,7 @@
     let draining = StoredTenant {
         tenant: tenant("globex"),
         epoch: 301,
-        state: TenantState::Draining { gone_at: 1_700_000_000_000 },
+        state: TenantState::Draining { removed_at: 1_700_000_000_000 },
     };
     let account = Account { name: "customer-1".into(), plan: "basic".into() };
     vec![
--- a/xtask/src/prove_tenants.rs
+++ b/xtask/src/prove_tenants.rs
@@ -37,13 +37,13 @@
     let mut loud = tenant("loud", "reservations", FLOODS, RATE, BURST);
     if defence {
         quiet.limits = Limits {
-            open_requests: ResourceBounds { guaranteed: 64, most: 0 },
-            descriptors: ResourceBounds { guaranteed: 64, most: 0 },
-            buffered_bytes: ResourceBounds { guaranteed: 1 << 20, most: 0 },
+            open_requests: ResourceBounds { guaranteed: 64, max: 0 },
+            descriptors: ResourceBounds { guaranteed: 64, max: 0 },
+            buffered_bytes: ResourceBounds { guaranteed: 1 << 20, max: 0 },
         };
         // What its accounts may have at nodes at once: their work is shared too.
-        loud.plans[0].open = 2;
-        loud.limits.descriptors = ResourceBounds { guaranteed: 16, most: 512 };
+        loud.plans[0].max_in_flight = 2;
+        loud.limits.descriptors = ResourceBounds { guaranteed: 16, max: 512 };
     }
     let control = ControlPlane::start(&Snapshot::new(None, 1, vec![loud, quiet], vec![]))?;
     let text = format!(
