--- a/crates/ingress/src/backend.rs
+++ b/crates/ingress/src/backend.rs
@@ -3,7 +3,7 @@
 use super::pool::SharedCapacity;
 use super::socket::Socket;
 use super::streaming::{
-    gather, rest, AttemptBody, ChunkSender, PartialBody, ResponseRemainder, MAX_STREAMED_BODY,
+    read_up_to, response_channel, AttemptBody, ChunkSender, PartialBody, ResponseRemainder, MAX_STREAMED_BODY,
 };
 use super::{ForwardedRequest, MAX_BUFFERED_BODY};
 use bytes::Bytes;
@@ -220,7 +220,7 @@
             if let Some(upload) = forward.body.upload().filter(|upload| upload.ended_at().is_none()) {
                 // Its last byte has not gone out: it has not run, unless the node says otherwise.
                 ended.outcome = match ended.outcome {
-                    _ if upload.is_broken() => Outcome::Withheld,
+                    _ if upload.client_failed() => Outcome::Withheld,
                     Outcome::Reset => Outcome::ConnectFailed,
                     outcome => outcome,
                 };
@@ -366,14 +366,14 @@
     let broken = |error: hyper::Error| AttemptResult::without_answer(spoilt_or_reset(&error));
     let most =
         if length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64) { 0 } else { MAX_BUFFERED_BODY };
-    match gather(&mut body, most).await {
-        Ok(PartialBody { bytes, whole: true }) => {
+    match read_up_to(&mut body, most).await {
+        Ok(PartialBody { bytes, complete: true }) => {
             AttemptResult { outcome, report, body: bytes, connection_event: None, whole: true }
         }
         Ok(_) if outcome != Outcome::Ok => AttemptResult::without_answer(Outcome::Error),
         Ok(PartialBody { bytes, .. }) => {
             let passed = bytes.len() as u64;
-            let (pieces, rest) = rest(length);
+            let (pieces, rest) = response_channel(length);
             begin(report, bytes, rest);
             let whole = pass_on(body, passed, pieces).await;
             AttemptResult { whole, ..AttemptResult::without_answer(Outcome::Ok) }
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -1,8 +1,8 @@
-//! The table of client connections: how each of them stands, and which are closed to keep room for others.
+//! The table of client connections: the stage of each, and which are closed to make room for others.
 //!
-//! A process of one pool bounds them all alike. Where several pools share the process, each connection counts
-//! against the pool whose request it carried last, and against the [`DOOR`] until it has carried one; the one
-//! that has been idle the longest makes room for a new one of the same pool.
+//! A process with a single pool has one limit for all connections. Where several pools share the process, a
+//! connection counts against the pool or tenant whose request it carried last, and against [`UNASSIGNED`] until its
+//! first request. The connection that has been idle the longest makes room for a new one of the same member.
 
 use super::pool::SharedCapacity;
 use super::socket::Socket;
@@ -16,55 +16,61 @@
 use tokio::time::Instant;
 use violetyoke_shares::Member;
 
-/// A connection on which no request is open may be closed after this time.
-const MAY_CLOSE: Duration = Duration::from_millis(2000);
-/// How long a client may take to come up with a whole head: it is owed an end within 3 s.
-const HEAD_TIME: Duration = Duration::from_millis(2400);
-/// How long a new connection that is to go is left to say what it came for.
-const TO_SPEAK: Duration = Duration::from_millis(300);
-/// How long a client that was told to go may take to do so.
-const END_TIME: Duration = Duration::from_millis(5000);
+/// Minimum time without an open request after which a connection may be closed.
+const MIN_IDLE: Duration = Duration::from_millis(2000);
+/// How long a client may take to send a complete request head: the connection has to end within 3 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
+/// How long a new connection may stay silent before `close_idle` closes it.
+const SILENT_START_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a connection is drained after its last response before it is closed.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// Those who are yet to say what they want.
+/// The capacity member that connections count against until their first request is matched to a pool.
 pub const UNASSIGNED: Member = 0;
 
 pub struct ConnectionTable {
-    /// Descriptors, where pools share them.
+    /// The descriptors that all pools of the process share; `None` in a process with a single pool.
     shared: Option<SharedCapacity>,
-    places: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    next: Cell<u64>,
-    /// Connections above which idle ones are closed, and above which none is accepted.
-    easy: usize,
-    most: usize,
+    /// Open connections by the order in which they were accepted.
+    connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    next_id: Cell<u64>,
+    /// Number of connections above which idle ones are closed.
+    idle_close_threshold: usize,
+    /// Number of connections at which no more are accepted.
+    max_connections: usize,
+    /// Notified whenever a connection leaves the table.
     pub freed: Notify,
 }
 
-/// One connection's entry.
+/// A client connection in the table.
 pub struct ClientConnection {
     pub socket: Socket,
     stage: Cell<Stage>,
+    /// When the stage began.
     since: Cell<Instant>,
-    /// Bytes that had been read when the stage began.
-    read: Cell<u64>,
+    /// Bytes that had been read from the socket when the stage began.
+    read_at_stage_start: Cell<u64>,
     task: RefCell<Option<TaskHandle>>,
-    /// Whom it counts against; none: it has been given back already.
-    home: Cell<Option<Member>>,
-    /// The set that its task is to go to, and how to wake it where it is.
-    moving: RefCell<Option<Rc<TaskSet>>>,
+    /// The member whose share of the descriptors it counts against; `None` once the descriptor has been released, or
+    /// where descriptors are not shared.
+    member: Cell<Option<Member>>,
+    /// The task set that its task has to move to.
+    pending_move: RefCell<Option<Rc<TaskSet>>>,
+    /// Wakes the task in its current set.
     waker: RefCell<Option<Waker>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// The client has yet to say a whole head.
+    /// No complete request head has been received since the connection was opened, or part of the next one has.
     AwaitingHead,
     /// A request is open.
     Open,
-    /// The last request has been answered.
+    /// The last request has been answered and nothing of the next one has been read.
     Idle,
-    /// It has had its last answer and is drained until it closes.
+    /// The last response has been sent; input is discarded until the client closes.
     Draining,
-    /// It is being closed.
+    /// The task has been aborted.
     Closed,
 }
 
@@ -72,30 +78,30 @@
     pub fn set_stage(&self, stage: Stage) {
         self.stage.set(stage);
         self.since.set(Instant::now());
-        self.read.set(self.socket.bytes_read());
+        self.read_at_stage_start.set(self.socket.bytes_read());
     }
 
     pub fn set_task(&self, task: TaskHandle) {
         *self.task.borrow_mut() = Some(task);
     }
 
-    /// The set that its task is to go to, told once.
+    /// Returns the task set that the connection's task has to move to, and clears it.
     pub fn take_pending_move(&self) -> Option<Rc<TaskSet>> {
-        self.moving.borrow_mut().take()
+        self.pending_move.borrow_mut().take()
     }
 
-    pub fn keep_waker(&self, waker: &Waker) {
-        let mut kept = self.waker.borrow_mut();
-        if !kept.as_ref().is_some_and(|kept| kept.will_wake(waker)) {
-            *kept = Some(waker.clone());
+    pub fn store_waker(&self, waker: &Waker) {
+        let mut stored = self.waker.borrow_mut();
+        if !stored.as_ref().is_some_and(|stored| stored.will_wake(waker)) {
+            *stored = Some(waker.clone());
         }
     }
 
-    fn move_to(&self, set: Option<&Rc<TaskSet>>) {
-        *self.moving.borrow_mut() = set.cloned();
+    fn set_pending_move(&self, set: Option<&Rc<TaskSet>>) {
+        *self.pending_move.borrow_mut() = set.cloned();
     }
 
-    fn idle(&self) -> bool {
+    fn is_closable(&self) -> bool {
         matches!(self.stage.get(), Stage::AwaitingHead | Stage::Idle | Stage::Draining)
     }
 
@@ -107,171 +113,194 @@
     }
 }
 
-/// Takes the entry out of the table when the connection's task ends, however it does.
+/// Removes the connection from the table when its task ends for whatever reason.
 pub struct ConnectionGuard {
-    clients: Rc<ConnectionTable>,
-    number: u64,
+    table: Rc<ConnectionTable>,
+    id: u64,
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let place = self.clients.places.borrow_mut().remove(&self.number);
-        if let Some(place) = place {
-            self.clients.give(&place);
+        let connection = self.table.connections.borrow_mut().remove(&self.id);
+        if let Some(connection) = connection {
+            self.table.release_descriptor(&connection);
         }
-        self.clients.freed.notify_one();
+        self.table.freed.notify_one();
     }
 }
 
 impl ConnectionTable {
-    /// Of a process of one pool.
+    /// For a process with a single pool; `sockets` is the process's limit of open sockets.
     pub fn standalone(sockets: usize) -> Rc<ConnectionTable> {
         ConnectionTable::new(None, sockets * 7 / 16, sockets * 5 / 8)
     }
 
-    /// Of a process whose pools share its descriptors.
+    /// For a process whose pools share its descriptors.
     pub fn with_shared_capacity(capacity: SharedCapacity) -> Rc<ConnectionTable> {
         ConnectionTable::new(Some(capacity), usize::MAX, usize::MAX)
     }
 
-    fn new(shared: Option<SharedCapacity>, easy: usize, most: usize) -> Rc<ConnectionTable> {
-        let places = RefCell::default();
-        Rc::new(ConnectionTable { shared, places, next: Cell::new(0), easy, most, freed: Notify::new() })
+    fn new(
+        shared: Option<SharedCapacity>,
+        idle_close_threshold: usize,
+        max_connections: usize,
+    ) -> Rc<ConnectionTable> {
+        let connections = RefCell::default();
+        Rc::new(ConnectionTable {
+            shared,
+            connections,
+            next_id: Cell::new(0),
+            idle_close_threshold,
+            max_connections,
+            freed: Notify::new(),
+        })
     }
 
-    fn give(&self, place: &ClientConnection) {
-        if let (Some(capacity), Some(home)) = (&self.shared, place.home.take()) {
-            capacity.borrow_mut().release(home, 1);
+    fn release_descriptor(&self, connection: &ClientConnection) {
+        if let (Some(capacity), Some(member)) = (&self.shared, connection.member.take()) {
+            capacity.borrow_mut().release(member, 1);
         }
     }
 
-    /// Takes a descriptor for a member, if need be from the connection of its own that has been idle the
-    /// longest. That one's descriptor is closed a moment later, when its task is dropped.
-    fn take(&self, capacity: &SharedCapacity, member: Member) -> bool {
+    /// Acquires a descriptor for a member. If none is available, the member's connection that has been idle the longest
+    /// is closed; its descriptor is freed shortly afterwards, when its task is dropped.
+    fn acquire_descriptor(&self, capacity: &SharedCapacity, member: Member) -> bool {
         if capacity.borrow_mut().try_acquire(member, 1) {
             return true;
         }
-        let places = self.places.borrow();
-        let own = places.values().filter(|place| place.home.get() == Some(member) && place.idle());
-        let Some(longest) = own.min_by_key(|place| place.since.get()) else { return false };
-        self.give(longest);
-        longest.close();
+        let connections = self.connections.borrow();
+        let closable = connections
+            .values()
+            .filter(|connection| connection.member.get() == Some(member) && connection.is_closable());
+        let Some(longest_idle) = closable.min_by_key(|connection| connection.since.get()) else {
+            return false;
+        };
+        self.release_descriptor(longest_idle);
+        longest_idle.close();
         capacity.borrow_mut().try_acquire(member, 1)
     }
 
-    /// Counts a connection against the one whose request it carries now, a pool or a tenant, and lets its task go
-    /// there. False: that one has all the connections that it may have.
+    /// Counts a connection against the pool or tenant whose request it carries now, and moves its task to that
+    /// member's task set. Returns false if the member has reached its limit of connections.
     pub fn assign(
         &self,
-        place: &ClientConnection,
+        connection: &ClientConnection,
         member: Member,
         set: impl FnOnce() -> Option<Rc<TaskSet>>,
     ) -> bool {
         let Some(capacity) = &self.shared else { return true };
-        if place.home.get() == Some(member) {
+        if connection.member.get() == Some(member) {
             return true;
         }
-        if !self.take(capacity, member) {
+        if !self.acquire_descriptor(capacity, member) {
             return false;
         }
-        self.give(place);
-        place.home.set(Some(member));
-        place.move_to(set().as_ref());
+        self.release_descriptor(connection);
+        connection.member.set(Some(member));
+        connection.set_pending_move(set().as_ref());
         true
     }
 
-    /// Takes the connections of a pool that goes back to the door.
-    pub fn unassign(&self, member: Member, door: &Rc<TaskSet>) {
+    /// Returns the connections of a removed pool or tenant to [`UNASSIGNED`] and its task set.
+    pub fn unassign(&self, member: Member, unassigned_tasks: &Rc<TaskSet>) {
         let Some(capacity) = &self.shared else { return };
-        for place in self.places.borrow().values().filter(|place| place.home.get() == Some(member)) {
-            self.give(place);
+        for connection in
+            self.connections.borrow().values().filter(|connection| connection.member.get() == Some(member))
+        {
+            self.release_descriptor(connection);
             capacity.borrow_mut().acquire_unchecked(UNASSIGNED, 1);
-            place.home.set(Some(UNASSIGNED));
-            place.move_to(Some(door));
-            if let Some(waker) = place.waker.borrow().as_ref() {
+            connection.member.set(Some(UNASSIGNED));
+            connection.set_pending_move(Some(unassigned_tasks));
+            if let Some(waker) = connection.waker.borrow().as_ref() {
                 waker.wake_by_ref();
             }
         }
     }
 
-    /// A place for a new connection; none: there are too many already.
+    /// Registers a new connection; `None` if there is no descriptor for it.
     pub fn register(
         self: &Rc<ConnectionTable>,
         socket: Socket,
     ) -> Option<(Rc<ClientConnection>, ConnectionGuard)> {
-        if self.shared.as_ref().is_some_and(|capacity| !self.take(capacity, UNASSIGNED)) {
+        if self.shared.as_ref().is_some_and(|capacity| !self.acquire_descriptor(capacity, UNASSIGNED)) {
             return None;
         }
-        let place = Rc::new(ClientConnection {
+        let connection = Rc::new(ClientConnection {
             socket,
             stage: Cell::new(Stage::AwaitingHead),
             since: Cell::new(Instant::now()),
-            read: Cell::new(0),
+            read_at_stage_start: Cell::new(0),
             task: RefCell::default(),
-            home: Cell::new(self.shared.as_ref().map(|_| UNASSIGNED)),
-            moving: RefCell::default(),
+            member: Cell::new(self.shared.as_ref().map(|_| UNASSIGNED)),
+            pending_move: RefCell::default(),
             waker: RefCell::default(),
         });
-        let number = self.next.replace(self.next.get() + 1);
-        self.places.borrow_mut().insert(number, place.clone());
-        Some((place, ConnectionGuard { clients: self.clone(), number }))
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        self.connections.borrow_mut().insert(id, connection.clone());
+        Some((connection, ConnectionGuard { table: self.clone(), id }))
     }
 
     pub fn count(&self) -> usize {
-        self.places.borrow().len()
+        self.connections.borrow().len()
     }
 
-    /// Whether so many are open that an answered client had better come again on a new connection, behind those
-    /// that wait to be accepted.
+    /// Whether so many connections are open that each is closed after its response, so that the client reconnects
+    /// behind those that are waiting to be accepted.
     pub fn is_crowded(&self) -> bool {
-        self.count() > self.easy
+        self.count() > self.idle_close_threshold
     }
 
-    pub fn has_room(&self) -> bool {
-        self.count() < self.most
+    pub fn has_capacity(&self) -> bool {
+        self.count() < self.max_connections
     }
 
-    /// Closes what is idle and has nothing of a request: one that crosses this is the client's to send again.
+    /// Closes connections that are idle and have received no part of a request. A client whose request is sent at the
+    /// same moment has to retry it.
     pub fn close_idle(&self) {
-        let places = self.places.borrow();
-        let unread = |place: &ClientConnection| {
-            place.socket.bytes_read() == place.read.get() && place.socket.has_no_input()
+        let connections = self.connections.borrow();
+        let nothing_read = |connection: &ClientConnection| {
+            connection.socket.bytes_read() == connection.read_at_stage_start.get()
+                && connection.socket.has_no_input()
         };
-        let quiet = places.values().filter(|place| {
-            let waits = match place.stage.get() {
-                Stage::Idle => !place.socket.is_write_blocked(),
-                Stage::AwaitingHead => place.since.get().elapsed() >= TO_SPEAK,
+        let idle = connections.values().filter(|connection| {
+            let is_idle = match connection.stage.get() {
+                Stage::Idle => !connection.socket.is_write_blocked(),
+                Stage::AwaitingHead => connection.since.get().elapsed() >= SILENT_START_TIMEOUT,
                 _ => false,
             };
-            waits && unread(place)
+            is_idle && nothing_read(connection)
         });
-        quiet.for_each(|place| place.close());
+        idle.for_each(|connection| connection.close());
     }
 
-    /// Closes what has taken too long and, where many are open, the longest idle ones. Without this, clients
-    /// that say nothing any more would hold every place for good, and nobody else would be accepted.
+    /// Closes connections that exceed the time limit of their stage and, above the threshold, those that have been idle
+    /// the longest. Without this, silent clients could occupy the whole table and no other would be accepted.
     pub fn close_overdue(&self) {
         let now = Instant::now();
-        let places = self.places.borrow();
+        let connections = self.connections.borrow();
         let mut idle = Vec::new();
-        for place in places.values() {
-            if place.stage.get() == Stage::Idle && place.socket.bytes_read() > place.read.get() {
-                // What had been read when it fell idle still tells whether part of a head has come.
-                place.stage.set(Stage::AwaitingHead);
-                place.since.set(now);
+        for connection in connections.values() {
+            if connection.stage.get() == Stage::Idle
+                && connection.socket.bytes_read() > connection.read_at_stage_start.get()
+            {
+                // `read_at_stage_start` keeps its value: `close_idle` has to see that part of a head has arrived.
+                connection.stage.set(Stage::AwaitingHead);
+                connection.since.set(now);
             }
-            let age = now.saturating_duration_since(place.since.get());
-            match place.stage.get() {
-                Stage::AwaitingHead if age >= HEAD_TIME => place.close(),
-                Stage::Draining if age >= END_TIME => place.close(),
-                Stage::Idle | Stage::AwaitingHead if age >= MAY_CLOSE && !place.socket.is_write_blocked() => {
-                    idle.push((place.since.get(), place));
+            let age = now.saturating_duration_since(connection.since.get());
+            match connection.stage.get() {
+                Stage::AwaitingHead if age >= HEAD_TIMEOUT => connection.close(),
+                Stage::Draining if age >= DRAIN_TIMEOUT => connection.close(),
+                Stage::Idle | Stage::AwaitingHead
+                    if age >= MIN_IDLE && !connection.socket.is_write_blocked() =>
+                {
+                    idle.push((connection.since.get(), connection));
                 }
                 _ => {}
             }
         }
         idle.sort_by_key(|(since, _)| *since);
-        let too_many = places.len().saturating_sub(self.easy);
-        idle.into_iter().take(too_many).for_each(|(_, place)| place.close());
+        let excess = connections.len().saturating_sub(self.idle_close_threshold);
+        idle.into_iter().take(excess).for_each(|(_, connection)| connection.close());
     }
 }
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -237,7 +237,7 @@
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let frame = self.bytes.take();
         if let (None, Some((rest, _))) = (&frame, &mut self.rest) {
-            return rest.poll_piece(cx).map(|piece| Some(piece?.map(Frame::data)));
+            return rest.poll_chunk(cx).map(|piece| Some(piece?.map(Frame::data)));
         }
         if frame.is_none() {
             self.held = None;
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -2,7 +2,7 @@
 //! module or a backend hears of it.
 
 use super::backend::{REQ_DEADLINE, REQ_ID};
-use super::streaming::{gather, PartialBody, RequestBody, Upload, MAX_STREAMED_BODY, STREAM_PREFIX};
+use super::streaming::{read_up_to, PartialBody, RequestBody, Upload, MAX_STREAMED_BODY, STREAM_PREFIX};
 use super::{Clock, MAX_BUFFERED_BODY};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -150,8 +150,8 @@
         return Err(TOO_LARGE);
     }
     let most = if long { STREAM_PREFIX } else { MAX_BUFFERED_BODY };
-    match timeout(BODY_TIME, gather(&mut body, most)).await {
-        Ok(Ok(PartialBody { bytes, whole: true })) => Ok(RequestBody::Buffered(bytes)),
+    match timeout(BODY_TIME, read_up_to(&mut body, most)).await {
+        Ok(Ok(PartialBody { bytes, complete: true })) => Ok(RequestBody::Buffered(bytes)),
         Ok(Ok(_)) if !streams => Err(TOO_LARGE),
         Ok(Ok(PartialBody { bytes, .. })) => {
             Ok(RequestBody::Streamed(Rc::new(Upload::new(bytes, length, body, clock))))
@@ -249,7 +249,7 @@
         None if open => rules.deadlines[usize::from(class)],
         None => return Err(bad_request("req-deadline: missing")),
     };
-    let whole = |value: &f64| value.fract() == 0.0;
+    let complete = |value: &f64| value.fract() == 0.0;
     let attempt_name = if open { field(headers, &TRY, "x-try: doubled or not text")? } else { None };
     if attempt_name.is_some_and(|name| name.is_empty() || name.len() > LONGEST_ACCOUNT) {
         return Err(bad_request("x-try: 1 to 128 characters"));
@@ -264,10 +264,10 @@
             .filter(|units| *units > 0.0 && *units <= rules.max_units)
             .ok_or(bad_request("x-call-terms: units"))?,
         spread: term("spread", rules.ingress_count)
-            .filter(|spread| whole(spread) && (1.0..=rules.ingress_count).contains(spread))
+            .filter(|spread| complete(spread) && (1.0..=rules.ingress_count).contains(spread))
             .ok_or(bad_request("x-call-terms: spread"))?,
         first: term("first", 0.0)
-            .filter(|first| whole(first) && *first < rules.ingress_count)
+            .filter(|first| complete(first) && *first < rules.ingress_count)
             .ok_or(bad_request("x-call-terms: first"))?,
         is_retry: headers.get(RETRY).is_some_and(|value| value == "1"),
         attempt_name: attempt_name.map(String::from),
--- a/crates/ingress/src/roaming.rs
+++ b/crates/ingress/src/roaming.rs
@@ -36,7 +36,7 @@
             }
             return Poll::Ready(());
         }
-        self.place.keep_waker(cx.waker());
+        self.place.store_waker(cx.waker());
         let Some(work) = self.work.as_mut() else { return Poll::Ready(()) };
         if work.as_mut().poll(cx).is_ready() {
             return Poll::Ready(());
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -122,7 +122,7 @@
     let mut tidy = interval(TIDY);
     tidy.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let (room, state) = (shared.connections.has_room(), shared.serving_state.get());
+        let (room, state) = (shared.connections.has_capacity(), shared.serving_state.get());
         let takes = state.accepts_connections(shared.clock.now()) && !shared.awaiting_takeover.get();
         let closes_at = state.closes_at().map(|at| Instant::from_std(shared.clock.instant(at)));
         tokio::select! {
--- a/crates/ingress/src/socket.rs
+++ b/crates/ingress/src/socket.rs
@@ -1,7 +1,7 @@
-//! A TCP socket that hyper drives while its owner keeps a hold of it: to see what has come and gone, to look
-//! for bytes that nobody has asked for, and to drain it once hyper is done.
+//! A TCP socket that hyper drives while its owner keeps a handle to it: to count the bytes in both directions, to
+//! check for unsolicited input, and to drain the socket once hyper has finished.
 
-use crate::framing::Framing;
+use crate::framing::FramingMonitor;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
@@ -13,19 +13,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Clones share the socket; it is closed with the last of them.
+/// Clones share one socket, which is closed when the last clone is dropped.
 #[derive(Clone)]
 pub struct Socket {
     stream: Rc<TcpStream>,
     traffic: Rc<Traffic>,
-    /// A client's: where its heads begin and end.
-    framing: Option<Rc<RefCell<Framing>>>,
+    /// Set for client connections, whose request heads are checked for ambiguous framing.
+    framing: Option<Rc<RefCell<FramingMonitor>>>,
 }
 
 #[derive(Default)]
 struct Traffic {
     read: Cell<u64>,
     written: Cell<u64>,
+    /// A write is waiting until the socket can take more bytes.
     blocked: Cell<bool>,
 }
 
@@ -35,33 +36,35 @@
         Socket { stream: Rc::new(stream), traffic: Rc::default(), framing: None }
     }
 
-    /// A client's, whose heads are checked.
+    /// The socket of a client connection, whose request heads are checked for ambiguous framing.
     pub fn for_client(stream: TcpStream) -> Socket {
         Socket { framing: Some(Rc::default()), ..Socket::new(stream) }
     }
 
-    /// Bytes read and written so far.
+    /// Bytes read since the connection was opened.
     pub fn bytes_read(&self) -> u64 {
         self.traffic.read.get()
     }
 
+    /// Bytes written since the connection was opened.
     pub fn bytes_written(&self) -> u64 {
         self.traffic.written.get()
     }
 
-    /// Whether the peer has yet to take what was last to be written.
+    /// Whether the last write is still waiting for the peer to read.
     pub fn is_write_blocked(&self) -> bool {
         self.traffic.blocked.get()
     }
 
-    /// Whether nothing can be read and the peer has not closed. Asks the kernel: the runtime learns of bytes
-    /// only at its next turn, and by then a request would have been written before them.
+    /// Whether there is nothing to read and the peer has not closed. This peeks at the kernel's buffer, because the
+    /// runtime learns of new bytes only when it next polls for I/O, and by then a request could have been written.
     pub fn has_no_input(&self) -> bool {
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the next head in turn is known not to state both a length and chunks.
+    /// Whether the next request head is known not to have both `Content-Length` and `Transfer-Encoding`; always true
+    /// for sockets that are not checked. Call it once for each head, in order.
     pub fn next_head_is_unambiguous(&self) -> bool {
         self.framing.as_ref().is_none_or(|framing| framing.borrow_mut().next_head_is_unambiguous())
     }
@@ -70,24 +73,24 @@
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
     }
 
-    /// Reads on until the peer closes or so many bytes have come, and forgets them: closing with bytes unread
-    /// would reset the connection, and the peer might lose the answer that it has not read yet.
-    pub async fn drain(&self, most: u64) {
-        let until = self.bytes_read() + most;
-        let mut scrap = [0; 16 * 1024];
-        while self.bytes_read() < until && self.stream.readable().await.is_ok() {
-            match self.stream.try_read(&mut scrap) {
+    /// Reads and discards input until the peer closes or `max_bytes` have been read. Closing a socket with unread
+    /// input would reset the connection, and the peer could lose a response that it has not read yet.
+    pub async fn drain(&self, max_bytes: u64) {
+        let limit = self.bytes_read() + max_bytes;
+        let mut buffer = [0; 16 * 1024];
+        while self.bytes_read() < limit && self.stream.readable().await.is_ok() {
+            match self.stream.try_read(&mut buffer) {
                 Ok(0) => return,
                 Ok(length) => self.traffic.read.set(self.bytes_read() + length as u64),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
-            // A fast sender must not keep the others waiting.
+            // A fast sender must not starve other tasks.
             tokio::task::yield_now().await;
         }
     }
 
-    fn poll_writing(
+    fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
@@ -133,7 +136,7 @@
 
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_writing(cx, |stream| stream.try_write(data))
+        self.poll_write_with(cx, |stream| stream.try_write(data))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -154,6 +157,6 @@
         cx: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_writing(cx, |stream| stream.try_write_vectored(slices))
+        self.poll_write_with(cx, |stream| stream.try_write_vectored(slices))
     }
 }
--- a/crates/ingress/src/streaming.rs
+++ b/crates/ingress/src/streaming.rs
@@ -1,5 +1,5 @@
-//! Bodies longer than what is held of them: passed on as they come, at the pace of whoever is slower. A few pieces
-//! of some 16 KiB are in memory for each, however long it is.
+//! Bodies that are forwarded as they arrive instead of being buffered, at the speed of the slower side. A few chunks of
+//! about 16 KiB are in memory for each body, whatever its length.
 
 use crate::connections::{ClientConnection, Stage};
 use crate::Clock;
@@ -16,25 +16,25 @@
 use tokio::time::sleep;
 use violetyoke_decision::interface::Micros;
 
-/// The longest body that either side may send.
+/// Bytes of the longest body that a client or a backend may send.
 pub const MAX_STREAMED_BODY: u64 = 32 * 1024 * 1024;
-/// What is taken of a long request before it is sent on.
+/// Bytes of a streamed request body that are read before the request is forwarded.
 pub const STREAM_PREFIX: usize = 16 * 1024;
-/// Pieces of a long answer that wait for its client.
-const WAITING: usize = 2;
-/// How long a client that is to send more may say nothing: it is owed an end within 3 s.
-const SILENCE: Duration = Duration::from_millis(2000);
-/// How often that is looked at.
-const LOOK: Duration = Duration::from_millis(200);
-
-/// A body's first bytes, and whether they are all.
+/// Chunks of a streamed response that may wait for the client to read.
+const MAX_QUEUED_CHUNKS: usize = 2;
+/// How long a client may pause within its request body: its request has to end within 3 s.
+const BODY_PAUSE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Interval at which the pause is checked.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+
+/// The first bytes of a body, and whether they are the complete body.
 pub struct PartialBody {
     pub bytes: Bytes,
-    pub whole: bool,
+    pub complete: bool,
 }
 
-/// Takes a body until it ends or more than so many bytes have come.
-pub async fn gather(body: &mut Incoming, most: usize) -> Result<PartialBody, hyper::Error> {
+/// Reads a body until it ends or more than `max_bytes` have been read.
+pub async fn read_up_to(body: &mut Incoming, max_bytes: usize) -> Result<PartialBody, hyper::Error> {
     let mut first = Bytes::new();
     let mut all = BytesMut::new();
     loop {
@@ -43,7 +43,7 @@
         }
         let Some(frame) = body.frame().await.transpose()? else { break };
         let Ok(data) = frame.into_data() else { continue };
-        // Most come in one piece, which is passed on as it is.
+        // Most bodies arrive in a single chunk, which is returned without a copy.
         if first.is_empty() && all.is_empty() {
             first = data;
         } else {
@@ -52,30 +52,31 @@
             }
             all.extend_from_slice(&data);
         }
-        if first.len().max(all.len()) > most {
+        if first.len().max(all.len()) > max_bytes {
             let bytes = if all.is_empty() { first } else { all.freeze() };
-            return Ok(PartialBody { bytes, whole: false });
+            return Ok(PartialBody { bytes, complete: false });
         }
     }
-    Ok(PartialBody { bytes: if all.is_empty() { first } else { all.freeze() }, whole: true })
+    Ok(PartialBody { bytes: if all.is_empty() { first } else { all.freeze() }, complete: true })
 }
 
-/// A long request on its way in. What has gone on to a node is no longer here: it can be sent once.
+/// A request body that is streamed to a backend. Bytes beyond the prefix are not kept, so they can be sent only once.
 pub struct Upload {
     first: Bytes,
+    /// The body's length in bytes, if the client stated it.
     length: Option<u64>,
     rest: RefCell<Incoming>,
     clock: Clock,
-    /// When its first part was there.
+    /// When the prefix had been read.
     pub started_at: Micros,
-    /// Some of the rest has gone on.
-    taken: Cell<bool>,
-    /// When its last byte went on.
+    /// Whether bytes beyond the prefix have been forwarded.
+    rest_started: Cell<bool>,
+    /// When the last byte was forwarded.
     ended: Cell<Option<Micros>>,
-    /// Since when its client is waited for.
-    waiting: Cell<Option<Instant>>,
-    /// Its client broke it off, or sent too much.
-    broken: Cell<bool>,
+    /// Since when the client has been sending nothing; `None` while bytes arrive.
+    client_paused_since: Cell<Option<Instant>>,
+    /// Whether the client broke the body off or exceeded the limit.
+    client_failed: Cell<bool>,
 }
 
 impl Upload {
@@ -86,40 +87,40 @@
             rest: RefCell::new(rest),
             clock,
             started_at: clock.now(),
-            taken: Cell::new(false),
+            rest_started: Cell::new(false),
             ended: Cell::new(None),
-            waiting: Cell::new(None),
-            broken: Cell::new(false),
+            client_paused_since: Cell::new(None),
+            client_failed: Cell::new(false),
         }
     }
 
-    /// Whether it can still be sent from its beginning.
+    /// Whether the body can still be sent from its beginning.
     pub fn is_unsent(&self) -> bool {
-        !self.taken.get()
+        !self.rest_started.get()
     }
 
     pub fn ended_at(&self) -> Option<Micros> {
         self.ended.get()
     }
 
-    pub fn is_broken(&self) -> bool {
-        self.broken.get()
+    pub fn client_failed(&self) -> bool {
+        self.client_failed.get()
     }
 
-    /// Returns once its client has said nothing for too long.
+    /// Returns once the client has sent nothing for the time-out.
     pub async fn stalled(&self) {
-        while self.waiting.get().is_none_or(|since| since.elapsed() < SILENCE) {
-            sleep(LOOK).await;
+        while self.client_paused_since.get().is_none_or(|since| since.elapsed() < BODY_PAUSE_TIMEOUT) {
+            sleep(PAUSE_CHECK_INTERVAL).await;
         }
     }
 
-    fn poll_rest(&self, cx: &mut Context<'_>, passed: &mut u64) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    fn poll_rest(&self, cx: &mut Context<'_>, forwarded: &mut u64) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx) else {
-                self.waiting.set(self.waiting.get().or_else(|| Some(Instant::now())));
+                self.client_paused_since.set(self.client_paused_since.get().or_else(|| Some(Instant::now())));
                 return Poll::Pending;
             };
-            self.waiting.set(None);
+            self.client_paused_since.set(None);
             let data = match frame {
                 None => {
                     self.ended.set(Some(self.clock.now()));
@@ -127,19 +128,19 @@
                 }
                 Some(Ok(frame)) => frame.into_data(),
                 Some(Err(error)) => {
-                    self.broken.set(true);
+                    self.client_failed.set(true);
                     return Poll::Ready(Some(Err(io::Error::other(error))));
                 }
             };
-            self.taken.set(true);
+            self.rest_started.set(true);
             let Ok(data) = data else { continue };
-            *passed += data.len() as u64;
-            if *passed > MAX_STREAMED_BODY {
-                self.broken.set(true);
+            *forwarded += data.len() as u64;
+            if *forwarded > MAX_STREAMED_BODY {
+                self.client_failed.set(true);
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
-            // A sender that knows the length does not ask whether there is more.
-            if self.length == Some(*passed) {
+            // hyper does not poll for the end of a body whose length it knows.
+            if self.length == Some(*forwarded) {
                 self.ended.set(Some(self.clock.now()));
             }
             return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -147,7 +148,7 @@
     }
 }
 
-/// What goes on to a node as a request's body.
+/// The body of a request to a backend.
 #[derive(Clone)]
 pub enum RequestBody {
     Buffered(Bytes),
@@ -163,11 +164,11 @@
     }
 }
 
-/// A request's body as one attempt sends it.
+/// A request body as sent by one attempt.
 pub struct AttemptBody {
     body: RequestBody,
     first: Option<Bytes>,
-    passed: u64,
+    forwarded: u64,
 }
 
 impl AttemptBody {
@@ -177,7 +178,7 @@
             RequestBody::Streamed(upload) => &upload.first,
         };
         let first = Some(first.clone()).filter(|first| !first.is_empty());
-        AttemptBody { body: body.clone(), first, passed: 0 }
+        AttemptBody { body: body.clone(), first, forwarded: 0 }
     }
 }
 
@@ -187,13 +188,13 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         if let Some(first) = self.first.take() {
-            self.passed = first.len() as u64;
+            self.forwarded = first.len() as u64;
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
         let this = &mut *self;
         match &this.body {
             RequestBody::Buffered(_) => Poll::Ready(None),
-            RequestBody::Streamed(upload) => upload.poll_rest(cx, &mut this.passed),
+            RequestBody::Streamed(upload) => upload.poll_rest(cx, &mut this.forwarded),
         }
     }
 
@@ -211,37 +212,37 @@
     }
 }
 
-/// The rest of a long answer, as its client takes it. Dropped, the node's connection is closed.
+/// The rest of a streamed response, read by the client's connection. Dropping it closes the connection to the backend.
 pub struct ResponseRemainder {
-    pieces: mpsc::Receiver<io::Result<Bytes>>,
-    /// Bytes still to come, where that was said.
-    left: Option<u64>,
+    chunks: mpsc::Receiver<io::Result<Bytes>>,
+    /// Bytes that are still to come, if the backend stated the length.
+    bytes_left: Option<u64>,
 }
 
-/// Who passes a long answer on.
+/// Sends chunks of a response from the backend's connection to the client's.
 pub type ChunkSender = mpsc::Sender<io::Result<Bytes>>;
 
-/// A long answer of which `first` bytes have come, of `length` in all.
-pub fn rest(length: Option<u64>) -> (ChunkSender, ResponseRemainder) {
-    let (sender, pieces) = mpsc::channel(WAITING);
-    (sender, ResponseRemainder { pieces, left: length })
+/// Creates the channel for a streamed response; `length` is the number of bytes, if known.
+pub fn response_channel(length: Option<u64>) -> (ChunkSender, ResponseRemainder) {
+    let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    (sender, ResponseRemainder { chunks, bytes_left: length })
 }
 
 impl ResponseRemainder {
-    pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        let piece = ready!(self.pieces.poll_recv(cx));
-        if let (Some(left), Some(Ok(piece))) = (&mut self.left, &piece) {
-            *left = left.saturating_sub(piece.len() as u64);
+    pub fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        let chunk = ready!(self.chunks.poll_recv(cx));
+        if let (Some(bytes_left), Some(Ok(chunk))) = (&mut self.bytes_left, &chunk) {
+            *bytes_left = bytes_left.saturating_sub(chunk.len() as u64);
         }
-        Poll::Ready(piece)
+        Poll::Ready(chunk)
     }
 
     pub fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::new, SizeHint::with_exact)
+        self.bytes_left.map_or_else(SizeHint::new, SizeHint::with_exact)
     }
 }
 
-/// Keeps a connection's request open until its long answer has been written.
+/// Keeps the request of a connection open until its streamed response has been written.
 pub struct ResponseInProgress(pub Rc<ClientConnection>);
 
 impl Drop for ResponseInProgress {
