--- a/crates/ingress/src/precheck.rs
+++ b/crates/ingress/src/precheck.rs
@@ -1,6 +1,6 @@
-//! What a pool finds out before its module hears of a request or a question: whether the try has been counted
-//! already, and what an outside rate limit server says. A pool that needs neither has no gate, and the platform's
-//! never has one.
+//! Checks that run before a request or a rate limit query reaches the pool's decision module: whether the client's
+//! named attempt has been counted already, and what an external rate limit server decides. A pool that needs neither
+//! has no precheck, and neither has the pool of the platform's program.
 
 use crate::consult::{Asked, Consulting};
 use crate::request::claim_id;
@@ -14,47 +14,51 @@
 use violetyoke_ratelimit::claim::{self, ClaimState, Source};
 use violetyoke_ratelimit::consult::Decision;
 
-/// A request or a question, as far as it matters here.
+/// The properties of a request or rate limit query that the checks depend on.
 pub struct PrecheckRequest {
     pub source: Source,
     pub customer: u64,
     pub units: f64,
-    /// The try's name.
+    /// The name that the client gave the attempt, which makes counting it idempotent.
     pub attempt_name: Option<String>,
-    /// As the client says them.
+    /// The account's name as the client sent it.
     pub account: String,
+    /// Names of the plan and the class.
     pub plan: String,
     pub class: Option<String>,
     pub arrived_at: Micros,
+    /// Time after `arrived_at` within which the client expects an answer.
     pub budget: Micros,
 }
 
 pub enum PrecheckOutcome {
     Pass(PrecheckPass),
-    /// Over a quota, here or elsewhere. 0: no time is known.
+    /// The attempt was rejected before, or the external server reports its limit as exceeded. `retry_after` is 0 if no
+    /// time is known.
     OverLimit {
         retry_after: Micros,
     },
-    /// Nobody knows, and that means to refuse.
+    /// The external server gave no decision, and the settings reject requests in that case.
     Unavailable {
         retry_after: Micros,
     },
 }
 
-/// It may go on to the pool's module.
+/// The request may go on to the pool's decision module.
 pub struct PrecheckPass {
-    /// Its try has been counted, here or through another ingress.
+    /// The attempt has been counted already, by this ingress or another one.
     pub already_counted: bool,
-    /// The number of its try's claim, if it is for this one to tell the outcome.
+    /// The id of the attempt's claim, if this request has to record the outcome.
     pub claim: Option<u64>,
-    asked: Option<Asked>,
+    limiter_query: Option<Asked>,
 }
 
 impl PrecheckPass {
-    /// It was let in, or certainly not. Dropped without that word, it may have been.
-    pub fn finish(&mut self, let_in: bool) {
-        if let Some(asked) = self.asked.take() {
-            asked.ended(let_in);
+    /// Reports whether the request was admitted. If this is not called, the external limiter assumes that it may have
+    /// been.
+    pub fn finish(&mut self, admitted: bool) {
+        if let Some(limiter_query) = self.limiter_query.take() {
+            limiter_query.ended(admitted);
         }
     }
 }
@@ -62,55 +66,54 @@
 pub type PrecheckFuture = Pin<Box<dyn Future<Output = PrecheckOutcome>>>;
 
 pub trait Precheck {
-    /// Whether there is anything to find out.
-    fn applies_to(&self, attempt_name: bool, plan: &str) -> bool;
+    /// Whether there is anything to check for a request with this plan, with or without a named attempt.
+    fn applies_to(&self, has_attempt_name: bool, plan: &str) -> bool;
 
-    fn run(&self, about: PrecheckRequest) -> PrecheckFuture;
+    fn run(&self, request: PrecheckRequest) -> PrecheckFuture;
 }
 
-/// A hosted pool's gate.
+/// The checks of a pool of the service.
 pub struct PoolPrecheck {
     messages: Messages,
-    consulting: RefCell<Option<Rc<Consulting>>>,
+    limiter: RefCell<Option<Rc<Consulting>>>,
 }
 
 impl PoolPrecheck {
     pub fn new(messages: Messages) -> PoolPrecheck {
-        PoolPrecheck { messages, consulting: RefCell::default() }
+        PoolPrecheck { messages, limiter: RefCell::default() }
     }
 
-    /// Whom to ask from now on; what is out is ended by who began it.
-    pub fn set_external_limiter(&self, consulting: Option<Rc<Consulting>>) {
-        *self.consulting.borrow_mut() = consulting;
+    /// Replaces the external limiter. Queries that are in flight end with the limiter that they were sent to.
+    pub fn set_external_limiter(&self, limiter: Option<Rc<Consulting>>) {
+        *self.limiter.borrow_mut() = limiter;
     }
 
     pub fn external_limiter(&self) -> Option<Rc<Consulting>> {
-        self.consulting.borrow().clone()
+        self.limiter.borrow().clone()
     }
 }
 
 impl Precheck for PoolPrecheck {
-    fn applies_to(&self, attempt_name: bool, plan: &str) -> bool {
-        attempt_name
-            || self.consulting.borrow().as_ref().is_some_and(|consulting| consulting.asks_about(plan))
+    fn applies_to(&self, has_attempt_name: bool, plan: &str) -> bool {
+        has_attempt_name || self.limiter.borrow().as_ref().is_some_and(|limiter| limiter.asks_about(plan))
     }
 
-    fn run(&self, about: PrecheckRequest) -> PrecheckFuture {
-        let consulting = self.external_limiter().filter(|consulting| consulting.asks_about(&about.plan));
-        Box::pin(ask(self.messages.clone(), consulting, about))
+    fn run(&self, request: PrecheckRequest) -> PrecheckFuture {
+        let limiter = self.external_limiter().filter(|limiter| limiter.asks_about(&request.plan));
+        Box::pin(run_checks(self.messages.clone(), limiter, request))
     }
 }
 
-async fn ask(
+async fn run_checks(
     messages: Messages,
-    consulting: Option<Rc<Consulting>>,
-    about: PrecheckRequest,
+    limiter: Option<Rc<Consulting>>,
+    request: PrecheckRequest,
 ) -> PrecheckOutcome {
-    let mut pass = PrecheckPass { already_counted: false, claim: None, asked: None };
-    if let Some(name) = &about.attempt_name {
-        let number = claim_id(about.customer, about.units, name);
-        match claim(&messages, about.source, number).await {
-            ClaimState::Fresh => pass.claim = Some(number),
+    let mut pass = PrecheckPass { already_counted: false, claim: None, limiter_query: None };
+    if let Some(name) = &request.attempt_name {
+        let claim = claim_id(request.customer, request.units, name);
+        match claim_attempt(&messages, request.source, claim).await {
+            ClaimState::Fresh => pass.claim = Some(claim),
             ClaimState::Counted => {
                 pass.already_counted = true;
                 return PrecheckOutcome::Pass(pass);
@@ -118,28 +121,29 @@
             ClaimState::Rejected => return PrecheckOutcome::OverLimit { retry_after: 0 },
         }
     }
-    let Some(consulting) = consulting else { return PrecheckOutcome::Pass(pass) };
-    let (decision, asked) = consulting.ask(&about).await;
+    let Some(limiter) = limiter else { return PrecheckOutcome::Pass(pass) };
+    let (decision, limiter_query) = limiter.ask(&request).await;
     match decision {
         Decision::Proceed => {
-            pass.asked = asked;
+            pass.limiter_query = limiter_query;
             PrecheckOutcome::Pass(pass)
         }
         Decision::OverLimit { retry_after } => {
             if let Some(claim) = pass.claim {
-                // Whoever asks about this try again is told the same.
+                // A repetition of this attempt gets the same result.
                 let _ =
                     messages.send(Message::AddToClaim { claim, amount: claim::outcome(false), reply: None });
             }
             PrecheckOutcome::OverLimit { retry_after }
         }
-        // No word on the try: it is fresh to whoever asks next.
+        // The claim gets no outcome, so that a repetition is treated as a new attempt.
         Decision::Reject { retry_after } => PrecheckOutcome::Unavailable { retry_after },
     }
 }
 
-/// Claims a try. Not known in time, it is fresh: counted again rather than not at all.
-async fn claim(messages: &Messages, source: Source, claim: u64) -> ClaimState {
+/// Claims an attempt at the shared counter. If the counter does not answer in time, the attempt counts as new: it is
+/// better counted twice than not at all.
+async fn claim_attempt(messages: &Messages, source: Source, claim: u64) -> ClaimState {
     let (reply, answered) = oneshot::channel();
     let _ =
         messages.send(Message::AddToClaim { claim, amount: claim::increment(source), reply: Some(reply) });
--- a/crates/ingress/src/quota_headers.rs
+++ b/crates/ingress/src/quota_headers.rs
@@ -1,4 +1,4 @@
-//! Fields that tell clients of their quota: those of draft-ietf-httpapi-ratelimit-headers-10 (`RateLimit-Policy`
+//! Response headers that report a client's quota: those of draft-ietf-httpapi-ratelimit-headers-10 (`RateLimit-Policy`
 //! and `RateLimit`, structured fields by RFC 9651), and the older `X-RateLimit-*`, whose reset is in seconds
 //! from now. Quotas are in units; a request of one unit can be sent while at least one is left.
 
@@ -8,30 +8,30 @@
 
 const POLICY: HeaderName = HeaderName::from_static("ratelimit-policy");
 const LIMIT: HeaderName = HeaderName::from_static("ratelimit");
-const OLD_LIMIT: HeaderName = HeaderName::from_static("x-ratelimit-limit");
-const OLD_REMAINING: HeaderName = HeaderName::from_static("x-ratelimit-remaining");
-const OLD_RESET: HeaderName = HeaderName::from_static("x-ratelimit-reset");
+const LEGACY_LIMIT: HeaderName = HeaderName::from_static("x-ratelimit-limit");
+const LEGACY_REMAINING: HeaderName = HeaderName::from_static("x-ratelimit-remaining");
+const LEGACY_RESET: HeaderName = HeaderName::from_static("x-ratelimit-reset");
 
-/// Writes the fields that are switched on. What is left is rounded down and times are rounded up: a client that
-/// goes by them is not refused for it.
-pub fn write(headers: &mut HeaderMap, fields: Fields, standing: &Standing) {
-    let quota = standing.burst.floor();
-    let left = standing.left.floor();
-    let window = (standing.burst / standing.rate).ceil().max(1.0);
-    let reset = (standing.until_full as f64 / 1e6).ceil();
+/// Adds the headers that are enabled. The remaining quota is rounded down and times are rounded up, so that a client
+/// that relies on them is not rejected.
+pub fn write(headers: &mut HeaderMap, enabled: Fields, quota_state: &Standing) {
+    let limit = quota_state.burst.floor();
+    let remaining = quota_state.left.floor();
+    let window = (quota_state.burst / quota_state.rate).ceil().max(1.0);
+    let reset = (quota_state.until_full as f64 / 1e6).ceil();
     let mut set = |name: HeaderName, text: String| {
         if let Ok(value) = HeaderValue::from_str(&text) {
             headers.insert(name, value);
         }
     };
-    if fields.draft {
-        set(POLICY, format!("\"quota\";q={quota};w={window}"));
-        set(LIMIT, format!("\"quota\";r={left};t={reset}"));
+    if enabled.draft {
+        set(POLICY, format!("\"quota\";q={limit};w={window}"));
+        set(LIMIT, format!("\"quota\";r={remaining};t={reset}"));
     }
-    if fields.legacy {
-        set(OLD_LIMIT, quota.to_string());
-        set(OLD_REMAINING, left.to_string());
-        set(OLD_RESET, reset.to_string());
+    if enabled.legacy {
+        set(LEGACY_LIMIT, limit.to_string());
+        set(LEGACY_REMAINING, remaining.to_string());
+        set(LEGACY_RESET, reset.to_string());
     }
 }
 
--- a/crates/ingress/src/quota_headers/tests.rs
+++ b/crates/ingress/src/quota_headers/tests.rs
@@ -1,25 +1,25 @@
-//! The rate limit fields of an answer.
+//! The rate limit headers of a response.
 
 use super::*;
 
 #[test]
-fn what_is_left_is_rounded_down_and_times_up() {
-    let standing = Standing { burst: 10.5, rate: 4.0, left: 3.99, until_full: 1_627_500 };
-    let text = |fields| {
+fn remaining_quota_is_rounded_down_and_times_up() {
+    let quota_state = Standing { burst: 10.5, rate: 4.0, left: 3.99, until_full: 1_627_500 };
+    let headers_for = |fields| {
         let mut headers = HeaderMap::new();
-        write(&mut headers, fields, &standing);
+        write(&mut headers, fields, &quota_state);
         let mut all: Vec<_> =
             headers.iter().map(|(name, value)| format!("{name}: {}", value.to_str().unwrap())).collect();
         all.sort();
         all
     };
-    assert_eq!(text(Fields::default()), [""; 0]);
+    assert_eq!(headers_for(Fields::default()), [""; 0]);
     assert_eq!(
-        text(Fields { draft: true, legacy: false }),
+        headers_for(Fields { draft: true, legacy: false }),
         ["ratelimit-policy: \"quota\";q=10;w=3", "ratelimit: \"quota\";r=3;t=2"]
     );
     assert_eq!(
-        text(Fields { draft: false, legacy: true }),
+        headers_for(Fields { draft: false, legacy: true }),
         ["x-ratelimit-limit: 10", "x-ratelimit-remaining: 3", "x-ratelimit-reset: 2"]
     );
 }
--- a/crates/ingress/src/router.rs
+++ b/crates/ingress/src/router.rs
@@ -1,5 +1,5 @@
-//! To which pool a request goes. The table is replaced as a whole; a request that has been matched keeps the
-//! pool that it was matched to.
+//! Selects the pool for a request. The routing table is replaced as a whole; a request that has been matched keeps its
+//! pool.
 
 use crate::guest::Guest;
 use crate::pool::Pool;
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 use violetyoke_routes::{target, RouteTable, TargetError};
 
-/// The table in force.
+/// Holds the current routing table.
 pub struct Router {
     routing: RefCell<Rc<Routing>>,
 }
 
 pub enum Routing {
-    /// Everything goes to one pool, as it came.
+    /// Every request goes to the same pool with its target unchanged.
     SinglePool(Rc<Pool>),
     Table {
         table: Arc<RouteTable>,
@@ -28,15 +28,15 @@
 
 pub struct Route {
     pub pool: Rc<Pool>,
-    /// Class of requests that state none.
+    /// The class of requests that name none.
     pub class: Option<String>,
-    /// Whose it is.
+    /// The tenant that owns the route, if any.
     pub tenant: Option<Rc<dyn Guest>>,
 }
 
 pub struct RouteMatch {
     pub pool: Rc<Pool>,
-    /// What goes on to the node.
+    /// The normalized request target that is sent to the backend.
     pub uri: Uri,
     pub class: Option<u16>,
     pub tenant: Option<Rc<dyn Guest>>,
@@ -47,17 +47,18 @@
         Router { routing: RefCell::new(Rc::new(routing)) }
     }
 
-    /// Returns what was in force, as far as nobody needs it any more: it may be large.
+    /// Returns the previous table unless a request still uses it, so that the caller can drop it elsewhere: it may be
+    /// large.
     pub fn replace(&self, routing: Routing) -> Option<Routing> {
         Rc::into_inner(self.routing.replace(Rc::new(routing)))
     }
 
-    /// Whether errors are told in words: the platform's clients want none.
+    /// Whether rejections have a text as their body; in the platform's program they have none.
     pub fn explains_errors(&self) -> bool {
         matches!(**self.routing.borrow(), Routing::Table { .. })
     }
 
-    /// Whether every pool knows its nodes.
+    /// Whether every pool has received a list of its backends.
     pub fn is_ready(&self) -> bool {
         match &**self.routing.borrow() {
             Routing::SinglePool(pool) => pool.ready.get(),
@@ -69,36 +70,35 @@
         let routing = self.routing.borrow();
         let (table, routes) = match &**routing {
             Routing::SinglePool(pool) => {
-                let origin = head.uri.path_and_query().ok_or(bad_request("path: missing"))?;
+                let path_and_query = head.uri.path_and_query().ok_or(bad_request("path: missing"))?;
                 return Ok(RouteMatch {
                     pool: pool.clone(),
-                    uri: Uri::from(origin.clone()),
+                    uri: Uri::from(path_and_query.clone()),
                     class: None,
                     tenant: None,
                 });
             }
             Routing::Table { table, routes } => (table, routes),
         };
-        let origin = head.uri.path_and_query().ok_or(bad_request("path: must begin with /"))?;
-        let absolute = head.uri.authority().map(|authority| authority.as_str());
+        let path_and_query = head.uri.path_and_query().ok_or(bad_request("path: must begin with /"))?;
+        let uri_host = head.uri.authority().map(|authority| authority.as_str());
         let hosts = head.headers.get_all(HOST).iter().map(|value| value.as_bytes());
-        let target = target(absolute, hosts, origin.path()).map_err(why)?;
+        let target = target(uri_host, hosts, path_and_query.path()).map_err(target_rejection)?;
         let class = head.headers.get(crate::request::REQ_KIND).and_then(|class| class.to_str().ok());
-        let number = table.find(&target.host, &target.path, head.method.as_str(), class);
-        const NONE: Rejection = Rejection { code: StatusCode::NOT_FOUND, reason: "path: no route" };
-        let route = number.and_then(|number| routes.get(number)).ok_or(NONE)?;
-        let uri = match origin.query() {
-            _ if target.path == origin.path() => Uri::from(origin.clone()),
-            Some(query) => {
-                Uri::try_from(format!("{}?{query}", target.path)).map_err(|_| why(TargetError::Encoding))?
-            }
-            None => Uri::try_from(target.path).map_err(|_| why(TargetError::Encoding))?,
+        let index = table.find(&target.host, &target.path, head.method.as_str(), class);
+        const NO_ROUTE: Rejection = Rejection { code: StatusCode::NOT_FOUND, reason: "path: no route" };
+        let route = index.and_then(|index| routes.get(index)).ok_or(NO_ROUTE)?;
+        let uri = match path_and_query.query() {
+            _ if target.path == path_and_query.path() => Uri::from(path_and_query.clone()),
+            Some(query) => Uri::try_from(format!("{}?{query}", target.path))
+                .map_err(|_| target_rejection(TargetError::Encoding))?,
+            None => Uri::try_from(target.path).map_err(|_| target_rejection(TargetError::Encoding))?,
         };
         let class = route.class.as_ref().and_then(|class| route.pool.rules().class(class));
         Ok(RouteMatch { pool: route.pool.clone(), uri, class, tenant: route.tenant.clone() })
     }
 }
 
-fn why(reason: TargetError) -> Rejection {
-    bad_request(reason.text())
+fn target_rejection(error: TargetError) -> Rejection {
+    bad_request(error.text())
 }
--- a/crates/ingress/src/tasks.rs
+++ b/crates/ingress/src/tasks.rs
@@ -1,5 +1,6 @@
-//! Tasks, in the set whose turn it is: a task started by a pool's task is the pool's too. Where there are no sets
-//! (the platform's form), tasks are tokio's own.
+//! Task spawning on a single thread. A task started by a pool's task belongs to the pool's task set too, so that the
+//! fair scheduler counts its work for that pool. Where there are no task sets (the platform's program), tasks are
+//! tokio's own.
 
 use crate::sets::Woken;
 use async_task::{Runnable, Task};
@@ -16,13 +17,13 @@
     static CURRENT: RefCell<Option<Rc<TaskSet>>> = const { RefCell::new(None) };
 }
 
-/// The tasks of one of those who take turns.
+/// The tasks of one member of the fair scheduler, such as a pool or a tenant.
 pub struct TaskSet {
     member: Member,
     queue: Arc<Queue>,
 }
 
-/// Tasks that have something to do, in the order in which they were woken.
+/// Tasks that are ready to be polled, in the order in which they were woken.
 #[derive(Default)]
 struct Queue {
     runnable: Mutex<VecDeque<Runnable>>,
@@ -37,7 +38,7 @@
         self.member
     }
 
-    /// Starts a task in this set; `woken` is told when it has something to do.
+    /// Starts a task in this set; `woken` is notified whenever the task becomes ready.
     pub fn spawn(&self, woken: &Arc<Woken>, future: impl Future<Output = ()> + 'static) -> TaskHandle {
         let (queue, woken, member) = (self.queue.clone(), woken.clone(), self.member);
         let schedule = move |runnable| {
@@ -49,19 +50,19 @@
         TaskHandle(Inner::TaskSet(RefCell::new(Some(task))))
     }
 
-    /// Polls the task that has waited the longest; tells whether more are waiting.
+    /// Polls the task that has been ready the longest, and returns whether more are ready.
     pub fn run_one(self: &Rc<TaskSet>) -> bool {
         let next = self.queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
         if let Some(next) = next {
-            let outer = CURRENT.replace(Some(self.clone()));
+            let previous = CURRENT.replace(Some(self.clone()));
             next.run();
-            CURRENT.set(outer);
+            CURRENT.set(previous);
         }
         !self.queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).is_empty()
     }
 }
 
-/// Starts a task where the one that calls this is.
+/// Starts a task in the set of the task that calls this, or on tokio if there is none.
 pub fn spawn(future: impl Future<Output = ()> + 'static) -> TaskHandle {
     let Some(woken) = crate::sets::woken() else {
         return TaskHandle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle()));
@@ -72,14 +73,14 @@
     }
 }
 
-/// Starts a task in a set, wherever the one that calls this is.
+/// Starts a task in the given set, whichever set the caller runs in.
 pub fn spawn_in(set: &TaskSet, future: impl Future<Output = ()> + 'static) {
     if let Some(woken) = crate::sets::woken() {
         drop(set.spawn(&woken, future));
     }
 }
 
-/// Runs what hyper's connections start where they are.
+/// A hyper executor that spawns with [`spawn`], so that a connection's tasks run in its own set.
 #[derive(Clone, Copy)]
 pub struct LocalExecutor;
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// A way to end a task. Dropped, it lets the task go on.
+/// A handle that can abort a task. Dropping it detaches the task, which goes on.
 pub struct TaskHandle(Inner);
 
 enum Inner {
@@ -100,7 +101,7 @@
 }
 
 impl TaskHandle {
-    /// The task is dropped in its set's next turn.
+    /// Aborts the task; in a task set it is dropped in the set's next turn.
     pub fn abort(&self) {
         match &self.0 {
             Inner::Tokio(task) => task.abort(),
