--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -249,7 +249,7 @@
         for backend in sockets.backends.values().filter(|backend| !backend.accepting.get()) {
             backend.close_idle();
         }
-        self.pool.ready.set(self.pool.ready.get() || !sockets.backends.is_empty());
+        self.pool.has_backend_list.set(self.pool.has_backend_list.get() || !sockets.backends.is_empty());
         let kind = match (list.cached, list.complete) {
             (true, _) => ListKind::Cached,
             (false, true) => ListKind::Full,
--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -207,7 +207,7 @@
             FinalResponse::Admitted => ClientAnswer::Admitted,
         };
         // The client may have left meanwhile: then nobody misses the answer.
-        let _ = client.reply.send(Reply { answer, standing: summary.quota });
+        let _ = client.reply.send(Reply { answer, quota: summary.quota });
     }
 
     fn request_abandoned(&mut self, now: Micros, request: RequestId, attempts: u8) {
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -128,13 +128,13 @@
     pub wire_id: HeaderValue,
     pub body: RequestBody,
     /// Its body's part of the pool's bytes.
-    pub _held: Option<BytesReservation>,
+    pub _reservation: Option<BytesReservation>,
 }
 
 /// The one final answer to a client, and its quota where the pool tells of that.
 pub(crate) struct Reply {
     pub answer: ClientAnswer,
-    pub standing: Option<Standing>,
+    pub quota: Option<Standing>,
 }
 
 pub(crate) enum ClientAnswer {
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -1,4 +1,4 @@
-//! One pool as the server sees it: what its requests are checked against, and the way to its driver.
+//! A pool as the server sees it: the rules for its requests, its limits, and the channel to its driver.
 
 use crate::precheck::Precheck;
 use crate::request::Rules;
@@ -18,32 +18,32 @@
 use violetyoke_decision::interface::RequestId;
 use violetyoke_shares::{CapacityPool, Member};
 
-/// Something there is only so much of, shared by all pools.
+/// A limited resource that is shared by all pools and tenants of the process.
 pub type SharedCapacity = Rc<RefCell<CapacityPool>>;
 
 pub struct Pool {
     pub name: String,
-    /// Its number among those that share the process.
+    /// Identifies the pool among the members that share the process's capacity.
     pub member: Member,
     rules: RefCell<Rc<Rules>>,
     messages: Messages,
     next_id: Cell<RequestId>,
-    /// Ids of the requests that are open, as clients sent them.
-    wire_ids: RefCell<HashSet<HeaderValue>>,
-    /// Whether its driver has a list of nodes.
-    pub ready: Cell<bool>,
+    /// Ids of the open requests as their clients sent them.
+    open_wire_ids: RefCell<HashSet<HeaderValue>>,
+    /// Whether its driver has received a list of backends.
+    pub has_backend_list: Cell<bool>,
     open: Cell<u32>,
-    most_open: Cell<u32>,
+    max_open_requests: Cell<u32>,
     pub quota_headers: Cell<Fields>,
-    bytes: Option<SharedCapacity>,
-    /// Where its tasks take their turns, and its connections' tasks too; none: where they are.
+    buffer_capacity: Option<SharedCapacity>,
+    /// The task set of the pool and its client connections; `None` where there are no task sets.
     pub set: Option<Rc<TaskSet>>,
     retired: Cell<bool>,
     precheck: RefCell<Option<Rc<dyn Precheck>>>,
 }
 
 impl Pool {
-    /// The only pool of a process: it shares nothing, and the platform bounds what it may use.
+    /// The only pool of a process: it shares no capacity, and the platform limits the process as a whole.
     pub fn standalone(rules: Rules, messages: Messages) -> Rc<Pool> {
         Rc::new(Pool::new(String::new(), 0, rules, messages, u32::MAX, None, None))
     }
@@ -53,8 +53,8 @@
         member: Member,
         rules: Rules,
         messages: Messages,
-        most_open: u32,
-        bytes: Option<SharedCapacity>,
+        max_open_requests: u32,
+        buffer_capacity: Option<SharedCapacity>,
         set: Option<Rc<TaskSet>>,
     ) -> Pool {
         Pool {
@@ -63,12 +63,12 @@
             rules: RefCell::new(Rc::new(rules)),
             messages,
             next_id: Cell::new(1),
-            wire_ids: RefCell::default(),
-            ready: Cell::new(false),
+            open_wire_ids: RefCell::default(),
+            has_backend_list: Cell::new(false),
             open: Cell::new(0),
-            most_open: Cell::new(most_open),
+            max_open_requests: Cell::new(max_open_requests),
             quota_headers: Cell::default(),
-            bytes,
+            buffer_capacity,
             set,
             retired: Cell::new(false),
             precheck: RefCell::default(),
@@ -79,26 +79,26 @@
         self.rules.borrow().clone()
     }
 
-    pub fn update(&self, rules: Rules, most_open: u32) {
+    pub fn update(&self, rules: Rules, max_open_requests: u32) {
         *self.rules.borrow_mut() = Rc::new(rules);
-        self.most_open.set(most_open);
+        self.max_open_requests.set(max_open_requests);
     }
 
-    /// What is found out before its module is asked.
+    /// Sets the checks that run before a request reaches the decision module.
     pub fn set_precheck(&self, precheck: Rc<dyn Precheck>) {
         *self.precheck.borrow_mut() = Some(precheck);
     }
 
-    /// Its gate, where that has anything to find out about such a request.
-    pub fn precheck(&self, named: bool, plan: impl FnOnce() -> u16) -> Option<Rc<dyn Precheck>> {
+    /// Returns the prechecks if they apply to a request with this plan, with or without a named attempt.
+    pub fn precheck(&self, has_attempt_name: bool, plan: impl FnOnce() -> u16) -> Option<Rc<dyn Precheck>> {
         let precheck = self.precheck.borrow();
         let precheck = precheck.as_ref()?;
         let rules = self.rules();
         let plan = rules.plans.get(usize::from(plan())).map_or("", String::as_str);
-        precheck.applies_to(named, plan).then(|| precheck.clone())
+        precheck.applies_to(has_attempt_name, plan).then(|| precheck.clone())
     }
 
-    /// What it takes no more requests from then on; those that it has are answered.
+    /// Stops the pool once its open requests have been answered.
     pub fn retire(&self) {
         self.retired.set(true);
         self.send(Message::Retire);
@@ -108,15 +108,15 @@
         self.messages.clone()
     }
 
-    /// Tells the driver; false if that is no more.
+    /// Sends a message to the driver; false if the driver has ended.
     pub fn send(&self, message: Message) -> bool {
         self.messages.send(message).is_ok()
     }
 
-    /// A place for one more request, for as long as it is open. Bounds the driver's inbox too: a request has
-    /// one thing to tell at a time.
+    /// Counts one more open request until the guard is dropped; `None` at the limit. This also bounds the driver's
+    /// inbox, because a request has one message in it at a time.
     pub fn open_request(self: &Rc<Pool>) -> Option<OpenRequest> {
-        if self.open.get() >= self.most_open.get() {
+        if self.open.get() >= self.max_open_requests.get() {
             return None;
         }
         self.open.set(self.open.get() + 1);
@@ -127,41 +127,43 @@
         self.open.get()
     }
 
-    /// A number for the driver, of a request that has no name.
+    /// Assigns the id by which the driver knows a request.
     pub fn next_request_id(&self) -> RequestId {
         let id = self.next_id.get();
         self.next_id.set(id.wrapping_add(1));
         id
     }
 
-    /// A number for the driver, and the client's own id, which no other open request may have: the same id
-    /// twice is one request twice, and the second copy could run beside the first.
+    /// Assigns an id for the driver and registers the client's own id, which no other open request may have: the same
+    /// id twice means the same request twice, and the copy could run concurrently with the first.
     pub fn register_request(self: &Rc<Pool>, wire_id: &HeaderValue) -> Option<RegisteredRequest> {
-        self.wire_ids.borrow_mut().insert(wire_id.clone()).then(|| {
+        self.open_wire_ids.borrow_mut().insert(wire_id.clone()).then(|| {
             let id = self.next_request_id();
-            RegisteredRequest { pool: self.clone(), id, wire_id: wire_id.clone(), over: false }
+            RegisteredRequest { pool: self.clone(), id, wire_id: wire_id.clone(), finished: false }
         })
     }
 
-    /// Bytes of a body that is about to be read, of the pool's or of a tenant's; none: there is no room for it.
+    /// Reserves memory for a request body that is about to be read, from the pool's or a tenant's share; `None` if
+    /// there is not enough.
     pub fn reserve_bytes(&self, member: Member, amount: u64) -> Option<BytesReservation> {
-        let Some(bytes) = &self.bytes else {
+        let Some(capacity) = &self.buffer_capacity else {
             return Some(BytesReservation { capacity: None, member: 0, amount: 0 });
         };
-        let fits = bytes.borrow_mut().try_acquire(member, amount);
-        fits.then(|| BytesReservation { capacity: Some(bytes.clone()), member, amount })
+        let fits = capacity.borrow_mut().try_acquire(member, amount);
+        fits.then(|| BytesReservation { capacity: Some(capacity.clone()), member, amount })
     }
 
-    /// Bytes of an answer that is there already: it is passed on, and what comes next finds less room.
+    /// Reserves memory for a response that has been received already, even beyond the limit; later reservations find
+    /// less.
     pub fn reserve_bytes_unchecked(&self, member: Member, amount: u64) -> BytesReservation {
-        if let Some(bytes) = &self.bytes {
-            bytes.borrow_mut().acquire_unchecked(member, amount);
+        if let Some(capacity) = &self.buffer_capacity {
+            capacity.borrow_mut().acquire_unchecked(member, amount);
         }
-        BytesReservation { capacity: self.bytes.clone(), member, amount }
+        BytesReservation { capacity: self.buffer_capacity.clone(), member, amount }
     }
 }
 
-/// The place of an open request.
+/// Counts an open request until it is dropped.
 pub struct OpenRequest {
     pool: Rc<Pool>,
 }
@@ -175,24 +177,25 @@
     }
 }
 
-/// The names of an open request. Dropped before it is over, its client has gone away.
+/// The ids of an open request. If it is dropped before `finished` is set, the client has disconnected and the driver
+/// is told to abandon the request.
 pub struct RegisteredRequest {
     pool: Rc<Pool>,
     pub id: RequestId,
     wire_id: HeaderValue,
-    pub over: bool,
+    pub finished: bool,
 }
 
 impl Drop for RegisteredRequest {
     fn drop(&mut self) {
-        self.pool.wire_ids.borrow_mut().remove(&self.wire_id);
-        if !self.over {
+        self.pool.open_wire_ids.borrow_mut().remove(&self.wire_id);
+        if !self.finished {
             self.pool.send(Message::Abandoned(self.id));
         }
     }
 }
 
-/// Bytes that are held, given back when dropped.
+/// Reserved memory, released when dropped.
 pub struct BytesReservation {
     capacity: Option<SharedCapacity>,
     member: Member,
@@ -207,26 +210,26 @@
     }
 }
 
-/// A whole body on its way to a client, and its part of the pool's bytes until it has been written.
+/// The body of a response to a client, with the memory reserved for it until it has been written.
 #[derive(Default)]
 pub struct ResponseBody {
     bytes: Option<Bytes>,
-    held: Option<BytesReservation>,
+    reservation: Option<BytesReservation>,
     rest: Option<(ResponseRemainder, ResponseInProgress)>,
 }
 
 impl ResponseBody {
-    /// A long one: its first bytes, and the rest as it comes.
-    pub fn long(first: Bytes, rest: ResponseRemainder, writing: ResponseInProgress) -> ResponseBody {
-        ResponseBody { rest: Some((rest, writing)), ..ResponseBody::new(first, None) }
+    /// A streamed body: its first bytes, and the rest as it arrives.
+    pub fn streaming(first: Bytes, rest: ResponseRemainder, in_progress: ResponseInProgress) -> ResponseBody {
+        ResponseBody { rest: Some((rest, in_progress)), ..ResponseBody::new(first, None) }
     }
 
-    pub fn is_long(&self) -> bool {
+    pub fn is_streaming(&self) -> bool {
         self.rest.is_some()
     }
 
-    pub fn new(bytes: Bytes, held: Option<BytesReservation>) -> ResponseBody {
-        ResponseBody { bytes: Some(bytes).filter(|bytes| !bytes.is_empty()), held, rest: None }
+    pub fn new(bytes: Bytes, reservation: Option<BytesReservation>) -> ResponseBody {
+        ResponseBody { bytes: Some(bytes).filter(|bytes| !bytes.is_empty()), reservation, rest: None }
     }
 }
 
@@ -240,7 +243,7 @@
             return rest.poll_chunk(cx).map(|piece| Some(piece?.map(Frame::data)));
         }
         if frame.is_none() {
-            self.held = None;
+            self.reservation = None;
         }
         Poll::Ready(frame.map(|bytes| Ok(Frame::data(bytes))))
     }
--- a/crates/ingress/src/questions.rs
+++ b/crates/ingress/src/questions.rs
@@ -382,8 +382,8 @@
         // Dropped here, its stream has been reset: what was asked ends with it.
         let mut asked = Answered::known(false);
         (asked.pool, asked.id, asked.open, asked.pass) = (Some(self.pool.clone()), id, sent, pass);
-        let reply = answered.await.unwrap_or(Reply { answer: ClientAnswer::Failed, standing: None });
-        (asked.let_in, asked.standing) = (matches!(reply.answer, ClientAnswer::Admitted), reply.standing);
+        let reply = answered.await.unwrap_or(Reply { answer: ClientAnswer::Failed, quota: None });
+        (asked.let_in, asked.standing) = (matches!(reply.answer, ClientAnswer::Admitted), reply.quota);
         asked.open = asked.let_in;
         if let ClientAnswer::Refused { retry_after } = reply.answer {
             asked.retry_after = retry_after;
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -119,7 +119,7 @@
 }
 
 /// The body: whole, or the beginning of one that is too long to be held, where such are taken.
-pub async fn body(
+pub async fn read_body(
     rules: &Rules,
     head: &Parts,
     mut body: Incoming,
--- a/crates/ingress/src/router.rs
+++ b/crates/ingress/src/router.rs
@@ -61,8 +61,8 @@
     /// Whether every pool has received a list of its backends.
     pub fn is_ready(&self) -> bool {
         match &**self.routing.borrow() {
-            Routing::SinglePool(pool) => pool.ready.get(),
-            Routing::Table { routes, .. } => routes.iter().all(|route| route.pool.ready.get()),
+            Routing::SinglePool(pool) => pool.has_backend_list.get(),
+            Routing::Table { routes, .. } => routes.iter().all(|route| route.pool.has_backend_list.get()),
         }
     }
 
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -1,10 +1,11 @@
-//! Clients: their connections, what a well-formed request is, and the end of service on SIGTERM.
+//! The HTTP/1 server for clients: accepts connections, takes each request through its checks to the pool's driver, and
+//! shuts down on SIGTERM.
 
 use super::connections::{ClientConnection, ConnectionTable, Stage};
 use super::pool::{Pool, ResponseBody};
 use super::precheck::{PrecheckOutcome, PrecheckRequest};
 use super::quota_headers;
-use super::request::{account_name, bad_request, body as body_of, check, Rejection, BODY_TIMED_OUT};
+use super::request::{account_name, bad_request, check, read_body, Rejection, BODY_TIMED_OUT};
 use super::roaming;
 use super::router::{RouteMatch, Router};
 use super::socket::Socket;
@@ -34,32 +35,33 @@
 use violetyoke_ratelimit::claim::Source;
 use violetyoke_shares::Member;
 
-/// Connections waiting to be accepted.
+/// Length of the listen queue.
 const BACKLOG: u32 = 1024;
-/// How often the table of connections is looked through.
-const TIDY: Duration = Duration::from_millis(100);
-/// The longest head; a longer one is answered 431.
-const LARGEST_HEAD: usize = 16 * 1024;
-/// What is read and forgotten of a request that was turned down, at most.
-const MOST_DRAINED: u64 = 80 * 1024 * 1024;
+/// Interval at which the connection table is checked for connections to close.
+const TABLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Bytes of the longest request head; a longer one is answered with status 431.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes of a rejected request that are read and discarded.
+const MAX_DRAINED_BYTES: u64 = 80 * 1024 * 1024;
 
-/// Tells an account's requests that were counted elsewhere from those that are counted here.
-const COUNTED: u64 = 1 << 63;
+/// Set in the customer id of requests that have been counted already, to separate them from the same account's
+/// requests that are counted here.
+const ALREADY_COUNTED_BIT: u64 = 1 << 63;
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct ServerState {
     pub router: Router,
     clock: Clock,
     pub connections: Rc<ConnectionTable>,
-    /// Where connections are until they carry a request, if their tasks move.
-    door: Option<Rc<TaskSet>>,
-    /// Ids for requests whose clients gave them none.
-    next_name: Cell<u64>,
-    /// How this process stands to its clients.
+    /// The task set of connections that have carried no request yet; `None` where there are no task sets.
+    unassigned_tasks: Option<Rc<TaskSet>>,
+    /// The next id for a request whose client gave none.
+    next_generated_id: Cell<u64>,
+    /// Whether this process serves, drains, shuts down or has been taken over.
     pub serving_state: Cell<ServingState>,
-    /// Set until an older process that serves the same clients has been told to leave them to this one.
+    /// Set until an older process that accepts on the same socket has been notified to leave it to this one.
     pub awaiting_takeover: Cell<bool>,
-    /// Told to connections that are to end with what they have.
+    /// Notifies connections to close once their open request has been answered.
     closing: watch::Sender<()>,
 }
 
@@ -68,23 +70,23 @@
         router: Router,
         clock: Clock,
         connections: Rc<ConnectionTable>,
-        door: Option<Rc<TaskSet>>,
+        unassigned_tasks: Option<Rc<TaskSet>>,
     ) -> ServerState {
-        let next_name = Cell::new(clock.now());
+        let next_generated_id = Cell::new(clock.now());
         let (closing, _) = watch::channel(());
         ServerState {
             router,
             clock,
             connections,
-            door,
-            next_name,
+            unassigned_tasks,
+            next_generated_id,
             serving_state: Cell::default(),
             awaiting_takeover: Cell::new(false),
             closing,
         }
     }
 
-    /// Changes how this process stands to its clients.
+    /// Updates the serving state and logs a change.
     pub fn update_state(&self, change: impl FnOnce(&mut ServingState, Micros)) {
         let mut state = self.serving_state.get();
         change(&mut state, self.clock.now());
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Whether it takes clients, as whoever deals them out asks.
+    /// Whether this process accepts client traffic, as load balancer health checks ask.
     pub fn is_ready(&self) -> bool {
         self.serving_state.get().is_ready() && self.router.is_ready() && !self.awaiting_takeover.get()
     }
@@ -109,44 +111,44 @@
     open().map_err(|error| io::Error::new(error.kind(), format!("listen {address}: {error}")))
 }
 
-/// Accepts until SIGTERM and a while longer; returns when every connection has ended, or the longest
-/// deadline has passed for whatever was still taken. A listener that other processes accept on too (`passed`
-/// tells whether one of them has taken over) is left to them until this one can serve.
+/// Accepts connections until SIGTERM and for a grace period after it; returns when every connection has ended, or
+/// after the longest deadline of any class. `taken_over` is set for a listener that other processes accept on too, and
+/// returns whether one of them has taken over; this process then accepts only once it can serve.
 pub async fn serve(
     listener: TcpListener,
-    passed: Option<&dyn Fn() -> bool>,
+    taken_over: Option<&dyn Fn() -> bool>,
     shared: Rc<ServerState>,
     mut terminate: Signal,
-    longest: impl Fn() -> Duration,
+    max_deadline: impl Fn() -> Duration,
 ) -> io::Result<()> {
-    let mut tidy = interval(TIDY);
-    tidy.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut table_check = interval(TABLE_CHECK_INTERVAL);
+    table_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let (room, state) = (shared.connections.has_capacity(), shared.serving_state.get());
-        let takes = state.accepts_connections(shared.clock.now()) && !shared.awaiting_takeover.get();
+        let (has_capacity, state) = (shared.connections.has_capacity(), shared.serving_state.get());
+        let accepts = state.accepts_connections(shared.clock.now()) && !shared.awaiting_takeover.get();
         let closes_at = state.closes_at().map(|at| Instant::from_std(shared.clock.instant(at)));
         tokio::select! {
-            accepted = listener.accept(), if room && takes => match accepted {
+            accepted = listener.accept(), if has_capacity && accepts => match accepted {
                 Ok((stream, _)) => open(stream, &shared, state.is_shutting_down()),
-                // Out of descriptors, or a client gone already: neither ends the service.
+                // Out of descriptors, or the client has disconnected: neither ends the service.
                 Err(error) => {
                     eprintln!("accept: {error}");
                     sleep(Duration::from_millis(5)).await;
                 }
             },
-            () = shared.connections.freed.notified(), if !room => {}
-            _ = tidy.tick() => {
+            () = shared.connections.freed.notified(), if !has_capacity => {}
+            _ = table_check.tick() => {
                 shared.connections.close_overdue();
                 if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseQuiet {
                     shared.connections.close_idle();
                 }
             }
             _ = terminate.recv(), if !state.is_shutting_down() => {
-                if passed.is_some_and(|taken_over| taken_over()) {
+                if taken_over.is_some_and(|taken_over| taken_over()) {
                     shared.update_state(|state, _| state.on_taken_over());
                 }
                 shared.update_state(ServingState::shut_down);
-                // Idle connections close now, while a request that crosses this still finds a listener.
+                // Idle connections close now: a client whose request crosses the close can still reconnect.
                 if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseAll {
                     shared.closing.send_replace(());
                 }
@@ -161,8 +163,8 @@
             shared.connections.freed.notified().await;
         }
     };
-    // By then all that was taken has its answer: what is left is half a request that may never be whole.
-    let _ = timeout(longest(), all_ended).await;
+    // By then every accepted request has been answered; what is left are incomplete requests.
+    let _ = timeout(max_deadline(), all_ended).await;
     Ok(())
 }
 
@@ -173,56 +175,56 @@
     }
 }
 
-/// Serves one connection in a task of its own; its failure ends nothing else.
-fn open(stream: TcpStream, shared: &Rc<ServerState>, last: bool) {
+/// Serves one connection in a task of its own, so that its failure affects no other.
+fn open(stream: TcpStream, shared: &Rc<ServerState>, is_last_request: bool) {
     let mut closing = shared.closing.subscribe();
     let socket = Socket::for_client(stream);
     let shared = shared.clone();
-    // Dropped, the connection is closed: there is nobody among those without a request who could make room.
-    let Some((place, ticket)) = shared.connections.register(socket.clone()) else { return };
-    let (entry, door) = (place.clone(), shared.door.clone());
+    // Returning closes the connection: no unassigned connection could be closed to make room.
+    let Some((client, guard)) = shared.connections.register(socket.clone()) else { return };
+    let (connection, unassigned_tasks) = (client.clone(), shared.unassigned_tasks.clone());
     let work = async move {
-        let _ticket = ticket;
-        let turned_down = Cell::new(false);
+        let _guard = guard;
+        let must_drain = Cell::new(false);
         let broken = {
             let service = service_fn(|request| {
-                let (shared, place, turned_down) = (shared.clone(), &place, &turned_down);
+                let (shared, client, must_drain) = (shared.clone(), &client, &must_drain);
                 async move {
-                    place.set_stage(Stage::Open);
-                    let answer = answer(&shared, place, turned_down, request).await;
-                    if !answer.as_ref().is_ok_and(|response| response.body().is_long()) {
-                        place.set_stage(Stage::Idle);
+                    client.set_stage(Stage::Open);
+                    let answer = handle_request(&shared, client, must_drain, request).await;
+                    if !answer.as_ref().is_ok_and(|response| response.body().is_streaming()) {
+                        client.set_stage(Stage::Idle);
                     }
-                    // A kept connection holds its place for 2 s at least, whether or not its client has more to
-                    // ask: a table full of those that haven't keeps everybody else waiting. Guards against any
-                    // crowd of clients with little to ask each; costs those with much a handshake a request.
+                    // A connection that is kept alive occupies the table for at least 2 s, even if its client
+                    // has no further request, and a full table blocks all other clients. Closing guards against
+                    // many clients with few requests each; clients with many pay a handshake per request.
                     let answer = match answer {
                         Ok(response)
                             if shared.connections.is_crowded()
                                 || !shared.serving_state.get().keeps_connections() =>
                         {
-                            Ok(close(response))
+                            Ok(with_connection_close(response))
                         }
                         answer => answer,
                     };
-                    // A client that sent one bad request is not listened to any further: what follows may be
-                    // the rest of it.
+                    // After a bad request the connection is closed: what follows may be the rest of that
+                    // request.
                     Ok::<_, Infallible>(answer.unwrap_or_else(|rejection| {
-                        turned_down.set(true);
-                        close(turned_away(&shared, rejection))
+                        must_drain.set(true);
+                        with_connection_close(rejection_response(&shared, rejection))
                     }))
                 }
             });
             let mut builder = http1::Builder::new();
-            builder.keep_alive(!last).auto_date_header(false).max_buf_size(LARGEST_HEAD);
+            builder.keep_alive(!is_last_request).auto_date_header(false).max_buf_size(MAX_HEAD_BYTES);
             let mut connection = pin!(builder.serve_connection(TokioIo::new(socket), service));
-            let mut told = false;
+            let mut shutdown_started = false;
             loop {
                 tokio::select! {
                     biased;
                     end = connection.as_mut() => break end.is_err(),
-                    change = closing.changed(), if !told => {
-                        told = true;
+                    change = closing.changed(), if !shutdown_started => {
+                        shutdown_started = true;
                         if change.is_ok() {
                             connection.as_mut().graceful_shutdown();
                         }
@@ -230,49 +232,51 @@
                 }
             }
         };
-        if broken || turned_down.get() {
-            place.set_stage(Stage::Draining);
-            place.socket.shutdown_write();
+        if broken || must_drain.get() {
+            client.set_stage(Stage::Draining);
+            client.socket.shutdown_write();
             tokio::select! {
-                () = place.socket.drain(MOST_DRAINED) => {}
-                // Once told to end, the program waits for nobody who was turned down.
+                () = client.socket.drain(MAX_DRAINED_BYTES) => {}
+                // Shutdown does not wait for clients whose request was rejected.
                 _ = closing.changed() => {}
             }
         }
     };
-    match door {
-        Some(door) => roaming::start(&door, Box::pin(work), entry),
-        None => entry.set_task(tasks::spawn(work)),
+    match unassigned_tasks {
+        Some(unassigned_tasks) => roaming::start(&unassigned_tasks, Box::pin(work), connection),
+        None => connection.set_task(tasks::spawn(work)),
     }
 }
 
-/// The answer to a request, or why a bad one is turned down for good.
-async fn answer(
+/// Handles a request. The error is the reason for which a bad request is rejected; its connection is closed.
+async fn handle_request(
     shared: &Rc<ServerState>,
-    place: &Rc<ClientConnection>,
-    turned_down: &Cell<bool>,
+    client: &Rc<ClientConnection>,
+    must_drain: &Cell<bool>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Rejection> {
     let (head, body) = request.into_parts();
-    // Asked of every head, in their order.
-    if !place.socket.next_head_is_unambiguous() && head.headers.contains_key(TRANSFER_ENCODING) {
+    // Has to be called for every head, in order.
+    if !client.socket.next_head_is_unambiguous() && head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(bad_request("transfer-encoding: beside a content-length"));
     }
     if head.uri.path() == "/-/ready" && !head.headers.contains_key(TRANSFER_ENCODING) {
         let ready = shared.is_ready();
-        return Ok(status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
+        return Ok(empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
     }
     let RouteMatch { pool, uri, class, tenant } = shared.router.find(&head)?;
-    // Whose room it takes.
+    // The member whose capacity the request uses.
     let member = tenant.as_ref().map_or(pool.member, |tenant| tenant.member());
     let set = || tenant.as_ref().map_or_else(|| pool.set.clone(), |tenant| tenant.set());
-    if !shared.connections.assign(place, member, set) {
-        return Ok(close(status(StatusCode::SERVICE_UNAVAILABLE)));
+    if !shared.connections.assign(client, member, set) {
+        return Ok(with_connection_close(empty_response(StatusCode::SERVICE_UNAVAILABLE)));
     }
     let rules = pool.rules();
     let mut terms = check(&rules, &head, class, tenant.is_some())?;
-    // Held until the answer is there: a table that is replaced meanwhile changes nothing for this request.
-    let Some(_entry) = pool.open_request() else { return Ok(status(StatusCode::SERVICE_UNAVAILABLE)) };
+    // Kept until the response is complete: a routing table that is replaced meanwhile does not affect this request.
+    let Some(_open_request) = pool.open_request() else {
+        return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
+    };
     let _admitted = match &tenant {
         None => None,
         Some(tenant) => match tenant.admit(pool.member, &account_name(&head.headers)) {
@@ -281,25 +285,25 @@
                 Some(admitted.place)
             }
             Err(rejection) if rejection.code == StatusCode::SERVICE_UNAVAILABLE => {
-                return Ok(close(turned_away(shared, rejection)));
+                return Ok(with_connection_close(rejection_response(shared, rejection)));
             }
             Err(rejection) => return Err(rejection),
         },
     };
-    let Some(held) = pool.reserve_bytes(member, body.size_hint().lower()) else {
-        return Ok(close(status(StatusCode::SERVICE_UNAVAILABLE)));
+    let Some(reservation) = pool.reserve_bytes(member, body.size_hint().lower()) else {
+        return Ok(with_connection_close(empty_response(StatusCode::SERVICE_UNAVAILABLE)));
     };
-    let body = body_of(&rules, &head, body, shared.clock).await?;
+    let body = read_body(&rules, &head, body, shared.clock).await?;
     let upload = body.upload().cloned();
-    // A client's time counts from its request's last byte.
+    // The client's time budget starts with the last byte of its request.
     let arrived_at = shared.clock.now();
-    let wire_id = terms.wire_id.unwrap_or_else(|| own_name(shared));
-    let Some(mut named) = pool.register_request(&wire_id) else {
+    let wire_id = terms.wire_id.unwrap_or_else(|| generate_request_id(shared));
+    let Some(mut registered) = pool.register_request(&wire_id) else {
         return Err(Rejection { code: StatusCode::BAD_REQUEST, reason: "req-id: that of an open request" });
     };
     let (mut plan, mut customer, mut pass) = (terms.plan, terms.customer, None);
     if let Some(precheck) = pool.precheck(terms.attempt_name.is_some(), || plan) {
-        let about = PrecheckRequest {
+        let precheck_request = PrecheckRequest {
             source: Source::Request,
             customer,
             units: terms.units,
@@ -313,29 +317,35 @@
             arrived_at,
             budget: terms.budget,
         };
-        match precheck.run(about).await {
+        match precheck.run(precheck_request).await {
             PrecheckOutcome::Pass(passed) => {
                 if passed.already_counted {
-                    // It goes on, under a name of its own that has no quota.
-                    (plan, customer) = (rules.uncounted_plan().unwrap_or(plan), customer ^ COUNTED);
+                    // The request is forwarded under a customer id and a plan without a quota.
+                    (plan, customer) =
+                        (rules.uncounted_plan().unwrap_or(plan), customer ^ ALREADY_COUNTED_BIT);
                 }
                 pass = Some(passed);
             }
             PrecheckOutcome::OverLimit { retry_after } => {
-                named.over = true;
-                return Ok(turned_back(StatusCode::TOO_MANY_REQUESTS, retry_after));
+                registered.finished = true;
+                return Ok(retry_later_response(StatusCode::TOO_MANY_REQUESTS, retry_after));
             }
             PrecheckOutcome::Unavailable { retry_after } => {
-                named.over = true;
-                return Ok(turned_back(StatusCode::SERVICE_UNAVAILABLE, retry_after));
+                registered.finished = true;
+                return Ok(retry_later_response(StatusCode::SERVICE_UNAVAILABLE, retry_after));
             }
         }
     }
     let (reply, answered) = oneshot::channel();
-    let forward =
-        Some(Rc::new(ForwardedRequest { method: head.method, uri, wire_id, body, _held: Some(held) }));
+    let forward = Some(Rc::new(ForwardedRequest {
+        method: head.method,
+        uri,
+        wire_id,
+        body,
+        _reservation: Some(reservation),
+    }));
     let request = ClientRequest {
-        id: named.id,
+        id: registered.id,
         arrived_at,
         budget: terms.budget,
         class: terms.class,
@@ -351,8 +361,8 @@
         reply,
     };
     if !pool.send(Message::Request(request)) {
-        named.over = true;
-        return Ok(status(StatusCode::INTERNAL_SERVER_ERROR));
+        registered.finished = true;
+        return Ok(empty_response(StatusCode::INTERNAL_SERVER_ERROR));
     }
     let reply = match &upload {
         None => answered.await,
@@ -361,79 +371,83 @@
             () = upload.stalled() => return Err(BODY_TIMED_OUT),
         },
     };
-    // What is left of it is read and forgotten: a client that still writes would not see its answer.
+    // The rest of the upload is read and discarded: a client that is still writing would not see the response.
     if upload.is_some_and(|upload| upload.ended_at().is_none()) {
-        turned_down.set(true);
+        must_drain.set(true);
     }
-    let reply = reply.unwrap_or(Reply { answer: ClientAnswer::Failed, standing: None });
-    named.over = true;
+    let reply = reply.unwrap_or(Reply { answer: ClientAnswer::Failed, quota: None });
+    registered.finished = true;
     if let Some(pass) = &mut pass {
-        // Refused, it has run nowhere.
+        // A refused request has not run on any backend.
         pass.finish(!matches!(reply.answer, ClientAnswer::Refused { .. }));
     }
-    let response = written(&pool, member, reply, place);
-    Ok(if turned_down.get() { close(response) } else { response })
+    let response = build_response(&pool, member, reply, client);
+    Ok(if must_drain.get() { with_connection_close(response) } else { response })
 }
 
-/// An id of this ingress's own, for a client that gave none.
-fn own_name(shared: &ServerState) -> HeaderValue {
-    let name = shared.next_name.replace(shared.next_name.get() + 1);
+/// Generates an id for a request whose client gave none.
+fn generate_request_id(shared: &ServerState) -> HeaderValue {
+    let name = shared.next_generated_id.replace(shared.next_generated_id.get() + 1);
     HeaderValue::from_str(&format!("v{name:016x}")).unwrap_or(HeaderValue::from_static("v"))
 }
 
-fn written(
+fn build_response(
     pool: &Pool,
     member: Member,
     reply: Reply,
-    place: &Rc<ClientConnection>,
+    client: &Rc<ClientConnection>,
 ) -> Response<ResponseBody> {
     let mut response = match reply.answer {
         ClientAnswer::Complete(body) => {
-            let held = pool.reserve_bytes_unchecked(member, body.len() as u64);
-            Response::new(ResponseBody::new(body, Some(held)))
+            let reservation = pool.reserve_bytes_unchecked(member, body.len() as u64);
+            Response::new(ResponseBody::new(body, Some(reservation)))
         }
         ClientAnswer::Streaming(first, rest) => {
-            Response::new(ResponseBody::long(first, rest, ResponseInProgress(place.clone())))
+            Response::new(ResponseBody::streaming(first, rest, ResponseInProgress(client.clone())))
+        }
+        ClientAnswer::Failed | ClientAnswer::Admitted => empty_response(StatusCode::BAD_GATEWAY),
+        ClientAnswer::Refused { retry_after: 0 } => empty_response(StatusCode::SERVICE_UNAVAILABLE),
+        // The decision module sets `retry_after` only where the quota has refilled by then.
+        ClientAnswer::Refused { retry_after } => {
+            retry_later_response(StatusCode::TOO_MANY_REQUESTS, retry_after)
         }
-        ClientAnswer::Failed | ClientAnswer::Admitted => status(StatusCode::BAD_GATEWAY),
-        ClientAnswer::Refused { retry_after: 0 } => status(StatusCode::SERVICE_UNAVAILABLE),
-        // The module names a time to come back only where the quota refills by then.
-        ClientAnswer::Refused { retry_after } => turned_back(StatusCode::TOO_MANY_REQUESTS, retry_after),
     };
-    if let Some(standing) = &reply.standing {
-        quota_headers::write(response.headers_mut(), pool.quota_headers.get(), standing);
+    if let Some(quota) = &reply.quota {
+        quota_headers::write(response.headers_mut(), pool.quota_headers.get(), quota);
     }
     response
 }
 
-/// A refusal, with the time after which to come back where one is known.
-fn turned_back(code: StatusCode, retry_after: Micros) -> Response<ResponseBody> {
-    let mut response = status(code);
+/// An empty response with `Retry-After` if that time is known.
+fn retry_later_response(code: StatusCode, retry_after: Micros) -> Response<ResponseBody> {
+    let mut response = empty_response(code);
     if retry_after > 0 {
-        let seconds = format!("{:.3}", (retry_after as f64 / 1e3).ceil() / 1e3);
-        if let Ok(value) = HeaderValue::from_str(&seconds) {
+        let retry_after_seconds = format!("{:.3}", (retry_after as f64 / 1e3).ceil() / 1e3);
+        if let Ok(value) = HeaderValue::from_str(&retry_after_seconds) {
             response.headers_mut().insert(RETRY_AFTER, value);
         }
     }
     response
 }
 
-/// Why a request is turned down: in words too, where clients are not the platform's.
-fn turned_away(shared: &ServerState, rejection: Rejection) -> Response<ResponseBody> {
-    let mut response = status(rejection.code);
+/// The response to a rejected request, with the reason as its body except in the platform's program.
+fn rejection_response(shared: &ServerState, rejection: Rejection) -> Response<ResponseBody> {
+    let mut response = empty_response(rejection.code);
     if shared.router.explains_errors() {
         *response.body_mut() = ResponseBody::new(Bytes::from(format!("{}\n", rejection.reason)), None);
     }
     response
 }
 
-fn status(code: StatusCode) -> Response<ResponseBody> {
+/// A response without a body.
+fn empty_response(code: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::default());
     *response.status_mut() = code;
     response
 }
 
-fn close(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
+/// Marks a response as the last one on its connection.
+fn with_connection_close(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
