--- a/crates/ingress/src/class_plan_indices.rs
+++ b/crates/ingress/src/class_plan_indices.rs
@@ -5,13 +5,14 @@
 use violetyoke_config as file;
 use violetyoke_decision::interface::{self, Plan};
 
-/// A class and a plan that each pool has besides those of the configuration file: the class of rate limit queries, and
-/// a plan without a quota for requests that have been counted already. No name in a file can begin with `?`.
+/// A class and a plan that each pool has besides those of the configuration file: the class of rate limit
+/// queries, and a plan without a quota for requests that have been counted already. No name in a file can begin
+/// with `?`.
 const QUERY_CLASS: &str = "?asks";
 const UNCOUNTED_PLAN: &str = "?free";
 
-/// Assigns indices to classes and plans. An index is never reused for another class or plan, because open requests
-/// refer to it.
+/// Assigns indices to classes and plans. An index is never reused for another class or plan, because open
+/// requests refer to it.
 #[derive(Clone, Default)]
 pub struct ClassPlanIndices {
     classes: Vec<(String, interface::Class)>,
@@ -21,8 +22,9 @@
 }
 
 impl ClassPlanIndices {
-    /// Brings the classes and plans up to date with the configuration. A class whose effect, group or repeat window
-    /// has changed gets a new index, so that open requests end by the rules under which they were accepted.
+    /// Brings the classes and plans up to date with the configuration. A class whose effect, group or repeat
+    /// window has changed gets a new index, so that open requests end by the rules under which they were
+    /// accepted.
     pub fn update(&mut self, config: &file::Pool, tenant_plans: &[(String, Plan)]) {
         for class in &config.classes {
             let is_same = |old: &interface::Class| {
@@ -57,8 +59,8 @@
         }
     }
 
-    /// The names by index, by which requests select a class and a plan. Entries that the file no longer has are empty,
-    /// which no request can name.
+    /// The names by index, by which requests select a class and a plan. Entries that the file no longer has are
+    /// empty, which no request can name.
     fn names(&self, config: &file::Pool) -> (Vec<String>, Vec<String>) {
         let class = |(name, class): &(String, interface::Class)| {
             let is_configured = config.classes.iter().any(|new| new.name == *name && new.class == *class);
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -1,8 +1,9 @@
 //! The table of client connections: the stage of each, and which are closed to make room for others.
 //!
 //! A process with a single pool has one limit for all connections. Where several pools share the process, a
-//! connection counts against the pool or tenant whose request it carried last, and against [`UNASSIGNED`] until its
-//! first request. The connection that has been idle the longest makes room for a new one of the same member.
+//! connection counts against the pool or tenant whose request it carried last, and against [`UNASSIGNED`] until
+//! its first request. The connection that has been idle the longest makes room for a new one of the same
+//! member.
 
 use super::pool::SharedCapacity;
 use super::socket::Socket;
@@ -51,8 +52,8 @@
     /// Bytes that had been read from the socket when the stage began.
     read_at_stage_start: Cell<u64>,
     task: RefCell<Option<TaskHandle>>,
-    /// The member whose share of the descriptors it counts against; `None` once the descriptor has been released, or
-    /// where descriptors are not shared.
+    /// The member whose share of the descriptors it counts against; `None` once the descriptor has been
+    /// released, or where descriptors are not shared.
     member: Cell<Option<Member>>,
     /// The task set that its task has to move to.
     pending_move: RefCell<Option<Rc<TaskSet>>>,
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Acquires a descriptor for a member. If none is available, the member's connection that has been idle the longest
-    /// is closed; its descriptor is freed shortly afterwards, when its task is dropped.
+    /// Acquires a descriptor for a member. If none is available, the member's connection that has been idle the
+    /// longest is closed; its descriptor is freed shortly afterwards, when its task is dropped.
     fn acquire_descriptor(&self, capacity: &SharedCapacity, member: Member) -> bool {
         if capacity.borrow_mut().try_acquire(member, 1) {
             return true;
@@ -244,8 +245,8 @@
         self.connections.borrow().len()
     }
 
-    /// Whether so many connections are open that each is closed after its response, so that the client reconnects
-    /// behind those that are waiting to be accepted.
+    /// Whether so many connections are open that each is closed after its response, so that the client
+    /// reconnects behind those that are waiting to be accepted.
     pub fn is_crowded(&self) -> bool {
         self.count() > self.idle_close_threshold
     }
@@ -254,8 +255,8 @@
         self.count() < self.max_connections
     }
 
-    /// Closes connections that are idle and have received no part of a request. A client whose request is sent at the
-    /// same moment has to retry it.
+    /// Closes connections that are idle and have received no part of a request. A client whose request is sent
+    /// at the same moment has to retry it.
     pub fn close_idle(&self) {
         let connections = self.connections.borrow();
         let nothing_read = |connection: &ClientConnection| {
@@ -273,8 +274,9 @@
         idle.for_each(|connection| connection.close());
     }
 
-    /// Closes connections that exceed the time limit of their stage and, above the threshold, those that have been idle
-    /// the longest. Without this, silent clients could occupy the whole table and no other would be accepted.
+    /// Closes connections that exceed the time limit of their stage and, above the threshold, those that have
+    /// been idle the longest. Without this, silent clients could occupy the whole table and no other would be
+    /// accepted.
     pub fn close_overdue(&self) {
         let now = Instant::now();
         let connections = self.connections.borrow();
@@ -283,7 +285,8 @@
             if connection.stage.get() == Stage::Idle
                 && connection.socket.bytes_read() > connection.read_at_stage_start.get()
             {
-                // `read_at_stage_start` keeps its value: `close_idle` has to see that part of a head has arrived.
+                // `read_at_stage_start` keeps its value: `close_idle` has to see that part of a head has
+                // arrived.
                 connection.stage.set(Stage::AwaitingHead);
                 connection.since.set(now);
             }
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -239,7 +239,7 @@
         if list.complete {
             for backend in sockets.backends.values() {
                 backend.accepting.set(false);
-                backend.gone.set(true);
+                backend.removed.set(true);
             }
             sockets.listed.clear();
         }
@@ -294,7 +294,7 @@
         if backend.address.replace(target.host_port) != target.host_port {
             backend.close_idle();
         }
-        backend.gone.set(target.phase == Phase::Terminated);
+        backend.removed.set(target.phase == Phase::Terminated);
         backend.accepting.set(target.phase == Phase::InService && !ejected);
         let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
         BackendEntry {
--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -83,7 +83,7 @@
 
     /// Forgets backends that are gone once nothing is out to them.
     fn forget(&mut self) {
-        self.backends.retain(|_, backend| !backend.gone.get() || Rc::strong_count(backend) > 1);
+        self.backends.retain(|_, backend| !backend.removed.get() || Rc::strong_count(backend) > 1);
         let (backends, backend_ids) = (&self.backends, &mut self.backend_ids);
         backend_ids.retain(|id| backends.contains_key(&id));
         self.listed.retain(|node, _| backend_ids.get(node).is_some());
@@ -109,7 +109,7 @@
         let AttemptId { request, number: attempt } = id;
         let backend = self.backends.get(&backend).filter(|backend| backend.accepting.get()).cloned()?;
         let forward = client.forward.clone()?;
-        backend.close_older(now.saturating_sub(self.max_idle));
+        backend.close_idle_since(now.saturating_sub(self.max_idle));
         let (sent, messages, clock) = (Rc::new(Cell::new(false)), self.messages.clone(), self.clock);
         let begun = self.messages.clone();
         let work = backend::attempt(
@@ -241,7 +241,7 @@
     }
 
     fn sweep(&mut self, now: Micros, idle_since: Micros, gateway: &Gateway) {
-        self.backends.values().for_each(|backend| backend.close_older(idle_since));
+        self.backends.values().for_each(|backend| backend.close_idle_since(idle_since));
         self.forget();
         if let Some(account) = &mut self.account {
             let name = |id| self.backend_ids.name(id).map(str::to_string).unwrap_or_default();
--- a/crates/ingress/src/framing.rs
+++ b/crates/ingress/src/framing.rs
@@ -1,10 +1,10 @@
-//! Detects request heads with both `Content-Length` and `Transfer-Encoding` (RFC 9112, section 6.3) in the bytes
-//! read from a client connection.
+//! Detects request heads with both `Content-Length` and `Transfer-Encoding` (RFC 9112, section 6.3) in the
+//! bytes read from a client connection.
 //!
-//! Such a head allows request smuggling: this server frames the body by its chunks, while a proxy in front of it may
-//! have used the length. hyper drops `Content-Length` in that case without reporting it, so the raw bytes are parsed
-//! here as well. The result serves this one check only: a message that hyper would frame differently is one that it
-//! rejects.
+//! Such a head allows request smuggling: this server frames the body by its chunks, while a proxy in front of
+//! it may have used the length. hyper drops `Content-Length` in that case without reporting it, so the raw
+//! bytes are parsed here as well. The result serves this one check only: a message that hyper would frame
+//! differently is one that it rejects.
 
 use std::collections::VecDeque;
 
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -113,8 +113,8 @@
         self.messages.send(message).is_ok()
     }
 
-    /// Counts one more open request until the guard is dropped; `None` at the limit. This also bounds the driver's
-    /// inbox, because a request has one message in it at a time.
+    /// Counts one more open request until the guard is dropped; `None` at the limit. This also bounds the
+    /// driver's inbox, because a request has one message in it at a time.
     pub fn open_request(self: &Rc<Pool>) -> Option<OpenRequest> {
         if self.open.get() >= self.max_open_requests.get() {
             return None;
@@ -134,8 +134,8 @@
         id
     }
 
-    /// Assigns an id for the driver and registers the client's own id, which no other open request may have: the same
-    /// id twice means the same request twice, and the copy could run concurrently with the first.
+    /// Assigns an id for the driver and registers the client's own id, which no other open request may have:
+    /// the same id twice means the same request twice, and the copy could run concurrently with the first.
     pub fn register_request(self: &Rc<Pool>, wire_id: &HeaderValue) -> Option<RegisteredRequest> {
         self.open_wire_ids.borrow_mut().insert(wire_id.clone()).then(|| {
             let id = self.next_request_id();
@@ -143,8 +143,8 @@
         })
     }
 
-    /// Reserves memory for a request body that is about to be read, from the pool's or a tenant's share; `None` if
-    /// there is not enough.
+    /// Reserves memory for a request body that is about to be read, from the pool's or a tenant's share; `None`
+    /// if there is not enough.
     pub fn reserve_bytes(&self, member: Member, amount: u64) -> Option<BytesReservation> {
         let Some(capacity) = &self.buffer_capacity else {
             return Some(BytesReservation { capacity: None, member: 0, amount: 0 });
@@ -153,8 +153,8 @@
         fits.then(|| BytesReservation { capacity: Some(capacity.clone()), member, amount })
     }
 
-    /// Reserves memory for a response that has been received already, even beyond the limit; later reservations find
-    /// less.
+    /// Reserves memory for a response that has been received already, even beyond the limit; later reservations
+    /// find less.
     pub fn reserve_bytes_unchecked(&self, member: Member, amount: u64) -> BytesReservation {
         if let Some(capacity) = &self.buffer_capacity {
             capacity.borrow_mut().acquire_unchecked(member, amount);
@@ -177,8 +177,8 @@
     }
 }
 
-/// The ids of an open request. If it is dropped before `finished` is set, the client has disconnected and the driver
-/// is told to abandon the request.
+/// The ids of an open request. If it is dropped before `finished` is set, the client has disconnected and the
+/// driver is told to abandon the request.
 pub struct RegisteredRequest {
     pool: Rc<Pool>,
     pub id: RequestId,
--- a/crates/ingress/src/precheck.rs
+++ b/crates/ingress/src/precheck.rs
@@ -1,6 +1,6 @@
-//! Checks that run before a request or a rate limit query reaches the pool's decision module: whether the client's
-//! named attempt has been counted already, and what an external rate limit server decides. A pool that needs neither
-//! has no precheck, and neither has the pool of the platform's program.
+//! Checks that run before a request or a rate limit query reaches the pool's decision module: whether the
+//! client's named attempt has been counted already, and what an external rate limit server decides. A pool that
+//! needs neither has no precheck, and neither has the pool of the platform's program.
 
 use crate::consult::{Asked, Consulting};
 use crate::request::claim_id;
@@ -33,8 +33,8 @@
 
 pub enum PrecheckOutcome {
     Pass(PrecheckPass),
-    /// The attempt was rejected before, or the external server reports its limit as exceeded. `retry_after` is 0 if no
-    /// time is known.
+    /// The attempt was rejected before, or the external server reports its limit as exceeded. `retry_after` is
+    /// 0 if no time is known.
     OverLimit {
         retry_after: Micros,
     },
@@ -54,8 +54,8 @@
 }
 
 impl PrecheckPass {
-    /// Reports whether the request was admitted. If this is not called, the external limiter assumes that it may have
-    /// been.
+    /// Reports whether the request was admitted. If this is not called, the external limiter assumes that it
+    /// may have been.
     pub fn finish(&mut self, admitted: bool) {
         if let Some(limiter_query) = self.limiter_query.take() {
             limiter_query.ended(admitted);
@@ -141,8 +141,8 @@
     }
 }
 
-/// Claims an attempt at the shared counter. If the counter does not answer in time, the attempt counts as new: it is
-/// better counted twice than not at all.
+/// Claims an attempt at the shared counter. If the counter does not answer in time, the attempt counts as new:
+/// it is better counted twice than not at all.
 async fn claim_attempt(messages: &Messages, source: Source, claim: u64) -> ClaimState {
     let (reply, answered) = oneshot::channel();
     let _ =
--- a/crates/ingress/src/quota_headers.rs
+++ b/crates/ingress/src/quota_headers.rs
@@ -1,6 +1,7 @@
-//! Response headers that report a client's quota: those of draft-ietf-httpapi-ratelimit-headers-10 (`RateLimit-Policy`
-//! and `RateLimit`, structured fields by RFC 9651), and the older `X-RateLimit-*`, whose reset is in seconds
-//! from now. Quotas are in units; a request of one unit can be sent while at least one is left.
+//! Response headers that report a client's quota: those of draft-ietf-httpapi-ratelimit-headers-10
+//! (`RateLimit-Policy` and `RateLimit`, structured fields by RFC 9651), and the older `X-RateLimit-*`, whose
+//! reset is in seconds from now. Quotas are in units; a request of one unit can be sent while at least one is
+//! left.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use violetyoke_config::Fields;
@@ -12,8 +13,8 @@
 const LEGACY_REMAINING: HeaderName = HeaderName::from_static("x-ratelimit-remaining");
 const LEGACY_RESET: HeaderName = HeaderName::from_static("x-ratelimit-reset");
 
-/// Adds the headers that are enabled. The remaining quota is rounded down and times are rounded up, so that a client
-/// that relies on them is not rejected.
+/// Adds the headers that are enabled. The remaining quota is rounded down and times are rounded up, so that a
+/// client that relies on them is not rejected.
 pub fn write(headers: &mut HeaderMap, enabled: Fields, quota_state: &Standing) {
     let limit = quota_state.burst.floor();
     let remaining = quota_state.left.floor();
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -1,5 +1,5 @@
-//! Validation of client requests. A malformed request is rejected here, before it reaches the decision module or a
-//! backend.
+//! Validation of client requests. A malformed request is rejected here, before it reaches the decision module
+//! or a backend.
 
 use super::backend::{REQ_DEADLINE, REQ_ID};
 use super::streaming::{read_up_to, PartialBody, RequestBody, Upload, MAX_STREAMED_BODY, STREAM_PREFIX};
@@ -190,8 +190,8 @@
     pub attempt_name: Option<String>,
 }
 
-/// Validates a request's head. `class` is the route's class for requests that name none. For a tenant's request,
-/// plan and customer are determined by the tenant and not read from the head.
+/// Validates a request's head. `class` is the route's class for requests that name none. For a tenant's
+/// request, plan and customer are determined by the tenant and not read from the head.
 pub fn check(
     rules: &Rules,
     head: &Parts,
@@ -307,9 +307,9 @@
     names.iter().position(|existing| existing == name && !name.is_empty()).map(|index| index as u16)
 }
 
-/// The customer's id: 16 hex digits below 2^33 in the cookie `account` or, in the service's format, any name in the
-/// field `X-Account`, hashed to 64 bits by SipHash-1-3 (key 0). With `n` accounts, the probability that any two
-/// share a quota is below `n^2 / 2^65`.
+/// The customer's id: 16 hex digits below 2^33 in the cookie `account` or, in the service's format, any name in
+/// the field `X-Account`, hashed to 64 bits by SipHash-1-3 (key 0). With `n` accounts, the probability that any
+/// two share a quota is below `n^2 / 2^65`.
 fn parse_customer(headers: &HeaderMap, is_service: bool) -> Result<u64, Rejection> {
     const INVALID: Rejection = bad_request("cookie account: 16 hex digits below 2^33");
     let cookies = headers.get_all(COOKIE).iter().filter_map(|value| value.to_str().ok());
@@ -344,8 +344,8 @@
     is_valid.then(|| hash(&SipHasher13::new(), name))
 }
 
-/// The id of an attempt's claim at the shared counter; the hash key keeps claims apart from accounts. It depends on the
-/// account and the units as well, so that an attempt's name is of no use to another account.
+/// The id of an attempt's claim at the shared counter; the hash key keeps claims apart from accounts. It
+/// depends on the account and the units as well, so that an attempt's name is of no use to another account.
 pub fn claim_id(customer: u64, units: f64, name: &str) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(1, 0);
     hasher.write_u64(customer);
--- a/crates/ingress/src/router.rs
+++ b/crates/ingress/src/router.rs
@@ -1,5 +1,5 @@
-//! Selects the pool for a request. The routing table is replaced as a whole; a request that has been matched keeps its
-//! pool.
+//! Selects the pool for a request. The routing table is replaced as a whole; a request that has been matched
+//! keeps its pool.
 
 use crate::guest::Guest;
 use crate::pool::Pool;
@@ -47,8 +47,8 @@
         Router { routing: RefCell::new(Rc::new(routing)) }
     }
 
-    /// Returns the previous table unless a request still uses it, so that the caller can drop it elsewhere: it may be
-    /// large.
+    /// Returns the previous table unless a request still uses it, so that the caller can drop it elsewhere: it
+    /// may be large.
     pub fn replace(&self, routing: Routing) -> Option<Routing> {
         Rc::into_inner(self.routing.replace(Rc::new(routing)))
     }
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1 server for clients: accepts connections, takes each request through its checks to the pool's driver, and
-//! shuts down on SIGTERM.
+//! The HTTP/1 server for clients: accepts connections, takes each request through its checks to the pool's
+//! driver, and shuts down on SIGTERM.
 
 use super::connections::{ClientConnection, ConnectionTable, Stage};
 use super::pool::{Pool, ResponseBody};
@@ -111,9 +111,9 @@
     open().map_err(|error| io::Error::new(error.kind(), format!("listen {address}: {error}")))
 }
 
-/// Accepts connections until SIGTERM and for a grace period after it; returns when every connection has ended, or
-/// after the longest deadline of any class. `taken_over` is set for a listener that other processes accept on too, and
-/// returns whether one of them has taken over; this process then accepts only once it can serve.
+/// Accepts connections until SIGTERM and for a grace period after it; returns when every connection has ended,
+/// or after the longest deadline of any class. `taken_over` is set for a listener that other processes accept
+/// on too, and returns whether one of them has taken over; this process then accepts only once it can serve.
 pub async fn serve(
     listener: TcpListener,
     taken_over: Option<&dyn Fn() -> bool>,
@@ -273,7 +273,8 @@
     }
     let rules = pool.rules();
     let mut terms = check(&rules, &head, class, tenant.is_some())?;
-    // Kept until the response is complete: a routing table that is replaced meanwhile does not affect this request.
+    // Kept until the response is complete: a routing table that is replaced meanwhile does not affect this
+    // request.
     let Some(_open_request) = pool.open_request() else {
         return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     };
--- a/crates/ingress/src/socket.rs
+++ b/crates/ingress/src/socket.rs
@@ -1,5 +1,5 @@
-//! A TCP socket that hyper drives while its owner keeps a handle to it: to count the bytes in both directions, to
-//! check for unsolicited input, and to drain the socket once hyper has finished.
+//! A TCP socket that hyper drives while its owner keeps a handle to it: to count the bytes in both directions,
+//! to check for unsolicited input, and to drain the socket once hyper has finished.
 
 use crate::framing::FramingMonitor;
 use socket2::SockRef;
@@ -56,15 +56,16 @@
         self.traffic.blocked.get()
     }
 
-    /// Whether there is nothing to read and the peer has not closed. This peeks at the kernel's buffer, because the
-    /// runtime learns of new bytes only when it next polls for I/O, and by then a request could have been written.
+    /// Whether there is nothing to read and the peer has not closed. This peeks at the kernel's buffer, because
+    /// the runtime learns of new bytes only when it next polls for I/O, and by then a request could have been
+    /// written.
     pub fn has_no_input(&self) -> bool {
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the next request head is known not to have both `Content-Length` and `Transfer-Encoding`; always true
-    /// for sockets that are not checked. Call it once for each head, in order.
+    /// Whether the next request head is known not to have both `Content-Length` and `Transfer-Encoding`; always
+    /// true for sockets that are not checked. Call it once for each head, in order.
     pub fn next_head_is_unambiguous(&self) -> bool {
         self.framing.as_ref().is_none_or(|framing| framing.borrow_mut().next_head_is_unambiguous())
     }
@@ -73,8 +74,8 @@
         let _ = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
     }
 
-    /// Reads and discards input until the peer closes or `max_bytes` have been read. Closing a socket with unread
-    /// input would reset the connection, and the peer could lose a response that it has not read yet.
+    /// Reads and discards input until the peer closes or `max_bytes` have been read. Closing a socket with
+    /// unread input would reset the connection, and the peer could lose a response that it has not read yet.
     pub async fn drain(&self, max_bytes: u64) {
         let limit = self.bytes_read() + max_bytes;
         let mut buffer = [0; 16 * 1024];
--- a/crates/ingress/src/streaming.rs
+++ b/crates/ingress/src/streaming.rs
@@ -1,5 +1,5 @@
-//! Bodies that are forwarded as they arrive instead of being buffered, at the speed of the slower side. A few chunks of
-//! about 16 KiB are in memory for each body, whatever its length.
+//! Bodies that are forwarded as they arrive instead of being buffered, at the speed of the slower side. A few
+//! chunks of about 16 KiB are in memory for each body, whatever its length.
 
 use crate::connections::{ClientConnection, Stage};
 use crate::Clock;
@@ -60,7 +60,8 @@
     Ok(PartialBody { bytes: if all.is_empty() { first } else { all.freeze() }, complete: true })
 }
 
-/// A request body that is streamed to a backend. Bytes beyond the prefix are not kept, so they can be sent only once.
+/// A request body that is streamed to a backend. Bytes beyond the prefix are not kept, so they can be sent only
+/// once.
 pub struct Upload {
     first: Bytes,
     /// The body's length in bytes, if the client stated it.
@@ -212,7 +213,8 @@
     }
 }
 
-/// The rest of a streamed response, read by the client's connection. Dropping it closes the connection to the backend.
+/// The rest of a streamed response, read by the client's connection. Dropping it closes the connection to the
+/// backend.
 pub struct ResponseRemainder {
     chunks: mpsc::Receiver<io::Result<Bytes>>,
     /// Bytes that are still to come, if the backend stated the length.
--- a/crates/ingress/src/tasks.rs
+++ b/crates/ingress/src/tasks.rs
@@ -1,6 +1,6 @@
-//! Task spawning on a single thread. A task started by a pool's task belongs to the pool's task set too, so that the
-//! fair scheduler counts its work for that pool. Where there are no task sets (the platform's program), tasks are
-//! tokio's own.
+//! Task spawning on a single thread. A task started by a pool's task belongs to the pool's task set too, so
+//! that the fair scheduler counts its work for that pool. Where there are no task sets (the platform's
+//! program), tasks are tokio's own.
 
 use crate::sets::Woken;
 use async_task::{Runnable, Task};
