--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -183,7 +183,7 @@
     /// Begins with what an older process knew. Its list of nodes is newer than the configuration's.
     #[cold]
     fn inherit(&mut self, mut imported_state: Inheritance) {
-        self.ejections.inherit_restored(std::mem::take(&mut imported_state.back));
+        self.ejections.import_restored(std::mem::take(&mut imported_state.back));
         if let Some(list) = imported_state.list() {
             self.targets(list);
             self.exchange.process_events(self.clock.now());
--- a/crates/ingress/src/router.rs
+++ b/crates/ingress/src/router.rs
@@ -10,7 +10,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
-use violetyoke_routes::{target, RouteTable, TargetError};
+use violetyoke_routes::{normalize_target, RouteTable, TargetError};
 
 /// Holds the current routing table.
 pub struct Router {
@@ -83,7 +83,7 @@
         let path_and_query = head.uri.path_and_query().ok_or(bad_request("path: must begin with /"))?;
         let uri_host = head.uri.authority().map(|authority| authority.as_str());
         let hosts = head.headers.get_all(HOST).iter().map(|value| value.as_bytes());
-        let target = target(uri_host, hosts, path_and_query.path()).map_err(target_rejection)?;
+        let target = normalize_target(uri_host, hosts, path_and_query.path()).map_err(target_rejection)?;
         let class = head.headers.get(crate::request::REQ_KIND).and_then(|class| class.to_str().ok());
         let index = table.find(&target.host, &target.path, head.method.as_str(), class);
         const NO_ROUTE: Rejection = Rejection { code: StatusCode::NOT_FOUND, reason: "path: no route" };
@@ -91,8 +91,10 @@
         let uri = match path_and_query.query() {
             _ if target.path == path_and_query.path() => Uri::from(path_and_query.clone()),
             Some(query) => Uri::try_from(format!("{}?{query}", target.path))
-                .map_err(|_| target_rejection(TargetError::Encoding))?,
-            None => Uri::try_from(target.path).map_err(|_| target_rejection(TargetError::Encoding))?,
+                .map_err(|_| target_rejection(TargetError::AmbiguousEncoding))?,
+            None => {
+                Uri::try_from(target.path).map_err(|_| target_rejection(TargetError::AmbiguousEncoding))?
+            }
         };
         let class = route.class.as_ref().and_then(|class| route.pool.rules().class(class));
         Ok(RouteMatch { pool: route.pool.clone(), uri, class, tenant: route.tenant.clone() })
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -139,7 +139,7 @@
             () = shared.connections.freed.notified(), if !has_capacity => {}
             _ = table_check.tick() => {
                 shared.connections.close_overdue();
-                if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseQuiet {
+                if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseWithoutInput {
                     shared.connections.close_idle();
                 }
             }
