--- a/crates/ingress/src/backend.rs
+++ b/crates/ingress/src/backend.rs
@@ -216,7 +216,7 @@
             return AttemptResult::without_response(Outcome::Withheld);
         }
         sent.set(true);
-        let unused = reused.then(|| now().saturating_sub(connection.idle_since));
+        let idle = reused.then(|| now().saturating_sub(connection.idle_since));
         let (mut result, nothing_written, response_started, connection) = send_request(
             connection,
             build_request(&forward, backend.address.get(), time_left),
@@ -238,9 +238,9 @@
                     outcome => outcome,
                 };
             }
-            let broke = !response_started && result.outcome == Outcome::Reset;
-            result.connection_event = Some(Event::Carried { unused, broke });
-            if reused && broke {
+            let broken = !response_started && result.outcome == Outcome::Reset;
+            result.connection_event = Some(Event::ConnectionUsed { idle, broken });
+            if reused && broken {
                 result.outcome = Outcome::Stale;
             }
             return result;
--- a/crates/ingress/src/class_plan_indices.rs
+++ b/crates/ingress/src/class_plan_indices.rs
@@ -28,8 +28,8 @@
     pub fn update(&mut self, config: &file::Pool, tenant_plans: &[(String, Plan)]) {
         for class in &config.classes {
             let is_same = |old: &interface::Class| {
-                (old.effect, old.group, old.repeat_window)
-                    == (class.class.effect, class.class.group, class.class.repeat_window)
+                (old.idempotency, old.dedup_scope, old.dedup_window)
+                    == (class.class.idempotency, class.class.dedup_scope, class.class.dedup_window)
             };
             match self.classes.iter_mut().find(|(name, old)| *name == class.name && is_same(old)) {
                 Some(existing) => existing.1 = class.class.clone(),
@@ -39,9 +39,13 @@
         if !self.classes.iter().any(|(name, _)| name == QUERY_CLASS) {
             // The same deadline as the first class, so that queries do not distort the learned latencies.
             let template = config.classes[0].class.clone();
-            let class = interface::Class { effect: interface::Effect::Safe, asks_only: true, ..template };
+            let class = interface::Class {
+                idempotency: interface::Idempotency::Idempotent,
+                admission_only: true,
+                ..template
+            };
             self.classes.push((QUERY_CLASS.to_string(), class));
-            self.plans.push((UNCOUNTED_PLAN.to_string(), Plan { worth: 1.0, ..Plan::default() }));
+            self.plans.push((UNCOUNTED_PLAN.to_string(), Plan { value: 1.0, ..Plan::default() }));
         }
         for (name, plan) in &config.plans {
             match self.plans.iter_mut().find(|(existing, _)| existing == name) {
--- a/crates/ingress/src/quota_headers.rs
+++ b/crates/ingress/src/quota_headers.rs
@@ -5,7 +5,7 @@
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use violetyoke_config::Fields;
-use violetyoke_decision::view::Standing;
+use violetyoke_decision::view::QuotaState;
 
 const POLICY: HeaderName = HeaderName::from_static("ratelimit-policy");
 const LIMIT: HeaderName = HeaderName::from_static("ratelimit");
@@ -15,11 +15,11 @@
 
 /// Adds the headers that are enabled. The remaining quota is rounded down and times are rounded up, so that a
 /// client that relies on them is not rejected.
-pub fn write(headers: &mut HeaderMap, enabled: Fields, quota_state: &Standing) {
+pub fn write(headers: &mut HeaderMap, enabled: Fields, quota_state: &QuotaState) {
     let limit = quota_state.burst.floor();
-    let remaining = quota_state.left.floor();
+    let remaining = quota_state.remaining.floor();
     let window = (quota_state.burst / quota_state.rate).ceil().max(1.0);
-    let reset = (quota_state.until_full as f64 / 1e6).ceil();
+    let reset = (quota_state.reset_after as f64 / 1e6).ceil();
     let mut set = |name: HeaderName, text: String| {
         if let Ok(value) = HeaderValue::from_str(&text) {
             headers.insert(name, value);
--- a/crates/ingress/src/quota_headers/tests.rs
+++ b/crates/ingress/src/quota_headers/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn remaining_quota_is_rounded_down_and_times_up() {
-    let quota_state = Standing { burst: 10.5, rate: 4.0, left: 3.99, until_full: 1_627_500 };
+    let quota_state = QuotaState { burst: 10.5, rate: 4.0, remaining: 3.99, reset_after: 1_627_500 };
     let headers_for = |fields| {
         let mut headers = HeaderMap::new();
         write(&mut headers, fields, &quota_state);
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
-use violetyoke_decision::interface::{Effect, Micros, Settings};
+use violetyoke_decision::interface::{Idempotency, Micros, Settings};
 
 pub const REQ_KIND: HeaderName = HeaderName::from_static("req-kind");
 const X_TIER: HeaderName = HeaderName::from_static("x-tier");
@@ -48,7 +48,7 @@
     pub classes: Vec<String>,
     pub plans: Vec<String>,
     /// Effects and default deadlines of the classes by index.
-    effects: Vec<Effect>,
+    idempotency: Vec<Idempotency>,
     deadlines: Vec<Micros>,
     /// Most units that one request may have.
     max_units: f64,
@@ -79,12 +79,16 @@
         Rules {
             classes,
             plans,
-            effects: settings.classes.iter().map(|class| class.effect).collect(),
+            idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
             deadlines: settings.classes.iter().map(|class| class.deadline).collect(),
-            max_units: settings.largest_request,
+            max_units: settings.max_request_units,
             ingress_count: f64::from(settings.gateways),
             format,
-            query_class: settings.classes.iter().position(|class| class.asks_only).map(|index| index as u16),
+            query_class: settings
+                .classes
+                .iter()
+                .position(|class| class.admission_only)
+                .map(|index| index as u16),
             uncounted_plan: None,
         }
     }
@@ -218,9 +222,9 @@
         if segment != Some(rules.classes[usize::from(class)].as_str()) {
             return Err(Rejection { code: StatusCode::NOT_FOUND, reason: "path: not of the class" });
         }
-        let method = match rules.effects[usize::from(class)] {
-            Effect::Safe => Method::GET,
-            Effect::Keyed | Effect::Unsafe => Method::POST,
+        let method = match rules.idempotency[usize::from(class)] {
+            Idempotency::Idempotent => Method::GET,
+            Idempotency::Deduplicated | Idempotency::AtMostOnce => Method::POST,
         };
         if head.method != method {
             return Err(bad_request("method: not that of the class"));
