--- a/crates/ingress/src/consult.rs
+++ b/crates/ingress/src/consult.rs
@@ -89,7 +89,7 @@
 
     /// Asks, and returns by the time that the answer counts until, whatever the server does.
     pub async fn ask(self: &Rc<Consulting>, about: &PrecheckRequest) -> (Decision, Option<Asked>) {
-        let deadline = about.arrived_at.saturating_add(about.budget);
+        let deadline = about.arrived_at.saturating_add(about.timeout);
         let ask = self.outside.borrow_mut().start(self.clock.now(), deadline, key_of(about));
         let (number, until) = match ask {
             Start::Credited { id: number } => return (Decision::Proceed, Some(Asked::new(self, number))),
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -1,4 +1,5 @@
-//! The one owner of a pool's exchange: hands it what the sockets report, in order, and the lists of nodes.
+//! The driver of a pool: the single task that owns the pool's exchange. It passes on what the sockets report,
+//! in order, and the lists of backends.
 
 use super::account::Account;
 use super::backend::{Backend, ConnectionBudget};
@@ -19,23 +20,24 @@
 use violetyoke_exchange::{AcceptedRequest, AttemptId, BackendIds, Exchange};
 use violetyoke_operations::ManualEjections;
 
-/// Messages taken up in one go.
+/// Maximum number of messages received at once.
 const BATCH: usize = 256;
 
-/// What a driver begins with.
+/// The initial state of a driver.
 pub struct DriverSetup {
     pub settings: Settings,
     pub names: Names,
     pub seed: u64,
     pub budget: Rc<ConnectionBudget>,
-    /// The list of backends as it was last held.
+    /// The last known list of backends.
     pub initial_targets: TargetList,
     pub counter: Option<Link>,
     pub peers: Option<Peers>,
-    /// Nodes that are out by hand.
+    /// Backends that operators have ejected.
     pub ejections: ManualEjections,
-    /// Whether this one takes the place of a process that still lives, and what that has handed down.
+    /// Whether this process takes over from one that is still running.
     pub predecessor_alive: bool,
+    /// The state that the other process has handed over.
     pub imported_state: Option<Box<Inheritance>>,
 }
 
@@ -44,7 +46,7 @@
     exchange: Exchange<SocketPort>,
     names: Names,
     pool: Rc<Pool>,
-    /// No new requests come.
+    /// Whether the pool has been removed; the driver ends once no request is open.
     retiring: bool,
     ejections: ManualEjections,
     budget: Rc<ConnectionBudget>,
@@ -65,7 +67,7 @@
             imported_state,
         } = setup;
         let timeout = settings.counter.map_or(0, |counter| counter.timeout);
-        let mut sockets = SocketPort {
+        let mut port = SocketPort {
             clock,
             messages,
             pool: pool.clone(),
@@ -74,18 +76,18 @@
             report_fields: settings.report_fields.clone().into(),
             backend_ids: BackendIds::default(),
             backends: HashMap::new(),
-            listed: HashMap::new(),
+            listed_targets: HashMap::new(),
             max_idle: 0,
-            account: Account::open(&settings, &names.classes, &names.plans),
+            decision_log: Account::open(&settings, &names.classes, &names.plans),
         };
-        sockets.counter = counter.map(|link| sockets.open(link, timeout));
-        let exchange = Exchange::new(clock.now(), settings, seed, sockets);
+        port.counter = counter.map(|link| port.open(link, timeout));
+        let exchange = Exchange::new(clock.now(), settings, seed, port);
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
-        driver.targets(TargetList { cached: true, complete: true, ..initial_targets });
+        driver.update_targets(TargetList { cached: true, complete: true, ..initial_targets });
         driver.exchange.process_events(clock.now());
         driver.exchange.gateway_mut().set_overlapping(predecessor_alive);
         if let Some(imported_state) = imported_state {
-            driver.inherit(*imported_state);
+            driver.import_state(*imported_state);
         }
         driver
     }
@@ -93,17 +95,17 @@
     pub async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
         let mut batch = Vec::with_capacity(BATCH);
         let mut wake = Box::pin(sleep_until(Instant::now()));
-        let mut set_for = None;
+        let mut wake_time = None;
         loop {
             let next = self.exchange.next_due();
-            if let Some(next) = next.filter(|next| set_for != Some(*next)) {
+            if let Some(next) = next.filter(|next| wake_time != Some(*next)) {
                 wake.as_mut().reset(self.clock.instant(next).into());
-                set_for = Some(next);
+                wake_time = Some(next);
             }
             tokio::select! {
                 biased;
                 taken = inbox.recv_many(&mut batch, BATCH) => if taken == 0 { return },
-                () = wake.as_mut() => set_for = None,
+                () = wake.as_mut() => wake_time = None,
             }
             for message in batch.drain(..) {
                 let charged_member = match &message {
@@ -113,10 +115,10 @@
                     _ => None,
                 };
                 let now = self.clock.now();
-                self.take(now, message);
+                self.handle_message(now, message);
                 self.exchange.process_events(now);
-                if let Some((member, began)) = charged_member {
-                    sets::charge(member, began.elapsed().as_micros() as u64);
+                if let Some((member, started_at)) = charged_member {
+                    sets::charge(member, started_at.elapsed().as_micros() as u64);
                 }
             }
             if self.retiring && self.pool.open_requests() == 0 && self.exchange.is_idle() {
@@ -126,10 +128,10 @@
         }
     }
 
-    fn take(&mut self, now: Micros, message: Message) {
+    fn handle_message(&mut self, now: Micros, message: Message) {
         let exchange = &mut self.exchange;
         match message {
-            Message::Request(request) => self.request(now, request),
+            Message::Request(request) => self.accept_request(now, request),
             Message::Abandoned(request) => exchange.abandon_request(now, request),
             Message::AttemptEnded { request, attempt, outcome, report, body, connection_event } => {
                 connection_event.into_iter().for_each(|connection_event| exchange.enqueue(connection_event));
@@ -143,8 +145,8 @@
             Message::CounterCallEnded { call, outcome, total } => {
                 exchange.counter_call_ended(now, call, outcome, total);
             }
-            Message::Targets(list) => self.targets(list),
-            // The old one ends by itself once its calls are answered or its connection is closed.
+            Message::Targets(list) => self.update_targets(list),
+            // The previous counter's task ends once its calls are answered or its connection is closed.
             Message::CounterReplaced(link) => {
                 let counter = exchange.port.open(link, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
@@ -152,19 +154,19 @@
             }
             Message::Reconfigure(changed) => self.reconfigure(now, changed.0, changed.1),
             Message::SetManualEjection { node, ejected, reply } => {
-                let _ = reply.send(self.by_hand(&node, ejected));
+                let _ = reply.send(self.set_manual_ejection(&node, ejected));
             }
-            Message::ManualEjections(written) => {
-                let moved = self.ejections.update_from(&written, now);
-                moved.iter().for_each(|node| self.tell_again(node));
+            Message::ManualEjections(stored) => {
+                let changed = self.ejections.update_from(&stored, now);
+                changed.iter().for_each(|node| self.report_target(node));
             }
             Message::ExportState(reply) => {
-                if let Err(unheard) = reply.send(self.hand_down()) {
-                    self.exchange.gateway_mut().reclaim_state(now, &unheard.belief);
+                if let Err(unsent) = reply.send(self.export_state()) {
+                    self.exchange.gateway_mut().reclaim_state(now, &unsent.belief);
                 }
             }
             Message::PredecessorEnded => exchange.gateway_mut().set_overlapping(false),
-            Message::ReclaimState(lent) => exchange.gateway_mut().reclaim_state(now, &lent.belief),
+            Message::ReclaimState(exported) => exchange.gateway_mut().reclaim_state(now, &exported.belief),
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
             Message::AddToClaim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
@@ -173,42 +175,44 @@
     }
 
     #[cold]
-    fn hand_down(&mut self) -> Box<Inheritance> {
+    fn export_state(&mut self) -> Box<Inheritance> {
         let belief = self.exchange.gateway_mut().export_state(self.clock.now());
-        let sockets = &self.exchange.port;
-        let (nodes, back) = (sockets.listed.values().cloned().collect(), self.ejections.restored().clone());
-        Box::new(Inheritance::new(nodes, sockets.backend_ids.as_map(), &self.names, back, belief))
+        let port = &self.exchange.port;
+        let (nodes, back) =
+            (port.listed_targets.values().cloned().collect(), self.ejections.restored().clone());
+        Box::new(Inheritance::new(nodes, port.backend_ids.as_map(), &self.names, back, belief))
     }
 
-    /// Begins with what an older process knew. Its list of nodes is newer than the configuration's.
+    /// Starts with the state of an older process, whose list of backends is newer than the one in the
+    /// configuration.
     #[cold]
-    fn inherit(&mut self, mut imported_state: Inheritance) {
+    fn import_state(&mut self, mut imported_state: Inheritance) {
         self.ejections.import_restored(std::mem::take(&mut imported_state.back));
         if let Some(list) = imported_state.list() {
-            self.targets(list);
+            self.update_targets(list);
             self.exchange.process_events(self.clock.now());
         }
         let belief = imported_state.belief(self.exchange.port.backend_ids.as_map(), &self.names);
         let ((nodes, accounts), now) = (belief.entry_counts(), self.clock.now());
         let age = now.saturating_sub(belief.exported_at()) / 1000;
         let believed = self.exchange.gateway_mut().import_state(now, belief);
-        let word = if believed { "believed" } else { "too old" };
-        eprintln!("handed down: {word}: {nodes} nodes, {accounts} accounts, {age} ms ago");
+        let result = if believed { "believed" } else { "too old" };
+        eprintln!("handed down: {result}: {nodes} nodes, {accounts} accounts, {age} ms ago");
     }
 
     fn reconfigure(&mut self, now: Micros, settings: Settings, names: Names) {
-        let sockets = &mut self.exchange.port;
-        if let Some(account) = &mut sockets.account {
-            account.change(&settings, &names.classes, &names.plans);
+        let port = &mut self.exchange.port;
+        if let Some(decision_log) = &mut port.decision_log {
+            decision_log.change(&settings, &names.classes, &names.plans);
         }
-        sockets.report_fields = settings.report_fields.clone().into();
+        port.report_fields = settings.report_fields.clone().into();
         self.names = names;
         self.exchange.reconfigure(now, settings);
     }
 
-    fn request(&mut self, now: Micros, request: ClientRequest) {
-        if let Some(account) = &mut self.exchange.port.account {
-            account.begun(&request);
+    fn accept_request(&mut self, now: Micros, request: ClientRequest) {
+        if let Some(decision_log) = &mut self.exchange.port.decision_log {
+            decision_log.begun(&request);
         }
         let ClientRequest { forward, reply, .. } = request;
         let is_write = forward.as_ref().is_some_and(|forward| forward.method != hyper::Method::GET);
@@ -219,9 +223,9 @@
                 plan: request.plan,
                 customer: request.customer,
                 units: request.units,
-                gateway_count: request.spread,
-                first_gateway: request.first_ingress,
-                timeout: request.budget,
+                gateway_count: request.gateway_count,
+                first_gateway: request.first_gateway,
+                timeout: request.timeout,
                 is_retry: request.is_retry,
                 is_write,
             },
@@ -232,24 +236,24 @@
         self.exchange.accept_request(now, accepted, PendingClient { reply, forward });
     }
 
-    // ---- Lists of nodes ----
+    // ---- Lists of backends ----
 
-    fn targets(&mut self, list: TargetList) {
-        let sockets = &mut self.exchange.port;
+    fn update_targets(&mut self, list: TargetList) {
+        let port = &mut self.exchange.port;
         if list.complete {
-            for backend in sockets.backends.values() {
+            for backend in port.backends.values() {
                 backend.accepting.set(false);
                 backend.removed.set(true);
             }
-            sockets.listed.clear();
+            port.listed_targets.clear();
         }
-        let entries: Vec<_> = list.members.iter().map(|target| self.target(target)).collect();
-        let sockets = &mut self.exchange.port;
-        sockets.listed.extend(list.members.into_iter().map(|target| (target.id.clone(), target)));
-        for backend in sockets.backends.values().filter(|backend| !backend.accepting.get()) {
+        let entries: Vec<_> = list.members.iter().map(|target| self.backend_entry(target)).collect();
+        let port = &mut self.exchange.port;
+        port.listed_targets.extend(list.members.into_iter().map(|target| (target.id.clone(), target)));
+        for backend in port.backends.values().filter(|backend| !backend.accepting.get()) {
             backend.close_idle();
         }
-        self.pool.has_backend_list.set(self.pool.has_backend_list.get() || !sockets.backends.is_empty());
+        self.pool.has_backend_list.set(self.pool.has_backend_list.get() || !port.backends.is_empty());
         let kind = match (list.cached, list.complete) {
             (true, _) => ListKind::Cached,
             (false, true) => ListKind::Full,
@@ -258,49 +262,50 @@
         self.exchange.enqueue(Event::Backends { kind, version: list.revision, entries });
     }
 
-    // ---- Nodes taken out by hand ----
+    // ---- Manual ejections ----
 
-    /// Whether there is such a node; it is out, or back, from then on.
-    fn by_hand(&mut self, node: &str, ejected: bool) -> bool {
+    /// Ejects or restores a backend. Returns false if there is no such backend.
+    fn set_manual_ejection(&mut self, node: &str, ejected: bool) -> bool {
         let now = self.clock.now();
         if self.exchange.port.backend_ids.get(node).is_none() && !self.ejections.is_ejected(node) {
             return false;
         }
-        let moved = if ejected { self.ejections.eject(node, now) } else { self.ejections.restore(node, now) };
-        if moved {
+        let changed =
+            if ejected { self.ejections.eject(node, now) } else { self.ejections.restore(node, now) };
+        if changed {
             eprintln!("by hand: {node} is {}", if ejected { "out" } else { "back" });
-            self.tell_again(node);
+            self.report_target(node);
         }
         true
     }
 
-    /// Tells the module of a node as it stands now: by the list's last word, and by hand.
-    fn tell_again(&mut self, node: &str) {
-        let Some(target) = self.exchange.port.listed.get(node).cloned() else { return };
-        let entries = vec![self.target(&target)];
+    /// Reports a backend's current state to the decision module, as last listed and with its manual ejection.
+    fn report_target(&mut self, node: &str) {
+        let Some(target) = self.exchange.port.listed_targets.get(node).cloned() else { return };
+        let entries = vec![self.backend_entry(&target)];
         for backend in self.exchange.port.backends.values().filter(|backend| !backend.accepting.get()) {
             backend.close_idle();
         }
         self.exchange.enqueue(Event::Backends { kind: ListKind::Delta, version: 0, entries });
     }
 
-    fn target(&mut self, target: &Target) -> BackendEntry {
+    fn backend_entry(&mut self, target: &Target) -> BackendEntry {
         let ejected = self.ejections.is_ejected(&target.id);
-        let sockets = &mut self.exchange.port;
-        let id = sockets.backend_ids.get_or_assign(&target.id);
+        let port = &mut self.exchange.port;
+        let id = port.backend_ids.get_or_assign(&target.id);
         let budget = &self.budget;
-        let new = || Backend::new(target.host_port, budget.clone());
-        let backend = sockets.backends.entry(id).or_insert_with(new);
+        let create = || Backend::new(target.host_port, budget.clone());
+        let backend = port.backends.entry(id).or_insert_with(create);
         if backend.address.replace(target.host_port) != target.host_port {
             backend.close_idle();
         }
         backend.removed.set(target.phase == Phase::Terminated);
         backend.accepting.set(target.phase == Phase::InService && !ejected);
-        let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
+        let index_of = |names: &[String], name: &str| names.iter().position(|existing| existing == name);
         BackendEntry {
             id,
-            zone: place(&self.names.zones, &target.locality).map_or(u16::MAX, |zone| zone as u16),
-            kind: place(&self.names.kinds, &target.flavor).map_or(u8::MAX, |kind| kind as u8),
+            zone: index_of(&self.names.zones, &target.locality).map_or(u16::MAX, |zone| zone as u16),
+            kind: index_of(&self.names.kinds, &target.flavor).map_or(u8::MAX, |kind| kind as u8),
             cell: target.cell,
             condition: match target.phase {
                 Phase::InService if !ejected => Condition::Ready,
@@ -309,7 +314,7 @@
                 Phase::Terminated => Condition::Gone,
             },
             weight: target.size,
-            // Unix time, as is the driver's clock; 0, for long ago, stays 0.
+            // In Unix time like the driver's clock; 0, which stands for long ago, stays 0.
             started_at: self.ejections.assumed_start(&target.id, target.up_since_ms.saturating_mul(1000)),
         }
     }
--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -1,4 +1,4 @@
-//! What an exchange asks for, carried out over sockets.
+//! The exchange's port to the outside, implemented with sockets.
 
 use super::account::Account;
 use super::backend::{self, AttemptResult, Backend};
@@ -21,35 +21,36 @@
     AttemptId, BackendIds, CallId, CallStart, FinalResponse, Port, RequestSummary, SendProgress,
 };
 
-/// The way to the counter, opened.
+/// An open connection to the shared counter, or the counter in this process.
 pub(crate) enum CounterConnection {
     Remote(Counter),
     Embedded(Link),
 }
 
-/// What is held for a client until its answer.
+/// What is kept for a client until its final response.
 pub(crate) struct PendingClient {
     pub reply: oneshot::Sender<Reply>,
-    /// None: it only asks.
+    /// The request to forward; `None` for a rate limit query, which only asks for admission.
     pub forward: Option<Rc<ForwardedRequest>>,
 }
 
 impl PendingClient {
-    /// A body that was not whole when the request was taken.
+    /// The upload of a body that was incomplete when the request was accepted.
     fn upload(&self) -> Option<&Rc<Upload>> {
         self.forward.as_ref().and_then(|forward| forward.body.upload())
     }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub(crate) struct InFlightAttempt {
     /// Whether a byte of the request may have gone out.
-    sent: Rc<Cell<bool>>,
-    /// Its request's body, if that is a long one.
+    may_have_sent: Rc<Cell<bool>>,
+    /// The upload, if the request's body is streamed.
     upload: Option<Rc<Upload>>,
     task: TaskHandle,
 }
 
+/// The sockets and connections of one pool.
 pub(crate) struct SocketPort {
     pub clock: Clock,
     pub messages: Messages,
@@ -59,12 +60,13 @@
     pub report_fields: Rc<[ReportField]>,
     pub backend_ids: BackendIds,
     pub backends: HashMap<BackendId, Rc<Backend>>,
-    /// Nodes as the list last told of them, where operators may take them out.
-    pub listed: HashMap<String, Target>,
-    /// For how long a connection to a backend may stand idle and still be used.
+    /// Targets as last listed by discovery, by id; kept to report a target again when an operator ejects or
+    /// restores it.
+    pub listed_targets: HashMap<String, Target>,
+    /// How long a connection to a backend may be idle and still be reused.
     pub max_idle: Micros,
-    /// What was decided and why, where it is asked for.
-    pub account: Option<Box<Account>>,
+    /// The decision log, if enabled.
+    pub decision_log: Option<Box<Account>>,
 }
 
 impl SocketPort {
@@ -81,12 +83,12 @@
         }
     }
 
-    /// Forgets backends that are gone once nothing is out to them.
-    fn forget(&mut self) {
+    /// Drops removed backends that have no attempt in flight.
+    fn drop_removed(&mut self) {
         self.backends.retain(|_, backend| !backend.removed.get() || Rc::strong_count(backend) > 1);
         let (backends, backend_ids) = (&self.backends, &mut self.backend_ids);
         backend_ids.retain(|id| backends.contains_key(&id));
-        self.listed.retain(|node, _| backend_ids.get(node).is_some());
+        self.listed_targets.retain(|node, _| backend_ids.get(node).is_some());
     }
 }
 
@@ -94,7 +96,7 @@
     type Client = PendingClient;
     type Response = ClientAnswer;
     type Attempt = InFlightAttempt;
-    /// Whether it may have been written.
+    /// Whether the call may have been written.
     type Call = Rc<Cell<bool>>;
     type ClaimWaiter = oneshot::Sender<Option<f64>>;
 
@@ -110,21 +112,27 @@
         let backend = self.backends.get(&backend).filter(|backend| backend.accepting.get()).cloned()?;
         let forward = client.forward.clone()?;
         backend.close_idle_since(now.saturating_sub(self.max_idle));
-        let (sent, messages, clock) = (Rc::new(Cell::new(false)), self.messages.clone(), self.clock);
-        let begun = self.messages.clone();
-        let work = backend::attempt(
+        let (may_have_sent, messages, clock) = (Rc::new(Cell::new(false)), self.messages.clone(), self.clock);
+        let streaming_messages = self.messages.clone();
+        let attempt_future = backend::attempt(
             backend,
             forward,
             expires_at - now,
-            sent.clone(),
+            may_have_sent.clone(),
             self.report_fields.clone(),
             move || clock.now(),
             move |report, first, rest| {
-                let _ = begun.send(Message::StreamingStarted { request, attempt, report, first, rest });
+                let _ = streaming_messages.send(Message::StreamingStarted {
+                    request,
+                    attempt,
+                    report,
+                    first,
+                    rest,
+                });
             },
         );
         let task = tasks::spawn(async move {
-            let AttemptResult { outcome, report, body, connection_event, .. } = work.await;
+            let AttemptResult { outcome, report, body, connection_event, .. } = attempt_future.await;
             let _ = messages.send(Message::AttemptEnded {
                 request,
                 attempt,
@@ -134,12 +142,12 @@
                 connection_event,
             });
         });
-        Some(InFlightAttempt { sent, upload: client.upload().cloned(), task })
+        Some(InFlightAttempt { may_have_sent, upload: client.upload().cloned(), task })
     }
 
     fn send_progress(&self, attempt: &InFlightAttempt) -> SendProgress {
-        let ended = attempt.upload.as_ref().map_or(Some(0), |upload| upload.ended_at());
-        match (attempt.sent.get(), ended) {
+        let upload_ended_at = attempt.upload.as_ref().map_or(Some(0), |upload| upload.ended_at());
+        match (attempt.may_have_sent.get(), upload_ended_at) {
             (false, _) => SendProgress::Nothing,
             (true, None) => SendProgress::Partial,
             (true, Some(last_byte_at)) => SendProgress::Complete { last_byte_at },
@@ -162,16 +170,16 @@
         &mut self,
         now: Micros,
         call: CallId,
-        count: u64,
+        counter_id: u64,
         amount: f64,
-        life: Micros,
+        ttl: Micros,
     ) -> CallStart<Self::Call> {
         match &self.counter {
-            Some(CounterConnection::Remote(counter)) => {
-                counter.call(call, now, count, amount, life).map_or(CallStart::NotSent, CallStart::Pending)
-            }
+            Some(CounterConnection::Remote(counter)) => counter
+                .call(call, now, counter_id, amount, ttl)
+                .map_or(CallStart::NotSent, CallStart::Pending),
             Some(CounterConnection::Embedded(Link::Embedded { counts, space })) => {
-                CallStart::Total(counts.add(now, space, count, amount, life))
+                CallStart::Total(counts.add(now, space, counter_id, amount, ttl))
             }
             _ => CallStart::NotSent,
         }
@@ -182,7 +190,7 @@
     }
 
     fn report_claim(&mut self, waiter: Self::ClaimWaiter, total: Option<f64>) {
-        // The waiter may have left: then nobody misses the total.
+        // If the waiting request has ended, the total is not needed.
         let _ = waiter.send(total);
     }
 
@@ -197,8 +205,8 @@
         client: PendingClient,
         response: FinalResponse<ClientAnswer>,
     ) {
-        if let Some(account) = &mut self.account {
-            account.over(now, summary.request, summary.attempts, response.kind(), summary.why);
+        if let Some(decision_log) = &mut self.decision_log {
+            decision_log.over(now, summary.request, summary.attempts, response.kind(), summary.why);
         }
         let answer = match response {
             FinalResponse::Served(answer) => answer,
@@ -206,13 +214,13 @@
             FinalResponse::Failed => ClientAnswer::Failed,
             FinalResponse::Admitted => ClientAnswer::Admitted,
         };
-        // The client may have left meanwhile: then nobody misses the answer.
+        // If the client has disconnected, the response is not needed.
         let _ = client.reply.send(Reply { answer, quota: summary.quota });
     }
 
     fn request_abandoned(&mut self, now: Micros, request: RequestId, attempts: u8) {
-        if let Some(account) = &mut self.account {
-            account.over(now, request, attempts, "gone", None);
+        if let Some(decision_log) = &mut self.decision_log {
+            decision_log.over(now, request, attempts, "gone", None);
         }
     }
 
@@ -242,22 +250,22 @@
 
     fn sweep(&mut self, now: Micros, idle_since: Micros, gateway: &Gateway) {
         self.backends.values().for_each(|backend| backend.close_idle_since(idle_since));
-        self.forget();
-        if let Some(account) = &mut self.account {
+        self.drop_removed();
+        if let Some(decision_log) = &mut self.decision_log {
             let name = |id| self.backend_ids.name(id).map(str::to_string).unwrap_or_default();
-            account.state(now, gateway.fleet_view(), name);
+            decision_log.state(now, gateway.fleet_view(), name);
         }
     }
 
     fn on_attempt_end(&mut self, now: Micros, end: &AttemptEnd) {
-        if let Some(account) = &self.account {
-            account.attempt(now, self.backend_ids.name(end.backend).unwrap_or(""), end);
+        if let Some(decision_log) = &self.decision_log {
+            decision_log.attempt(now, self.backend_ids.name(end.backend).unwrap_or(""), end);
         }
     }
 
     fn on_call_end(&mut self, _: Micros, _: u64, outcome: Outcome) {
-        if let Some(account) = &mut self.account {
-            account.call(outcome);
+        if let Some(decision_log) = &mut self.decision_log {
+            decision_log.call(outcome);
         }
     }
 }
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,7 +1,9 @@
-//! The real ingress: sockets round the decision module. Nothing is decided here; a driver for each pool
-//! carries out its module's actions and the other files turn one kind of socket each into its events.
+//! The ingress: networking around the decision module. Nothing is decided here. The driver of each pool carries
+//! out the actions of the pool's decision module, and each of the other modules turns one kind of socket into
+//! events.
 //!
-//! [`platform`] is one pool in the form that the platform expects, [`service`] several of them in one process.
+//! [`platform`] runs a single pool in the form that the platform expects, [`service`] runs several pools in one
+//! process.
 
 #![allow(
     clippy::allow_attributes_without_reason,
@@ -74,11 +76,12 @@
 use violetyoke_decision::view::QuotaState;
 use violetyoke_shares::Member;
 
-/// The largest body that is held whole.
+/// Bytes of the largest body that is buffered; larger ones are streamed or rejected.
 const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
-/// Microseconds of Unix time, read once and carried on by the monotonic clock. Window starts are part of
-/// the counter's names, so all ingresses must number windows alike: the origin has to be one they share.
+/// Microseconds of Unix time: the system clock is read once, at the start, and advanced by the monotonic clock.
+/// Counter names contain the start of their window, so all ingresses need the same window boundaries and hence the
+/// same origin.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -100,59 +103,62 @@
     }
 }
 
-/// A client's request, checked and with its body whole.
+/// A validated client request, or a rate limit query, on its way to the driver.
 pub(crate) struct ClientRequest {
     pub id: RequestId,
     pub arrived_at: Micros,
-    pub budget: Micros,
+    /// Time after `arrived_at` within which the client expects its response.
+    pub timeout: Micros,
     pub class: u16,
     pub plan: u16,
     pub customer: CustomerId,
     pub units: f64,
-    pub spread: f64,
-    pub first_ingress: f64,
+    /// Number of ingresses among which the customer's requests are spread, and the index of the first one.
+    pub gateway_count: f64,
+    pub first_gateway: f64,
     pub is_retry: bool,
-    /// None: it only asks.
+    /// The request to forward; `None` for a rate limit query, which only asks for admission.
     pub forward: Option<Rc<ForwardedRequest>>,
-    /// The number of its try's claim, if it is for this request to tell the outcome.
+    /// The id of its attempt's claim, if this request has to record the outcome.
     pub claim: Option<u64>,
-    /// The tenant that is charged for what the driver does with it.
+    /// The tenant that is charged for the driver's work on this request.
     pub charged_member: Option<Member>,
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What goes on to a backend unchanged.
+/// The parts of a request that are forwarded to a backend unchanged.
 pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub wire_id: HeaderValue,
     pub body: RequestBody,
-    /// Its body's part of the pool's bytes.
+    /// The memory reserved for the body.
     pub _reservation: Option<BytesReservation>,
 }
 
-/// The one final answer to a client, and its quota where the pool tells of that.
+/// The final response to a client, with the state of its quota if the pool reports it.
 pub(crate) struct Reply {
     pub answer: ClientAnswer,
     pub quota: Option<QuotaState>,
 }
 
 pub(crate) enum ClientAnswer {
+    /// A backend's complete body.
     Complete(Bytes),
-    /// Its first bytes, and the rest as it comes.
+    /// A streamed body: its first bytes, and the rest as it arrives.
     Streaming(Bytes, ResponseRemainder),
-    /// Trying again is harmless, after that long (0: nothing is said of it).
-    Refused {
-        retry_after: Micros,
-    },
+    /// The request was not executed, so a retry is safe; `retry_after` is 0 if no time is known.
+    Refused { retry_after: Micros },
+    /// The request failed and may have been executed.
     Failed,
-    /// It may proceed: one that only asked.
+    /// A rate limit query was admitted.
     Admitted,
 }
 
-/// What the sockets report to the driver.
+/// Messages to a pool's driver, which handles them in order.
 pub(crate) enum Message {
     Request(ClientRequest),
+    /// The client has disconnected.
     Abandoned(RequestId),
     AttemptEnded {
         request: RequestId,
@@ -162,7 +168,7 @@
         body: Bytes,
         connection_event: Option<Event>,
     },
-    /// A long answer has begun; it is the client's from here on.
+    /// A streamed response has begun; from here on it goes directly to the client.
     StreamingStarted {
         request: RequestId,
         attempt: u8,
@@ -175,38 +181,39 @@
         outcome: Outcome,
         total: f64,
     },
+    /// A list of backends from discovery or the configuration.
     Targets(TargetList),
-    /// The counter is there from now on.
+    /// The shared counter has a new address.
     CounterReplaced(Link),
     PeerMessage {
         from: u32,
         data: Vec<u8>,
     },
-    /// Classes and plans have changed, at the numbers they had.
+    /// The settings have changed; classes and plans keep their indices.
     Reconfigure(Box<(Settings, config::Names)>),
-    /// One that was let in and sent nowhere is taken back.
+    /// An admitted rate limit query is undone; its units are given back.
     Withdrawn(RequestId),
-    /// To be added to a try's claim; who asks gets the total, or none if it is not to be had in time.
+    /// Adds to an attempt's claim. The reply is the total, or `None` if it does not arrive in time.
     AddToClaim {
         claim: u64,
         amount: f64,
         reply: Option<oneshot::Sender<Option<f64>>>,
     },
-    /// Takes a node out by hand or puts it back; who asks learns whether there is such a node.
+    /// Ejects or restores a backend for an operator. The reply tells whether there is such a backend.
     SetManualEjection {
         node: String,
         ejected: bool,
         reply: oneshot::Sender<bool>,
     },
-    /// The nodes that are out by hand, as another process of this ingress has left them.
+    /// The manually ejected backends, as stored by another process of this ingress.
     ManualEjections(BTreeMap<String, Micros>),
-    /// All that is known, for a process that takes this one's place.
+    /// Exports the learned state for a process that takes over from this one.
     ExportState(oneshot::Sender<Box<succession::Inheritance>>),
-    /// The process whose place this one has taken is no more.
+    /// The process that this one takes over from has ended.
     PredecessorEnded,
-    /// What was handed down: nobody came for it.
+    /// Reclaims exported state that no process has taken over.
     ReclaimState(Box<succession::Inheritance>),
-    /// No new requests come: end when all that are open are over.
+    /// The pool has been removed: the driver ends once no request is open.
     Retire,
 }
 
--- a/crates/ingress/src/precheck.rs
+++ b/crates/ingress/src/precheck.rs
@@ -28,7 +28,7 @@
     pub class: Option<String>,
     pub arrived_at: Micros,
     /// Time after `arrived_at` within which the client expects an answer.
-    pub budget: Micros,
+    pub timeout: Micros,
 }
 
 pub enum PrecheckOutcome {
--- a/crates/ingress/src/questions.rs
+++ b/crates/ingress/src/questions.rs
@@ -261,7 +261,7 @@
     let list =
         quota_queries(&asking.file.mapping, &limits, &request.domain, &descriptors, request.hits_addend)
             .map_err(|fault| Status::invalid_argument(fault.to_string()))?;
-    let budget = handing.timeout.unwrap_or(Micros::MAX).min(asking.file.deadline);
+    let timeout = handing.timeout.unwrap_or(Micros::MAX).min(asking.file.deadline);
     // All are checked before the first one is asked: what is wrong with one counts nothing for another.
     let mut ready = Vec::with_capacity(list.len());
     for (number, question) in list.into_iter().enumerate() {
@@ -274,7 +274,7 @@
         match ready {
             Err(UnknownPolicy::Ok) => Answered::known(true),
             Err(UnknownPolicy::OverLimit) => Answered::known(false),
-            Ok(ready) => ready.ask(arrived_at, budget).await,
+            Ok(ready) => ready.ask(arrived_at, timeout).await,
         }
     });
     let mut answers = join_all(asks).await;
@@ -309,7 +309,7 @@
     plan: u16,
     customer: u64,
     units: f64,
-    spread: f64,
+    gateway_count: f64,
     named: Option<String>,
     account: String,
 }
@@ -331,12 +331,12 @@
         let customer =
             customer_id(&query.account).ok_or_else(|| wrong("the account is empty or too long"))?;
         let class = rules.query_class().ok_or_else(|| Status::internal("the pool takes no questions"))?;
-        let (units, spread, named) = (query.units, rules.ingress_count(), query.attempt_name);
+        let (units, gateway_count, named) = (query.units, rules.ingress_count(), query.attempt_name);
         let (pool, account) = (pool.clone(), query.account);
-        Ok(Ready { pool, class, plan, customer, units, spread, named, account })
+        Ok(Ready { pool, class, plan, customer, units, gateway_count, named, account })
     }
 
-    async fn ask(self, arrived_at: Micros, budget: Micros) -> Answered {
+    async fn ask(self, arrived_at: Micros, timeout: Micros) -> Answered {
         let mut pass = None;
         if let Some(precheck) = self.pool.precheck(self.named.is_some(), || self.plan) {
             let about = PrecheckRequest {
@@ -348,7 +348,7 @@
                 plan: self.pool.rules().plans[usize::from(self.plan)].clone(),
                 class: None,
                 arrived_at,
-                budget,
+                timeout,
             };
             match precheck.run(about).await {
                 PrecheckOutcome::Pass(passed) if passed.already_counted => return Answered::known(true),
@@ -366,13 +366,13 @@
         let sent = self.pool.send(Message::Request(ClientRequest {
             id,
             arrived_at,
-            budget,
+            timeout,
             class: self.class,
             plan: self.plan,
             customer: self.customer,
             units: self.units,
-            spread: self.spread,
-            first_ingress: 0.0,
+            gateway_count: self.gateway_count,
+            first_gateway: 0.0,
             is_retry: false,
             forward: None,
             claim: pass.as_ref().and_then(|pass| pass.claim),
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -183,12 +183,12 @@
     pub class: u16,
     pub plan: u16,
     pub customer: u64,
-    pub budget: Micros,
+    pub timeout: Micros,
     pub units: f64,
     /// Number of ingresses among which the customer's requests are spread.
-    pub spread: f64,
+    pub gateway_count: f64,
     /// Index of the first of these ingresses.
-    pub first: f64,
+    pub first_gateway: f64,
     pub is_retry: bool,
     /// The name that the client gave the attempt, if any, which makes counting it idempotent.
     pub attempt_name: Option<String>,
@@ -261,7 +261,7 @@
         // If a term is given twice, it is unclear which one applies.
         parse_number(text).filter(|_| pairs.all(|(key, _)| key != name))
     };
-    let budget = match single_value(headers, &REQ_DEADLINE, "req-deadline: doubled or not text")? {
+    let timeout = match single_value(headers, &REQ_DEADLINE, "req-deadline: doubled or not text")? {
         Some(text) => parse_time(text).ok_or(bad_request("req-deadline: a number and m or u"))?,
         None if is_service => rules.deadlines[usize::from(class)],
         None => return Err(bad_request("req-deadline: missing")),
@@ -277,14 +277,14 @@
         class,
         plan,
         customer: parse_customer(headers, is_service)?,
-        budget,
+        timeout,
         units: term("units", 1.0)
             .filter(|units| *units > 0.0 && *units <= rules.max_units)
             .ok_or(bad_request("x-call-terms: units"))?,
-        spread: term("spread", rules.ingress_count)
+        gateway_count: term("spread", rules.ingress_count)
             .filter(|spread| is_integer(spread) && (1.0..=rules.ingress_count).contains(spread))
             .ok_or(bad_request("x-call-terms: spread"))?,
-        first: term("first", 0.0)
+        first_gateway: term("first", 0.0)
             .filter(|first| is_integer(first) && *first < rules.ingress_count)
             .ok_or(bad_request("x-call-terms: first"))?,
         is_retry: headers.get(REQ_RETRY).is_some_and(|value| value == "1"),
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -316,7 +316,7 @@
             plan: rules.plans[usize::from(plan)].clone(),
             class: Some(rules.classes[usize::from(terms.class)].clone()),
             arrived_at,
-            budget: terms.budget,
+            timeout: terms.timeout,
         };
         match precheck.run(precheck_request).await {
             PrecheckOutcome::Pass(passed) => {
@@ -348,13 +348,13 @@
     let request = ClientRequest {
         id: registered.id,
         arrived_at,
-        budget: terms.budget,
+        timeout: terms.timeout,
         class: terms.class,
         plan,
         customer,
         units: terms.units,
-        spread: terms.spread,
-        first_ingress: terms.first,
+        gateway_count: terms.gateway_count,
+        first_gateway: terms.first_gateway,
         is_retry: terms.is_retry,
         forward,
         claim: pass.as_ref().and_then(|pass| pass.claim),
