--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -206,7 +206,7 @@
         response: FinalResponse<ClientAnswer>,
     ) {
         if let Some(decision_log) = &mut self.decision_log {
-            decision_log.over(now, summary.request, summary.attempts, response.kind(), summary.why);
+            decision_log.over(now, summary.request, summary.attempts, response.kind(), summary.reason);
         }
         let answer = match response {
             FinalResponse::Served(answer) => answer,
--- a/crates/proxy/src/operations/decision.rs
+++ b/crates/proxy/src/operations/decision.rs
@@ -205,7 +205,7 @@
         let now = Instant::now();
         let registry = self.connection(&self.state.borrow().registries, &[]).map(|(id, _)| id.registry);
         let round_trip = registry.map(|registry| self.round_trip(registry)).unwrap_or_default();
-        let shortest = round_trip.usual() * MIN_ROUND_TRIPS;
+        let shortest = round_trip.mean() * MIN_ROUND_TRIPS;
         let longest = deadline.saturating_duration_since(now).mul_f64(MAX_DEADLINE_FRACTION);
         now + latency_target.mul_f64(TARGET_FRACTION).max(shortest).min(longest)
     }
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -57,7 +57,7 @@
 }
 
 fn gauges(proxy: &Proxy) -> Gauges {
-    Gauges { longest_queue: proxy.pending.longest() }
+    Gauges { longest_queue: proxy.pending.longest_queue_len() }
 }
 
 /// The state of each backend, with the number of requests that it was sent and of their outcomes.
