--- a/crates/sim/src/batch.rs
+++ b/crates/sim/src/batch.rs
@@ -1,4 +1,4 @@
-//! Batches: a header, 40-byte records and a tail that records refer to.
+//! Decoding of batches: a header, 40-byte records, and a tail that records refer to.
 
 use crate::error::WireError;
 use crate::event;
@@ -7,14 +7,14 @@
 use violetyoke_decision::interface::{BackendEntry, Event, ListKind, Micros, Settings};
 use violetyoke_settings::parse_settings;
 
-/// Bytes of a batch's header.
+/// Size of a batch's header (bytes).
 pub const BATCH_HEADER_BYTES: usize = 20;
 const RECORD_BYTES: usize = 40;
 const ENTRY_BYTES: usize = 22;
-/// Lists are numbered from 0 to one less than this.
-const LISTS: u32 = 16;
+/// Number of lists that the simulator can refer to, from 0.
+const MAX_LISTS: u32 = 16;
 
-/// Codes of the records that are no events of the decision module.
+/// Codes of the records that are decoded here and not in the module `event`.
 mod code {
     pub(super) const LIST: u8 = 1;
     pub(super) const STOP: u8 = 2;
@@ -26,53 +26,54 @@
 /// The header of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchHeader {
-    /// Bytes after the header.
+    /// Length of the batch without the header (bytes).
     pub length: usize,
-    /// How many records there are.
+    /// Number of records.
     pub records: usize,
-    /// The simulator's clock.
+    /// Time of the simulator's clock.
     pub now: Micros,
-    /// The number of the batch, which its reply repeats.
+    /// The number of the batch. The reply has the same number.
     pub number: u32,
 }
 
-/// What a record brings to an instance.
+/// An input of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The instance is started, in place of one of the same number.
+    /// Starts the instance. It replaces a running one with the same number.
     Start {
-        /// Of its random numbers.
+        /// Seed of its random numbers.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
-    /// The instance is stopped.
+    /// Stops the instance.
     Stop,
-    /// The instance handles an event.
+    /// An event that the instance handles.
     Event(Event),
 }
 
-/// An input and the instance it is for.
+/// An input with its instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceInput {
     /// The number of the instance.
     pub instance: u32,
-    /// What it gets.
+    /// The input.
     pub input: Input,
 }
 
 /// A decoded batch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// The simulator's clock.
+    /// Time of the simulator's clock.
     pub now: Micros,
     /// The number of the batch.
     pub number: u32,
-    /// Inputs in the order of their records.
+    /// The inputs in the order of their records.
     pub inputs: Vec<InstanceInput>,
 }
 
-/// Decodes batches. It keeps the numbered lists, which belong to the process and stay from batch to batch.
+/// Decodes batches. It keeps the numbered lists, which all instances of the process share and which are valid
+/// across batches.
 #[derive(Default)]
 pub struct Decoder {
     lists: BTreeMap<u32, Vec<BackendEntry>>,
@@ -124,7 +125,7 @@
 
     fn decode_list(&mut self, record: &Record<'_>, tail: Tail<'_>) -> Result<(), WireError> {
         let number = record.u32(1);
-        if number >= LISTS {
+        if number >= MAX_LISTS {
             return Err(WireError::ListNumber(number));
         }
         let count = record.u32(9) as usize;
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -1,4 +1,4 @@
-//! Records of events, and the values that they contain.
+//! Decoding of the records of events and of their values.
 
 use crate::error::WireError;
 use crate::record::{Record, Tail};
@@ -6,28 +6,28 @@
     AttemptEnd, BackendEntry, Condition, Event, Micros, Outcome, Report, Request,
 };
 
-/// The most values of a load report.
+/// The maximum number of values in a load report.
 const MAX_REPORT_VALUES: usize = 4;
 
 /// Codes of the records.
 mod code {
     pub(super) const TIMER: u8 = 3;
     pub(super) const PROBED: u8 = 4;
-    pub(super) const COUNTED: u8 = 7;
+    pub(super) const COUNTER_ANSWERED: u8 = 7;
     pub(super) const REQUEST: u8 = 8;
     pub(super) const ABANDONED: u8 = 9;
-    pub(super) const ANSWER_BEGUN: u8 = 11;
+    pub(super) const RESPONSE_STARTED: u8 = 11;
     pub(super) const PEER_MESSAGE: u8 = 12;
     pub(super) const ATTEMPT_ENDED: u8 = 13;
 }
 
-/// Bits of a request's flags.
+/// Bits in the flags of a request.
 mod flag {
-    pub(super) const REPEAT: u16 = 2;
+    pub(super) const RETRY: u16 = 2;
     pub(super) const WRITE: u16 = 4;
 }
 
-/// Decodes an event of this code.
+/// Decodes the event with this code.
 pub(crate) fn decode(code: u8, record: &Record<'_>, tail: Tail<'_>) -> Result<Event, WireError> {
     Ok(match code {
         code::REQUEST => Event::Request(decode_request(record)?),
@@ -38,8 +38,8 @@
             Event::PeerMessage { from: record.u32(1), data }
         }
         code::ATTEMPT_ENDED => Event::AttemptEnded(decode_attempt_end(record)?),
-        code::COUNTED => decode_counted(record)?,
-        code::ANSWER_BEGUN => Event::ResponseStarted {
+        code::COUNTER_ANSWERED => decode_counter_answer(record)?,
+        code::RESPONSE_STARTED => Event::ResponseStarted {
             request: record.u32(1),
             backend: record.u32(5),
             attempt: record.u8(9),
@@ -55,7 +55,7 @@
     })
 }
 
-/// Decodes an entry of a list.
+/// Decodes an entry of a list of backends.
 pub(crate) fn decode_entry(record: &Record<'_>) -> Result<BackendEntry, WireError> {
     Ok(BackendEntry {
         id: record.u32(0),
@@ -77,7 +77,7 @@
     let flags = record.u16(5);
     Ok(Request {
         id: record.u32(1),
-        is_retry: flags & flag::REPEAT != 0,
+        is_retry: flags & flag::RETRY != 0,
         is_write: flags & flag::WRITE != 0,
         plan: record.u16(7),
         gateway_count: record.number(9)?,
@@ -103,8 +103,8 @@
     })
 }
 
-/// The total is only read from a successful answer of the counter.
-fn decode_counted(record: &Record<'_>) -> Result<Event, WireError> {
+/// Decodes the result of a counter call. The total is read only if the call was successful.
+fn decode_counter_answer(record: &Record<'_>) -> Result<Event, WireError> {
     let outcome = decode_outcome(record.u8(9))?;
     let total = if outcome == Outcome::Ok { record.number(10)? } else { 0.0 };
     Ok(Event::CounterAnswered {
@@ -121,7 +121,7 @@
     if count > MAX_REPORT_VALUES {
         return Err(WireError::ReportLength(count));
     }
-    (0..count).map(|place| record.number(offset + 1 + 4 * place)).collect()
+    (0..count).map(|index| record.number(offset + 1 + 4 * index)).collect()
 }
 
 fn decode_outcome(code: u8) -> Result<Outcome, WireError> {
--- a/crates/sim/src/reply.rs
+++ b/crates/sim/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies: a header, 24-byte records of actions and a tail that records refer to.
+//! Encoding of replies: a header, 24-byte records of actions, and a tail that records refer to.
 
 use violetyoke_decision::interface::{Action, Micros};
 
@@ -8,18 +8,18 @@
 /// Codes of the records.
 mod code {
     pub(super) const SEND: u8 = 65;
-    pub(super) const REFUSE: u8 = 66;
+    pub(super) const REJECT: u8 = 66;
     pub(super) const FAIL: u8 = 67;
     pub(super) const CANCEL: u8 = 68;
     pub(super) const TIMER: u8 = 69;
     pub(super) const PROBE: u8 = 70;
     pub(super) const CLOSE_IDLE: u8 = 71;
-    pub(super) const TELL: u8 = 72;
+    pub(super) const PEER_MESSAGE: u8 = 72;
     pub(super) const LOG: u8 = 73;
-    pub(super) const BROKEN: u8 = 74;
-    pub(super) const WATCH: u8 = 75;
+    pub(super) const INTERNAL_ERROR: u8 = 74;
+    pub(super) const SUBSCRIBE: u8 = 75;
     pub(super) const FETCH_LIST: u8 = 76;
-    pub(super) const COUNT: u8 = 77;
+    pub(super) const ADD_TO_COUNTER: u8 = 77;
     pub(super) const INSTANCE: u8 = 78;
 }
 
@@ -28,11 +28,11 @@
 pub struct InstanceActions {
     /// The number of the instance.
     pub instance: u32,
-    /// What it has decided.
+    /// The actions.
     pub actions: Vec<Action>,
 }
 
-/// Encodes the reply to the batch of this number. Instances without actions are left out.
+/// Encodes the reply to the batch with this number. Instances without actions are omitted.
 pub fn encode_reply(number: u32, replies: &[InstanceActions]) -> Vec<u8> {
     let mut body = Body::default();
     for reply in replies.iter().filter(|reply| !reply.actions.is_empty()) {
@@ -67,7 +67,7 @@
         self.records.resize(start + RECORD_BYTES, 0);
     }
 
-    /// Appends the data to the tail; the field that refers to it.
+    /// Appends the data to the tail. Returns the field that refers to it.
     fn section(&mut self, data: &[u8]) -> [u8; 8] {
         let mut field = [0; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
@@ -89,7 +89,7 @@
                 self.record(code::SEND, &fields);
             }
             Action::Reject { request, retry_after, .. } => {
-                self.record(code::REFUSE, &[&request.to_le_bytes(), &duration(*retry_after)]);
+                self.record(code::REJECT, &[&request.to_le_bytes(), &duration(*retry_after)]);
             }
             Action::Fail { request, .. } => self.record(code::FAIL, &[&request.to_le_bytes()]),
             Action::Cancel { request, attempt } => {
@@ -99,26 +99,26 @@
                 self.record(code::TIMER, &[&at.to_le_bytes(), &token.to_le_bytes()]);
             }
             Action::Probe { backend } => self.record(code::PROBE, &[&backend.to_le_bytes()]),
-            // The simulator keeps its own idle connections, and has no classes that only ask for admission.
+            // The simulator manages idle connections itself, and has no classes for admission checks.
             Action::SetIdleTimeout { .. } | Action::Admit { .. } => {}
             Action::CloseIdle { backend } => self.record(code::CLOSE_IDLE, &[&backend.to_le_bytes()]),
             Action::SendPeerMessage { to, data } => {
                 let section = self.section(data);
-                self.record(code::TELL, &[&to.unwrap_or(u16::MAX).to_le_bytes(), &section]);
+                self.record(code::PEER_MESSAGE, &[&to.unwrap_or(u16::MAX).to_le_bytes(), &section]);
             }
             Action::Log { text } => self.text(code::LOG, text),
-            Action::InternalError { text } => self.text(code::BROKEN, text),
-            Action::Subscribe { on } => self.record(code::WATCH, &[&[u8::from(*on)]]),
+            Action::InternalError { text } => self.text(code::INTERNAL_ERROR, text),
+            Action::Subscribe { on } => self.record(code::SUBSCRIBE, &[&[u8::from(*on)]]),
             Action::FetchList => self.record(code::FETCH_LIST, &[]),
             Action::AddToCounter { counter_id, amount, ttl } => {
                 let amount = (*amount as f32).to_le_bytes();
-                self.record(code::COUNT, &[&counter_id.to_le_bytes(), &amount, &duration(*ttl)]);
+                self.record(code::ADD_TO_COUNTER, &[&counter_id.to_le_bytes(), &amount, &duration(*ttl)]);
             }
         }
     }
 }
 
-/// A duration in 32 bits; the longest one for a longer one.
+/// Encodes a duration in 32 bits. Longer durations are encoded as the maximum.
 fn duration(micros: Micros) -> [u8; 4] {
     u32::try_from(micros).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/crates/sim/tests/wire.rs
+++ b/crates/sim/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames of the wire page, byte for byte, and what is refused.
+//! Frames of the simulator's protocol, byte for byte, and the errors of malformed ones.
 
 #![cfg(test)]
 
@@ -38,11 +38,11 @@
     batch.inputs.into_iter().map(|input| input.input).collect()
 }
 
-const TO_3: &str = "05 03000000";
+const INSTANCE_3: &str = "05 03000000";
 
 #[test]
-fn events_are_decoded_as_the_wire_page_shows_them() {
-    let order = "08 c4913a5d 0100 0000 00004040 640ad2557c3bf091 0000803f 80a90300 00000040 0000";
+fn events_are_decoded_as_in_the_examples_of_the_protocol() {
+    let request_record = "08 c4913a5d 0100 0000 00004040 640ad2557c3bf091 0000803f 80a90300 00000040 0000";
     let request = Request {
         id: 0x5d3a_91c4,
         class: 0,
@@ -55,7 +55,7 @@
         is_retry: false,
         is_write: false,
     };
-    let resolved = "0d c4913a5d 0300 01 00 074a1203 44480000 0a 5600 01 0000e040";
+    let attempt_end_record = "0d c4913a5d 0300 01 00 074a1203 44480000 0a 5600 01 0000e040";
     let end = AttemptEnd {
         request: 0x5d3a_91c4,
         attempt: 0,
@@ -68,11 +68,11 @@
         report: vec![7.0],
     };
     let records = [
-        TO_3,
-        order,
+        INSTANCE_3,
+        request_record,
         "03 4d00000000000000",
         "09 192b6f0e",
-        resolved,
+        attempt_end_record,
         "07 90f6890000000000 0a 00001842 66080000",
         "0b c4913a5d 074a1203 00 22240000",
         "04 f211902c 0a 78050000 01 0000e040",
@@ -93,14 +93,15 @@
 }
 
 #[test]
-fn messages_and_lists_are_read_from_the_tail() {
-    let data = events(&[TO_3, "0c 02000000 00000000 04000000"], b"hi 7");
+fn peer_messages_and_lists_are_decoded_from_the_tail() {
+    let data = events(&[INSTANCE_3, "0c 02000000 00000000 04000000"], b"hi 7");
     assert_eq!(data, [Input::Event(Event::PeerMessage { from: 2, data: b"hi 7".to_vec() })]);
     let tail = bytes(
         "074a1203 0000 00 0000 01 0000803f 0000000000000000
          f211902c 0100 00 0000 01 0000c03f 20145d0000000000",
     );
-    let list = events(&[TO_3, "01 00000000 00000000 02000000", "06 02 2900000000000000 00000000"], &tail);
+    let list =
+        events(&[INSTANCE_3, "01 00000000 00000000 02000000", "06 02 2900000000000000 00000000"], &tail);
     let entry = |id, zone, weight, started_at| BackendEntry {
         id,
         zone,
@@ -115,26 +116,32 @@
 }
 
 #[test]
-fn lists_belong_to_the_process_and_are_superseded_in_order() {
+fn lists_are_kept_across_batches_and_replaced_in_the_order_of_records() {
     let mut decoder = Decoder::default();
     let list = "01 07000000 00000000 01000000";
     let first = padded("01000000 0000 00 0000 01 0000803f", 22);
     let second = padded("02000000 0000 00 0000 02 0000803f", 22);
     batch(&mut decoder, &[list], &first).unwrap();
-    let read = batch(&mut decoder, &[TO_3, "06 03 01 00000000000000 07000000", list], &second).unwrap();
-    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].input else { panic!("a list") };
+    let read = batch(&mut decoder, &[INSTANCE_3, "06 03 01 00000000000000 07000000", list], &second).unwrap();
+    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].input else {
+        panic!("the event is a list")
+    };
     assert_eq!(entries[0].id, 1);
-    let read = batch(&mut decoder, &[TO_3, "06 00 02 00000000000000 07000000"], &[]).unwrap();
-    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].input else { panic!("a list") };
+    let read = batch(&mut decoder, &[INSTANCE_3, "06 00 02 00000000000000 07000000"], &[]).unwrap();
+    let Input::Event(Event::Backends { entries, .. }) = &read.inputs[0].input else {
+        panic!("the event is a list")
+    };
     assert_eq!((entries[0].id, entries[0].condition), (2, Condition::Draining));
-    let failed = batch(&mut decoder, &[TO_3, "06 04 02 00000000000000 0f000000"], &[]).unwrap();
-    let Input::Event(Event::Backends { kind, .. }) = failed.inputs[0].input else { panic!("a list") };
+    let failed = batch(&mut decoder, &[INSTANCE_3, "06 04 02 00000000000000 0f000000"], &[]).unwrap();
+    let Input::Event(Event::Backends { kind, .. }) = failed.inputs[0].input else {
+        panic!("the event is a list")
+    };
     assert_eq!(kind, ListKind::Failed);
 }
 
 #[test]
 fn each_outcome_is_decoded_from_its_code() {
-    let known = [
+    let codes = [
         ("0a", Outcome::Ok),
         ("14", Outcome::Error),
         ("1e", Outcome::Full),
@@ -144,14 +151,16 @@
         ("46", Outcome::Cancelled),
         ("50", Outcome::Moot),
     ];
-    for (code, expected) in known {
-        let read = events(&[TO_3, &format!("04 f211902c {code} 78050000")], &[]);
-        let Input::Event(Event::Probed { outcome, .. }) = read[0] else { panic!("a probe's result") };
+    for (code, expected) in codes {
+        let read = events(&[INSTANCE_3, &format!("04 f211902c {code} 78050000")], &[]);
+        let Input::Event(Event::Probed { outcome, .. }) = read[0] else {
+            panic!("the event is the result of a probe")
+        };
         assert_eq!(outcome, expected);
     }
-    let proofs: Vec<_> =
-        known.iter().filter(|(_, outcome)| outcome.not_executed()).map(|(code, _)| *code).collect();
-    assert_eq!(proofs, ["1e", "32", "50"]);
+    let not_executed: Vec<_> =
+        codes.iter().filter(|(_, outcome)| outcome.not_executed()).map(|(code, _)| *code).collect();
+    assert_eq!(not_executed, ["1e", "32", "50"]);
 }
 
 fn encoded(action: Action) -> (Vec<u8>, Vec<u8>) {
@@ -164,7 +173,7 @@
 }
 
 #[test]
-fn actions_are_encoded_as_the_wire_page_shows_them() {
+fn actions_are_encoded_as_in_the_examples_of_the_protocol() {
     let (request, backend) = (0x5d3a_91c4, 0x0312_4a07);
     let cases = [
         (Action::Send { request, backend, expires: 8_492_250 }, "41 c4913a5d 074a1203 da94810000000000"),
@@ -210,15 +219,15 @@
 }
 
 #[test]
-fn malformed_frames_are_refused_with_the_cause() {
+fn errors_of_malformed_frames_name_the_cause() {
     let cases: [(&[&str], &str); 7] = [
-        (&[TO_3, "63"], "unknown event code 99"),
+        (&[INSTANCE_3, "63"], "unknown event code 99"),
         (&["03 4d00000000000000"], "an event without an instance"),
-        (&[TO_3, "0c 02000000 00000000 04000000"], "4 bytes at 0 reach past a tail of 0 bytes"),
-        (&[TO_3, "06 02 2900000000000000 00000000"], "list number 0 was never sent"),
-        (&[TO_3, "04 f211902c 0b"], "unknown outcome 11"),
+        (&[INSTANCE_3, "0c 02000000 00000000 04000000"], "4 bytes at 0 reach past a tail of 0 bytes"),
+        (&[INSTANCE_3, "06 02 2900000000000000 00000000"], "list number 0 was never sent"),
+        (&[INSTANCE_3, "04 f211902c 0b"], "unknown outcome 11"),
         (&["01 10000000"], "list number 16 is out of range"),
-        (&[TO_3, "04 f211902c 0a 78050000 05"], "a load report of 5 values"),
+        (&[INSTANCE_3, "04 f211902c 0a 78050000 05"], "a load report of 5 values"),
     ];
     for (records, expected) in cases {
         assert_eq!(batch(&mut Decoder::default(), records, &[]).unwrap_err().to_string(), expected);
