--- a/crates/exchange/src/counter.rs
+++ b/crates/exchange/src/counter.rs
@@ -15,7 +15,7 @@
 
 impl<P: Port> Exchange<P> {
     /// Makes a counter call for the decision module.
-    pub(super) fn start_count(&mut self, now: Micros, counter_id: u64, amount: f64, life: Micros) {
+    pub(super) fn start_counter_call(&mut self, now: Micros, counter_id: u64, amount: f64, life: Micros) {
         let call = self.next_call_id();
         let (outcome, total) = match self.port.start_call(now, call, counter_id, amount, life) {
             CallStart::Pending(handle) => {
--- a/crates/exchange/src/dispatch.rs
+++ b/crates/exchange/src/dispatch.rs
@@ -40,7 +40,7 @@
             Action::SetIdleTimeout { idle_timeout } => self.limit_idle(idle_timeout),
             Action::SendPeerMessage { to, data } => self.port.send_to_peers(now, to, data),
             Action::AddToCounter { counter_id, amount, ttl } => {
-                self.start_count(now, counter_id, amount, ttl)
+                self.start_counter_call(now, counter_id, amount, ttl)
             }
             Action::Timer { at, token } => self.timers.set(at, Timer::Module(token)),
             Action::Log { text } => self.port.log(&format!("module: {text}")),
@@ -51,7 +51,7 @@
             // itself.
             Action::Subscribe { .. } | Action::FetchList => {}
             Action::Probe { backend } => {
-                self.port.log(&format!("module: asks to probe {backend}, which is not implemented"));
+                self.port.log(&format!("module: requests a probe of {backend}, which is not implemented"));
             }
         }
     }
--- a/crates/exchange/src/records.rs
+++ b/crates/exchange/src/records.rs
@@ -40,7 +40,7 @@
 
 /// The purpose of a counter call.
 pub(super) enum CallPurpose<W> {
-    /// The decision module, which knows the call by the name of the count.
+    /// The decision module, which identifies the call by its counter id.
     Module { counter_id: u64 },
     /// A claim. A call that adds a decision to a claim has no waiter.
     Claim { waiter: Option<W> },
--- a/crates/exchange/tests/exchange/attempts.rs
+++ b/crates/exchange/tests/exchange/attempts.rs
@@ -1,4 +1,4 @@
-//! Which attempts are sent, and what their ends say of the request.
+//! Which attempts are started, and how their ends determine the response to the request.
 
 use super::support::{accept, advance, exchange, request, START};
 use violetyoke_decision::interface::{Idempotency, Outcome, Report};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn attempt_with_incomplete_body_has_not_run_and_is_not_the_backends_fault() {
+fn attempt_with_incomplete_body_is_neither_executed_nor_the_backends_fault() {
     let mut exchange = exchange(Idempotency::AtMostOnce, 0.0);
     exchange.port.progress = SendProgress::Partial;
     accept(&mut exchange, request());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn request_that_no_backend_accepts_is_refused_within_its_limit_on_attempts() {
+fn request_that_no_backend_accepts_is_rejected_within_its_limit_on_attempts() {
     let mut exchange = exchange(Idempotency::Idempotent, 0.0);
     exchange.port.accepts = false;
     accept(&mut exchange, request());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn admission_check_is_sent_to_no_backend() {
+fn admission_check_is_not_sent_to_a_backend() {
     let mut exchange = exchange(Idempotency::Idempotent, 0.0);
     accept(&mut exchange, AcceptedRequest { is_admission_check: true, ..request() });
     assert!(exchange.port.attempts.is_empty());
--- a/crates/exchange/tests/exchange/claims.rs
+++ b/crates/exchange/tests/exchange/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: who receives their totals, and which outcomes are added to them.
+//! Claims: reporting of their totals, and the outcomes that are added to them.
 
 use super::support::{accept, advance, exchange, request, START};
 use violetyoke_decision::interface::{Idempotency, Outcome};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn waiter_of_a_claim_is_told_when_the_call_times_out() {
+fn waiter_of_a_claim_is_notified_when_the_call_times_out() {
     let mut exchange = exchange(Idempotency::Idempotent, 0.0);
     exchange.add_to_claim(START, 5, 1.0, Some("waiter"));
     advance(&mut exchange, START + 50_000);
--- a/crates/exchange/tests/exchange/counter.rs
+++ b/crates/exchange/tests/exchange/counter.rs
@@ -11,7 +11,7 @@
     let (call, amount) = exchange.port.calls[0];
     assert_eq!((amount, exchange.port.attempts.len()), (1.0, 0));
     advance(&mut exchange, START + 60_000);
-    // Decided without the counter at the time-out: nothing is known against the request.
+    // At the time-out the request is decided without the counter, and forwarded because no use is known.
     assert_eq!(exchange.port.attempts.len(), 1);
     let responses = exchange.port.responses.len();
     exchange.counter_call_ended(START + 61_000, call, Outcome::Ok, 500.0);
--- a/crates/exchange/tests/exchange/deadlines.rs
+++ b/crates/exchange/tests/exchange/deadlines.rs
@@ -1,4 +1,4 @@
-//! When a request is answered at the latest.
+//! The latest time of the final response to a request.
 
 use super::support::{accept, advance, exchange, request, START};
 use violetyoke_decision::interface::Idempotency;
@@ -13,7 +13,7 @@
     let [(summary, response)] = exchange.port.responses.as_slice() else {
         panic!("{:?}", exchange.port.responses)
     };
-    // The attempt may have been executed: nothing is promised, and nothing is sent again.
+    // The attempt may have been executed, so the request fails and is not sent again.
     assert_eq!((summary.attempts, response), (1, &FinalResponse::Failed));
     assert_eq!((exchange.port.attempts.len(), exchange.port.cancelled), (1, 1));
     assert!(exchange.is_idle());
--- a/crates/exchange/tests/exchange/main.rs
+++ b/crates/exchange/tests/exchange/main.rs
@@ -1,4 +1,4 @@
-//! An exchange over a port that records what it is asked for.
+//! Tests of an exchange with a port that records its calls.
 
 #![cfg(test)]
 
--- a/crates/exchange/tests/exchange/support.rs
+++ b/crates/exchange/tests/exchange/support.rs
@@ -1,4 +1,4 @@
-//! A port that records what it is asked for, and an exchange over it.
+//! A port that records its calls, and an exchange that uses it.
 
 use violetyoke_decision::interface::{
     AttemptEnd, BackendEntry, BackendId, Class, Condition, Counter, DedupScope, Event, Idempotency, Limits,
@@ -12,15 +12,17 @@
 
 pub(super) const START: Micros = 1_000_000_000;
 
-/// What it reports of all attempts and uploads, and what it was asked for.
+/// A port with the same progress and upload for all requests. It records its calls.
 pub(super) struct RecordingPort {
+    /// The progress of all attempts.
     pub(super) progress: SendProgress,
     pub(super) upload: Option<Upload>,
+    /// Whether backends accept attempts.
     pub(super) accepts: bool,
     pub(super) attempts: Vec<(AttemptId, BackendId)>,
     pub(super) cancelled: usize,
     pub(super) calls: Vec<(CallId, f64)>,
-    /// The totals of claims that were reported, with their waiters.
+    /// Waiters of claims, with the totals that were reported to them.
     pub(super) claims: Vec<(&'static str, Option<f64>)>,
     pub(super) responses: Vec<(RequestSummary, FinalResponse<&'static str>)>,
     pub(super) ends: Vec<AttemptEnd>,
@@ -81,7 +83,8 @@
     }
 }
 
-/// An exchange with one class of that effect, one plan of that rate (0: without a quota), and two warm backends.
+/// An exchange with one class of this idempotency, one plan of this rate (0: without a quota), and two backends
+/// at full capacity.
 pub(super) fn exchange(idempotency: Idempotency, rate: f64) -> Exchange<RecordingPort> {
     let class = Class {
         latency_target: 500_000,
@@ -127,7 +130,7 @@
     exchange
 }
 
-/// Request 1, which arrives at [`START`] and has one second.
+/// Request 1, which arrives at [`START`] and has a time-out of one second.
 pub(super) fn request() -> AcceptedRequest {
     let request = Request {
         id: 1,
@@ -145,7 +148,7 @@
     exchange.process_events(START);
 }
 
-/// Lets time pass, timer by timer.
+/// Fires all timers up to a time.
 pub(super) fn advance(exchange: &mut Exchange<RecordingPort>, until: Micros) {
     while let Some(at) = exchange.next_due().filter(|at| *at <= until) {
         exchange.fire_due(at);
