--- a/crates/exchange/src/counter.rs
+++ b/crates/exchange/src/counter.rs
@@ -15,9 +15,9 @@
 
 impl<P: Port> Exchange<P> {
     /// Makes a counter call for the decision module.
-    pub(super) fn start_counter_call(&mut self, now: Micros, counter_id: u64, amount: f64, life: Micros) {
+    pub(super) fn start_counter_call(&mut self, now: Micros, counter_id: u64, amount: f64, ttl: Micros) {
         let call = self.next_call_id();
-        let (outcome, total) = match self.port.start_call(now, call, counter_id, amount, life) {
+        let (outcome, total) = match self.port.start_call(now, call, counter_id, amount, ttl) {
             CallStart::Pending(handle) => {
                 return self.await_call(now, call, CallPurpose::Module { counter_id }, handle);
             }
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -46,7 +46,7 @@
         call: CallId,
         count: u64,
         amount: f64,
-        life: Micros,
+        ttl: Micros,
     ) -> CallStart<Self::Call>;
     /// Whether a call may have been sent. A call that was not sent has added nothing.
     fn may_have_been_sent(&self, call: &Self::Call) -> bool;
