--- a/crates/ingress/src/console.rs
+++ b/crates/ingress/src/console.rs
@@ -1,7 +1,7 @@
 //! The second address, where operators call: one call to a connection, each answered within a second whatever
 //! the load. Callers who say nothing hold a place until another one needs it.
 
-use crate::handover::Handover;
+use crate::handover_folder::HandoverFolder;
 use crate::pool::Pool;
 use crate::server;
 use crate::Message;
@@ -34,7 +34,7 @@
 pub struct Console {
     pub shared: Rc<server::ServerState>,
     pub pool: Rc<Pool>,
-    pub handover: Option<Rc<Handover>>,
+    pub handover: Option<Rc<HandoverFolder>>,
     /// Most callers at once.
     pub most: usize,
 }
@@ -126,7 +126,9 @@
             Ok(Ok(false)) => return StatusCode::NOT_FOUND,
             _ => return StatusCode::SERVICE_UNAVAILABLE,
         }
-        if let Some(Err(error)) = self.handover.as_ref().map(|handover| handover.set_out(&node, ejected)) {
+        if let Some(Err(error)) =
+            self.handover.as_ref().map(|handover| handover.set_manual_ejection(&node, ejected))
+        {
             // In force here; a successor will not know.
             eprintln!("console: {node}: {error}");
         }
--- a/crates/ingress/src/account.rs
+++ b/crates/ingress/src/decision_log.rs
@@ -17,7 +17,7 @@
     arrived_at: Micros,
 }
 
-pub struct Account {
+pub struct DecisionLog {
     process: u32,
     /// Name, worth and aim of each class, and name and worth of each plan, by their numbers.
     classes: Vec<(String, f64, Micros)>,
@@ -26,22 +26,22 @@
     begun: HashMap<RequestId, Begun>,
 }
 
-impl Account {
+impl DecisionLog {
     /// None: nobody asks for one.
-    pub fn open(settings: &Settings, classes: &[String], plans: &[String]) -> Option<Box<Account>> {
+    pub fn open(settings: &Settings, classes: &[String], plans: &[String]) -> Option<Box<DecisionLog>> {
         std::env::var_os(VARIABLE)?;
-        let mut account = Account {
+        let mut account = DecisionLog {
             process: std::process::id(),
             classes: Vec::new(),
             plans: Vec::new(),
             calls: [0; 3],
             begun: HashMap::new(),
         };
-        account.change(settings, classes, plans);
+        account.update_settings(settings, classes, plans);
         Some(Box::new(account))
     }
 
-    pub fn change(&mut self, settings: &Settings, classes: &[String], plans: &[String]) {
+    pub fn update_settings(&mut self, settings: &Settings, classes: &[String], plans: &[String]) {
         let classes = settings.classes.iter().zip(classes);
         self.classes =
             classes.map(|(class, name)| (name.clone(), class.value, class.latency_target)).collect();
@@ -49,12 +49,12 @@
         self.plans = plans.map(|(plan, name)| (name.clone(), plan.value)).collect();
     }
 
-    pub fn begun(&mut self, request: &ClientRequest) {
+    pub fn on_request_started(&mut self, request: &ClientRequest) {
         let ClientRequest { id, class, plan, units, arrived_at, .. } = *request;
         self.begun.insert(id, Begun { class, plan, units, arrived_at });
     }
 
-    pub fn over(
+    pub fn on_request_ended(
         &mut self,
         at: Micros,
         request: RequestId,
@@ -79,18 +79,18 @@
         });
     }
 
-    pub fn attempt(&self, at: Micros, node: &str, end: &AttemptEnd) {
+    pub fn on_attempt_ended(&self, at: Micros, node: &str, end: &AttemptEnd) {
         let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.elapsed);
         write(&Record::Attempt { timestamp: at, process: self.process, node, outcome, duration: waited });
     }
 
-    pub fn call(&mut self, outcome: Outcome) {
+    pub fn on_counter_call_ended(&mut self, outcome: Outcome) {
         self.calls[0] += 1;
         self.calls[1] += u32::from(outcome == Outcome::Timeout);
         self.calls[2] += u32::from(outcome != Outcome::Timeout && outcome != Outcome::Ok);
     }
 
-    pub fn state(&mut self, at: Micros, view: FleetView, name: impl Fn(u32) -> String) {
+    pub fn log_state(&mut self, at: Micros, view: FleetView, name: impl Fn(u32) -> String) {
         let node = |backend: &BackendView| NodeState {
             name: name(backend.id),
             health: match backend {
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -1,16 +1,16 @@
 //! The driver of a pool: the single task that owns the pool's exchange. It passes on what the sockets report,
 //! in order, and the lists of backends.
 
-use super::account::Account;
 use super::backend::{Backend, ConnectionBudget};
 use super::config::Names;
+use super::decision_log::DecisionLog;
 use super::discovery::{Phase, Target, TargetList};
-use super::embedded::Link;
+use super::embedded_counter::CounterLocation;
 use super::exchange_port::{PendingClient, SocketPort};
+use super::handover_state::HandoverState;
 use super::peers::Peers;
 use super::pool::Pool;
 use super::sets;
-use super::succession::Inheritance;
 use super::{ClientAnswer, ClientRequest, Clock, Message, Messages};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -31,14 +31,14 @@
     pub budget: Rc<ConnectionBudget>,
     /// The last known list of backends.
     pub initial_targets: TargetList,
-    pub counter: Option<Link>,
+    pub counter: Option<CounterLocation>,
     pub peers: Option<Peers>,
     /// Backends that operators have ejected.
     pub ejections: ManualEjections,
     /// Whether this process takes over from one that is still running.
     pub predecessor_alive: bool,
     /// The state that the other process has handed over.
-    pub imported_state: Option<Box<Inheritance>>,
+    pub imported_state: Option<Box<HandoverState>>,
 }
 
 pub struct Driver {
@@ -78,9 +78,9 @@
             backends: HashMap::new(),
             listed_targets: HashMap::new(),
             max_idle: 0,
-            decision_log: Account::open(&settings, &names.classes, &names.plans),
+            decision_log: DecisionLog::open(&settings, &names.classes, &names.plans),
         };
-        port.counter = counter.map(|link| port.open(link, timeout));
+        port.counter = counter.map(|location| port.open(location, timeout));
         let exchange = Exchange::new(clock.now(), settings, seed, port);
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.update_targets(TargetList { cached: true, complete: true, ..initial_targets });
@@ -147,8 +147,8 @@
             }
             Message::Targets(list) => self.update_targets(list),
             // The previous counter's task ends once its calls are answered or its connection is closed.
-            Message::CounterReplaced(link) => {
-                let counter = exchange.port.open(link, exchange.counter_timeout());
+            Message::CounterReplaced(location) => {
+                let counter = exchange.port.open(location, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
                 exchange.gateway_mut().counter_replaced();
             }
@@ -162,11 +162,13 @@
             }
             Message::ExportState(reply) => {
                 if let Err(unsent) = reply.send(self.export_state()) {
-                    self.exchange.gateway_mut().reclaim_state(now, &unsent.belief);
+                    self.exchange.gateway_mut().reclaim_state(now, &unsent.learned_state);
                 }
             }
             Message::PredecessorEnded => exchange.gateway_mut().set_overlapping(false),
-            Message::ReclaimState(exported) => exchange.gateway_mut().reclaim_state(now, &exported.belief),
+            Message::ReclaimState(exported) => {
+                exchange.gateway_mut().reclaim_state(now, &exported.learned_state)
+            }
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
             Message::AddToClaim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
@@ -175,35 +177,42 @@
     }
 
     #[cold]
-    fn export_state(&mut self) -> Box<Inheritance> {
-        let belief = self.exchange.gateway_mut().export_state(self.clock.now());
+    fn export_state(&mut self) -> Box<HandoverState> {
+        let learned_state = self.exchange.gateway_mut().export_state(self.clock.now());
         let port = &self.exchange.port;
-        let (nodes, back) =
+        let (nodes, restored_nodes) =
             (port.listed_targets.values().cloned().collect(), self.ejections.restored().clone());
-        Box::new(Inheritance::new(nodes, port.backend_ids.as_map(), &self.names, back, belief))
+        Box::new(HandoverState::new(
+            nodes,
+            port.backend_ids.as_map(),
+            &self.names,
+            restored_nodes,
+            learned_state,
+        ))
     }
 
     /// Starts with the state of an older process, whose list of backends is newer than the one in the
     /// configuration.
     #[cold]
-    fn import_state(&mut self, mut imported_state: Inheritance) {
-        self.ejections.import_restored(std::mem::take(&mut imported_state.back));
-        if let Some(list) = imported_state.list() {
+    fn import_state(&mut self, mut imported_state: HandoverState) {
+        self.ejections.import_restored(std::mem::take(&mut imported_state.restored_nodes));
+        if let Some(list) = imported_state.take_target_list() {
             self.update_targets(list);
             self.exchange.process_events(self.clock.now());
         }
-        let belief = imported_state.belief(self.exchange.port.backend_ids.as_map(), &self.names);
-        let ((nodes, accounts), now) = (belief.entry_counts(), self.clock.now());
-        let age = now.saturating_sub(belief.exported_at()) / 1000;
-        let believed = self.exchange.gateway_mut().import_state(now, belief);
-        let result = if believed { "believed" } else { "too old" };
+        let learned_state =
+            imported_state.into_learned_state(self.exchange.port.backend_ids.as_map(), &self.names);
+        let ((nodes, accounts), now) = (learned_state.entry_counts(), self.clock.now());
+        let age = now.saturating_sub(learned_state.exported_at()) / 1000;
+        let imported = self.exchange.gateway_mut().import_state(now, learned_state);
+        let result = if imported { "believed" } else { "too old" };
         eprintln!("handed down: {result}: {nodes} nodes, {accounts} accounts, {age} ms ago");
     }
 
     fn reconfigure(&mut self, now: Micros, settings: Settings, names: Names) {
         let port = &mut self.exchange.port;
         if let Some(decision_log) = &mut port.decision_log {
-            decision_log.change(&settings, &names.classes, &names.plans);
+            decision_log.update_settings(&settings, &names.classes, &names.plans);
         }
         port.report_fields = settings.report_fields.clone().into();
         self.names = names;
@@ -212,7 +221,7 @@
 
     fn accept_request(&mut self, now: Micros, request: ClientRequest) {
         if let Some(decision_log) = &mut self.exchange.port.decision_log {
-            decision_log.begun(&request);
+            decision_log.on_request_started(&request);
         }
         let ClientRequest { forward, reply, .. } = request;
         let is_write = forward.as_ref().is_some_and(|forward| forward.method != hyper::Method::GET);
--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -1,10 +1,10 @@
 //! The exchange's port to the outside, implemented with sockets.
 
-use super::account::Account;
 use super::backend::{self, AttemptResult, Backend};
 use super::counter::Counter;
+use super::decision_log::DecisionLog;
 use super::discovery::Target;
-use super::embedded::Link;
+use super::embedded_counter::CounterLocation;
 use super::peers::Peers;
 use super::pool::Pool;
 use super::streaming::Upload;
@@ -24,7 +24,7 @@
 /// An open connection to the shared counter, or the counter in this process.
 pub(crate) enum CounterConnection {
     Remote(Counter),
-    Embedded(Link),
+    Embedded(CounterLocation),
 }
 
 /// What is kept for a client until its final response.
@@ -66,15 +66,15 @@
     /// How long a connection to a backend may be idle and still be reused.
     pub max_idle: Micros,
     /// The decision log, if enabled.
-    pub decision_log: Option<Box<Account>>,
+    pub decision_log: Option<Box<DecisionLog>>,
 }
 
 impl SocketPort {
-    pub fn open(&self, link: Link, timeout: Micros) -> CounterConnection {
-        match link {
-            Link::Remote { address, space } => CounterConnection::Remote(Counter::open(
+    pub fn open(&self, location: CounterLocation, timeout: Micros) -> CounterConnection {
+        match location {
+            CounterLocation::Remote { address, namespace } => CounterConnection::Remote(Counter::open(
                 address,
-                space,
+                namespace,
                 timeout,
                 self.clock,
                 self.messages.clone(),
@@ -178,8 +178,8 @@
             Some(CounterConnection::Remote(counter)) => counter
                 .call(call, now, counter_id, amount, ttl)
                 .map_or(CallStart::NotSent, CallStart::Pending),
-            Some(CounterConnection::Embedded(Link::Embedded { counts, space })) => {
-                CallStart::Total(counts.add(now, space, counter_id, amount, ttl))
+            Some(CounterConnection::Embedded(CounterLocation::Embedded { counters, namespace })) => {
+                CallStart::Total(counters.add(now, namespace, counter_id, amount, ttl))
             }
             _ => CallStart::NotSent,
         }
@@ -206,7 +206,13 @@
         response: FinalResponse<ClientAnswer>,
     ) {
         if let Some(decision_log) = &mut self.decision_log {
-            decision_log.over(now, summary.request, summary.attempts, response.kind(), summary.reason);
+            decision_log.on_request_ended(
+                now,
+                summary.request,
+                summary.attempts,
+                response.kind(),
+                summary.reason,
+            );
         }
         let answer = match response {
             FinalResponse::Served(answer) => answer,
@@ -220,7 +226,7 @@
 
     fn request_abandoned(&mut self, now: Micros, request: RequestId, attempts: u8) {
         if let Some(decision_log) = &mut self.decision_log {
-            decision_log.over(now, request, attempts, "gone", None);
+            decision_log.on_request_ended(now, request, attempts, "gone", None);
         }
     }
 
@@ -253,19 +259,19 @@
         self.drop_removed();
         if let Some(decision_log) = &mut self.decision_log {
             let name = |id| self.backend_ids.name(id).map(str::to_string).unwrap_or_default();
-            decision_log.state(now, gateway.fleet_view(), name);
+            decision_log.log_state(now, gateway.fleet_view(), name);
         }
     }
 
     fn on_attempt_end(&mut self, now: Micros, end: &AttemptEnd) {
         if let Some(decision_log) = &self.decision_log {
-            decision_log.attempt(now, self.backend_ids.name(end.backend).unwrap_or(""), end);
+            decision_log.on_attempt_ended(now, self.backend_ids.name(end.backend).unwrap_or(""), end);
         }
     }
 
     fn on_call_end(&mut self, _: Micros, _: u64, outcome: Outcome) {
         if let Some(decision_log) = &mut self.decision_log {
-            decision_log.call(outcome);
+            decision_log.on_counter_call_ended(outcome);
         }
     }
 }
--- a/crates/ingress/src/follow.rs
+++ b/crates/ingress/src/follow.rs
@@ -2,7 +2,7 @@
 //! ready; what is no good is told back and leaves what is in force as it is. Without the control plane nothing
 //! changes.
 
-use crate::prepared::Prepared;
+use crate::prepared::PreparedConfig;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
@@ -31,7 +31,7 @@
 const LARGEST: usize = 1 << 30;
 
 /// What has come, and a way to say that it is in force.
-pub type Offered = (Prepared, oneshot::Sender<()>);
+pub type PreparedUpdate = (PreparedConfig, oneshot::Sender<()>);
 
 /// What was held when the process ended, from the file that it is kept in. A file that is no good is told and left.
 pub fn last_good(control: &file::Control) -> TenantDirectory {
@@ -51,8 +51,8 @@
 }
 
 /// Written whole before it stands under its name: a kill leaves the old one or the new one.
-fn keep(path: &Path, held: &TenantDirectory) -> io::Result<()> {
-    let bytes = serde_json::to_vec(&held.to_snapshot())?;
+fn keep(path: &Path, directory: &TenantDirectory) -> io::Result<()> {
+    let bytes = serde_json::to_vec(&directory.to_snapshot())?;
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
     let mut file = fs::File::create(&new)?;
@@ -64,16 +64,16 @@
 /// Follows for as long as the process runs. `config` is the file in force.
 pub async fn follow(
     control: file::Control,
-    mut held: Arc<TenantDirectory>,
+    mut directory: Arc<TenantDirectory>,
     config: watch::Receiver<Arc<file::Service>>,
-    offers: mpsc::Sender<Offered>,
+    offers: mpsc::Sender<PreparedUpdate>,
 ) {
     let mut pause = FIRST_PAUSE;
     // A revision that was not taken, and why: told with the next call.
     let mut rejected: Option<(u64, String)> = None;
     let mut told = String::new();
     loop {
-        let (revision, body) = match ask(&control, held.revision, rejected.as_ref()).await {
+        let (revision, body) = match ask(&control, directory.revision, rejected.as_ref()).await {
             Ok(Some(answer)) => answer,
             Ok(None) => {
                 // A control plane that is ending answers at once: without this, all would ask it as fast as they can.
@@ -92,20 +92,22 @@
             }
         };
         (pause, told) = (FIRST_PAUSE, String::new());
-        let (base, file) = (held.clone(), config.borrow().clone());
+        let (base, file) = (directory.clone(), config.borrow().clone());
         let prepared = spawn_blocking(move || {
             let taken = Snapshot::parse(&body).and_then(|snapshot| base.apply(snapshot));
-            taken.map_err(|error| error.to_string()).and_then(|held| Prepared::new(&file, Arc::new(held)))
+            taken
+                .map_err(|error| error.to_string())
+                .and_then(|directory| PreparedConfig::new(&file, Arc::new(directory)))
         })
         .await;
         match prepared.unwrap_or_else(|_| Err("it could not be read".into())) {
             Ok(prepared) => {
                 let (done, in_force) = oneshot::channel();
-                let new = prepared.held.clone();
+                let new = prepared.directory.clone();
                 if offers.send((prepared, done)).await.is_err() || in_force.await.is_err() {
                     return;
                 }
-                let old = std::mem::replace(&mut held, new.clone());
+                let old = std::mem::replace(&mut directory, new.clone());
                 // The last to hold it may be this one, and it may be large.
                 drop(spawn_blocking(move || drop(old)));
                 rejected = None;
@@ -127,12 +129,12 @@
 /// The newest; none: there is nothing new.
 async fn ask(
     control: &file::Control,
-    held: u64,
+    known_revision: u64,
     rejected: Option<&(u64, String)>,
 ) -> Result<Option<(u64, Bytes)>, String> {
     let key = fs::read_to_string(&control.key_file)
         .map_err(|error| format!("control.key_file {}: {error}", control.key_file.display()))?;
-    let mut path = format!("/v1/snapshot?held={held}&ingress={}", control.name);
+    let mut path = format!("/v1/snapshot?held={known_revision}&ingress={}", control.name);
     if let Some((revision, reason)) = rejected {
         path += &format!("&rejected={revision}&reason={}", utf8_percent_encode(reason, NON_ALPHANUMERIC));
     }
--- a/crates/ingress/src/handover.rs
+++ b/crates/ingress/src/handover_folder.rs
@@ -27,7 +27,7 @@
 /// The most that is read of what was handed down.
 const LARGEST: u64 = 32 << 20;
 
-pub struct Handover {
+pub struct HandoverFolder {
     folder: PathBuf,
     /// What this process calls itself.
     own: String,
@@ -35,9 +35,9 @@
     _alive: fs::File,
 }
 
-impl Handover {
+impl HandoverFolder {
     /// None: there is no folder that processes share.
-    pub fn open(name: &str, own: String) -> Option<Handover> {
+    pub fn open(name: &str, own: String) -> Option<HandoverFolder> {
         let name = utf8_percent_encode(name, NON_ALPHANUMERIC);
         let folder = PathBuf::from(env::var_os("TMPDIR")?).join(format!("violetyoke-{name}"));
         let open = || {
@@ -49,7 +49,7 @@
             Ok(alive)
         };
         match open() {
-            Ok(alive) => Some(Handover { folder, own, _alive: alive }),
+            Ok(alive) => Some(HandoverFolder { folder, own, _alive: alive }),
             Err::<_, io::Error>(error) => {
                 eprintln!("{}: {error}; nothing is left for a successor", folder.display());
                 None
@@ -65,31 +65,31 @@
     }
 
     /// What this process calls itself.
-    pub fn own(&self) -> &str {
+    pub fn process_name(&self) -> &str {
         &self.own
     }
 
     /// Tells an older process that this one serves from now on.
-    pub fn announce(&self) -> io::Result<()> {
+    pub fn announce_serving(&self) -> io::Result<()> {
         self.write("serving", self.own.as_bytes())
     }
 
     /// Whether another process serves, and lives: a newer one, if this one has said that it does.
-    pub fn taken_over(&self) -> bool {
+    pub fn is_taken_over(&self) -> bool {
         self.others_word("serving").is_some_and(|newer| self.lives(&newer))
     }
 
     /// Says that this process ends, or who was last to say so.
-    pub fn end(&self) -> io::Result<()> {
+    pub fn announce_end(&self) -> io::Result<()> {
         self.write(ENDED, self.own.as_bytes())
     }
 
-    pub fn ended(&self) -> Option<String> {
+    pub fn ended_process(&self) -> Option<String> {
         self.others_word(ENDED)
     }
 
     /// Asks the process that serves for what it knows, and tells who that is; none: nobody ever served.
-    pub fn ask(&self) -> io::Result<Option<String>> {
+    pub fn request_state(&self) -> io::Result<Option<String>> {
         let Some(serving) = self.others_word("serving") else { return Ok(None) };
         // Handed to an earlier process: not to be taken for the answer.
         match fs::remove_file(self.folder.join(HANDED)) {
@@ -101,17 +101,17 @@
     }
 
     /// Which other process has asked last.
-    pub fn asked(&self) -> Option<String> {
+    pub fn requested_by(&self) -> Option<String> {
         self.others_word(ASKS)
     }
 
     /// Leaves the answer, whole.
-    pub fn hand(&self, sealed: &[u8]) -> io::Result<()> {
+    pub fn write_state(&self, sealed: &[u8]) -> io::Result<()> {
         self.write(HANDED, sealed)
     }
 
     /// Takes the answer, if it is there.
-    pub fn handed(&self) -> io::Result<Option<Vec<u8>>> {
+    pub fn take_state(&self) -> io::Result<Option<Vec<u8>>> {
         let file = self.folder.join(HANDED);
         match fs::metadata(&file) {
             Ok(of) if of.len() > LARGEST => Err(io::Error::other(format!("it holds {} bytes", of.len()))),
@@ -137,7 +137,7 @@
     }
 
     /// Forgets processes that have ended.
-    pub fn tidy(&self) {
+    pub fn remove_ended_processes(&self) {
         let Ok(files) = fs::read_dir(self.folder.join("live")) else { return };
         for file in files.flatten() {
             let free = fs::File::open(file.path()).is_ok_and(|file| file.try_lock().is_ok());
@@ -148,7 +148,7 @@
     }
 
     /// Nodes that are out by hand, and since when.
-    pub fn out(&self) -> BTreeMap<String, Micros> {
+    pub fn manual_ejections(&self) -> BTreeMap<String, Micros> {
         let Ok(files) = fs::read_dir(self.folder.join("out")) else { return BTreeMap::new() };
         let node = |file: io::Result<fs::DirEntry>| {
             let file = file.ok()?;
@@ -163,7 +163,7 @@
     }
 
     /// Writes down that a node is out, or is not.
-    pub fn set_out(&self, node: &str, out: bool) -> io::Result<()> {
+    pub fn set_manual_ejection(&self, node: &str, out: bool) -> io::Result<()> {
         let name = utf8_percent_encode(node, NON_ALPHANUMERIC).to_string();
         let file = self.folder.join("out").join(name);
         match out {
--- a/crates/ingress/src/succession/tests.rs
+++ b/crates/ingress/src/handover_state/tests.rs
@@ -12,8 +12,8 @@
 use violetyoke_succession::{open, seal, Header};
 
 /// All names in the order in which they are written, with every figure as 0 or 0.0.
-fn form(inheritance: &Inheritance) -> String {
-    let text = serde_json::to_string(inheritance).unwrap();
+fn form(state: &HandoverState) -> String {
+    let text = serde_json::to_string(state).unwrap();
     let mut form = String::new();
     for letter in text.chars() {
         let letter = if letter.is_ascii_digit() { '0' } else { letter };
@@ -25,7 +25,7 @@
 }
 
 /// With one node, one customer, and a value in each field.
-fn sample() -> Inheritance {
+fn sample() -> HandoverState {
     let class = Class {
         latency_target: 500_000,
         latency_target_stretch: 0.0,
@@ -64,12 +64,12 @@
     );
     gateway.handle(2, Event::Request(request), &mut actions);
     let list = r#"{"id": "a", "host_port": "127.0.0.1:1", "phase": "in_service"}"#;
-    Inheritance {
+    HandoverState {
         nodes: vec![serde_json::from_str(list).unwrap()],
-        numbers: BTreeMap::from([(1, "n".to_string())]),
-        back: BTreeMap::from([("a".to_string(), (1, 2))]),
-        belief: gateway.export_state(3),
-        ..Inheritance::default()
+        node_names: BTreeMap::from([(1, "n".to_string())]),
+        restored_nodes: BTreeMap::from([("a".to_string(), (1, 2))]),
+        learned_state: gateway.export_state(3),
+        ..HandoverState::default()
     }
 }
 
@@ -104,12 +104,12 @@
     let folder = GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin");
     let golden = folder.read("inheritance", || seal(&header(), &sample()).expect("sealed"));
 
-    let mut inheritance: Inheritance = open(&golden, &header()).expect("opened");
+    let mut state: HandoverState = open(&golden, &header()).expect("opened");
 
-    assert_eq!(seal(&header(), &inheritance).expect("sealed"), golden);
-    assert_eq!(inheritance.belief.entry_counts(), (1, 1), "one node and one customer");
-    assert_eq!(inheritance.back["a"], (1, 2));
-    let list = inheritance.list().expect("a list");
+    assert_eq!(seal(&header(), &state).expect("sealed"), golden);
+    assert_eq!(state.learned_state.entry_counts(), (1, 1), "one node and one customer");
+    assert_eq!(state.restored_nodes["a"], (1, 2));
+    let list = state.take_target_list().expect("a list");
     assert_eq!((list.members.len(), list.members[0].id.as_str()), (1, "a"));
 }
 
@@ -119,15 +119,15 @@
     let phases = ["in_service", "terminating", "terminated"];
     let node = |phase| format!(r#"{{"id": "{phase}", "host_port": "127.0.0.1:1", "phase": "{phase}"}}"#);
     let nodes = phases.map(|phase| serde_json::from_str(&node(phase)).expect("a node"));
-    let current = Inheritance { nodes: nodes.to_vec(), ..Inheritance::default() };
+    let current = HandoverState { nodes: nodes.to_vec(), ..HandoverState::default() };
     let folder = GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin");
     let golden = folder.read("inheritance-phases", || seal(&header(), &current).expect("sealed"));
 
-    let mut inheritance: Inheritance = open(&golden, &header()).expect("opened");
+    let mut state: HandoverState = open(&golden, &header()).expect("opened");
 
-    assert_eq!(seal(&header(), &inheritance).expect("sealed"), golden);
+    assert_eq!(seal(&header(), &state).expect("sealed"), golden);
     assert_eq!(seal(&header(), &current).expect("sealed"), golden);
-    let members = inheritance.list().expect("a list").members;
+    let members = state.take_target_list().expect("a list").members;
     let read = members.iter().map(|node| (node.id.as_str(), node.phase));
     let expected = phases.into_iter().zip([Phase::InService, Phase::Terminating, Phase::Terminated]);
     assert!(read.eq(expected));
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -19,7 +19,6 @@
     reason = "not yet revised for readers: see docs/ROADMAP.md"
 )]
 
-mod account;
 mod backend;
 mod class_plan_indices;
 pub mod config;
@@ -27,15 +26,16 @@
 mod console;
 mod consult;
 mod counter;
+mod decision_log;
 mod discovery;
 mod driver;
-mod duties;
-mod embedded;
+mod embedded_counter;
 mod exchange_port;
 mod follow;
 mod framing;
 mod guest;
-mod handover;
+mod handover_folder;
+mod handover_state;
 mod nodes;
 mod passed;
 mod peers;
@@ -52,10 +52,10 @@
 mod server;
 pub mod service;
 mod sets;
+mod singleton_roles;
 mod socket;
 mod starting;
 mod streaming;
-mod succession;
 mod takeover;
 mod tasks;
 mod tenants;
@@ -63,7 +63,7 @@
 
 use bytes::Bytes;
 use discovery::TargetList;
-use embedded::Link;
+use embedded_counter::CounterLocation;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use pool::BytesReservation;
@@ -184,7 +184,7 @@
     /// A list of backends from discovery or the configuration.
     Targets(TargetList),
     /// The shared counter has a new address.
-    CounterReplaced(Link),
+    CounterReplaced(CounterLocation),
     PeerMessage {
         from: u32,
         data: Vec<u8>,
@@ -208,11 +208,11 @@
     /// The manually ejected backends, as stored by another process of this ingress.
     ManualEjections(BTreeMap<String, Micros>),
     /// Exports the learned state for a process that takes over from this one.
-    ExportState(oneshot::Sender<Box<succession::Inheritance>>),
+    ExportState(oneshot::Sender<Box<handover_state::HandoverState>>),
     /// The process that this one takes over from has ended.
     PredecessorEnded,
     /// Reclaims exported state that no process has taken over.
-    ReclaimState(Box<succession::Inheritance>),
+    ReclaimState(Box<handover_state::HandoverState>),
     /// The pool has been removed: the driver ends once no request is open.
     Retire,
 }
--- a/crates/ingress/src/nodes.rs
+++ b/crates/ingress/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Where a pool's nodes come from: the file's own list, or a discovery that is watched.
 
 use crate::discovery::{self, Phase, Target, TargetList};
-use crate::running::Run;
+use crate::running::RunningPool;
 use crate::sets::Sets;
 use crate::tasks::TaskSet;
 use crate::watch::Watch;
@@ -10,7 +10,7 @@
 use violetyoke_config::{self as file, Nodes};
 
 /// Tells the driver of a static list, or has a discovery watched from now on.
-pub fn watch_nodes(run: &mut Run, sets: &Sets, set: &TaskSet) {
+pub fn watch_nodes(run: &mut RunningPool, sets: &Sets, set: &TaskSet) {
     if let Some(watch) = run.watch.take() {
         watch.abort();
     }
--- a/crates/ingress/src/platform.rs
+++ b/crates/ingress/src/platform.rs
@@ -5,14 +5,14 @@
 use crate::connections::ConnectionTable;
 use crate::console::{self, Console};
 use crate::driver::{Driver, DriverSetup};
-use crate::embedded::Link;
-use crate::handover::Handover;
+use crate::embedded_counter::CounterLocation;
+use crate::handover_folder::HandoverFolder;
 use crate::pool::Pool;
 use crate::request::{RequestFormat, Rules};
 use crate::router::{Router, Routing};
-use crate::takeover::{inherited, look, Lender};
+use crate::takeover::{request_predecessor_state, StateExporter};
 use crate::watch::Watch;
-use crate::{discovery, passed, peers, server, Clock, Message, Messages};
+use crate::{discovery, passed, peers, server, takeover, Clock, Message, Messages};
 use siphasher::sip::SipHasher13;
 use std::cell::Cell;
 use std::hash::Hasher;
@@ -41,11 +41,11 @@
     };
     let console = config.console.map(server::listen).transpose()?;
     let own = format!("{:?} {}", config.console, clock.now());
-    let handover = config.passed.and_then(|_| Handover::open(&config.name, own)).map(Rc::new);
+    let handover = config.passed.and_then(|_| HandoverFolder::open(&config.name, own)).map(Rc::new);
     // Asked for only where something can be handed down.
     let fingerprint = Rc::new(Cell::new(handover.as_ref().map_or(0, |_| fingerprint(&config.written))));
     let (older, imported_state) = match &handover {
-        Some(handover) => inherited(handover, &config.name, fingerprint.get(), clock).await,
+        Some(handover) => request_predecessor_state(handover, &config.name, fingerprint.get(), clock).await,
         None => (None, None),
     };
     let peers = match config.peer_listen {
@@ -55,7 +55,7 @@
         _ => None,
     };
     let counter = config.counter.zip(config.settings.counter);
-    let counter = counter.map(|(address, _)| Link::Remote { address, space: None });
+    let counter = counter.map(|(address, _)| CounterLocation::Remote { address, namespace: None });
     let mut indices = StableIndices::default();
     let (settings, names) = assign_indices(&mut indices, config.settings, config.names);
     let longest = Rc::new(Cell::new(longest(&settings)));
@@ -69,7 +69,7 @@
         initial_targets: config.known.unwrap_or_default(),
         counter,
         peers,
-        ejections: ManualEjections::new(handover.iter().flat_map(|handover| handover.out())),
+        ejections: ManualEjections::new(handover.iter().flat_map(|handover| handover.manual_ejections())),
         predecessor_alive: older.is_some(),
         imported_state,
     };
@@ -105,11 +105,11 @@
     }
     if let Some(handover) = handover.clone() {
         shared.awaiting_takeover.set(true);
-        let lender = Lender::new(handover, config.name, fingerprint, clock, messages);
-        tokio::task::spawn_local(look(lender, shared.clone(), older));
+        let lender = StateExporter::new(handover, config.name, fingerprint, clock, messages);
+        tokio::task::spawn_local(takeover::run(lender, shared.clone(), older));
     }
     let ended = handover.clone();
-    let taken_over = move || handover.as_ref().is_some_and(|handover| handover.taken_over());
+    let taken_over = move || handover.as_ref().is_some_and(|handover| handover.is_taken_over());
     let passed = config.passed.is_some();
     // A task of its own: the runtime polls the outermost future with every wake, whatever that was for.
     let service = tokio::task::spawn_local(async move {
@@ -122,7 +122,7 @@
         _ = driver => Err(io::Error::other("the decision module has failed")),
     };
     // What was shared with a successor is its own from now on. Without this word it finds out by itself.
-    if let Some(Err(error)) = ended.map(|ended| ended.end()) {
+    if let Some(Err(error)) = ended.map(|ended| ended.announce_end()) {
         eprintln!("handover: {error}");
     }
     end
@@ -188,7 +188,9 @@
         }
         if let Some(address) = new.counter.filter(|new| self.counter != Some(*new)) {
             self.counter = Some(address);
-            let _ = self.messages.send(Message::CounterReplaced(Link::Remote { address, space: None }));
+            let _ = self
+                .messages
+                .send(Message::CounterReplaced(CounterLocation::Remote { address, namespace: None }));
         }
     }
 }
--- a/crates/ingress/src/prepared.rs
+++ b/crates/ingress/src/prepared.rs
@@ -13,10 +13,10 @@
 
 /// A file and what is held, checked together and with all that takes long done: putting it in force is quick. It is
 /// made on another thread.
-pub struct Prepared {
+pub struct PreparedConfig {
     /// The file that it was checked with.
     pub file: Arc<file::Service>,
-    pub held: Arc<TenantDirectory>,
+    pub directory: Arc<TenantDirectory>,
     /// Of the file's routes, and behind them the tenants'.
     pub table: Arc<RouteTable>,
     pub routes: Vec<HostedRoute>,
@@ -32,7 +32,7 @@
 }
 
 /// The name of a tenant's plan among a pool's. One of a tenant made anew is another.
-pub fn slot(tenant: &TenantView, plan: &str) -> String {
+pub fn tenant_plan_name(tenant: &TenantView, plan: &str) -> String {
     format!("{}\u{1f}{}\u{1f}{plan}", tenant.name, tenant.epoch)
 }
 
@@ -48,13 +48,16 @@
     }
 }
 
-impl Prepared {
+impl PreparedConfig {
     /// Why not, in words that name the tenant.
-    pub fn new(config: &Arc<file::Service>, held: Arc<TenantDirectory>) -> Result<Prepared, String> {
+    pub fn new(
+        config: &Arc<file::Service>,
+        directory: Arc<TenantDirectory>,
+    ) -> Result<PreparedConfig, String> {
         let mut rules: Vec<Route> = config.routes.iter().map(|route| route.rule.clone()).collect();
         let (mut routes, mut plans) = (Vec::new(), BTreeMap::<String, Vec<(String, Plan)>>::new());
         let [mut descriptors, mut bytes, mut open] = [0u64; 3];
-        for tenant in held.tenants.values() {
+        for tenant in directory.tenants.values() {
             let wrong = |what: String| format!("tenant {:?}: {what}", tenant.name);
             for route in &tenant.routes {
                 let number = config.pools.iter().position(|pool| pool.name == route.pool);
@@ -71,7 +74,8 @@
             }
             let pools: BTreeSet<&String> = tenant.routes.iter().map(|route| &route.pool).collect();
             for pool in pools {
-                let list = tenant.plans.iter().map(|plan| (slot(tenant, &plan.name), figures(plan)));
+                let list =
+                    tenant.plans.iter().map(|plan| (tenant_plan_name(tenant, &plan.name), figures(plan)));
                 plans.entry(pool.clone()).or_default().extend(list);
             }
             descriptors += tenant.limits.descriptors.guaranteed;
@@ -106,6 +110,6 @@
             let (first, second) = ties.first().map_or((0, 0), |tie| (tie.first, tie.second));
             format!("{} and {} have routes that match the same requests", name(first), name(second))
         })?;
-        Ok(Prepared { file: config.clone(), held, table: Arc::new(table), routes, plans })
+        Ok(PreparedConfig { file: config.clone(), directory, table: Arc::new(table), routes, plans })
     }
 }
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -2,15 +2,15 @@
 
 use crate::class_plan_indices::ClassPlanIndices;
 use crate::connections::{ConnectionTable, UNASSIGNED};
-use crate::embedded::Counts;
+use crate::embedded_counter::EmbeddedCounters;
 use crate::pool::{Pool, SharedCapacity};
 use crate::precheck::PoolPrecheck;
-use crate::prepared::{HostedRoute, Prepared};
+use crate::prepared::{HostedRoute, PreparedConfig};
 use crate::questions::Asking;
 use crate::router::{Route, Routing};
 use crate::sets::Sets;
 use crate::tasks::{TaskHandle, TaskSet};
-use crate::tenants::Tenancy;
+use crate::tenants::Tenants;
 use crate::Clock;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -23,7 +23,7 @@
 use violetyoke_tenants::snapshot::TenantDirectory;
 
 /// The rate limit service's number among those that share the process.
-pub const ASKING: Member = UNASSIGNED + 1;
+pub const RATE_LIMIT_MEMBER: Member = UNASSIGNED + 1;
 /// Descriptors kept for connections that are yet to say what they want: one part in so many of all.
 const DOOR_PART: u64 = 8;
 
@@ -34,14 +34,14 @@
     pub door: Rc<TaskSet>,
     pub descriptors: SharedCapacity,
     pub bytes: SharedCapacity,
-    pub counts: Rc<Counts>,
-    running: BTreeMap<String, Run>,
-    pub tenancy: Tenancy,
+    pub counters: Rc<EmbeddedCounters>,
+    running: BTreeMap<String, RunningPool>,
+    pub tenancy: Tenants,
     pub next: Member,
 }
 
 /// One pool as it runs.
-pub struct Run {
+pub struct RunningPool {
     pub pool: Rc<Pool>,
     pub config: file::Pool,
     /// Classes and plans at the numbers that the module knows them by.
@@ -61,14 +61,14 @@
         let turns = config.turns.then(|| sets.clone());
         Pools {
             clock: Clock::start(),
-            tenancy: Tenancy::new(open, descriptors.clone(), bytes.clone(), turns, uses),
+            tenancy: Tenants::new(open, descriptors.clone(), bytes.clone(), turns, uses),
             sets,
             door,
             descriptors,
             bytes,
-            counts: Rc::default(),
+            counters: Rc::default(),
             running: BTreeMap::new(),
-            next: ASKING + 1,
+            next: RATE_LIMIT_MEMBER + 1,
         }
     }
 
@@ -77,7 +77,7 @@
     pub fn apply(
         &mut self,
         config: &file::Service,
-        prepared: &Prepared,
+        prepared: &PreparedConfig,
         hosted: Vec<HostedRoute>,
     ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<TenantDirectory>)) {
         let door = config.descriptors / DOOR_PART;
@@ -118,7 +118,7 @@
         };
         let running = &self.running;
         let number = |name: &str| running.get(name).map(|run| run.pool.member);
-        let of: HashMap<Member, &Run> = running.values().map(|run| (run.pool.member, run)).collect();
+        let of: HashMap<Member, &RunningPool> = running.values().map(|run| (run.pool.member, run)).collect();
         let plan_of = |pool: Member, name: &str| of.get(&pool)?.slots.tenant_plans.get(name).copied();
         let left = self.tenancy.apply(config, prepared, member, number, &plan_of);
         let route = |route: &file::Route| Route {
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -2,12 +2,12 @@
 //! their end.
 
 use crate::connections::{ConnectionTable, UNASSIGNED};
-use crate::prepared::Prepared;
+use crate::prepared::PreparedConfig;
 use crate::questions::{Asking, Questions};
 use crate::router::{Router, Routing};
-use crate::running::{Pools, ASKING};
+use crate::running::{Pools, RATE_LIMIT_MEMBER};
 use crate::sets::{Running, Sets};
-use crate::{duties, follow, server};
+use crate::{follow, server, singleton_roles};
 use std::cell::{Cell, RefCell};
 use std::fs;
 use std::io;
@@ -52,19 +52,19 @@
     let mut pools = Pools::new(&config, sets.clone(), door.clone(), uses.clone());
     let config = Arc::new(config);
     // Without the control plane it begins with what was in force when it ended.
-    let held = Arc::new(config.control.as_ref().map(follow::last_good).unwrap_or_default());
-    let prepared = match Prepared::new(&config, held) {
+    let directory = Arc::new(config.control.as_ref().map(follow::last_good).unwrap_or_default());
+    let prepared = match PreparedConfig::new(&config, directory) {
         Err(reason) if config.control.is_some() => {
             eprintln!("violetyoke: the tenants that were kept are not taken: {reason}");
-            Prepared::new(&config, Arc::default())
+            PreparedConfig::new(&config, Arc::default())
         }
         prepared => prepared,
     };
     let mut prepared = prepared.map_err(io::Error::other)?;
     let routes = std::mem::take(&mut prepared.routes);
     let (routing, asking, _) = pools.apply(&config, &prepared, routes);
-    let questions =
-        asking.map(|asking| Questions::new(asking, pools.clock, pools.descriptors.clone(), ASKING));
+    let questions = asking
+        .map(|asking| Questions::new(asking, pools.clock, pools.descriptors.clone(), RATE_LIMIT_MEMBER));
     let clients = ConnectionTable::with_shared_capacity(pools.descriptors.clone());
     let shared =
         Rc::new(server::ServerState::new(Router::new(routing), pools.clock, clients, Some(door.clone())));
@@ -79,8 +79,8 @@
     let (in_force, files) = watched::channel(config.clone());
     let (offers, offered) = mpsc::channel(1);
     if let Some(control) = config.control.clone() {
-        let held = pools.tenancy.held.clone();
-        sets.spawn(&door, follow::follow(control, held, files, offers));
+        let directory = pools.tenancy.directory.clone();
+        sets.spawn(&door, follow::follow(control, directory, files, offers));
     }
     sets.spawn(&door, watch(path, in_force, pools, shared.clone(), questions, reload, offered));
     let result = Rc::new(RefCell::new(Ok(())));
@@ -95,7 +95,7 @@
             told.set(left.get() == 0);
         };
     if let Some((questions, listener, terminate)) = asked {
-        let set = sets.add(ASKING, weight);
+        let set = sets.add(RATE_LIMIT_MEMBER, weight);
         let (result, left, over, asked) =
             (result.clone(), left.clone(), over.clone(), listener.local_addr()?);
         sets.spawn(&set, async move {
@@ -108,7 +108,7 @@
         end(server::serve(listener, None, shared, terminate, || longest).await, &ended, &left, &told);
     });
     let working = match (&in_force_duties, &in_force_control) {
-        (Some(duties), Some(control)) => Some(duties::start(duties.clone(), control.clone(), uses)?),
+        (Some(duties), Some(control)) => Some(singleton_roles::start(duties.clone(), control.clone(), uses)?),
         _ => None,
     };
     eprintln!("violetyoke: serving on {address}");
@@ -130,7 +130,7 @@
     shared: Rc<server::ServerState>,
     questions: Option<Rc<Questions>>,
     mut reload: tokio::signal::unix::Signal,
-    mut offered: mpsc::Receiver<follow::Offered>,
+    mut offered: mpsc::Receiver<follow::PreparedUpdate>,
 ) {
     let changed = || fs::metadata(&path).and_then(|data| data.modified()).ok();
     let mut seen: Option<SystemTime> = changed();
@@ -149,11 +149,11 @@
                 // The file may have changed since it was made ready.
                 let prepared = match Arc::ptr_eq(&prepared.file, &config) {
                     true => Ok(prepared),
-                    false => ready(&config, prepared.held).await,
+                    false => ready(&config, prepared.directory).await,
                 };
                 match prepared {
                     Ok(prepared) => {
-                        let revision = prepared.held.revision;
+                        let revision = prepared.directory.revision;
                         put_in_force(&mut pools, &config, prepared, &shared, questions.as_ref());
                         eprintln!("violetyoke: tenants at revision {revision} are in force");
                         let _ = done.send(());
@@ -182,7 +182,7 @@
         };
         let new = new.map_err(|key| format!("{}: {key}: cannot change while running", path.display()));
         let prepared = match new {
-            Ok(new) => ready(&new, pools.tenancy.held.clone()).await.map(|prepared| (new, prepared)),
+            Ok(new) => ready(&new, pools.tenancy.directory.clone()).await.map(|prepared| (new, prepared)),
             Err(reason) => Err(reason),
         };
         match prepared {
@@ -198,14 +198,17 @@
 }
 
 /// Checks a file and what is held together, on another thread: it may take long.
-async fn ready(config: &Arc<file::Service>, held: Arc<TenantDirectory>) -> Result<Prepared, String> {
+async fn ready(
+    config: &Arc<file::Service>,
+    directory: Arc<TenantDirectory>,
+) -> Result<PreparedConfig, String> {
     let config = config.clone();
-    let prepared = spawn_blocking(move || Prepared::new(&config, held)).await;
+    let prepared = spawn_blocking(move || PreparedConfig::new(&config, directory)).await;
     prepared.unwrap_or_else(|_| Err("it could not be checked".into()))
 }
 
 fn sets_weight(pools: &Pools, asking: &Asking) {
-    pools.sets.weigh(ASKING, asking.file.weight);
+    pools.sets.weigh(RATE_LIMIT_MEMBER, asking.file.weight);
 }
 
 /// Puts a file and tenants in force that have been checked together. What they take the place of is dropped on
@@ -213,12 +216,12 @@
 fn put_in_force(
     pools: &mut Pools,
     config: &file::Service,
-    mut prepared: Prepared,
+    mut prepared: PreparedConfig,
     shared: &Rc<server::ServerState>,
     questions: Option<&Rc<Questions>>,
 ) {
     let routes = std::mem::take(&mut prepared.routes);
-    let (routing, asking, (gone, held)) = pools.apply(config, &prepared, routes);
+    let (routing, asking, (gone, directory)) = pools.apply(config, &prepared, routes);
     let old = match shared.router.replace(routing) {
         Some(Routing::Table { table, .. }) => Some(table),
         _ => None,
@@ -239,5 +242,5 @@
             });
         }
     }
-    drop(spawn_blocking(move || drop((old, held, prepared))));
+    drop(spawn_blocking(move || drop((old, directory, prepared))));
 }
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -5,11 +5,11 @@
 use crate::config::Names;
 use crate::consult::Consulting;
 use crate::driver::{Driver, DriverSetup};
-use crate::embedded::Link;
+use crate::embedded_counter::CounterLocation;
 use crate::nodes::{list, watch_nodes};
 use crate::pool::Pool;
 use crate::precheck::PoolPrecheck;
-use crate::running::{Pools, Run};
+use crate::running::{Pools, RunningPool};
 use crate::Message;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -18,15 +18,20 @@
 use violetyoke_operations::ManualEjections;
 
 impl Pools {
-    fn link(&self, pool: &file::Pool) -> Link {
-        let space: Rc<str> = pool.quota.as_str().into();
+    fn link(&self, pool: &file::Pool) -> CounterLocation {
+        let namespace: Rc<str> = pool.quota.as_str().into();
         match pool.counter {
-            Some(address) => Link::Remote { address, space: Some(space) },
-            None => Link::Embedded { counts: self.counts.clone(), space },
+            Some(address) => CounterLocation::Remote { address, namespace: Some(namespace) },
+            None => CounterLocation::Embedded { counters: self.counters.clone(), namespace },
         }
     }
 
-    pub fn start(&mut self, config: &file::Service, file: &file::Pool, hosted: &[(String, Plan)]) -> Run {
+    pub fn start(
+        &mut self,
+        config: &file::Service,
+        file: &file::Pool,
+        hosted: &[(String, Plan)],
+    ) -> RunningPool {
         let member = self.next;
         self.next += 1;
         self.share(config, member, file);
@@ -75,14 +80,14 @@
         let checks = Rc::new(PoolPrecheck::new(pool.messages()));
         pool.set_precheck(checks.clone());
         let (config, hosted) = (file.clone(), hosted.to_vec());
-        let mut run = Run { pool, config, slots, checks, watch: None, revision: 1, hosted };
+        let mut run = RunningPool { pool, config, slots, checks, watch: None, revision: 1, hosted };
         self.consult(&run, file);
         watch_nodes(&mut run, &self.sets, &set);
         run
     }
 
     /// Whom the pool asks from now on before it admits. What is known of a server stays where it still is.
-    fn consult(&self, run: &Run, file: &file::Pool) {
+    fn consult(&self, run: &RunningPool, file: &file::Pool) {
         let old = run.checks.external_limiter();
         run.checks.set_external_limiter(file.consult.clone().map(|consult| match old {
             Some(old) if old.is_at(&consult) => {
@@ -100,7 +105,7 @@
     pub fn change(
         &self,
         config: &file::Service,
-        run: &mut Run,
+        run: &mut RunningPool,
         file: &file::Pool,
         hosted: &[(String, Plan)],
     ) {
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -1,8 +1,8 @@
 //! One process of an ingress takes over from another: what it asks for and is handed, what it hands down itself,
 //! and the round in which it looks what the other has left in `$TMPDIR`.
 
-use crate::handover::Handover;
-use crate::succession::Inheritance;
+use crate::handover_folder::HandoverFolder;
+use crate::handover_state::HandoverState;
 use crate::{server, Clock, Message, Messages};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,27 +19,27 @@
 
 /// The process that serves, if any does, and what it hands down to this one. Without that this one begins knowing
 /// nothing, and says so.
-pub async fn inherited(
-    handover: &Handover,
+pub async fn request_predecessor_state(
+    handover: &HandoverFolder,
     name: &str,
     settings: u64,
     clock: Clock,
-) -> (Option<String>, Option<Box<Inheritance>>) {
+) -> (Option<String>, Option<Box<HandoverState>>) {
     let nothing = |why: &dyn std::fmt::Display| {
         eprintln!("handed down: nothing is believed: {why}");
         None
     };
-    let older = match handover.ask() {
+    let older = match handover.request_state() {
         Ok(Some(older)) => older,
         Ok(None) => return (None, None),
         Err(error) => return (None, nothing(&error)),
     };
     // Nobody can answer before the request is written, and on a busy disk that takes long.
     let requested = clock.now();
-    let expected = Header { ingress: name.to_string(), settings, to: handover.own().to_string() };
+    let expected = Header { ingress: name.to_string(), settings, to: handover.process_name().to_string() };
     let inherited = loop {
-        match handover.handed() {
-            Ok(Some(sealed)) => match violetyoke_succession::open::<Inheritance>(&sealed, &expected) {
+        match handover.take_state() {
+            Ok(Some(sealed)) => match violetyoke_succession::open::<HandoverState>(&sealed, &expected) {
                 Ok(inheritance) => break Some(Box::new(inheritance)),
                 Err(error) => break nothing(&error),
             },
@@ -52,8 +52,8 @@
 }
 
 /// Hands down what this process knows, and takes it back.
-pub struct Lender {
-    handover: Rc<Handover>,
+pub struct StateExporter {
+    handover: Rc<HandoverFolder>,
     name: String,
     fingerprint: Rc<Cell<u64>>,
     clock: Clock,
@@ -61,21 +61,21 @@
     state: StateHandover,
 }
 
-impl Lender {
+impl StateExporter {
     pub fn new(
-        handover: Rc<Handover>,
+        handover: Rc<HandoverFolder>,
         name: String,
         fingerprint: Rc<Cell<u64>>,
         clock: Clock,
         messages: Messages,
-    ) -> Lender {
-        let state = StateHandover::new(handover.asked());
-        Lender { handover, name, fingerprint, clock, messages, state }
+    ) -> StateExporter {
+        let state = StateHandover::new(handover.requested_by());
+        StateExporter { handover, name, fingerprint, clock, messages, state }
     }
 
     /// `lent` is what is another's just now.
-    async fn look(&mut self, taken_over: bool, lent: &mut Option<Box<Inheritance>>) {
-        let asked = self.handover.asked();
+    async fn look(&mut self, taken_over: bool, lent: &mut Option<Box<HandoverState>>) {
+        let asked = self.handover.requested_by();
         match self.state.next_action(self.clock.now(), asked.as_deref(), taken_over) {
             HandoverAction::None => {}
             HandoverAction::TakeBack => {
@@ -90,7 +90,7 @@
                 let Ok(inheritance) = handed.await else { return };
                 let (ingress, settings) = (self.name.clone(), self.fingerprint.get());
                 let sealed = violetyoke_succession::seal(&Header { ingress, settings, to }, &inheritance);
-                match sealed.map(|sealed| self.handover.hand(&sealed)) {
+                match sealed.map(|sealed| self.handover.write_state(&sealed)) {
                     Ok(Ok(())) => {}
                     Ok(Err(error)) => eprintln!("handover: {error}"),
                     Err(error) => eprintln!("handover: {error}"),
@@ -103,40 +103,41 @@
 
 /// Tells an older process once this one can serve, and notices its end; heeds a newer one, and hands down to it; follows
 /// what either has done by hand.
-pub async fn look(mut lender: Lender, shared: Rc<server::ServerState>, older: Option<String>) {
+pub async fn run(mut lender: StateExporter, shared: Rc<server::ServerState>, older: Option<String>) {
     let (handover, messages) = (lender.handover.clone(), lender.messages.clone());
     while !shared.router.is_ready() {
         sleep(SOON).await;
     }
-    let announced = handover.announce();
-    handover.tidy();
+    let announced = handover.announce_serving();
+    handover.remove_ended_processes();
     // Before it takes a client, and before anybody is told that it can: the older one may be ended at once then,
     // and has to know why.
     shared.awaiting_takeover.set(false);
     if let Err(error) = &announced {
         eprintln!("handover: {error}");
     }
-    let (mut out, mut lent) = (handover.out(), None);
+    let (mut out, mut lent) = (handover.manual_ejections(), None);
     let mut predecessor = older.map(|older| Predecessor::new(older, lender.clock.now()));
     let _ = messages.send(Message::ManualEjections(out.clone()));
     loop {
-        let taken_over = announced.is_ok() && handover.taken_over();
+        let taken_over = announced.is_ok() && handover.is_taken_over();
         if taken_over {
             shared.update_state(|state, _| state.on_taken_over());
         } else if shared.serving_state.get() == ServingState::TakenOver {
             // Whoever comes next is to ask this process again.
-            if let Err(error) = handover.announce() {
+            if let Err(error) = handover.announce_serving() {
                 eprintln!("handover: {error}");
             }
             shared.update_state(|state, _| state.on_successor_lost());
         }
         lender.look(taken_over, &mut lent).await;
-        let has_ended =
-            |older: &mut Predecessor| older.has_ended(lender.clock.now(), handover.ended().as_deref());
+        let has_ended = |older: &mut Predecessor| {
+            older.has_ended(lender.clock.now(), handover.ended_process().as_deref())
+        };
         if predecessor.take_if(has_ended).is_some() {
             let _ = messages.send(Message::PredecessorEnded);
         }
-        let written = handover.out();
+        let written = handover.manual_ejections();
         if written != out {
             out = written;
             let _ = messages.send(Message::ManualEjections(out.clone()));
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -2,7 +2,7 @@
 
 use crate::guest::{Admitted, Guest};
 use crate::pool::SharedCapacity;
-use crate::prepared::{slot, Prepared};
+use crate::prepared::{tenant_plan_name, PreparedConfig};
 use crate::request::{bad_request, Rejection};
 use crate::sets::Sets;
 use crate::tasks::TaskSet;
@@ -90,9 +90,9 @@
 }
 
 /// All tenants that run.
-pub struct Tenancy {
+pub struct Tenants {
     running: BTreeMap<String, Rc<Tenant>>,
-    pub held: Arc<TenantDirectory>,
+    pub directory: Arc<TenantDirectory>,
     requests: SharedCapacity,
     descriptors: SharedCapacity,
     bytes: SharedCapacity,
@@ -103,16 +103,24 @@
 /// What pools know of a tenant's plans: from a pool's number and a plan's name among that pool's to its number.
 pub type PlanOf<'a> = &'a dyn Fn(Member, &str) -> Option<u16>;
 
-impl Tenancy {
+impl Tenants {
     pub fn new(
         open_requests: u64,
         descriptors: SharedCapacity,
         bytes: SharedCapacity,
         sets: Option<Rc<Sets>>,
         uses: UsageCounters,
-    ) -> Tenancy {
+    ) -> Tenants {
         let requests = Rc::new(RefCell::new(CapacityPool::new(open_requests)));
-        Tenancy { running: BTreeMap::new(), held: Arc::default(), requests, descriptors, bytes, sets, uses }
+        Tenants {
+            running: BTreeMap::new(),
+            directory: Arc::default(),
+            requests,
+            descriptors,
+            bytes,
+            sets,
+            uses,
+        }
     }
 
     /// Puts what is held in force. `member` gives numbers to new tenants; `pools` are each tenant's pools. Returns
@@ -120,7 +128,7 @@
     pub fn apply(
         &mut self,
         config: &file::Service,
-        prepared: &Prepared,
+        prepared: &PreparedConfig,
         mut member: impl FnMut() -> Member,
         pools: impl Fn(&str) -> Option<Member>,
         plan_of: PlanOf<'_>,
@@ -130,7 +138,7 @@
         }
         let mut gone = Vec::new();
         let mut running = BTreeMap::new();
-        for (name, view) in &prepared.held.tenants {
+        for (name, view) in &prepared.directory.tenants {
             // One made anew under the name is another: nothing of the old one's goes on.
             let old = self.running.remove(name);
             let (same, other) = match old {
@@ -160,7 +168,9 @@
             }
             let names: BTreeSet<&String> = view.routes.iter().map(|route| &route.pool).collect();
             let numbers = names.into_iter().filter_map(|pool| pools(pool)).map(|pool| {
-                let number = |plan: &model::Plan| plan_of(pool, &slot(view, &plan.name)).unwrap_or(u16::MAX);
+                let number = |plan: &model::Plan| {
+                    plan_of(pool, &tenant_plan_name(view, &plan.name)).unwrap_or(u16::MAX)
+                };
                 (pool, view.plans.iter().map(number).collect())
             });
             let numbers: BTreeMap<Member, Vec<u16>> = numbers.collect();
@@ -177,7 +187,7 @@
             self.descriptors.borrow_mut().retire(*member);
             self.bytes.borrow_mut().retire(*member);
         }
-        (gone, std::mem::replace(&mut self.held, prepared.held.clone()))
+        (gone, std::mem::replace(&mut self.directory, prepared.directory.clone()))
     }
 
     fn share(&self, config: &file::Service, tenant: &Tenant, view: &TenantView) {
