--- a/crates/ingress/src/decision_log.rs
+++ b/crates/ingress/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! Writes the account of a driver's decisions to the log, where that is asked for.
+//! Writes the decisions of a driver to the decision log, if it is enabled (see `violetyoke_account`).
 
 use crate::ClientRequest;
 use std::collections::HashMap;
@@ -6,11 +6,11 @@
 use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RejectionReason, RequestId, Settings};
 use violetyoke_decision::view::{BackendView, FleetView};
 
-/// Asks for the account when it is set, to anything.
-const VARIABLE: &str = "VIOLETYOKE_ACCOUNT";
+/// The environment variable that enables the decision log, with any value.
+const ENABLE_VARIABLE: &str = "VIOLETYOKE_ACCOUNT";
 
-/// What is known of a request until it is over.
-struct Begun {
+/// The fields of an open request that its final record needs.
+struct OpenRequest {
     class: u16,
     plan: u16,
     units: f64,
@@ -19,26 +19,28 @@
 
 pub struct DecisionLog {
     process: u32,
-    /// Name, worth and aim of each class, and name and worth of each plan, by their numbers.
+    /// Name, value and latency target of each class, by index.
     classes: Vec<(String, f64, Micros)>,
+    /// Name and value of each plan, by index.
     plans: Vec<(String, f64)>,
-    calls: [u32; 3],
-    begun: HashMap<RequestId, Begun>,
+    /// Counter calls that ended since the last state record: all, timed out, and rejected or failed.
+    counter_calls: [u32; 3],
+    open_requests: HashMap<RequestId, OpenRequest>,
 }
 
 impl DecisionLog {
-    /// None: nobody asks for one.
+    /// Opens the log. `None`: it is not enabled.
     pub fn open(settings: &Settings, classes: &[String], plans: &[String]) -> Option<Box<DecisionLog>> {
-        std::env::var_os(VARIABLE)?;
-        let mut account = DecisionLog {
+        std::env::var_os(ENABLE_VARIABLE)?;
+        let mut log = DecisionLog {
             process: std::process::id(),
             classes: Vec::new(),
             plans: Vec::new(),
-            calls: [0; 3],
-            begun: HashMap::new(),
+            counter_calls: [0; 3],
+            open_requests: HashMap::new(),
         };
-        account.update_settings(settings, classes, plans);
-        Some(Box::new(account))
+        log.update_settings(settings, classes, plans);
+        Some(Box::new(log))
     }
 
     pub fn update_settings(&mut self, settings: &Settings, classes: &[String], plans: &[String]) {
@@ -51,46 +53,47 @@
 
     pub fn on_request_started(&mut self, request: &ClientRequest) {
         let ClientRequest { id, class, plan, units, arrived_at, .. } = *request;
-        self.begun.insert(id, Begun { class, plan, units, arrived_at });
+        self.open_requests.insert(id, OpenRequest { class, plan, units, arrived_at });
     }
 
     pub fn on_request_ended(
         &mut self,
-        at: Micros,
+        now: Micros,
         request: RequestId,
         attempts: u8,
-        end: &str,
-        why: Option<RejectionReason>,
+        outcome: &str,
+        reason: Option<RejectionReason>,
     ) {
-        let Some(begun) = self.begun.remove(&request) else { return };
-        let (class, value, aim) = self.classes.get(usize::from(begun.class)).cloned().unwrap_or_default();
-        let (plan, price) = self.plans.get(usize::from(begun.plan)).cloned().unwrap_or_default();
+        let Some(open) = self.open_requests.remove(&request) else { return };
+        let (class, value, latency_target) =
+            self.classes.get(usize::from(open.class)).cloned().unwrap_or_default();
+        let (plan, plan_value) = self.plans.get(usize::from(open.plan)).cloned().unwrap_or_default();
         write(&Record::Final {
-            timestamp: at,
+            timestamp: now,
             process: self.process,
             class,
             plan,
-            value: value * price * begun.units,
-            outcome: end.into(),
-            reason: why.map(|why| format!("{why:?}")).unwrap_or_default(),
-            latency: at.saturating_sub(begun.arrived_at),
-            latency_target: aim,
+            value: value * plan_value * open.units,
+            outcome: outcome.into(),
+            reason: reason.map(|reason| format!("{reason:?}")).unwrap_or_default(),
+            latency: now.saturating_sub(open.arrived_at),
+            latency_target,
             attempts,
         });
     }
 
-    pub fn on_attempt_ended(&self, at: Micros, node: &str, end: &AttemptEnd) {
-        let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.elapsed);
-        write(&Record::Attempt { timestamp: at, process: self.process, node, outcome, duration: waited });
+    pub fn on_attempt_ended(&self, now: Micros, node: &str, end: &AttemptEnd) {
+        let (node, outcome, duration) = (node.into(), format!("{:?}", end.outcome), end.elapsed);
+        write(&Record::Attempt { timestamp: now, process: self.process, node, outcome, duration });
     }
 
     pub fn on_counter_call_ended(&mut self, outcome: Outcome) {
-        self.calls[0] += 1;
-        self.calls[1] += u32::from(outcome == Outcome::Timeout);
-        self.calls[2] += u32::from(outcome != Outcome::Timeout && outcome != Outcome::Ok);
+        self.counter_calls[0] += 1;
+        self.counter_calls[1] += u32::from(outcome == Outcome::Timeout);
+        self.counter_calls[2] += u32::from(outcome != Outcome::Timeout && outcome != Outcome::Ok);
     }
 
-    pub fn log_state(&mut self, at: Micros, view: FleetView, name: impl Fn(u32) -> String) {
+    pub fn log_state(&mut self, now: Micros, view: FleetView, name: impl Fn(u32) -> String) {
         let node = |backend: &BackendView| NodeState {
             name: name(backend.id),
             health: match backend {
@@ -104,23 +107,24 @@
             in_flight: backend.in_flight,
         };
         let FleetView {
-            concurrency_limit: room,
-            in_flight: out,
-            relative_latency: pace,
-            counter_query_interval: spacing,
-            counter_failures: bad,
+            concurrency_limit,
+            in_flight,
+            relative_latency,
+            counter_query_interval,
+            counter_failures,
             backends,
         } = view;
-        let (nodes, calls) = (backends.iter().map(node).collect(), std::mem::take(&mut self.calls));
+        let (nodes, counter_calls) =
+            (backends.iter().map(node).collect(), std::mem::take(&mut self.counter_calls));
         write(&Record::State {
-            timestamp: at,
+            timestamp: now,
             process: self.process,
-            concurrency_limit: room,
-            in_flight: out,
-            relative_latency: pace,
-            counter_interval: spacing,
-            counter_errors: bad,
-            counter_calls: calls,
+            concurrency_limit,
+            in_flight,
+            relative_latency,
+            counter_interval: counter_query_interval,
+            counter_errors: counter_failures,
+            counter_calls,
             nodes,
         });
     }
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -205,8 +205,8 @@
         let ((nodes, accounts), now) = (learned_state.entry_counts(), self.clock.now());
         let age = now.saturating_sub(learned_state.exported_at()) / 1000;
         let imported = self.exchange.gateway_mut().import_state(now, learned_state);
-        let result = if imported { "believed" } else { "too old" };
-        eprintln!("handed down: {result}: {nodes} nodes, {accounts} accounts, {age} ms ago");
+        let result = if imported { "imported" } else { "too old" };
+        eprintln!("state handover: {result}: {nodes} nodes, {accounts} accounts, {age} ms ago");
     }
 
     fn reconfigure(&mut self, now: Micros, settings: Settings, names: Names) {
--- a/crates/ingress/src/embedded_counter.rs
+++ b/crates/ingress/src/embedded_counter.rs
@@ -10,7 +10,8 @@
 /// Where a pool's counters are kept.
 #[derive(Clone)]
 pub enum CounterLocation {
-    /// A counter service, called by RESP2. Names of counters begin with the namespace, if there is one, and a colon.
+    /// A counter service, called by RESP2. Names of counters begin with the namespace, if there is one, and a
+    /// colon.
     Remote { address: SocketAddr, namespace: Option<Rc<str>> },
     /// This process.
     Embedded { counters: Rc<EmbeddedCounters>, namespace: Rc<str> },
@@ -19,8 +20,8 @@
 /// Longest time to live of a counter, as at the counter service.
 const MAX_TTL: Micros = 60_000_000;
 
-/// Counters with a time to live. All pools of a process share them. Each pool has a namespace, so that a pool that is
-/// removed and added again under the same quota name finds its counters.
+/// Counters with a time to live. All pools of a process share them. Each pool has a namespace, so that a pool
+/// that is removed and added again under the same quota name finds its counters.
 #[derive(Default)]
 pub struct EmbeddedCounters {
     state: RefCell<State>,
--- a/crates/ingress/src/handover_state.rs
+++ b/crates/ingress/src/handover_state.rs
@@ -1,5 +1,5 @@
-//! The state that one process of an ingress hands over to the next. Nodes, classes and plans are identified by name,
-//! because their numbers differ between processes.
+//! The state that one process of an ingress hands over to the next. Nodes, classes and plans are identified by
+//! name, because their numbers differ between processes.
 
 use super::config::Names;
 use super::discovery::{Target, TargetList};
@@ -13,7 +13,8 @@
 pub struct HandoverState {
     /// The list of nodes that the process had last.
     nodes: Vec<Target>,
-    /// Names of the nodes, and of the classes and plans by index, to which the numbers in `learned_state` refer.
+    /// Names of the nodes, and of the classes and plans by index, to which the numbers in `learned_state`
+    /// refer.
     #[serde(rename = "numbers")]
     node_names: BTreeMap<BackendId, String>,
     classes: Vec<String>,
--- a/crates/violetyoke/tests/handed_down.rs
+++ b/crates/violetyoke/tests/handed_down.rs
@@ -36,7 +36,7 @@
     let old = held.start();
     learn_of(&old, &a);
     let new = held.start();
-    until_told(&new, "handed down: believed: 3 nodes");
+    until_told(&new, "state handover: imported: 3 nodes");
     let before = a.request_count();
     serves(&new.ingress, 4);
     assert_eq!(a.request_count(), before);
@@ -109,7 +109,7 @@
         Predecessor::new(&held).answers(answer);
         let new = held.start();
         until_told(&new, why);
-        assert_eq!(new.ingress.told("handed down: nothing is believed"), 1);
+        assert_eq!(new.ingress.told("state handover: nothing imported"), 1);
         serves(&new.ingress, 2);
     }
 }
@@ -146,7 +146,7 @@
         std::fs::rename(&answer, &earlier).unwrap();
     });
     let new = held.start();
-    until_told(&new, "handed down: nothing is believed: settings: not the expected one");
+    until_told(&new, "state handover: nothing imported: settings: not the expected one");
     serves(&new.ingress, 2);
 }
 
@@ -155,7 +155,7 @@
     let a = Backend::start(|_| ok(b"a"));
     let held = Held::new(&[&a]);
     let first = held.start();
-    assert_eq!(first.ingress.told("handed down"), 0);
+    assert_eq!(first.ingress.told("state handover"), 0);
     assert!(!held.folder.join("violetyoke-n0/asks").exists());
 }
 
@@ -169,12 +169,12 @@
     std::fs::write(held.folder.join("violetyoke-n0/asks"), "a process that died").unwrap();
     until("it is handed down", || held.folder.join("violetyoke-n0/handed").exists());
     serves(&old.ingress, 4);
-    until("it is taken back", || old.ingress.told("it is taken back") == 1);
+    until("it is taken back", || old.ingress.told("the exported state is reclaimed") == 1);
     serves(&old.ingress, 4);
     // The next one gets it all the same.
     let new = held.start();
-    until("it is heard what was handed down", || new.ingress.told("handed down: ") == 1);
-    assert_eq!(new.ingress.told("believed: 2 nodes"), 1, "{:?}", new.ingress.log.lock().unwrap());
+    until("it is heard what was handed down", || new.ingress.told("state handover: ") == 1);
+    assert_eq!(new.ingress.told("imported: 2 nodes"), 1, "{:?}", new.ingress.log.lock().unwrap());
 }
 
 #[test]
@@ -190,7 +190,7 @@
     old.ingress.exit();
     // The dead one's answer is still there, and its word that it serves.
     let new = held.start();
-    until_told(&new, "handed down: nothing is believed: the process that served has ended");
+    until_told(&new, "state handover: nothing imported: the process that served has ended");
     assert!(!handed.exists());
     serves(&new.ingress, 4);
 }
@@ -206,13 +206,13 @@
     new.ingress.child.kill().unwrap();
     new.ingress.exit();
     until("the old one takes clients again", || old.ingress.told("clients: Serving") == 1);
-    until("and has back what it lent", || old.ingress.told("it is taken back") == 1);
+    until("and has back what it lent", || old.ingress.told("the exported state is reclaimed") == 1);
     let before = a.request_count();
     serves(&old.ingress, 4);
     assert_eq!(a.request_count(), before);
     // And hands it to the next.
     let next = held.start();
-    until_told(&next, "handed down: believed: 2 nodes");
+    until_told(&next, "state handover: imported: 2 nodes");
     until("the old process has seen the next", || old.ingress.told("clients: TakenOver") == 2);
     serves(&next.ingress, 4);
 }
