--- a/crates/ingress/src/follow.rs
+++ b/crates/ingress/src/follow.rs
@@ -1,6 +1,6 @@
-//! The control plane, followed by a long poll. What comes is read and checked on another thread, and handed over
-//! ready; what is no good is told back and leaves what is in force as it is. Without the control plane nothing
-//! changes.
+//! Follows the control plane by long polling. A snapshot is decoded and checked on another thread before it is
+//! passed on. An invalid snapshot is reported to the control plane, and the tenants in force stay. They also
+//! stay while the control plane is not available.
 
 use crate::prepared::PreparedConfig;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -22,21 +22,23 @@
 use violetyoke_config as file;
 use violetyoke_tenants::snapshot::{Snapshot, TenantDirectory};
 
-/// How long the control plane may wait for something new, and how long its answer may take beyond that.
+/// How long the control plane may wait for a new snapshot before it responds (s).
 const WAIT_SECONDS: u64 = 20;
-const PATIENCE: Duration = Duration::from_secs(10);
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// The largest snapshot.
-const LARGEST: usize = 1 << 30;
+/// How much longer than that a response may take.
+const RESPONSE_SLACK: Duration = Duration::from_secs(10);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Size of the largest snapshot that is accepted (bytes).
+const MAX_SNAPSHOT_BYTES: usize = 1 << 30;
 
-/// What has come, and a way to say that it is in force.
+/// A checked snapshot, and a sender to notify once it is in force.
 pub type PreparedUpdate = (PreparedConfig, oneshot::Sender<()>);
 
-/// What was held when the process ended, from the file that it is kept in. A file that is no good is told and left.
+/// Reads the tenants of the last good snapshot, which an earlier process stored. An invalid file is logged and
+/// ignored.
 pub fn last_good(control: &file::Control) -> TenantDirectory {
     let Some(path) = &control.last_good else { return TenantDirectory::default() };
-    let read = match fs::read(path) {
+    let applied = match fs::read(path) {
         Ok(bytes) => Snapshot::parse(&bytes).and_then(|snapshot| TenantDirectory::default().apply(snapshot)),
         Err(error) if error.kind() == io::ErrorKind::NotFound => return TenantDirectory::default(),
         Err(error) => {
@@ -44,14 +46,15 @@
             return TenantDirectory::default();
         }
     };
-    read.unwrap_or_else(|error| {
+    applied.unwrap_or_else(|error| {
         eprintln!("violetyoke: {}: {error}", path.display());
         TenantDirectory::default()
     })
 }
 
-/// Written whole before it stands under its name: a kill leaves the old one or the new one.
-fn keep(path: &Path, directory: &TenantDirectory) -> io::Result<()> {
+/// Stores a directory as the last good one. It is written to a temporary file and renamed, so that a kill at
+/// any time leaves either the old or the new one.
+fn store_last_good(path: &Path, directory: &TenantDirectory) -> io::Result<()> {
     let bytes = serde_json::to_vec(&directory.to_snapshot())?;
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
@@ -61,59 +64,60 @@
     fs::rename(&new, path)
 }
 
-/// Follows for as long as the process runs. `config` is the file in force.
+/// Follows the control plane until the process ends. `config` is the configuration in force.
 pub async fn follow(
     control: file::Control,
     mut directory: Arc<TenantDirectory>,
     config: watch::Receiver<Arc<file::Service>>,
-    offers: mpsc::Sender<PreparedUpdate>,
+    updates: mpsc::Sender<PreparedUpdate>,
 ) {
-    let mut pause = FIRST_PAUSE;
-    // A revision that was not taken, and why: told with the next call.
+    let mut retry_delay = MIN_RETRY_DELAY;
+    // A revision that was rejected, and the reason, which are reported with the next call.
     let mut rejected: Option<(u64, String)> = None;
-    let mut told = String::new();
+    let mut last_error = String::new();
     loop {
-        let (revision, body) = match ask(&control, directory.revision, rejected.as_ref()).await {
+        let (revision, body) = match fetch_snapshot(&control, directory.revision, rejected.as_ref()).await {
             Ok(Some(answer)) => answer,
             Ok(None) => {
-                // A control plane that is ending answers at once: without this, all would ask it as fast as they can.
-                sleep(FIRST_PAUSE).await;
-                pause = FIRST_PAUSE;
+                // A control plane that is shutting down responds immediately. Without this delay all ingresses
+                // would send requests to it in a busy loop.
+                sleep(MIN_RETRY_DELAY).await;
+                retry_delay = MIN_RETRY_DELAY;
                 continue;
             }
             Err(error) => {
-                if error != told {
+                if error != last_error {
                     eprintln!("violetyoke: control plane {}: {error}", control.address);
-                    told = error;
+                    last_error = error;
                 }
-                sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                sleep(retry_delay).await;
+                retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
                 continue;
             }
         };
-        (pause, told) = (FIRST_PAUSE, String::new());
+        (retry_delay, last_error) = (MIN_RETRY_DELAY, String::new());
         let (base, file) = (directory.clone(), config.borrow().clone());
         let prepared = spawn_blocking(move || {
-            let taken = Snapshot::parse(&body).and_then(|snapshot| base.apply(snapshot));
-            taken
+            let applied = Snapshot::parse(&body).and_then(|snapshot| base.apply(snapshot));
+            applied
                 .map_err(|error| error.to_string())
                 .and_then(|directory| PreparedConfig::new(&file, Arc::new(directory)))
         })
         .await;
         match prepared.unwrap_or_else(|_| Err("it could not be read".into())) {
             Ok(prepared) => {
-                let (done, in_force) = oneshot::channel();
+                let (in_force_sender, in_force) = oneshot::channel();
                 let new = prepared.directory.clone();
-                if offers.send((prepared, done)).await.is_err() || in_force.await.is_err() {
+                if updates.send((prepared, in_force_sender)).await.is_err() || in_force.await.is_err() {
                     return;
                 }
                 let old = std::mem::replace(&mut directory, new.clone());
-                // The last to hold it may be this one, and it may be large.
+                // This may be the last reference, and dropping a large directory takes long.
                 drop(spawn_blocking(move || drop(old)));
                 rejected = None;
                 if let Some(path) = control.last_good.clone() {
-                    let kept = spawn_blocking(move || keep(&path, &new)).await;
-                    if let Ok(Err(error)) = kept {
+                    let stored = spawn_blocking(move || store_last_good(&path, &new)).await;
+                    if let Ok(Err(error)) = stored {
                         eprintln!("violetyoke: control.last_good: {error}");
                     }
                 }
@@ -126,8 +130,8 @@
     }
 }
 
-/// The newest; none: there is nothing new.
-async fn ask(
+/// Fetches the newest snapshot. `None`: there is none newer than `known_revision`.
+async fn fetch_snapshot(
     control: &file::Control,
     known_revision: u64,
     rejected: Option<&(u64, String)>,
@@ -149,17 +153,19 @@
             .header("prefer", format!("wait={WAIT_SECONDS}"))
             .body(Empty::<Bytes>::new())
             .map_err(|error| text(&error))?;
-        let answered = async move {
+        let response = async move {
             let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, LARGEST).collect().await.map_err(|error| error.to_string())?;
+            let body =
+                Limited::new(body, MAX_SNAPSHOT_BYTES).collect().await.map_err(|error| error.to_string())?;
             Ok::<_, String>((head, body.to_bytes()))
         };
-        let (answered, _) = tokio::join!(answered, connection);
-        answered
+        let (response, _) = tokio::join!(response, connection);
+        response
     };
-    let (head, body) =
-        timeout(Duration::from_secs(WAIT_SECONDS) + PATIENCE, work).await.map_err(|error| text(&error))??;
+    let (head, body) = timeout(Duration::from_secs(WAIT_SECONDS) + RESPONSE_SLACK, work)
+        .await
+        .map_err(|error| text(&error))??;
     match head.status {
         StatusCode::NOT_MODIFIED => Ok(None),
         StatusCode::OK => {
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -24,13 +24,13 @@
 use violetyoke_tenants::snapshot::TenantDirectory;
 
 /// How often the file is looked at, where that is switched on.
-const LOOK: Duration = Duration::from_millis(500);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long the set of a tenant that is gone is kept for its tasks to leave it.
-const SET_ENDS: Duration = Duration::from_secs(1);
+const SET_REMOVAL_DELAY: Duration = Duration::from_secs(1);
 /// Weight of the door among the pools: it accepts, and reads each connection's first head.
-const DOOR_WEIGHT: u64 = 2;
+const FRONTEND_WEIGHT: u64 = 2;
 /// For how long after SIGTERM answers are waited for, beyond the longest deadline of any class.
-const END_SLACK: Duration = Duration::from_millis(500);
+const SHUTDOWN_SLACK: Duration = Duration::from_millis(500);
 
 /// Reads the file; an error is one line for each thing that is wrong with it.
 pub fn read(path: &Path) -> Result<file::Service, String> {
@@ -46,7 +46,7 @@
     let listener = server::listen(config.listen)?;
     let address = listener.local_addr()?;
     let (sets, over) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
-    let door = sets.add(UNASSIGNED, DOOR_WEIGHT);
+    let door = sets.add(UNASSIGNED, FRONTEND_WEIGHT);
     let running = Running::new(sets.clone(), over.clone());
     let uses = UsageCounters::default();
     let mut pools = Pools::new(&config, sets.clone(), door.clone(), uses.clone());
@@ -69,7 +69,7 @@
     let shared =
         Rc::new(server::ServerState::new(Router::new(routing), pools.clock, clients, Some(door.clone())));
     let longest = config.pools.iter().flat_map(|pool| &pool.classes).map(|class| class.class.deadline).max();
-    let longest = Duration::from_micros(longest.unwrap_or(0)) + END_SLACK;
+    let longest = Duration::from_micros(longest.unwrap_or(0)) + SHUTDOWN_SLACK;
     let asked = match &questions {
         Some(questions) => Some((questions.clone(), questions.listen()?, signal(SignalKind::terminate())?)),
         None => None,
@@ -134,7 +134,7 @@
 ) {
     let changed = || fs::metadata(&path).and_then(|data| data.modified()).ok();
     let mut seen: Option<SystemTime> = changed();
-    let mut look = interval(LOOK);
+    let mut look = interval(FILE_CHECK_INTERVAL);
     look.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut config = in_force.borrow().clone();
     let mut followed = config.control.is_some();
@@ -237,7 +237,7 @@
             // Its connections' tasks go to the door when they are next polled, which is at once.
             let sets = pools.sets.clone();
             pools.sets.spawn(&pools.door, async move {
-                sleep(SET_ENDS).await;
+                sleep(SET_REMOVAL_DELAY).await;
                 sets.remove(member);
             });
         }
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants as the service runs them: each tenant's room, turns and plans, and what it has used.
+//! Tenants at runtime: their resource limits, scheduling weights, plans and usage.
 
 use crate::guest::{Admitted, Guest};
 use crate::pool::SharedCapacity;
@@ -19,34 +19,34 @@
 use violetyoke_tenants::model::{self, ResourceBounds};
 use violetyoke_tenants::snapshot::{TenantDirectory, TenantView};
 
-/// A tenant as it runs.
+/// A tenant at runtime.
 pub struct Tenant {
     member: Member,
     view: RefCell<Arc<TenantView>>,
-    /// The numbers of its plans in each pool that it has routes to.
+    /// Indices of its plans in each pool to which it has routes.
     plans: RefCell<BTreeMap<Member, Vec<u16>>>,
     requests: SharedCapacity,
     sets: Option<Rc<Sets>>,
-    /// Made when its first request comes: most tenants are quiet.
+    /// Created with the first request, as most tenants are idle.
     set: RefCell<Option<Rc<TaskSet>>>,
-    /// Tries that were let in, until they are told of.
-    used: Arc<AtomicU64>,
+    /// Admitted requests that have not been reported yet.
+    admitted_requests: Arc<AtomicU64>,
 }
 
-/// An open request's place, given back when it is over.
-struct Place(Rc<Tenant>);
+/// Counts an open request against the limit of its tenant until it is dropped.
+struct RequestPermit(Rc<Tenant>);
 
-impl Drop for Place {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
         let tenant = &self.0;
         tenant.requests.borrow_mut().release(tenant.member, 1);
     }
 }
 
-/// A tenant with itself at hand: places hold it.
-pub struct Handle(pub Rc<Tenant>);
+/// A reference to a tenant, which permits of its requests keep.
+pub struct TenantHandle(pub Rc<Tenant>);
 
-impl Guest for Handle {
+impl Guest for TenantHandle {
     fn member(&self) -> Member {
         self.0.member
     }
@@ -63,45 +63,46 @@
     }
 
     fn admit(&self, pool: Member, account: &str) -> Result<Admitted, Rejection> {
-        const FULL: Rejection =
+        const AT_LIMIT: Rejection =
             Rejection { code: StatusCode::SERVICE_UNAVAILABLE, reason: "tenant: no room" };
-        const DRAINS: Rejection =
+        const DRAINING: Rejection =
             Rejection { code: StatusCode::SERVICE_UNAVAILABLE, reason: "tenant: draining" };
-        const NO_ACCOUNT: Rejection =
+        const UNKNOWN_ACCOUNT: Rejection =
             Rejection { code: StatusCode::FORBIDDEN, reason: "x-account: not one of the tenant's" };
         let tenant = &self.0;
         let view = tenant.view.borrow();
         if view.draining {
-            return Err(DRAINS);
+            return Err(DRAINING);
         }
-        let plan = view.plan_index(account).ok_or(NO_ACCOUNT)?;
+        let plan = view.plan_index(account).ok_or(UNKNOWN_ACCOUNT)?;
         let plans = tenant.plans.borrow();
         let plan = plans
             .get(&pool)
             .and_then(|plans| plans.get(plan))
             .ok_or(bad_request("x-account: its plan is not here"))?;
         if !tenant.requests.borrow_mut().try_acquire(tenant.member, 1) {
-            return Err(FULL);
+            return Err(AT_LIMIT);
         }
-        tenant.used.fetch_add(1, Ordering::Relaxed);
+        tenant.admitted_requests.fetch_add(1, Ordering::Relaxed);
         let customer = account_number(&view.name, view.epoch, account);
-        Ok(Admitted { plan: *plan, customer, place: Box::new(Place(tenant.clone())) })
+        Ok(Admitted { plan: *plan, customer, place: Box::new(RequestPermit(tenant.clone())) })
     }
 }
 
-/// All tenants that run.
+/// All tenants at runtime.
 pub struct Tenants {
     running: BTreeMap<String, Rc<Tenant>>,
+    /// The tenants in force, as the control plane describes them.
     pub directory: Arc<TenantDirectory>,
     requests: SharedCapacity,
     descriptors: SharedCapacity,
     bytes: SharedCapacity,
     sets: Option<Rc<Sets>>,
-    uses: UsageCounters,
+    usage: UsageCounters,
 }
 
-/// What pools know of a tenant's plans: from a pool's number and a plan's name among that pool's to its number.
-pub type PlanOf<'a> = &'a dyn Fn(Member, &str) -> Option<u16>;
+/// Returns the index of a plan from the pool and the name of the plan in that pool.
+pub type PlanIndexOf<'a> = &'a dyn Fn(Member, &str) -> Option<u16>;
 
 impl Tenants {
     pub fn new(
@@ -109,7 +110,7 @@
         descriptors: SharedCapacity,
         bytes: SharedCapacity,
         sets: Option<Rc<Sets>>,
-        uses: UsageCounters,
+        usage: UsageCounters,
     ) -> Tenants {
         let requests = Rc::new(RefCell::new(CapacityPool::new(open_requests)));
         Tenants {
@@ -119,35 +120,36 @@
             descriptors,
             bytes,
             sets,
-            uses,
+            usage,
         }
     }
 
-    /// Puts what is held in force. `member` gives numbers to new tenants; `pools` are each tenant's pools. Returns
-    /// those that are gone, whose connections are to leave, and what was held before, to be dropped elsewhere.
+    /// Puts the prepared tenants in force. `member` assigns numbers to new tenants, `pools` returns the number
+    /// of a pool. Returns the members that were removed, whose connections have to be reassigned, and the
+    /// previous directory, which the caller drops on another thread.
     pub fn apply(
         &mut self,
         config: &file::Service,
         prepared: &PreparedConfig,
         mut member: impl FnMut() -> Member,
         pools: impl Fn(&str) -> Option<Member>,
-        plan_of: PlanOf<'_>,
+        plan_index_of: PlanIndexOf<'_>,
     ) -> (Vec<Member>, Arc<TenantDirectory>) {
         if let Some(control) = &config.control {
             self.requests.borrow_mut().resize(control.open_requests);
         }
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         let mut running = BTreeMap::new();
         for (name, view) in &prepared.directory.tenants {
-            // One made anew under the name is another: nothing of the old one's goes on.
+            // A tenant that was deleted and created again under the same name shares nothing with the old one.
             let old = self.running.remove(name);
-            let (same, other) = match old {
+            let (existing, replaced) = match old {
                 Some(old) if old.view.borrow().epoch == view.epoch => (Some(old), None),
                 old => (None, old),
             };
-            gone.extend(other.map(|other| other.member));
-            let fresh = same.is_none();
-            let tenant = same.unwrap_or_else(|| {
+            removed.extend(replaced.map(|replaced| replaced.member));
+            let is_new = existing.is_none();
+            let tenant = existing.unwrap_or_else(|| {
                 Rc::new(Tenant {
                     member: member(),
                     view: RefCell::new(view.clone()),
@@ -155,55 +157,56 @@
                     requests: self.requests.clone(),
                     sets: self.sets.clone(),
                     set: RefCell::default(),
-                    used: self.uses.of_tenant(name),
+                    admitted_requests: self.usage.of_tenant(name),
                 })
             });
-            let changed = fresh || !Arc::ptr_eq(&tenant.view.borrow(), view);
+            let changed = is_new || !Arc::ptr_eq(&tenant.view.borrow(), view);
             if changed {
-                self.share(config, &tenant, view);
+                self.set_limits_of(config, &tenant, view);
                 if let (Some(sets), Some(_)) = (&self.sets, &*tenant.set.borrow()) {
                     sets.weigh(tenant.member, u64::from(view.weight));
                 }
                 *tenant.view.borrow_mut() = view.clone();
             }
-            let names: BTreeSet<&String> = view.routes.iter().map(|route| &route.pool).collect();
-            let numbers = names.into_iter().filter_map(|pool| pools(pool)).map(|pool| {
-                let number = |plan: &model::Plan| {
-                    plan_of(pool, &tenant_plan_name(view, &plan.name)).unwrap_or(u16::MAX)
+            let pool_names: BTreeSet<&String> = view.routes.iter().map(|route| &route.pool).collect();
+            let plan_indices = pool_names.into_iter().filter_map(|pool| pools(pool)).map(|pool| {
+                let plan_index = |plan: &model::Plan| {
+                    plan_index_of(pool, &tenant_plan_name(view, &plan.name)).unwrap_or(u16::MAX)
                 };
-                (pool, view.plans.iter().map(number).collect())
+                (pool, view.plans.iter().map(plan_index).collect())
             });
-            let numbers: BTreeMap<Member, Vec<u16>> = numbers.collect();
-            *tenant.plans.borrow_mut() = numbers;
+            let plan_indices: BTreeMap<Member, Vec<u16>> = plan_indices.collect();
+            *tenant.plans.borrow_mut() = plan_indices;
             running.insert(name.clone(), tenant);
         }
-        let left = std::mem::replace(&mut self.running, running);
-        for tenant in left.into_values() {
-            gone.push(tenant.member);
+        let old_tenants = std::mem::replace(&mut self.running, running);
+        for tenant in old_tenants.into_values() {
+            removed.push(tenant.member);
         }
-        for member in &gone {
-            // What is open still has its room until it is over; nothing is guaranteed any more.
+        for member in &removed {
+            // Open requests keep their resources until they end, but nothing is guaranteed any more.
             self.requests.borrow_mut().retire(*member);
             self.descriptors.borrow_mut().retire(*member);
             self.bytes.borrow_mut().retire(*member);
         }
-        (gone, std::mem::replace(&mut self.directory, prepared.directory.clone()))
+        (removed, std::mem::replace(&mut self.directory, prepared.directory.clone()))
     }
 
-    fn share(&self, config: &file::Service, tenant: &Tenant, view: &TenantView) {
-        let most = |part: ResourceBounds, all: u64| if part.max == 0 { all } else { part.max.min(all) };
+    fn set_limits_of(&self, config: &file::Service, tenant: &Tenant, view: &TenantView) {
+        let max_of =
+            |bounds: ResourceBounds, total: u64| if bounds.max == 0 { total } else { bounds.max.min(total) };
         let limits = view.limits;
         let open = config.control.as_ref().map_or(u64::MAX, |control| control.open_requests);
-        for (capacity, part, all) in [
+        for (capacity, bounds, total) in [
             (&self.requests, limits.open_requests, open),
             (&self.descriptors, limits.descriptors, config.descriptors),
             (&self.bytes, limits.buffered_bytes, config.buffered_bytes),
         ] {
-            capacity.borrow_mut().set_limits(tenant.member, part.guaranteed, most(part, all));
+            capacity.borrow_mut().set_limits(tenant.member, bounds.guaranteed, max_of(bounds, total));
         }
     }
 
     pub fn tenant(&self, name: &str) -> Option<Rc<dyn Guest>> {
-        self.running.get(name).map(|tenant| Rc::new(Handle(tenant.clone())) as Rc<dyn Guest>)
+        self.running.get(name).map(|tenant| Rc::new(TenantHandle(tenant.clone())) as Rc<dyn Guest>)
     }
 }
