--- a/crates/ingress/src/follow.rs
+++ b/crates/ingress/src/follow.rs
@@ -123,7 +123,7 @@
                 }
             }
             Err(reason) => {
-                eprintln!("violetyoke: tenants at revision {revision} are not taken: {reason}");
+                eprintln!("violetyoke: tenants at revision {revision} rejected: {reason}");
                 rejected = Some((revision, reason));
             }
         }
--- a/crates/ingress/src/prepared.rs
+++ b/crates/ingress/src/prepared.rs
@@ -1,4 +1,4 @@
-//! What a snapshot becomes before it is put in force: checked with the file, and with all that takes long done.
+//! A configuration file and a directory of tenants that were checked together, ready to be put in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,35 +8,38 @@
 use violetyoke_tenants::model;
 use violetyoke_tenants::snapshot::{TenantDirectory, TenantView};
 
-/// Plans that a pool's module can have; it knows them by 16 bits.
-const MOST_PLANS: usize = 60_000;
+/// The maximum number of plans of a pool. The decision module has 16-bit indices of plans.
+const MAX_PLANS: usize = 60_000;
 
-/// A file and what is held, checked together and with all that takes long done: putting it in force is quick. It is
-/// made on another thread.
+/// A file and a directory that were checked together. It is created on another thread, which does all slow
+/// work, so that it can be put in force quickly.
 pub struct PreparedConfig {
-    /// The file that it was checked with.
+    /// The file.
     pub file: Arc<file::Service>,
+    /// The tenants.
     pub directory: Arc<TenantDirectory>,
-    /// Of the file's routes, and behind them the tenants'.
+    /// The routes of the file, followed by those of the tenants.
     pub table: Arc<RouteTable>,
+    /// The targets of the tenants' routes, in the order of the table.
     pub routes: Vec<HostedRoute>,
-    /// Each pool's plans that are tenants', by names that no file has.
+    /// The plans of tenants in each pool, with names from [`tenant_plan_name`].
     pub plans: BTreeMap<String, Vec<(String, Plan)>>,
 }
 
 pub struct HostedRoute {
     pub tenant: String,
-    /// Number of the pool in the file.
+    /// Index of the pool in the file.
     pub pool: usize,
     pub class: Option<String>,
 }
 
-/// The name of a tenant's plan among a pool's. One of a tenant made anew is another.
+/// The name of a tenant's plan in a pool. It can't occur in a file, and differs for a tenant that was created
+/// again.
 pub fn tenant_plan_name(tenant: &TenantView, plan: &str) -> String {
     format!("{}\u{1f}{}\u{1f}{plan}", tenant.name, tenant.epoch)
 }
 
-fn figures(plan: &model::Plan) -> Plan {
+fn plan_settings(plan: &model::Plan) -> Plan {
     Plan {
         rate: plan.rate,
         burst: plan.burst,
@@ -49,65 +52,71 @@
 }
 
 impl PreparedConfig {
-    /// Why not, in words that name the tenant.
+    /// Checks the file and the tenants together.
+    ///
+    /// # Errors
+    /// If they are not compatible. The message names the tenant, the pool or the limit.
     pub fn new(
         config: &Arc<file::Service>,
         directory: Arc<TenantDirectory>,
     ) -> Result<PreparedConfig, String> {
         let mut rules: Vec<Route> = config.routes.iter().map(|route| route.rule.clone()).collect();
         let (mut routes, mut plans) = (Vec::new(), BTreeMap::<String, Vec<(String, Plan)>>::new());
-        let [mut descriptors, mut bytes, mut open] = [0u64; 3];
+        let [mut descriptors, mut bytes, mut open_requests] = [0u64; 3];
         for tenant in directory.tenants.values() {
-            let wrong = |what: String| format!("tenant {:?}: {what}", tenant.name);
+            let tenant_error = |message: String| format!("tenant {:?}: {message}", tenant.name);
             for route in &tenant.routes {
-                let number = config.pools.iter().position(|pool| pool.name == route.pool);
-                let number =
-                    number.ok_or_else(|| wrong(format!("there is no pool {:?} here", route.pool)))?;
-                let known =
-                    |name: &String| config.pools[number].classes.iter().any(|class| class.name == *name);
-                if route.default_class.as_ref().is_some_and(|class| !known(class)) {
-                    return Err(wrong(format!("route {:?}: the pool has no such class", route.name)));
+                let pool_index = config.pools.iter().position(|pool| pool.name == route.pool);
+                let pool_index = pool_index
+                    .ok_or_else(|| tenant_error(format!("there is no pool {:?} here", route.pool)))?;
+                let has_class =
+                    |name: &String| config.pools[pool_index].classes.iter().any(|class| class.name == *name);
+                if route.default_class.as_ref().is_some_and(|class| !has_class(class)) {
+                    return Err(tenant_error(format!("route {:?}: the pool has no such class", route.name)));
                 }
-                rules.push(route.to_table_route().map_err(|error| wrong(error.to_string()))?);
+                rules.push(route.to_table_route().map_err(|error| tenant_error(error.to_string()))?);
                 let (tenant, class) = (tenant.name.clone(), route.default_class.clone());
-                routes.push(HostedRoute { tenant, pool: number, class });
+                routes.push(HostedRoute { tenant, pool: pool_index, class });
             }
             let pools: BTreeSet<&String> = tenant.routes.iter().map(|route| &route.pool).collect();
             for pool in pools {
-                let list =
-                    tenant.plans.iter().map(|plan| (tenant_plan_name(tenant, &plan.name), figures(plan)));
+                let list = tenant
+                    .plans
+                    .iter()
+                    .map(|plan| (tenant_plan_name(tenant, &plan.name), plan_settings(plan)));
                 plans.entry(pool.clone()).or_default().extend(list);
             }
             descriptors += tenant.limits.descriptors.guaranteed;
             bytes += tenant.limits.buffered_bytes.guaranteed;
-            open += tenant.limits.open_requests.guaranteed;
+            open_requests += tenant.limits.open_requests.guaranteed;
         }
-        if let Some((pool, list)) = plans.iter().find(|(_, list)| list.len() > MOST_PLANS) {
+        if let Some((pool, list)) = plans.iter().find(|(_, list)| list.len() > MAX_PLANS) {
             return Err(format!(
-                "pool {pool:?} would have {} plans, and {MOST_PLANS} is the most",
+                "pool {pool:?} would have {} plans, and {MAX_PLANS} is the most",
                 list.len()
             ));
         }
-        let most_open = config.control.as_ref().map_or(u64::MAX, |control| control.open_requests);
-        let kept: u64 = config.pools.iter().map(|pool| pool.descriptors).sum();
-        let kept_bytes: u64 = config.pools.iter().map(|pool| pool.buffered_bytes).sum();
-        for (what, asked, there) in [
-            ("descriptors", descriptors, config.descriptors.saturating_sub(kept + 32)),
-            ("buffered_bytes", bytes, config.buffered_bytes.saturating_sub(kept_bytes)),
-            ("open_requests", open, most_open),
+        let max_open_requests = config.control.as_ref().map_or(u64::MAX, |control| control.open_requests);
+        let guaranteed_descriptors: u64 = config.pools.iter().map(|pool| pool.descriptors).sum();
+        let guaranteed_bytes: u64 = config.pools.iter().map(|pool| pool.buffered_bytes).sum();
+        for (resource, guaranteed, available) in [
+            ("descriptors", descriptors, config.descriptors.saturating_sub(guaranteed_descriptors + 32)),
+            ("buffered_bytes", bytes, config.buffered_bytes.saturating_sub(guaranteed_bytes)),
+            ("open_requests", open_requests, max_open_requests),
         ] {
-            if asked > there {
+            if guaranteed > available {
                 return Err(format!(
-                    "limits.{what}: tenants are guaranteed {asked}, and {there} can be given"
+                    "limits.{resource}: tenants are guaranteed {guaranteed}, and {available} can be given"
                 ));
             }
         }
-        let table = RouteTable::build(&rules).map_err(|ties| {
-            let name = |number: usize| match number.checked_sub(config.routes.len()) {
-                Some(number) => format!("tenant {:?}", routes[number].tenant),
-                None => format!("route[{number}] of the file"),
+        let table = RouteTable::build(&rules).map_err(|conflicts| {
+            let name = |index: usize| match index.checked_sub(config.routes.len()) {
+                Some(index) => format!("tenant {:?}", routes[index].tenant),
+                None => format!("route[{index}] of the file"),
             };
-            let (first, second) = ties.first().map_or((0, 0), |tie| (tie.first, tie.second));
+            let (first, second) =
+                conflicts.first().map_or((0, 0), |conflict| (conflict.first, conflict.second));
             format!("{} and {} have routes that match the same requests", name(first), name(second))
         })?;
         Ok(PreparedConfig { file: config.clone(), directory, table: Arc::new(table), routes, plans })
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -1,4 +1,4 @@
-//! The pools that run: each started, changed and ended as the file and the tenants say.
+//! The running pools, which are started, updated and removed as the configuration and the tenants change.
 
 use crate::class_plan_indices::ClassPlanIndices;
 use crate::connections::{ConnectionTable, UNASSIGNED};
@@ -22,48 +22,48 @@
 use violetyoke_shares::{CapacityPool, Member};
 use violetyoke_tenants::snapshot::TenantDirectory;
 
-/// The rate limit service's number among those that share the process.
+/// The member number of the rate limit service in the schedulers and capacity pools of the process.
 pub const RATE_LIMIT_MEMBER: Member = UNASSIGNED + 1;
-/// Descriptors kept for connections that are yet to say what they want: one part in so many of all.
-const DOOR_PART: u64 = 8;
+/// The total number of descriptors divided by this is guaranteed to connections without a request yet.
+const FRONTEND_DIVISOR: u64 = 8;
 
-/// The pools that run, and what they share.
+/// The running pools and their shared resources.
 pub struct Pools {
     pub clock: Clock,
     pub sets: Rc<Sets>,
-    pub door: Rc<TaskSet>,
+    pub frontend: Rc<TaskSet>,
     pub descriptors: SharedCapacity,
     pub bytes: SharedCapacity,
     pub counters: Rc<EmbeddedCounters>,
     running: BTreeMap<String, RunningPool>,
-    pub tenancy: Tenants,
+    pub tenants: Tenants,
     pub next: Member,
 }
 
-/// One pool as it runs.
+/// A running pool.
 pub struct RunningPool {
     pub pool: Rc<Pool>,
     pub config: file::Pool,
-    /// Classes and plans at the numbers that the module knows them by.
-    pub slots: ClassPlanIndices,
-    pub checks: Rc<PoolPrecheck>,
+    /// The indices of classes and plans in the decision module.
+    pub indices: ClassPlanIndices,
+    pub precheck: Rc<PoolPrecheck>,
     pub watch: Option<TaskHandle>,
     pub revision: u64,
-    /// Its plans that are tenants'.
+    /// The plans of tenants in this pool.
     pub hosted: Vec<(String, Plan)>,
 }
 
 impl Pools {
-    pub fn new(config: &file::Service, sets: Rc<Sets>, door: Rc<TaskSet>, uses: UsageCounters) -> Pools {
+    pub fn new(config: &file::Service, sets: Rc<Sets>, frontend: Rc<TaskSet>, usage: UsageCounters) -> Pools {
         let capacity = |total| Rc::new(RefCell::new(CapacityPool::new(total)));
         let (descriptors, bytes) = (capacity(config.descriptors), capacity(config.buffered_bytes));
-        let open = config.control.as_ref().map_or(0, |control| control.open_requests);
-        let turns = config.turns.then(|| sets.clone());
+        let open_requests = config.control.as_ref().map_or(0, |control| control.open_requests);
+        let scheduled_sets = config.turns.then(|| sets.clone());
         Pools {
             clock: Clock::start(),
-            tenancy: Tenants::new(open, descriptors.clone(), bytes.clone(), turns, uses),
+            tenants: Tenants::new(open_requests, descriptors.clone(), bytes.clone(), scheduled_sets, usage),
             sets,
-            door,
+            frontend,
             descriptors,
             bytes,
             counters: Rc::default(),
@@ -72,19 +72,20 @@
         }
     }
 
-    /// Brings the pools and tenants to what is prepared, and gives the routes to them. Pools that the file no longer
-    /// has run on until [`Pools::retire`].
+    /// Applies a prepared configuration to pools and tenants. Returns the routes, the settings of the rate
+    /// limit service and the replaced tenants. Pools that were removed from the file run until
+    /// [`Pools::retire`].
     pub fn apply(
         &mut self,
         config: &file::Service,
         prepared: &PreparedConfig,
         hosted: Vec<HostedRoute>,
     ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<TenantDirectory>)) {
-        let door = config.descriptors / DOOR_PART;
+        let frontend = config.descriptors / FRONTEND_DIVISOR;
         self.descriptors.borrow_mut().resize(config.descriptors);
         self.descriptors.borrow_mut().set_limits(
             UNASSIGNED,
-            door.min(self.spare(config)),
+            frontend.min(self.unreserved_descriptors(config)),
             config.descriptors,
         );
         self.bytes.borrow_mut().resize(config.buffered_bytes);
@@ -92,15 +93,15 @@
         for pool in &config.pools {
             let hosted = prepared.plans.get(&pool.name).map_or(&[][..], Vec::as_slice);
             match self.running.remove(&pool.name) {
-                // Counted under another name, its customers' use would be lost from sight: another pool.
+                // A new name of the quota means other counters, so the pool is replaced and not updated.
                 Some(run) if run.config.quota != pool.quota => {
-                    let fresh = self.start(config, pool, hosted);
+                    let new_run = self.start(config, pool, hosted);
                     self.running.insert(format!("{} (replaced {})", pool.name, run.pool.member), run);
-                    pools.push(fresh.pool.clone());
-                    self.running.insert(pool.name.clone(), fresh);
+                    pools.push(new_run.pool.clone());
+                    self.running.insert(pool.name.clone(), new_run);
                 }
                 Some(mut run) => {
-                    self.change(config, &mut run, pool, hosted);
+                    self.update(config, &mut run, pool, hosted);
                     pools.push(run.pool.clone());
                     self.running.insert(pool.name.clone(), run);
                 }
@@ -112,15 +113,17 @@
             }
         }
         let next = &mut self.next;
-        let member = || {
+        let next_member = || {
             *next += 1;
             *next - 1
         };
         let running = &self.running;
-        let number = |name: &str| running.get(name).map(|run| run.pool.member);
-        let of: HashMap<Member, &RunningPool> = running.values().map(|run| (run.pool.member, run)).collect();
-        let plan_of = |pool: Member, name: &str| of.get(&pool)?.slots.tenant_plans.get(name).copied();
-        let left = self.tenancy.apply(config, prepared, member, number, &plan_of);
+        let pool_member = |name: &str| running.get(name).map(|run| run.pool.member);
+        let by_member: HashMap<Member, &RunningPool> =
+            running.values().map(|run| (run.pool.member, run)).collect();
+        let plan_index_of =
+            |pool: Member, name: &str| by_member.get(&pool)?.indices.tenant_plans.get(name).copied();
+        let replaced = self.tenants.apply(config, prepared, next_member, pool_member, &plan_index_of);
         let route = |route: &file::Route| Route {
             pool: pools[route.pool].clone(),
             class: route.default_class.clone(),
@@ -130,32 +133,33 @@
         routes.extend(hosted.into_iter().map(|route| Route {
             pool: pools[route.pool].clone(),
             class: route.class,
-            tenant: self.tenancy.tenant(&route.tenant),
+            tenant: self.tenants.tenant(&route.tenant),
         }));
         let asking = config.ratelimit.clone().map(|file| Asking { file, pools });
-        (Routing::Table { table: prepared.table.clone(), routes }, asking, left)
+        (Routing::Table { table: prepared.table.clone(), routes }, asking, replaced)
     }
 
-    /// Descriptors that are guaranteed to no pool.
-    fn spare(&self, config: &file::Service) -> u64 {
+    /// Descriptors that are not guaranteed to a pool.
+    fn unreserved_descriptors(&self, config: &file::Service) -> u64 {
         config.descriptors - config.pools.iter().map(|pool| pool.descriptors).sum::<u64>()
     }
 
-    pub fn share(&self, config: &file::Service, member: Member, pool: &file::Pool) {
+    pub fn set_limits(&self, config: &file::Service, member: Member, pool: &file::Pool) {
         self.descriptors.borrow_mut().set_limits(member, pool.descriptors, config.descriptors);
         self.bytes.borrow_mut().set_limits(member, pool.buffered_bytes, config.buffered_bytes);
     }
 
-    /// Ends the pools that the file no longer has, once nothing of theirs is open.
-    pub fn retire(&mut self, config: &file::Service, clients: &ConnectionTable) {
-        let gone: Vec<String> = self.running.keys().cloned().collect();
-        for name in gone.into_iter().filter(|name| !config.pools.iter().any(|pool| pool.name == *name)) {
+    /// Removes the pools that are not in the file any more. Each ends once it has no open requests.
+    pub fn retire(&mut self, config: &file::Service, connections: &ConnectionTable) {
+        let names: Vec<String> = self.running.keys().cloned().collect();
+        for name in names.into_iter().filter(|name| !config.pools.iter().any(|pool| pool.name == *name)) {
             let Some(run) = self.running.remove(&name) else { continue };
             if let Some(watch) = run.watch {
                 watch.abort();
             }
-            clients.unassign(run.pool.member, &self.door);
-            // Nothing is guaranteed to it any more, but what is open still needs a connection to a node.
+            connections.unassign(run.pool.member, &self.frontend);
+            // Nothing is guaranteed to the pool any more, but its open requests still need connections to
+            // nodes.
             self.descriptors.borrow_mut().set_limits(run.pool.member, 0, config.descriptors);
             self.bytes.borrow_mut().set_limits(run.pool.member, 0, config.buffered_bytes);
             run.pool.retire();
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -1,5 +1,5 @@
-//! Several pools in one process, by a configuration file of our own: their start, their change by a reload, and
-//! their end.
+//! The service: several pools in one process, described by a configuration file. Starts them, applies reloads
+//! of the file and updates of the tenants, and shuts them down.
 
 use crate::connections::{ConnectionTable, UNASSIGNED};
 use crate::prepared::PreparedConfig;
@@ -16,159 +16,179 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{signal, SignalKind};
-use tokio::sync::{mpsc, watch as watched};
+use tokio::sync::{mpsc, watch as watch_channel};
 use tokio::task::{spawn_blocking, unconstrained};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 use violetyoke_config as file;
 use violetyoke_duties::usage::UsageCounters;
 use violetyoke_tenants::snapshot::TenantDirectory;
 
-/// How often the file is looked at, where that is switched on.
+/// How often the file is checked for changes, if that is enabled.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the set of a tenant that is gone is kept for its tasks to leave it.
+/// How long the task set of a removed tenant is kept, so that its tasks can move to another one.
 const SET_REMOVAL_DELAY: Duration = Duration::from_secs(1);
-/// Weight of the door among the pools: it accepts, and reads each connection's first head.
+/// Scheduling weight of the frontend, which accepts connections and reads the first request head of each.
 const FRONTEND_WEIGHT: u64 = 2;
-/// For how long after SIGTERM answers are waited for, beyond the longest deadline of any class.
+/// Added to the longest deadline of any class in the time that open requests have to end after SIGTERM.
 const SHUTDOWN_SLACK: Duration = Duration::from_millis(500);
 
-/// Reads the file; an error is one line for each thing that is wrong with it.
+/// Reads and parses the configuration file. The error has one line for each fault in the file.
 pub fn read(path: &Path) -> Result<file::Service, String> {
     let name = path.display();
     let text = fs::read_to_string(path).map_err(|error| format!("{name}: {error}\n"))?;
     file::parse(&text).map_err(|errors| errors.of_file(&name.to_string()))
 }
 
-/// Serves until told to end. SIGHUP reads the file again.
+/// Serves until SIGTERM. SIGHUP reloads the file.
 pub async fn serve(path: PathBuf, config: file::Service) -> io::Result<()> {
     let terminate = signal(SignalKind::terminate())?;
     let reload = signal(SignalKind::hangup())?;
     let listener = server::listen(config.listen)?;
     let address = listener.local_addr()?;
-    let (sets, over) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
-    let door = sets.add(UNASSIGNED, FRONTEND_WEIGHT);
-    let running = Running::new(sets.clone(), over.clone());
-    let uses = UsageCounters::default();
-    let mut pools = Pools::new(&config, sets.clone(), door.clone(), uses.clone());
+    let (sets, is_finished) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
+    let frontend = sets.add(UNASSIGNED, FRONTEND_WEIGHT);
+    let running = Running::new(sets.clone(), is_finished.clone());
+    let usage = UsageCounters::default();
+    let mut pools = Pools::new(&config, sets.clone(), frontend.clone(), usage.clone());
     let config = Arc::new(config);
-    // Without the control plane it begins with what was in force when it ended.
+    // Until the control plane responds, the tenants of the last good snapshot are in force.
     let directory = Arc::new(config.control.as_ref().map(follow::last_good).unwrap_or_default());
     let prepared = match PreparedConfig::new(&config, directory) {
         Err(reason) if config.control.is_some() => {
-            eprintln!("violetyoke: the tenants that were kept are not taken: {reason}");
+            eprintln!("violetyoke: tenants of the last good snapshot rejected: {reason}");
             PreparedConfig::new(&config, Arc::default())
         }
         prepared => prepared,
     };
     let mut prepared = prepared.map_err(io::Error::other)?;
     let routes = std::mem::take(&mut prepared.routes);
-    let (routing, asking, _) = pools.apply(&config, &prepared, routes);
-    let questions = asking
-        .map(|asking| Questions::new(asking, pools.clock, pools.descriptors.clone(), RATE_LIMIT_MEMBER));
-    let clients = ConnectionTable::with_shared_capacity(pools.descriptors.clone());
-    let shared =
-        Rc::new(server::ServerState::new(Router::new(routing), pools.clock, clients, Some(door.clone())));
-    let longest = config.pools.iter().flat_map(|pool| &pool.classes).map(|class| class.class.deadline).max();
-    let longest = Duration::from_micros(longest.unwrap_or(0)) + SHUTDOWN_SLACK;
-    let asked = match &questions {
+    let (routing, rate_limits, _) = pools.apply(&config, &prepared, routes);
+    let questions = rate_limits.map(|rate_limits| {
+        Questions::new(rate_limits, pools.clock, pools.descriptors.clone(), RATE_LIMIT_MEMBER)
+    });
+    let connections = ConnectionTable::with_shared_capacity(pools.descriptors.clone());
+    let shared = Rc::new(server::ServerState::new(
+        Router::new(routing),
+        pools.clock,
+        connections,
+        Some(frontend.clone()),
+    ));
+    let drain_timeout =
+        config.pools.iter().flat_map(|pool| &pool.classes).map(|class| class.class.deadline).max();
+    let drain_timeout = Duration::from_micros(drain_timeout.unwrap_or(0)) + SHUTDOWN_SLACK;
+    let rate_limit_listener = match &questions {
         Some(questions) => Some((questions.clone(), questions.listen()?, signal(SignalKind::terminate())?)),
         None => None,
     };
     let weight = config.ratelimit.as_ref().map_or(1, |ratelimit| ratelimit.weight);
-    let (in_force_duties, in_force_control) = (config.duties.clone(), config.control.clone());
-    let (in_force, files) = watched::channel(config.clone());
-    let (offers, offered) = mpsc::channel(1);
+    let (role_settings, control) = (config.duties.clone(), config.control.clone());
+    let (config_sender, config_receiver) = watch_channel::channel(config.clone());
+    let (update_sender, updates) = mpsc::channel(1);
     if let Some(control) = config.control.clone() {
-        let directory = pools.tenancy.directory.clone();
-        sets.spawn(&door, follow::follow(control, directory, files, offers));
+        let directory = pools.tenants.directory.clone();
+        sets.spawn(&frontend, follow::follow(control, directory, config_receiver, update_sender));
     }
-    sets.spawn(&door, watch(path, in_force, pools, shared.clone(), questions, reload, offered));
+    sets.spawn(&frontend, watch(path, config_sender, pools, shared.clone(), questions, reload, updates));
     let result = Rc::new(RefCell::new(Ok(())));
-    // Both have to have answered what they took.
-    let left = Rc::new(Cell::new(1 + usize::from(asked.is_some())));
-    let end =
-        |ended: io::Result<()>, result: &RefCell<io::Result<()>>, left: &Cell<usize>, told: &Cell<bool>| {
-            if ended.is_err() {
-                *result.borrow_mut() = ended;
-            }
-            left.set(left.get() - 1);
-            told.set(left.get() == 0);
-        };
-    if let Some((questions, listener, terminate)) = asked {
+    // The process ends once both servers have responded to all requests that they accepted.
+    let open_servers = Rc::new(Cell::new(1 + usize::from(rate_limit_listener.is_some())));
+    let on_server_end = |server_result: io::Result<()>,
+                         result: &RefCell<io::Result<()>>,
+                         open_servers: &Cell<usize>,
+                         finished_flag: &Cell<bool>| {
+        if server_result.is_err() {
+            *result.borrow_mut() = server_result;
+        }
+        open_servers.set(open_servers.get() - 1);
+        finished_flag.set(open_servers.get() == 0);
+    };
+    if let Some((questions, listener, terminate)) = rate_limit_listener {
         let set = sets.add(RATE_LIMIT_MEMBER, weight);
-        let (result, left, over, asked) =
-            (result.clone(), left.clone(), over.clone(), listener.local_addr()?);
+        let (result, open_servers, is_finished, rate_limit_address) =
+            (result.clone(), open_servers.clone(), is_finished.clone(), listener.local_addr()?);
         sets.spawn(&set, async move {
-            end(questions.serve(listener, terminate, longest).await, &result, &left, &over);
+            on_server_end(
+                questions.serve(listener, terminate, drain_timeout).await,
+                &result,
+                &open_servers,
+                &is_finished,
+            );
         });
-        eprintln!("violetyoke: answering rate limit questions on {asked}");
+        eprintln!("violetyoke: answering rate limit questions on {rate_limit_address}");
     }
-    let (ended, told) = (result.clone(), over.clone());
-    sets.spawn(&door, async move {
-        end(server::serve(listener, None, shared, terminate, || longest).await, &ended, &left, &told);
+    let (ended, finished_flag) = (result.clone(), is_finished.clone());
+    sets.spawn(&frontend, async move {
+        on_server_end(
+            server::serve(listener, None, shared, terminate, || drain_timeout).await,
+            &ended,
+            &open_servers,
+            &finished_flag,
+        );
     });
-    let working = match (&in_force_duties, &in_force_control) {
-        (Some(duties), Some(control)) => Some(singleton_roles::start(duties.clone(), control.clone(), uses)?),
+    let role_worker = match (&role_settings, &control) {
+        (Some(duties), Some(control)) => {
+            Some(singleton_roles::start(duties.clone(), control.clone(), usage)?)
+        }
         _ => None,
     };
     eprintln!("violetyoke: serving on {address}");
-    // It looks at the runtime itself after each slice; tokio's own bound on what one task does is for others.
+    // Not subject to tokio's cooperative budget: it yields to the runtime itself after each time slice.
     unconstrained(running).await;
-    if let Some(working) = working {
-        // What it owns of the fleet's work goes back before it ends.
-        let _ = spawn_blocking(move || working.join()).await;
+    if let Some(role_worker) = role_worker {
+        // The worker hands over its singleton roles before the process ends.
+        let _ = spawn_blocking(move || role_worker.join()).await;
     }
     result.replace(Ok(()))
 }
 
-/// Reads the file again when told to or when it has changed, and takes up what comes from the control plane. A bad
+/// Reloads the file on SIGHUP or when it has changed, and applies updates from the control plane. An invalid
 /// file changes nothing.
 async fn watch(
     path: PathBuf,
-    in_force: watched::Sender<Arc<file::Service>>,
+    in_force: watch_channel::Sender<Arc<file::Service>>,
     mut pools: Pools,
     shared: Rc<server::ServerState>,
     questions: Option<Rc<Questions>>,
     mut reload: tokio::signal::unix::Signal,
-    mut offered: mpsc::Receiver<follow::PreparedUpdate>,
+    mut updates: mpsc::Receiver<follow::PreparedUpdate>,
 ) {
-    let changed = || fs::metadata(&path).and_then(|data| data.modified()).ok();
-    let mut seen: Option<SystemTime> = changed();
-    let mut look = interval(FILE_CHECK_INTERVAL);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let modified_at = || fs::metadata(&path).and_then(|data| data.modified()).ok();
+    let mut last_modified: Option<SystemTime> = modified_at();
+    let mut check_interval = interval(FILE_CHECK_INTERVAL);
+    check_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut config = in_force.borrow().clone();
-    let mut followed = config.control.is_some();
+    let mut follows_control = config.control.is_some();
     loop {
         tokio::select! {
-            told = reload.recv() => if told.is_none() { return },
-            offer = offered.recv(), if followed => {
-                let Some((prepared, done)) = offer else {
-                    followed = false;
+            signal = reload.recv() => if signal.is_none() { return },
+            update = updates.recv(), if follows_control => {
+                let Some((prepared, in_force_sender)) = update else {
+                    follows_control = false;
                     continue;
                 };
-                // The file may have changed since it was made ready.
+                // The file may have changed since the update was prepared.
                 let prepared = match Arc::ptr_eq(&prepared.file, &config) {
                     true => Ok(prepared),
-                    false => ready(&config, prepared.directory).await,
+                    false => prepare(&config, prepared.directory).await,
                 };
                 match prepared {
                     Ok(prepared) => {
                         let revision = prepared.directory.revision;
                         put_in_force(&mut pools, &config, prepared, &shared, questions.as_ref());
                         eprintln!("violetyoke: tenants at revision {revision} are in force");
-                        let _ = done.send(());
+                        let _ = in_force_sender.send(());
                     }
                     Err(reason) => eprintln!("violetyoke: the tenants in force stay: {reason}"),
                 }
                 continue;
             }
-            _ = look.tick() => {
-                if !config.watch_file || changed() == seen {
+            _ = check_interval.tick() => {
+                if !config.watch_file || modified_at() == last_modified {
                     continue;
                 }
             }
         }
-        seen = changed();
+        last_modified = modified_at();
         let listen = |file: &file::Service| file.ratelimit.as_ref().map(|ratelimit| ratelimit.listen);
         let new = match read(&path) {
             Ok(new) if new.listen != config.listen => Err("service.listen"),
@@ -182,7 +202,7 @@
         };
         let new = new.map_err(|key| format!("{}: {key}: cannot change while running", path.display()));
         let prepared = match new {
-            Ok(new) => ready(&new, pools.tenancy.directory.clone()).await.map(|prepared| (new, prepared)),
+            Ok(new) => prepare(&new, pools.tenants.directory.clone()).await.map(|prepared| (new, prepared)),
             Err(reason) => Err(reason),
         };
         match prepared {
@@ -197,22 +217,22 @@
     }
 }
 
-/// Checks a file and what is held together, on another thread: it may take long.
-async fn ready(
+/// Checks a file and a directory of tenants together. This may take long and is done on another thread.
+async fn prepare(
     config: &Arc<file::Service>,
     directory: Arc<TenantDirectory>,
 ) -> Result<PreparedConfig, String> {
     let config = config.clone();
     let prepared = spawn_blocking(move || PreparedConfig::new(&config, directory)).await;
-    prepared.unwrap_or_else(|_| Err("it could not be checked".into()))
+    prepared.unwrap_or_else(|_| Err("the check failed".into()))
 }
 
-fn sets_weight(pools: &Pools, asking: &Asking) {
+fn set_rate_limit_weight(pools: &Pools, asking: &Asking) {
     pools.sets.weigh(RATE_LIMIT_MEMBER, asking.file.weight);
 }
 
-/// Puts a file and tenants in force that have been checked together. What they take the place of is dropped on
-/// another thread, where it may take long.
+/// Puts a file and tenants in force that were checked together. The replaced ones are dropped on another
+/// thread, as that may take long.
 fn put_in_force(
     pools: &mut Pools,
     config: &file::Service,
@@ -221,22 +241,22 @@
     questions: Option<&Rc<Questions>>,
 ) {
     let routes = std::mem::take(&mut prepared.routes);
-    let (routing, asking, (gone, directory)) = pools.apply(config, &prepared, routes);
+    let (routing, asking, (removed, directory)) = pools.apply(config, &prepared, routes);
     let old = match shared.router.replace(routing) {
         Some(Routing::Table { table, .. }) => Some(table),
         _ => None,
     };
     if let (Some(questions), Some(asking)) = (questions, asking) {
-        sets_weight(pools, &asking);
+        set_rate_limit_weight(pools, &asking);
         questions.replace(asking);
     }
     pools.retire(config, &shared.connections);
-    for member in gone {
-        shared.connections.unassign(member, &pools.door);
+    for member in removed {
+        shared.connections.unassign(member, &pools.frontend);
         if config.turns {
-            // Its connections' tasks go to the door when they are next polled, which is at once.
+            // The tasks of its connections move to the frontend with their next poll, which is soon.
             let sets = pools.sets.clone();
-            pools.sets.spawn(&pools.door, async move {
+            pools.sets.spawn(&pools.frontend, async move {
                 sleep(SET_REMOVAL_DELAY).await;
                 sets.remove(member);
             });
--- a/crates/ingress/src/singleton_roles.rs
+++ b/crates/ingress/src/singleton_roles.rs
@@ -1,5 +1,5 @@
-//! The fleet's work in a process that serves: on a thread and a runtime of its own, so that what it waits for is
-//! nothing that requests wait for.
+//! The singleton roles of the fleet that a serving process may own. They run on a separate thread and runtime,
+//! so that they can't delay requests.
 
 use std::io;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use violetyoke_duties::supervisor::{self, RoleWorker, RoleWorkers};
 use violetyoke_duties::usage::{self, UsageCounters};
 
-/// Starts it. SIGTERM has it hand over what it owns, and end.
+/// Starts the thread. On SIGTERM it hands over the roles that it owns, and ends.
 pub fn start(
     duties: file::Duties,
     control: file::Control,
-    uses: UsageCounters,
+    usage: UsageCounters,
 ) -> io::Result<JoinHandle<()>> {
     let name = holder_name(&control.name).map_err(io::Error::other)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -29,13 +29,13 @@
             Ok(terminate) => terminate,
             Err(error) => return tracing::error!(%error, "no duties are taken"),
         };
-        let publishing = tokio::spawn(usage::publish(uses, client.clone(), name.clone()));
+        let usage_publisher = tokio::spawn(usage::publish(usage, client.clone(), name.clone()));
         let holder = new_holder(name, duties.take.clone());
-        let end = async move {
+        let shutdown = async move {
             terminate.recv().await;
         };
-        supervisor::run(Arc::new(client), holder, workers, end).await;
-        publishing.abort();
+        supervisor::run(Arc::new(client), holder, workers, shutdown).await;
+        usage_publisher.abort();
     };
     Builder::new().name("duties".into()).spawn(move || runtime.block_on(work))
 }
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -1,4 +1,4 @@
-//! One pool's start, and its change while it runs.
+//! The start of a pool, and its update when the configuration changes.
 
 use crate::backend::ConnectionBudget;
 use crate::class_plan_indices::ClassPlanIndices;
@@ -18,7 +18,7 @@
 use violetyoke_operations::ManualEjections;
 
 impl Pools {
-    fn link(&self, pool: &file::Pool) -> CounterLocation {
+    fn counter_location(&self, pool: &file::Pool) -> CounterLocation {
         let namespace: Rc<str> = pool.quota.as_str().into();
         match pool.counter {
             Some(address) => CounterLocation::Remote { address, namespace: Some(namespace) },
@@ -34,101 +34,102 @@
     ) -> RunningPool {
         let member = self.next;
         self.next += 1;
-        self.share(config, member, file);
-        let own = config.turns.then(|| self.sets.add(member, file.weight));
-        let set = own.clone().unwrap_or_else(|| self.door.clone());
-        let mut slots = ClassPlanIndices::default();
-        slots.update(file, hosted);
+        self.set_limits(config, member, file);
+        let pool_set = config.turns.then(|| self.sets.add(member, file.weight));
+        let set = pool_set.clone().unwrap_or_else(|| self.frontend.clone());
+        let mut indices = ClassPlanIndices::default();
+        indices.update(file, hosted);
         let (messages, inbox) = mpsc::unbounded_channel();
         let bytes = Some(self.bytes.clone());
         let pool = Pool::new(
             file.name.clone(),
             member,
-            slots.rules(file),
+            indices.rules(file),
             messages.clone(),
             file.open_requests,
             bytes,
-            own,
+            pool_set,
         );
         pool.quota_headers.set(file.fields);
         let pool = Rc::new(pool);
         let setup = DriverSetup {
             predecessor_alive: false,
             imported_state: None,
-            settings: slots.settings(file),
+            settings: indices.settings(file),
             names: names(file),
             seed: self.clock.now() ^ (member as u64) << 48,
             budget: ConnectionBudget::new(self.descriptors.clone(), member),
             initial_targets: list(&file.nodes, 1),
-            counter: Some(self.link(file)),
+            counter: Some(self.counter_location(file)),
             peers: None,
             ejections: ManualEjections::default(),
         };
-        let turns = config.turns;
-        let (clock, driven) = (self.clock, pool.clone());
+        let has_own_set = config.turns;
+        let (clock, driver_pool) = (self.clock, pool.clone());
         let (descriptors, bytes) = (self.descriptors.clone(), self.bytes.clone());
         let sets = self.sets.clone();
         self.sets.spawn(&set, async move {
-            // Made here, where the tasks that it starts are the pool's.
-            Driver::new(setup, clock, messages, driven).run(inbox).await;
+            // Created inside this task, so that the tasks that the driver spawns belong to the pool's set.
+            Driver::new(setup, clock, messages, driver_pool).run(inbox).await;
             descriptors.borrow_mut().retire(member);
             bytes.borrow_mut().retire(member);
-            if turns {
+            if has_own_set {
                 sets.remove(member);
             }
         });
-        let checks = Rc::new(PoolPrecheck::new(pool.messages()));
-        pool.set_precheck(checks.clone());
+        let precheck = Rc::new(PoolPrecheck::new(pool.messages()));
+        pool.set_precheck(precheck.clone());
         let (config, hosted) = (file.clone(), hosted.to_vec());
-        let mut run = RunningPool { pool, config, slots, checks, watch: None, revision: 1, hosted };
-        self.consult(&run, file);
+        let mut run = RunningPool { pool, config, indices, precheck, watch: None, revision: 1, hosted };
+        self.update_external_limiter(&run, file);
         watch_nodes(&mut run, &self.sets, &set);
         run
     }
 
-    /// Whom the pool asks from now on before it admits. What is known of a server stays where it still is.
-    fn consult(&self, run: &RunningPool, file: &file::Pool) {
-        let old = run.checks.external_limiter();
-        run.checks.set_external_limiter(file.consult.clone().map(|consult| match old {
-            Some(old) if old.is_at(&consult) => {
-                old.change(consult);
-                old
+    /// Updates the external rate limiter that the pool queries before admission. Its state is kept if its
+    /// address is the same.
+    fn update_external_limiter(&self, run: &RunningPool, file: &file::Pool) {
+        let existing = run.precheck.external_limiter();
+        run.precheck.set_external_limiter(file.consult.clone().map(|consult| match existing {
+            Some(existing) if existing.is_at(&consult) => {
+                existing.change(consult);
+                existing
             }
             _ => {
-                let set = run.pool.set.clone().unwrap_or_else(|| self.door.clone());
+                let set = run.pool.set.clone().unwrap_or_else(|| self.frontend.clone());
                 let (descriptors, name) = (self.descriptors.clone(), file.name.clone());
                 Consulting::new(consult, self.clock, descriptors, run.pool.member, set, name)
             }
         }));
     }
 
-    pub fn change(
+    pub fn update(
         &self,
         config: &file::Service,
         run: &mut RunningPool,
         file: &file::Pool,
         hosted: &[(String, Plan)],
     ) {
-        self.share(config, run.pool.member, file);
+        self.set_limits(config, run.pool.member, file);
         if run.config == *file && run.hosted == hosted {
             return;
         }
         run.hosted = hosted.to_vec();
         self.sets.weigh(run.pool.member, file.weight);
-        run.slots.update(file, hosted);
-        run.pool.update(run.slots.rules(file), file.open_requests);
+        run.indices.update(file, hosted);
+        run.pool.update(run.indices.rules(file), file.open_requests);
         run.pool.quota_headers.set(file.fields);
-        let settings = run.slots.settings(file);
+        let settings = run.indices.settings(file);
         run.pool.send(Message::Reconfigure(Box::new((settings, names(file)))));
         if run.config.counter != file.counter {
-            run.pool.send(Message::CounterReplaced(self.link(file)));
+            run.pool.send(Message::CounterReplaced(self.counter_location(file)));
         }
-        self.consult(run, file);
-        let moved = run.config.nodes != file.nodes;
+        self.update_external_limiter(run, file);
+        let nodes_changed = run.config.nodes != file.nodes;
         run.config = file.clone();
-        if moved {
+        if nodes_changed {
             run.revision += 1;
-            let set = run.pool.set.clone().unwrap_or_else(|| self.door.clone());
+            let set = run.pool.set.clone().unwrap_or_else(|| self.frontend.clone());
             watch_nodes(run, &self.sets, &set);
         }
     }
