--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -1,4 +1,5 @@
-//! What the ingress is told at its start: `EDGE_CONFIG`'s file, and the `EDGE_*` variables over it.
+//! The configuration of an ingress with a single pool: the file that `EDGE_CONFIG` names, overridden by
+//! `EDGE_*` variables.
 
 use super::discovery::TargetList;
 use serde::Deserialize;
@@ -24,15 +25,15 @@
     pub known: Option<TargetList>,
     pub settings: Settings,
     pub names: Names,
-    /// Where operators call.
+    /// Address of the console for operators.
     pub console: Option<SocketAddr>,
-    /// The number of a listening socket that the platform holds and passes on.
+    /// File descriptor of a listening socket that the platform passes to the process.
     pub passed: Option<i32>,
-    /// The settings as they are written: what replaces them must not lack a key of theirs.
+    /// The settings as written in the file. A reloaded file must have all keys of them.
     pub written: Value,
 }
 
-/// Names in the settings that the module knows by their places only.
+/// Names in the settings. The decision module has only their indices.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub classes: Vec<String>,
@@ -43,7 +44,7 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: Option<SocketAddr>,
@@ -66,7 +67,7 @@
     sockets: Option<usize>,
 }
 
-/// What a replaced configuration may change while the program runs.
+/// The part of the configuration that a reload can change.
 pub struct Reloaded {
     pub discovery: SocketAddr,
     pub counter: Option<SocketAddr>,
@@ -75,29 +76,29 @@
     pub written: Value,
 }
 
-/// Reads the file again, after SIGHUP: what stands in it is newer than the variables, which can't change.
-/// `before` are the settings in force, as they were written.
-pub fn reload(before: &Value) -> Result<Reloaded, String> {
+/// Reads the file again after SIGHUP. The file takes precedence over the variables, which can't change while
+/// the process runs. `current`: the settings in force, as written in the file.
+pub fn reload(current: &Value) -> Result<Reloaded, String> {
     let (path, file) = read()?;
-    let discovery = file.discovery.ok_or_else(|| in_file(&path, "discovery is missing"))?;
-    if let Some(key) = missing_key(before, &file.settings) {
-        return Err(in_file(&path, format!("settings: {key} is missing")));
+    let discovery = file.discovery.ok_or_else(|| file_error(&path, "discovery is missing"))?;
+    if let Some(key) = missing_key(current, &file.settings) {
+        return Err(file_error(&path, format!("settings: {key} is missing")));
     }
     let (settings, names) = settings(&path, &file.settings)?;
     Ok(Reloaded { discovery, counter: file.counter, settings, names, written: file.settings })
 }
 
-fn read() -> Result<(String, File), String> {
+fn read() -> Result<(String, ConfigFile), String> {
     let path = env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG is not set".to_string())?;
     let text = std::fs::read(&path).map_err(|error| format!("EDGE_CONFIG {path}: {error}"))?;
-    let file = serde_json::from_slice(&text).map_err(|error| in_file(&path, error))?;
+    let file = serde_json::from_slice(&text).map_err(|error| file_error(&path, error))?;
     Ok((path, file))
 }
 
-/// The settings, and the names in them; each class and each plan must have one of its own.
+/// Parses the settings and the names in them. Names of classes and of plans must be unique.
 fn settings(path: &str, written: &Value) -> Result<(Settings, Names), String> {
-    let text = serde_json::to_vec(written).map_err(|error| in_file(path, error))?;
-    let settings = violetyoke_settings::parse_settings(&text).map_err(|error| in_file(path, error))?;
+    let text = serde_json::to_vec(written).map_err(|error| file_error(path, error))?;
+    let settings = violetyoke_settings::parse_settings(&text).map_err(|error| file_error(path, error))?;
     let names = Names {
         classes: names(&written["categories"]),
         plans: names(&written["tariffs"]),
@@ -107,13 +108,13 @@
     };
     for (key, names) in [("categories", &names.classes), ("tariffs", &names.plans)] {
         if let Some((i, _)) = names.iter().enumerate().find(|(i, name)| names[..*i].contains(name)) {
-            return Err(in_file(path, format!("settings: {key}[{i}].name is another's")));
+            return Err(file_error(path, format!("settings: {key}[{i}].name is another's")));
         }
     }
     Ok((settings, names))
 }
 
-/// Reads the configuration; an error says in plain words what is wrong.
+/// Reads the configuration. The error message names the faulty key or variable.
 pub fn load() -> Result<Config, String> {
     let (path, file) = read()?;
     fn variable<T: FromStr<Err: Display>>(name: &str) -> Result<Option<T>, String> {
@@ -127,10 +128,10 @@
     let (settings, names) = settings(&path, &file.settings)?;
     Ok(Config {
         name: env::var("EDGE_NAME").unwrap_or(file.name),
-        listen: listen.ok_or_else(|| in_file(&path, "listen is missing"))?,
-        discovery: discovery.ok_or_else(|| in_file(&path, "discovery is missing"))?,
+        listen: listen.ok_or_else(|| file_error(&path, "listen is missing"))?,
+        discovery: discovery.ok_or_else(|| file_error(&path, "discovery is missing"))?,
         seed: u64::from_str_radix(&file.seed, 16)
-            .map_err(|error| in_file(&path, format!("seed: {error}")))?,
+            .map_err(|error| file_error(&path, format!("seed: {error}")))?,
         sockets: file.limits.sockets.unwrap_or(1024),
         peer_listen: file.peer_listen,
         peers: file.peers,
@@ -145,7 +146,7 @@
     })
 }
 
-fn in_file(path: &str, error: impl Display) -> String {
+fn file_error(path: &str, error: impl Display) -> String {
     format!("EDGE_CONFIG {path}: {error}")
 }
 
--- a/crates/ingress/src/console.rs
+++ b/crates/ingress/src/console.rs
@@ -1,5 +1,5 @@
-//! The second address, where operators call: one call to a connection, each answered within a second whatever
-//! the load. Callers who say nothing hold a place until another one needs it.
+//! The console, a second address for operators: one call on each connection, answered within a second under any
+//! load. If all connections are in use, a new one replaces the oldest one without a call.
 
 use crate::handover_folder::HandoverFolder;
 use crate::pool::Pool;
@@ -24,29 +24,29 @@
 use tokio::time::{sleep, timeout};
 use violetyoke_operations::ServingState;
 
-/// A caller's whole time.
-const CALL_TIME: Duration = Duration::from_secs(5);
-/// How long the driver may take to heed a call.
-const HEED_TIME: Duration = Duration::from_millis(800);
-/// The longest head of a call.
-const LARGEST_HEAD: usize = 8 * 1024;
+/// Time-out of a connection.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long the driver may take to apply a call.
+const DRIVER_TIMEOUT: Duration = Duration::from_millis(800);
+/// The largest request head.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 pub struct Console {
     pub shared: Rc<server::ServerState>,
     pub pool: Rc<Pool>,
     pub handover: Option<Rc<HandoverFolder>>,
-    /// Most callers at once.
-    pub most: usize,
+    /// The maximum number of open connections.
+    pub max_callers: usize,
 }
 
-/// A caller, until its connection has ended.
+/// An open connection.
 struct Caller {
     task: AbortHandle,
-    /// A call of its is being answered.
-    heard: Rc<Cell<bool>>,
+    /// Whether a call has arrived on it.
+    has_called: Rc<Cell<bool>>,
 }
 
-/// Takes calls for as long as the process runs.
+/// Accepts connections until the process ends.
 pub async fn serve(listener: TcpListener, console: Console) {
     let console = Rc::new(console);
     let callers: Rc<RefCell<VecDeque<Caller>>> = Rc::default();
@@ -61,32 +61,32 @@
         };
         let mut open = callers.borrow_mut();
         open.retain(|caller| !caller.task.is_finished());
-        if open.len() >= console.most {
-            // Who has been silent the longest: a call takes a moment to say.
-            let silent = open.iter().position(|caller| !caller.heard.get());
-            if let Some(caller) = silent.and_then(|silent| open.remove(silent)) {
+        if open.len() >= console.max_callers {
+            // Closes the connection that has been idle for longest. A call itself arrives within a moment.
+            let idle = open.iter().position(|caller| !caller.has_called.get());
+            if let Some(caller) = idle.and_then(|idle| open.remove(idle)) {
                 caller.task.abort();
             }
         }
-        let heard = Rc::new(Cell::new(false));
-        let task = tokio::task::spawn_local(hear(stream, console.clone(), heard.clone()));
-        open.push_back(Caller { task: task.abort_handle(), heard });
+        let has_called = Rc::new(Cell::new(false));
+        let task = tokio::task::spawn_local(handle_connection(stream, console.clone(), has_called.clone()));
+        open.push_back(Caller { task: task.abort_handle(), has_called });
     }
 }
 
-async fn hear(stream: TcpStream, console: Rc<Console>, heard: Rc<Cell<bool>>) {
+async fn handle_connection(stream: TcpStream, console: Rc<Console>, has_called: Rc<Cell<bool>>) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|call| {
-        heard.set(true);
+        has_called.set(true);
         let console = &console;
-        async move { Ok::<_, Infallible>(written(console.answer(call).await)) }
+        async move { Ok::<_, Infallible>(empty_response(console.answer(call).await)) }
     });
     let mut builder = http1::Builder::new();
-    builder.keep_alive(false).auto_date_header(false).max_buf_size(LARGEST_HEAD);
-    let _ = timeout(CALL_TIME, builder.serve_connection(TokioIo::new(stream), service)).await;
+    builder.keep_alive(false).auto_date_header(false).max_buf_size(MAX_HEAD_BYTES);
+    let _ = timeout(CALL_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
 }
 
-fn written(status: StatusCode) -> Response<Empty<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Empty<Bytes>> {
     let mut response = Response::new(Empty::new());
     *response.status_mut() = status;
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -97,31 +97,31 @@
     async fn answer(&self, call: Request<Incoming>) -> StatusCode {
         let (method, path) = (call.method(), call.uri().path());
         let node = path.strip_prefix("/-/backends/").and_then(|rest| rest.rsplit_once('/'));
-        let wanted = match (path, node) {
+        let expected = match (path, node) {
             ("/-/ready", _) => Method::GET,
             ("/-/drain" | "/-/resume", _) | (_, Some((_, "disable" | "enable"))) => Method::PUT,
             _ => return StatusCode::NOT_FOUND,
         };
-        if *method != wanted && !(wanted == Method::GET && *method == Method::HEAD) {
+        if *method != expected && !(expected == Method::GET && *method == Method::HEAD) {
             return StatusCode::METHOD_NOT_ALLOWED;
         }
         match (path, node) {
             ("/-/drain", _) => self.shared.update_state(ServingState::drain),
             ("/-/resume", _) => self.shared.update_state(|state, _| state.resume()),
-            (_, Some((node, call))) => return self.by_hand(node, call == "disable").await,
+            (_, Some((node, call))) => return self.set_manual_ejection(node, call == "disable").await,
             _ if self.shared.is_ready() => {}
             _ => return StatusCode::SERVICE_UNAVAILABLE,
         }
         StatusCode::OK
     }
 
-    async fn by_hand(&self, node: &str, ejected: bool) -> StatusCode {
+    async fn set_manual_ejection(&self, node: &str, ejected: bool) -> StatusCode {
         let Ok(node) = percent_decode_str(node).decode_utf8() else { return StatusCode::BAD_REQUEST };
-        let (reply, heeded) = oneshot::channel();
+        let (reply, applied) = oneshot::channel();
         if !self.pool.send(Message::SetManualEjection { node: node.to_string(), ejected, reply }) {
             return StatusCode::SERVICE_UNAVAILABLE;
         }
-        match timeout(HEED_TIME, heeded).await {
+        match timeout(DRIVER_TIMEOUT, applied).await {
             Ok(Ok(true)) => {}
             Ok(Ok(false)) => return StatusCode::NOT_FOUND,
             _ => return StatusCode::SERVICE_UNAVAILABLE,
@@ -129,7 +129,7 @@
         if let Some(Err(error)) =
             self.handover.as_ref().map(|handover| handover.set_manual_ejection(&node, ejected))
         {
-            // In force here; a successor will not know.
+            // The change is in force in this process, but a successor will not have it.
             eprintln!("console: {node}: {error}");
         }
         StatusCode::OK
--- a/crates/ingress/src/platform.rs
+++ b/crates/ingress/src/platform.rs
@@ -1,4 +1,4 @@
-//! One pool in the form that the platform expects: what [`config`] reads from `EDGE_CONFIG`.
+//! The ingress with a single pool, configured as the platform expects (see [`config`]).
 
 use crate::backend::ConnectionBudget;
 use crate::config::{self, Config, Names};
@@ -27,9 +27,9 @@
 use violetyoke_operations::ManualEjections;
 use violetyoke_settings::StableIndices;
 
-/// Serves until told to end; returns once everything taken has been answered.
+/// Serves until SIGTERM. Returns once all accepted requests have a response.
 pub async fn serve(config: Config) -> io::Result<()> {
-    // Before anything is ready: a signal that finds no handler ends the program.
+    // Installed first, because a signal without a handler terminates the process.
     let terminate = signal(SignalKind::terminate())?;
     let reload = signal(SignalKind::hangup())?;
     let clock = Clock::start();
@@ -40,11 +40,11 @@
         None => server::listen(config.listen)?,
     };
     let console = config.console.map(server::listen).transpose()?;
-    let own = format!("{:?} {}", config.console, clock.now());
-    let handover = config.passed.and_then(|_| HandoverFolder::open(&config.name, own)).map(Rc::new);
-    // Asked for only where something can be handed down.
+    let process_name = format!("{:?} {}", config.console, clock.now());
+    let handover = config.passed.and_then(|_| HandoverFolder::open(&config.name, process_name)).map(Rc::new);
+    // Computed only if state can be handed over.
     let fingerprint = Rc::new(Cell::new(handover.as_ref().map_or(0, |_| fingerprint(&config.written))));
-    let (older, imported_state) = match &handover {
+    let (old_process, imported_state) = match &handover {
         Some(handover) => request_predecessor_state(handover, &config.name, fingerprint.get(), clock).await,
         None => (None, None),
     };
@@ -58,7 +58,7 @@
     let counter = counter.map(|(address, _)| CounterLocation::Remote { address, namespace: None });
     let mut indices = StableIndices::default();
     let (settings, names) = assign_indices(&mut indices, config.settings, config.names);
-    let longest = Rc::new(Cell::new(longest(&settings)));
+    let max_deadline = Rc::new(Cell::new(max_deadline(&settings)));
     let rules = Rules::new(&settings, names.classes.clone(), names.plans.clone(), RequestFormat::Platform);
     let pool = Pool::standalone(rules, messages.clone());
     let setup = DriverSetup {
@@ -70,20 +70,20 @@
         counter,
         peers,
         ejections: ManualEjections::new(handover.iter().flat_map(|handover| handover.manual_ejections())),
-        predecessor_alive: older.is_some(),
+        predecessor_alive: old_process.is_some(),
         imported_state,
     };
-    // What was handed down need not be the list that the known version names.
-    let told = setup.initial_targets.complete
+    // An imported list need not be that of the known version.
+    let has_known_version = setup.initial_targets.complete
         && !setup.initial_targets.members.is_empty()
         && setup.imported_state.is_none();
-    let version = told.then_some(setup.initial_targets.revision);
+    let version = has_known_version.then_some(setup.initial_targets.revision);
     let gateways = setup.settings.gateways;
     let driver = Driver::new(setup, clock, messages.clone(), pool.clone());
     let driver = tokio::task::spawn_local(driver.run(inbox));
     let watch = Watch::new(version, gateways, config.seed);
     let watch = discovery::keep(watch, config.discovery, messages.clone());
-    let reloads = Reloads {
+    let reloader = Reloader {
         indices,
         written: config.written,
         counter: config.counter,
@@ -92,56 +92,57 @@
         watch: tokio::task::spawn_local(watch),
         pool: pool.clone(),
         messages: messages.clone(),
-        longest: longest.clone(),
+        max_deadline: max_deadline.clone(),
         fingerprint: fingerprint.clone(),
     };
-    tokio::task::spawn_local(reloads.run(reload));
-    let front = Router::new(Routing::SinglePool(pool.clone()));
+    tokio::task::spawn_local(reloader.run(reload));
+    let router = Router::new(Routing::SinglePool(pool.clone()));
     let shared =
-        Rc::new(server::ServerState::new(front, clock, ConnectionTable::standalone(config.sockets), None));
+        Rc::new(server::ServerState::new(router, clock, ConnectionTable::standalone(config.sockets), None));
     if let Some(listener) = console {
-        let (shared, handover, most) = (shared.clone(), handover.clone(), (config.sockets / 48).max(4));
-        tokio::task::spawn_local(console::serve(listener, Console { shared, pool, handover, most }));
+        let (shared, handover, max_callers) =
+            (shared.clone(), handover.clone(), (config.sockets / 48).max(4));
+        tokio::task::spawn_local(console::serve(listener, Console { shared, pool, handover, max_callers }));
     }
     if let Some(handover) = handover.clone() {
         shared.awaiting_takeover.set(true);
-        let lender = StateExporter::new(handover, config.name, fingerprint, clock, messages);
-        tokio::task::spawn_local(takeover::run(lender, shared.clone(), older));
+        let exporter = StateExporter::new(handover, config.name, fingerprint, clock, messages);
+        tokio::task::spawn_local(takeover::run(exporter, shared.clone(), old_process));
     }
-    let ended = handover.clone();
-    let taken_over = move || handover.as_ref().is_some_and(|handover| handover.is_taken_over());
-    let passed = config.passed.is_some();
-    // A task of its own: the runtime polls the outermost future with every wake, whatever that was for.
+    let ended_handover = handover.clone();
+    let is_taken_over = move || handover.as_ref().is_some_and(|handover| handover.is_taken_over());
+    let shares_socket = config.passed.is_some();
+    // A separate task, because the runtime polls the outermost future whenever any task is woken.
     let service = tokio::task::spawn_local(async move {
-        let passed = passed.then_some(&taken_over as &dyn Fn() -> bool);
-        server::serve(listener, passed, shared, terminate, || longest.get()).await
+        let successor_check = shares_socket.then_some(&is_taken_over as &dyn Fn() -> bool);
+        server::serve(listener, successor_check, shared, terminate, || max_deadline.get()).await
     });
-    let end = tokio::select! {
-        end = service => end.map_err(io::Error::other)?,
-        // Without the module nothing can be served: the platform had better start anew.
+    let result = tokio::select! {
+        result = service => result.map_err(io::Error::other)?,
+        // Without the decision module no request can be served, so the platform has to restart the process.
         _ = driver => Err(io::Error::other("the decision module has failed")),
     };
-    // What was shared with a successor is its own from now on. Without this word it finds out by itself.
-    if let Some(Err(error)) = ended.map(|ended| ended.announce_end()) {
+    // From now on the successor has the quotas for itself. Without the announcement it finds out by a time-out.
+    if let Some(Err(error)) = ended_handover.map(|handover| handover.announce_end()) {
         eprintln!("handover: {error}");
     }
-    end
+    result
 }
 
-/// The settings with stable indices of classes and plans, and the names by these indices.
+/// The settings with stable indices of classes and plans, and the names in the order of these indices.
 fn assign_indices(indices: &mut StableIndices, settings: Settings, names: Names) -> (Settings, Names) {
-    let indexed = indices.assign(settings, &names.classes, &names.plans);
-    (indexed.settings, Names { classes: indexed.class_names, plans: indexed.plan_names, ..names })
+    let assigned = indices.assign(settings, &names.classes, &names.plans);
+    (assigned.settings, Names { classes: assigned.class_names, plans: assigned.plan_names, ..names })
 }
 
-fn longest(settings: &Settings) -> Duration {
+fn max_deadline(settings: &Settings) -> Duration {
     Duration::from_micros(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
 }
 
-/// Takes up a replaced configuration, whole or not at all.
-struct Reloads {
+/// Applies reloaded configurations, each either completely or not at all.
+struct Reloader {
     indices: StableIndices,
-    /// The settings in force, as they were written.
+    /// The settings in force, as written in the file.
     written: serde_json::Value,
     counter: Option<SocketAddr>,
     discovery: SocketAddr,
@@ -149,37 +150,37 @@
     watch: JoinHandle<()>,
     pool: Rc<Pool>,
     messages: Messages,
-    /// The longest deadline of any class that requests may be open in.
-    longest: Rc<Cell<Duration>>,
+    /// The longest deadline of any class that open requests may have.
+    max_deadline: Rc<Cell<Duration>>,
     fingerprint: Rc<Cell<u64>>,
 }
 
-impl Reloads {
+impl Reloader {
     async fn run(mut self, mut signal: Signal) {
         while signal.recv().await.is_some() {
             match config::reload(&self.written) {
-                Ok(reloaded) => self.take(reloaded),
+                Ok(reloaded) => self.apply(reloaded),
                 Err(error) => eprintln!("SIGHUP: the configuration in force stays: {error}"),
             }
         }
     }
 
-    fn take(&mut self, new: config::Reloaded) {
+    fn apply(&mut self, new: config::Reloaded) {
         eprintln!("SIGHUP: discovery {}, counter {:?}", new.discovery, new.counter);
         let gateways = new.settings.gateways;
         if new.written != self.written {
             let (settings, names) = assign_indices(&mut self.indices, new.settings, new.names);
-            self.longest.set(longest(&settings));
+            self.max_deadline.set(max_deadline(&settings));
             let rules =
                 Rules::new(&settings, names.classes.clone(), names.plans.clone(), RequestFormat::Platform);
-            // The driver first: a request that names a new class must not reach it before it knows the class.
+            // The driver is updated first: it must know a new class before a request of that class arrives.
             let _ = self.messages.send(Message::Reconfigure(Box::new((settings, names))));
             self.pool.update(rules, u32::MAX);
             self.written = new.written;
             self.fingerprint.set(fingerprint(&self.written));
         }
         if new.discovery != self.discovery {
-            // Another discovery may count versions of its own: a new watch begins with the whole list.
+            // Another discovery may have other versions, so a new watch starts with the complete list.
             self.watch.abort();
             (self.discovery, self.seed) = (new.discovery, self.seed.wrapping_add(1));
             let watch = Watch::new(None, gateways, self.seed);
@@ -195,7 +196,7 @@
     }
 }
 
-/// What tells settings from other ones; the same in every build.
+/// A fingerprint of the settings, which is the same in every build.
 fn fingerprint(written: &serde_json::Value) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(written.to_string().as_bytes());
