--- a/crates/exchange/src/dispatch.rs
+++ b/crates/exchange/src/dispatch.rs
@@ -27,7 +27,7 @@
             Action::Send { request, backend, expires } => self.send_attempt(now, request, backend, expires),
             Action::Reject { request, retry_after, reason } => self.refuse(now, request, retry_after, reason),
             Action::Fail { request, reason } => {
-                self.finish(now, request, FinalResponse::Failed, Some(reason))
+                self.finish(now, request, FinalResponse::Failed, Some(reason));
             }
             Action::Admit { request } => {
                 self.report_outcome(now, request, Verdict::Admitted);
@@ -40,7 +40,7 @@
             Action::SetIdleTimeout { idle_timeout } => self.limit_idle(idle_timeout),
             Action::SendPeerMessage { to, data } => self.port.send_to_peers(now, to, data),
             Action::AddToCounter { counter_id, amount, ttl } => {
-                self.start_counter_call(now, counter_id, amount, ttl)
+                self.start_counter_call(now, counter_id, amount, ttl);
             }
             Action::Timer { at, token } => self.timers.set(at, Timer::Module(token)),
             Action::Log { text } => self.port.log(&format!("module: {text}")),
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -167,7 +167,7 @@
             }
             Message::PredecessorEnded => exchange.gateway_mut().set_overlapping(false),
             Message::ReclaimState(exported) => {
-                exchange.gateway_mut().reclaim_state(now, &exported.learned_state)
+                exchange.gateway_mut().reclaim_state(now, &exported.learned_state);
             }
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
