--- a/crates/ingress/src/handover_state/tests.rs
+++ b/crates/ingress/src/handover_state/tests.rs
@@ -1,5 +1,5 @@
-//! What a process of an ingress hands down to the next, sealed, as the builds before wrote it: Postcard goes by the
-//! position of fields. The golden file is never edited; another form is another version (see `violetyoke_succession`).
+//! The sealed state of an ingress process, as earlier builds wrote it. Postcard encodes fields by position. The
+//! golden files are never edited: another encoding is another version (see `violetyoke_succession`).
 
 #[path = "../../../transport/tests/golden/files.rs"]
 mod files;
@@ -11,20 +11,20 @@
 use violetyoke_decision::Gateway;
 use violetyoke_succession::{open, seal, Header};
 
-/// All names in the order in which they are written, with every figure as 0 or 0.0.
-fn form(state: &HandoverState) -> String {
+/// All names of fields in the order of their encoding, with every number replaced by 0 or 0.0.
+fn names_in_order(state: &HandoverState) -> String {
     let text = serde_json::to_string(state).unwrap();
-    let mut form = String::new();
-    for letter in text.chars() {
-        let letter = if letter.is_ascii_digit() { '0' } else { letter };
-        if letter != '0' || !form.ends_with('0') {
-            form.push(letter);
+    let mut names = String::new();
+    for character in text.chars() {
+        let character = if character.is_ascii_digit() { '0' } else { character };
+        if character != '0' || !names.ends_with('0') {
+            names.push(character);
         }
     }
-    form
+    names
 }
 
-/// With one node, one customer, and a value in each field.
+/// A state with one node, one customer, and a value in each field.
 fn sample() -> HandoverState {
     let class = Class {
         latency_target: 500_000,
@@ -73,10 +73,11 @@
     }
 }
 
-/// Postcard tells no field from the next: a process of another build must not read one for the other.
+/// Guards against fields that change without a new version: Postcard does not identify fields, so a process of
+/// another build would decode one as another.
 #[test]
-fn a_form_that_changes_is_another_version() {
-    let of_version_3 = concat!(
+fn changed_fields_require_a_new_version() {
+    let version_3 = concat!(
         r#"{"nodes":[{"id":"a","host_port":"0.0.0.0:0","locality":"","flavor":"","cell":0,"#,
         r#""phase":"in_service","size":0.0,"up_since_ms":0}],"numbers":{"0":"n"},"classes":[],"#,
         r#""plans":[],"back":{"a":[0,0]},"belief":{"at":0,"fleet":{"backends":{"0":{"out":0,"slow":0.0,"#,
@@ -92,7 +93,7 @@
         r#""spare_at":0,"heard":0.0,"untold":0.0,"out":0,"open":0,"seen":0}}}}"#,
     );
     assert_eq!(violetyoke_succession::VERSION, 3);
-    assert_eq!(form(&sample()), of_version_3);
+    assert_eq!(names_in_order(&sample()), version_3);
 }
 
 fn header() -> Header {
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn the_inheritance_of_an_earlier_build_is_read_and_written_alike() {
+fn state_of_an_earlier_build_is_decoded_and_encoded_identically() {
     let folder = GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin");
     let golden = folder.read("inheritance", || seal(&header(), &sample()).expect("sealed"));
 
@@ -109,13 +110,13 @@
     assert_eq!(seal(&header(), &state).expect("sealed"), golden);
     assert_eq!(state.learned_state.entry_counts(), (1, 1), "one node and one customer");
     assert_eq!(state.restored_nodes["a"], (1, 2));
-    let list = state.take_target_list().expect("a list");
+    let list = state.take_target_list().expect("the state has a list");
     assert_eq!((list.members.len(), list.members[0].id.as_str()), (1, "a"));
 }
 
-/// Postcard encodes an enum's variant by its place.
+/// Guards against a changed order of phases: Postcard encodes a variant of an enum by its position.
 #[test]
-fn the_phases_of_nodes_of_an_earlier_build_are_read_and_written_alike() {
+fn phases_of_nodes_of_an_earlier_build_are_decoded_and_encoded_identically() {
     let phases = ["in_service", "terminating", "terminated"];
     let node = |phase| format!(r#"{{"id": "{phase}", "host_port": "127.0.0.1:1", "phase": "{phase}"}}"#);
     let nodes = phases.map(|phase| serde_json::from_str(&node(phase)).expect("a node"));
@@ -127,7 +128,7 @@
 
     assert_eq!(seal(&header(), &state).expect("sealed"), golden);
     assert_eq!(seal(&header(), &current).expect("sealed"), golden);
-    let members = state.take_target_list().expect("a list").members;
+    let members = state.take_target_list().expect("the state has a list").members;
     let read = members.iter().map(|node| (node.id.as_str(), node.phase));
     let expected = phases.into_iter().zip([Phase::InService, Phase::Terminating, Phase::Terminated]);
     assert!(read.eq(expected));
