--- a/crates/account/src/report.rs
+++ b/crates/account/src/report.rs
@@ -1,4 +1,4 @@
-//! The report made of the decision logs of all ingresses: which value was lost, by which rule, where and when.
+//! The loss report over the decision logs of all ingresses: the lost value by cause, node and time.
 
 use crate::interval::{Interval, LossSum};
 use crate::record::Record;
@@ -8,14 +8,16 @@
 
 pub use crate::interval::LossCause;
 
-/// Sums of records by intervals of time. Its [`Display`](fmt::Display) is the report as text.
+/// Sums over records by interval of time. [`Display`](fmt::Display) writes the report as text.
 pub struct LossReport {
-    /// Length of an interval, in microseconds.
-    interval: u64,
-    /// By the number of the interval since the beginning of Unix time.
+    /// Length of an interval (µs).
+    interval_us: u64,
+    /// Intervals by their number, counted from the start of Unix time.
     intervals: BTreeMap<u64, Interval>,
-    first: u64,
+    /// Time of the earliest record (µs of Unix time).
+    first_timestamp: u64,
     processes: BTreeSet<u32>,
+    /// Records that could not be decoded.
     unreadable: u32,
 }
 
@@ -26,35 +28,35 @@
     pub offered: f64,
     /// Value of the requests that were answered within their latency target.
     pub in_time: f64,
-    /// What was lost, the largest value first.
+    /// Losses by cause, the largest value first.
     pub losses: Vec<Loss>,
 }
 
-/// What was lost by one cause.
+/// The loss from one cause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Loss {
     /// The cause.
     pub cause: LossCause,
-    /// Number of requests.
+    /// Number of requests lost.
     pub requests: u32,
-    /// Their value.
-    pub worth: f64,
+    /// Value of these requests.
+    pub value: f64,
 }
 
 impl LossReport {
-    /// An empty report by intervals of this length, of 1 µs at least.
+    /// Creates an empty report with intervals of this length, at least 1 µs.
     pub fn new(interval: Duration) -> LossReport {
-        let interval = u64::try_from(interval.as_micros()).unwrap_or(u64::MAX).max(1);
+        let interval_us = u64::try_from(interval.as_micros()).unwrap_or(u64::MAX).max(1);
         LossReport {
-            interval,
+            interval_us,
             intervals: BTreeMap::new(),
-            first: u64::MAX,
+            first_timestamp: u64::MAX,
             processes: BTreeSet::new(),
             unreadable: 0,
         }
     }
 
-    /// Adds each record of a log; returns their number, with those that could not be read.
+    /// Adds all records of a log. Returns their number, which includes records that could not be decoded.
     pub fn add_log(&mut self, log: &str) -> usize {
         let mut records = 0;
         for record in log.lines().filter_map(Record::parse_log_line) {
@@ -69,14 +71,14 @@
 
     /// Adds one record.
     pub fn add(&mut self, record: Record) {
-        self.first = self.first.min(record.at());
+        self.first_timestamp = self.first_timestamp.min(record.timestamp());
         if let Record::Final { process, .. } = &record {
             self.processes.insert(*process);
         }
-        self.intervals.entry(record.at() / self.interval).or_default().add(record);
+        self.intervals.entry(record.timestamp() / self.interval_us).or_default().add(record);
     }
 
-    /// Records that could not be read: a log may be cut off in the middle of one.
+    /// Number of records that could not be decoded: a log may be truncated in the middle of a record.
     pub fn unreadable(&self) -> u32 {
         self.unreadable
     }
@@ -88,16 +90,16 @@
         for interval in self.intervals.values() {
             (offered, in_time) = (offered + interval.offered, in_time + interval.in_time);
             for (cause, sum) in &interval.losses {
-                losses.entry(cause).or_default().add(sum.requests, sum.worth);
+                losses.entry(cause).or_default().add(sum.requests, sum.value);
             }
         }
         let loss = |(cause, sum): (&LossCause, LossSum)| Loss {
             cause: cause.clone(),
             requests: sum.requests,
-            worth: sum.worth,
+            value: sum.value,
         };
         let mut losses: Vec<Loss> = losses.into_iter().map(loss).collect();
-        losses.sort_by(|a, b| b.worth.total_cmp(&a.worth));
+        losses.sort_by(|a, b| b.value.total_cmp(&a.value));
         Totals { offered, in_time, losses }
     }
 }
@@ -105,15 +107,15 @@
 impl fmt::Display for LossReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Totals { offered, in_time, losses } = self.totals();
-        let percent = |worth: f64| if offered > 0.0 { worth / offered * 100.0 } else { 0.0 };
+        let percent = |value: f64| if offered > 0.0 { value / offered * 100.0 } else { 0.0 };
         writeln!(f, "processes={} unread={}", self.processes.len(), self.unreadable)?;
         writeln!(f, "worth asked for {offered:.0}, in time {:.1}%; lost:", percent(in_time))?;
-        for Loss { cause: LossCause { end, why, class }, requests, worth } in &losses {
-            writeln!(f, "  {:5.1}%  {requests:6} times  {end:8} {why:10} {class}", percent(*worth))?;
+        for Loss { cause: LossCause { outcome, reason, class }, requests, value } in &losses {
+            writeln!(f, "  {:5.1}%  {requests:6} times  {outcome:8} {reason:10} {class}", percent(*value))?;
         }
         for (number, interval) in &self.intervals {
-            let from = (number * self.interval).saturating_sub(self.first) as f64 / 1e6;
-            write!(f, "from {from:.1} s: {interval}")?;
+            let start_s = (number * self.interval_us).saturating_sub(self.first_timestamp) as f64 / 1e6;
+            write!(f, "from {start_s:.1} s: {interval}")?;
         }
         Ok(())
     }
--- a/crates/ingress/src/account.rs
+++ b/crates/ingress/src/account.rs
@@ -2,7 +2,7 @@
 
 use crate::ClientRequest;
 use std::collections::HashMap;
-use violetyoke_account::{Belief, NodeState, Record};
+use violetyoke_account::{NodeHealth, NodeState, Record};
 use violetyoke_decision::interface::{AttemptEnd, Micros, Outcome, RejectionReason, RequestId, Settings};
 use violetyoke_decision::view::{BackendView, FleetView};
 
@@ -14,7 +14,7 @@
     class: u16,
     plan: u16,
     units: f64,
-    arrived: Micros,
+    arrived_at: Micros,
 }
 
 pub struct Account {
@@ -50,8 +50,8 @@
     }
 
     pub fn begun(&mut self, request: &ClientRequest) {
-        let ClientRequest { id, class, plan, units, arrived, .. } = *request;
-        self.begun.insert(id, Begun { class, plan, units, arrived });
+        let ClientRequest { id, class, plan, units, arrived_at, .. } = *request;
+        self.begun.insert(id, Begun { class, plan, units, arrived_at });
     }
 
     pub fn over(
@@ -66,22 +66,22 @@
         let (class, value, aim) = self.classes.get(usize::from(begun.class)).cloned().unwrap_or_default();
         let (plan, price) = self.plans.get(usize::from(begun.plan)).cloned().unwrap_or_default();
         write(&Record::Final {
-            at,
+            timestamp: at,
             process: self.process,
             class,
             plan,
-            worth: value * price * begun.units,
-            end: end.into(),
-            why: why.map(|why| format!("{why:?}")).unwrap_or_default(),
-            age: at.saturating_sub(begun.arrived),
-            aim,
+            value: value * price * begun.units,
+            outcome: end.into(),
+            reason: why.map(|why| format!("{why:?}")).unwrap_or_default(),
+            latency: at.saturating_sub(begun.arrived_at),
+            latency_target: aim,
             attempts,
         });
     }
 
     pub fn attempt(&self, at: Micros, node: &str, end: &AttemptEnd) {
         let (node, outcome, waited) = (node.into(), format!("{:?}", end.outcome), end.elapsed);
-        write(&Record::Attempt { at, process: self.process, node, outcome, waited });
+        write(&Record::Attempt { timestamp: at, process: self.process, node, outcome, duration: waited });
     }
 
     pub fn call(&mut self, outcome: Outcome) {
@@ -92,16 +92,16 @@
 
     pub fn state(&mut self, at: Micros, view: FleetView, name: impl Fn(u32) -> String) {
         let node = |backend: &BackendView| NodeState {
-            node: name(backend.id),
-            belief: match backend {
-                BackendView { unavailable: true, .. } => Belief::Away,
-                BackendView { ejected: true, .. } => Belief::LeftOut,
-                BackendView { warming_up: true, .. } => Belief::Cold,
-                _ => Belief::Ready,
+            name: name(backend.id),
+            health: match backend {
+                BackendView { unavailable: true, .. } => NodeHealth::Away,
+                BackendView { ejected: true, .. } => NodeHealth::LeftOut,
+                BackendView { warming_up: true, .. } => NodeHealth::Cold,
+                _ => NodeHealth::Ready,
             },
-            slow: backend.relative_latency,
-            fails: backend.failure_rate,
-            out: backend.in_flight,
+            relative_latency: backend.relative_latency,
+            failure_rate: backend.failure_rate,
+            in_flight: backend.in_flight,
         };
         let FleetView {
             concurrency_limit: room,
@@ -112,7 +112,17 @@
             backends,
         } = view;
         let (nodes, calls) = (backends.iter().map(node).collect(), std::mem::take(&mut self.calls));
-        write(&Record::State { at, process: self.process, room, out, pace, spacing, bad, calls, nodes });
+        write(&Record::State {
+            timestamp: at,
+            process: self.process,
+            concurrency_limit: room,
+            in_flight: out,
+            relative_latency: pace,
+            counter_interval: spacing,
+            counter_errors: bad,
+            counter_calls: calls,
+            nodes,
+        });
     }
 }
 
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,7 +1,9 @@
-//! The real ingress: sockets round the decision module. Nothing is decided here; a driver for each pool
-//! carries out its module's actions and the other files turn one kind of socket each into its events.
+//! The ingress: networking around the decision module. Nothing is decided here. The driver of each pool carries
+//! out the actions of the pool's decision module, and each of the other modules turns one kind of socket into
+//! events.
 //!
-//! [`platform`] is one pool in the form that the platform expects, [`service`] several of them in one process.
+//! [`platform`] runs a single pool in the form that the platform expects, [`service`] runs several pools in one
+//! process.
 
 #![allow(
     clippy::allow_attributes_without_reason,
@@ -19,8 +21,9 @@
 
 mod account;
 mod backend;
-mod clients;
+mod class_plan_indices;
 pub mod config;
+mod connections;
 mod console;
 mod consult;
 mod counter;
@@ -28,31 +31,30 @@
 mod driver;
 mod duties;
 mod embedded;
-mod fields;
+mod exchange_port;
 mod follow;
 mod framing;
-mod front;
-mod gate;
 mod guest;
 mod handover;
-mod long;
 mod nodes;
 mod passed;
 mod peers;
 pub mod platform;
 mod pool;
-mod port;
+mod precheck;
 mod prepared;
 mod questions;
+mod quota_headers;
 mod request;
 mod roaming;
+mod router;
 mod running;
 mod server;
 pub mod service;
 mod sets;
-mod slots;
 mod socket;
 mod starting;
+mod streaming;
 mod succession;
 mod takeover;
 mod tasks;
@@ -64,21 +66,22 @@
 use embedded::Link;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
-use long::{Rest, Sending};
-use pool::Held;
+use pool::BytesReservation;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use streaming::{RequestBody, ResponseRemainder};
 use tokio::sync::{mpsc, oneshot};
 use violetyoke_decision::interface::{CustomerId, Event, Micros, Outcome, Report, RequestId, Settings};
 use violetyoke_decision::view::QuotaState;
 use violetyoke_shares::Member;
 
-/// The largest body that is held whole.
-const LARGEST_BODY: usize = 64 * 1024;
+/// Bytes of the largest body that is buffered; larger ones are streamed or rejected.
+const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
-/// Microseconds of Unix time, read once and carried on by the monotonic clock. Window starts are part of
-/// the counter's names, so all ingresses must number windows alike: the origin has to be one they share.
+/// Microseconds of Unix time: the system clock is read once, at the start, and advanced by the monotonic clock.
+/// Counter names contain the start of their window, so all ingresses need the same window boundaries and hence the
+/// same origin.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -100,59 +103,62 @@
     }
 }
 
-/// A client's request, checked and with its body whole.
+/// A validated client request, or a rate limit query, on its way to the driver.
 pub(crate) struct ClientRequest {
     pub id: RequestId,
-    pub arrived: Micros,
-    pub budget: Micros,
+    pub arrived_at: Micros,
+    /// Time after `arrived_at` within which the client expects its response.
+    pub timeout: Micros,
     pub class: u16,
     pub plan: u16,
     pub customer: CustomerId,
     pub units: f64,
-    pub spread: f64,
-    pub first: f64,
-    pub repeat: bool,
-    /// None: it only asks.
-    pub forward: Option<Rc<Forward>>,
-    /// The number of its try's claim, if it is for this request to tell the outcome.
+    /// Number of ingresses among which the customer's requests are spread, and the index of the first one.
+    pub gateway_count: f64,
+    pub first_gateway: f64,
+    pub is_retry: bool,
+    /// The request to forward; `None` for a rate limit query, which only asks for admission.
+    pub forward: Option<Rc<ForwardedRequest>>,
+    /// The id of its attempt's claim, if this request has to record the outcome.
     pub claim: Option<u64>,
-    /// The tenant that is charged for what the driver does with it.
-    pub charged: Option<Member>,
+    /// The tenant that is charged for the driver's work on this request.
+    pub charged_member: Option<Member>,
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What goes on to a backend unchanged.
-pub(crate) struct Forward {
+/// The parts of a request that are forwarded to a backend unchanged.
+pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub wire_id: HeaderValue,
-    pub body: Sending,
-    /// Its body's part of the pool's bytes.
-    pub _held: Option<Held>,
+    pub body: RequestBody,
+    /// The memory reserved for the body.
+    pub _reservation: Option<BytesReservation>,
 }
 
-/// The one final answer to a client, and its quota where the pool tells of that.
+/// The final response to a client, with the state of its quota if the pool reports it.
 pub(crate) struct Reply {
-    pub answer: Answer,
-    pub standing: Option<QuotaState>,
+    pub answer: ClientAnswer,
+    pub quota: Option<QuotaState>,
 }
 
-pub(crate) enum Answer {
-    Served(Bytes),
-    /// Its first bytes, and the rest as it comes.
-    Long(Bytes, Rest),
-    /// Trying again is harmless, after that long (0: nothing is said of it).
-    Refused {
-        retry_after: Micros,
-    },
+pub(crate) enum ClientAnswer {
+    /// A backend's complete body.
+    Complete(Bytes),
+    /// A streamed body: its first bytes, and the rest as it arrives.
+    Streaming(Bytes, ResponseRemainder),
+    /// The request was not executed, so a retry is safe; `retry_after` is 0 if no time is known.
+    Refused { retry_after: Micros },
+    /// The request failed and may have been executed.
     Failed,
-    /// It may proceed: one that only asked.
+    /// A rate limit query was admitted.
     Admitted,
 }
 
-/// What the sockets report to the driver.
+/// Messages to a pool's driver, which handles them in order.
 pub(crate) enum Message {
     Request(ClientRequest),
+    /// The client has disconnected.
     Abandoned(RequestId),
     AttemptEnded {
         request: RequestId,
@@ -160,53 +166,54 @@
         outcome: Outcome,
         report: Report,
         body: Bytes,
-        carried: Option<Event>,
+        connection_event: Option<Event>,
     },
-    /// A long answer has begun; it is the client's from here on.
-    Begun {
+    /// A streamed response has begun; from here on it goes directly to the client.
+    StreamingStarted {
         request: RequestId,
         attempt: u8,
         report: Report,
         first: Bytes,
-        rest: Rest,
+        rest: ResponseRemainder,
     },
-    Counted {
+    CounterCallEnded {
         call: u64,
         outcome: Outcome,
         total: f64,
     },
+    /// A list of backends from discovery or the configuration.
     Targets(TargetList),
-    /// The counter is there from now on.
-    CounterMoved(Link),
-    Peer {
+    /// The shared counter has a new address.
+    CounterReplaced(Link),
+    PeerMessage {
         from: u32,
         data: Vec<u8>,
     },
-    /// Classes and plans have changed, at the numbers they had.
+    /// The settings have changed; classes and plans keep their indices.
     Reconfigure(Box<(Settings, config::Names)>),
-    /// One that was let in and sent nowhere is taken back.
+    /// An admitted rate limit query is undone; its units are given back.
     Withdrawn(RequestId),
-    /// To be added to a try's claim; who asks gets the total, or none if it is not to be had in time.
-    Claim {
+    /// Adds to an attempt's claim. The reply is the total, or `None` if it does not arrive in time.
+    AddToClaim {
         claim: u64,
         amount: f64,
         reply: Option<oneshot::Sender<Option<f64>>>,
     },
-    /// Takes a node out by hand or puts it back; who asks learns whether there is such a node.
-    Hand {
+    /// Ejects or restores a backend for an operator. The reply tells whether there is such a backend.
+    SetManualEjection {
         node: String,
-        out: bool,
+        ejected: bool,
         reply: oneshot::Sender<bool>,
     },
-    /// The nodes that are out by hand, as another process of this ingress has left them.
-    Out(BTreeMap<String, Micros>),
-    /// All that is known, for a process that takes this one's place.
-    HandDown(oneshot::Sender<Box<succession::Inheritance>>),
-    /// The process whose place this one has taken is no more.
-    Alone,
-    /// What was handed down: nobody came for it.
-    TakeBack(Box<succession::Inheritance>),
-    /// No new requests come: end when all that are open are over.
+    /// The manually ejected backends, as stored by another process of this ingress.
+    ManualEjections(BTreeMap<String, Micros>),
+    /// Exports the learned state for a process that takes over from this one.
+    ExportState(oneshot::Sender<Box<succession::Inheritance>>),
+    /// The process that this one takes over from has ended.
+    PredecessorEnded,
+    /// Reclaims exported state that no process has taken over.
+    ReclaimState(Box<succession::Inheritance>),
+    /// The pool has been removed: the driver ends once no request is open.
     Retire,
 }
 
--- a/crates/ingress/src/tasks.rs
+++ b/crates/ingress/src/tasks.rs
@@ -1,5 +1,6 @@
-//! Tasks, in the set whose turn it is: a task started by a pool's task is the pool's too. Where there are no sets
-//! (the platform's form), tasks are tokio's own.
+//! Task spawning on a single thread. A task started by a pool's task belongs to the pool's task set too, so
+//! that the fair scheduler counts its work for that pool. Where there are no task sets (the platform's
+//! program), tasks are tokio's own.
 
 use crate::sets::Woken;
 use async_task::{Runnable, Task};
@@ -13,32 +14,32 @@
 use violetyoke_shares::Member;
 
 thread_local! {
-    static CURRENT: RefCell<Option<Rc<Set>>> = const { RefCell::new(None) };
+    static CURRENT: RefCell<Option<Rc<TaskSet>>> = const { RefCell::new(None) };
 }
 
-/// The tasks of one of those who take turns.
-pub struct Set {
+/// The tasks of one member of the fair scheduler, such as a pool or a tenant.
+pub struct TaskSet {
     member: Member,
     queue: Arc<Queue>,
 }
 
-/// Tasks that have something to do, in the order in which they were woken.
+/// Tasks that are ready to be polled, in the order in which they were woken.
 #[derive(Default)]
 struct Queue {
     runnable: Mutex<VecDeque<Runnable>>,
 }
 
-impl Set {
-    pub fn new(member: Member) -> Rc<Set> {
-        Rc::new(Set { member, queue: Arc::default() })
+impl TaskSet {
+    pub fn new(member: Member) -> Rc<TaskSet> {
+        Rc::new(TaskSet { member, queue: Arc::default() })
     }
 
     pub fn member(&self) -> Member {
         self.member
     }
 
-    /// Starts a task in this set; `woken` is told when it has something to do.
-    pub fn spawn(&self, woken: &Arc<Woken>, future: impl Future<Output = ()> + 'static) -> Handle {
+    /// Starts a task in this set; `woken` is notified whenever the task becomes ready.
+    pub fn spawn(&self, woken: &Arc<Woken>, future: impl Future<Output = ()> + 'static) -> TaskHandle {
         let (queue, woken, member) = (self.queue.clone(), woken.clone(), self.member);
         let schedule = move |runnable| {
             queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).push_back(runnable);
@@ -46,44 +47,44 @@
         };
         let (runnable, task) = async_task::spawn_local(future, schedule);
         runnable.schedule();
-        Handle(Inner::Set(RefCell::new(Some(task))))
+        TaskHandle(Inner::TaskSet(RefCell::new(Some(task))))
     }
 
-    /// Polls the task that has waited the longest; tells whether more are waiting.
-    pub fn run_one(self: &Rc<Set>) -> bool {
+    /// Polls the task that has been ready the longest, and returns whether more are ready.
+    pub fn run_one(self: &Rc<TaskSet>) -> bool {
         let next = self.queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
         if let Some(next) = next {
-            let outer = CURRENT.replace(Some(self.clone()));
+            let previous = CURRENT.replace(Some(self.clone()));
             next.run();
-            CURRENT.set(outer);
+            CURRENT.set(previous);
         }
         !self.queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).is_empty()
     }
 }
 
-/// Starts a task where the one that calls this is.
-pub fn spawn(future: impl Future<Output = ()> + 'static) -> Handle {
+/// Starts a task in the set of the task that calls this, or on tokio if there is none.
+pub fn spawn(future: impl Future<Output = ()> + 'static) -> TaskHandle {
     let Some(woken) = crate::sets::woken() else {
-        return Handle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle()));
+        return TaskHandle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle()));
     };
     match CURRENT.with_borrow(Clone::clone) {
         Some(set) => set.spawn(&woken, future),
-        None => Handle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle())),
+        None => TaskHandle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle())),
     }
 }
 
-/// Starts a task in a set, wherever the one that calls this is.
-pub fn spawn_in(set: &Set, future: impl Future<Output = ()> + 'static) {
+/// Starts a task in the given set, whichever set the caller runs in.
+pub fn spawn_in(set: &TaskSet, future: impl Future<Output = ()> + 'static) {
     if let Some(woken) = crate::sets::woken() {
         drop(set.spawn(&woken, future));
     }
 }
 
-/// Runs what hyper's connections start where they are.
+/// A hyper executor that spawns with [`spawn`], so that a connection's tasks run in its own set.
 #[derive(Clone, Copy)]
-pub struct Local;
+pub struct LocalExecutor;
 
-impl<F: Future + 'static> Executor<F> for Local {
+impl<F: Future + 'static> Executor<F> for LocalExecutor {
     fn execute(&self, future: F) {
         spawn(async move {
             let _ = future.await;
@@ -91,27 +92,27 @@
     }
 }
 
-/// A way to end a task. Dropped, it lets the task go on.
-pub struct Handle(Inner);
+/// A handle that can abort a task. Dropping it detaches the task, which goes on.
+pub struct TaskHandle(Inner);
 
 enum Inner {
     Tokio(AbortHandle),
-    Set(RefCell<Option<Task<()>>>),
+    TaskSet(RefCell<Option<Task<()>>>),
 }
 
-impl Handle {
-    /// The task is dropped in its set's next turn.
+impl TaskHandle {
+    /// Aborts the task; in a task set it is dropped in the set's next turn.
     pub fn abort(&self) {
         match &self.0 {
             Inner::Tokio(task) => task.abort(),
-            Inner::Set(task) => drop(task.take()),
+            Inner::TaskSet(task) => drop(task.take()),
         }
     }
 }
 
-impl Drop for Handle {
+impl Drop for TaskHandle {
     fn drop(&mut self) {
-        if let Inner::Set(task) = &self.0 {
+        if let Inner::TaskSet(task) = &self.0 {
             if let Some(task) = task.take() {
                 task.detach();
             }
--- a/crates/routes/src/path.rs
+++ b/crates/routes/src/path.rs
@@ -1,10 +1,10 @@
-//! Paths of routes: templates of complete paths, and prefixes.
+//! Path patterns of routes: templates of complete paths, and prefixes.
 
 use crate::target;
 use std::fmt;
 use std::str::FromStr;
 
-/// Why a text is no path pattern.
+/// Why a text is not a valid path pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("path {text:?} {reason}")]
 pub struct PathError {
@@ -12,9 +12,9 @@
     reason: &'static str,
 }
 
-/// Which paths a route is for.
+/// The paths that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Path {
+pub struct PathPattern {
     pub(crate) segments: Vec<Segment>,
     /// Whether further segments may follow.
     pub(crate) is_prefix: bool,
@@ -23,26 +23,27 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Segment {
     Literal(String),
-    /// Any one segment; its name says only what it is for.
+    /// Any single segment. The name is for readers only; it has no effect on matching.
     Parameter(String),
 }
 
-/// How specific a path is, segment by segment from the left: greater wins. Of two different paths that match
-/// one and the same request, one is always greater.
+/// How specific a path pattern is, with one number for each segment from the left; the greater rank wins. Two patterns that
+/// match the same request and differ in more than parameter names never have the same rank.
 pub(crate) type Rank = Vec<u8>;
 
-/// Reads `/hotels/{hotel}/rooms`, or a prefix that ends with `/*`: `/hotels/*` is `/hotels` and everything below.
-impl FromStr for Path {
+/// Parses a complete path such as `/hotels/{hotel}/rooms`, or a prefix that ends with `/*`: `/hotels/*` matches `/hotels`
+/// and all paths below it.
+impl FromStr for PathPattern {
     type Err = PathError;
 
-    fn from_str(text: &str) -> Result<Path, PathError> {
+    fn from_str(text: &str) -> Result<PathPattern, PathError> {
         parse(text).map_err(|reason| PathError { text: text.to_string(), reason })
     }
 }
 
 const MISPLACED_WILDCARD: &str = "has a * that is not its last segment";
 
-fn parse(text: &str) -> Result<Path, &'static str> {
+fn parse(text: &str) -> Result<PathPattern, &'static str> {
     let rest = text.strip_prefix('/').ok_or("does not begin with /")?;
     let (rest, is_prefix) = match rest.strip_suffix('*') {
         Some("") => ("", true),
@@ -50,17 +51,17 @@
         None => (rest, false),
     };
     if rest.is_empty() {
-        return Ok(Path { segments: Vec::new(), is_prefix });
+        return Ok(PathPattern { segments: Vec::new(), is_prefix });
     }
     let segments = rest.split('/').map(parse_segment).collect::<Result<Vec<_>, _>>()?;
-    let path = Path { segments, is_prefix };
-    // Anything else could never match: requests come in normal form.
+    let path = PathPattern { segments, is_prefix };
+    // A pattern that is not in normal form could never match, as requests are normalised before the lookup.
     let sample = path.segments.iter().map(|segment| match segment {
         Segment::Literal(text) => format!("/{text}"),
         Segment::Parameter(_) => "/x".to_string(),
     });
     let sample: String = sample.collect();
-    if target::path(&sample).is_ok_and(|normal| normal == sample) {
+    if target::normalize_path(&sample).is_ok_and(|normal| normal == sample) {
         Ok(path)
     } else {
         Err("is not in normal form")
@@ -73,8 +74,8 @@
     }
     match text.strip_prefix('{').and_then(|text| text.strip_suffix('}')) {
         Some(name) => {
-            let is_plain = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_');
-            if name.is_empty() || !is_plain {
+            let is_identifier = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_');
+            if name.is_empty() || !is_identifier {
                 return Err("has a parameter without a plain name");
             }
             Ok(Segment::Parameter(name.to_string()))
@@ -84,7 +85,7 @@
     }
 }
 
-impl Path {
+impl PathPattern {
     pub(crate) fn rank(&self) -> Rank {
         let mut rank: Rank = self
             .segments
@@ -94,14 +95,14 @@
                 Segment::Parameter(_) => 2,
             })
             .collect();
-        // The end of a complete path ranks above that of a prefix, which ranks below any segment.
+        // The end of a complete path ranks above the end of a prefix; both rank below any segment.
         rank.push(u8::from(!self.is_prefix));
         rank
     }
 
-    /// In the matcher's syntax, with parameters named by their positions: routes that differ only in the name of a
-    /// parameter are the same route. A prefix is several patterns.
-    pub(crate) fn patterns(&self) -> Vec<String> {
+    /// The patterns in the syntax of `matchit`; a prefix needs several. Parameters are named by their positions, so that
+    /// routes that differ only in parameter names are found to conflict.
+    pub(crate) fn matcher_patterns(&self) -> Vec<String> {
         let mut base = String::new();
         for (position, segment) in self.segments.iter().enumerate() {
             base.push('/');
@@ -113,18 +114,18 @@
         if !self.is_prefix {
             return vec![if base.is_empty() { "/".to_string() } else { base }];
         }
-        let rest = format!("{base}/{{*rest}}");
-        // A path in normal form may end in one slash, which a prefix matches with nothing behind it.
-        let slash = format!("{base}/");
+        let subpaths = format!("{base}/{{*rest}}");
+        // `{*rest}` does not match an empty rest, but a path in normal form may end with a slash.
+        let with_slash = format!("{base}/");
         if base.is_empty() {
-            vec![slash, rest]
+            vec![with_slash, subpaths]
         } else {
-            vec![base, slash, rest]
+            vec![base, with_slash, subpaths]
         }
     }
 }
 
-impl fmt::Display for Path {
+impl fmt::Display for PathPattern {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for segment in &self.segments {
             match segment {
