--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,7 +1,7 @@
-//! The words the decision module speaks: what a gateway is told at its start ([`Settings`]), what
-//! happens to it ([`Event`], [`Outcome`]) and what it asks for ([`Action`]). No decision is taken here.
+//! The interface of the decision module: the settings of a gateway ([`Settings`]), the events that it handles
+//! ([`Event`], [`Outcome`]) and the actions that it returns ([`Action`]). No decision is taken here.
 //!
-//! Times are microseconds of one clock that only advances; it begins at an arbitrary value.
+//! Times are microseconds of one monotonic clock with an arbitrary origin.
 //!
 //! ```
 //! use violetyoke_decision::interface::{Action, Class, DedupScope, Event, Idempotency, Plan, Request, Settings};
@@ -22,85 +22,95 @@
 //! let mut actions = Vec::new();
 //! gateway.handle(1_000_000, Event::Request(request), &mut actions);
 //! gateway.handle(2_000_000, Event::Timer { token: 0 }, &mut actions);
-//! // No backend was ever listed, so the request ends refused, which is safe: it never ran.
+//! // No backend was ever listed, so the request is rejected, which is safe: it was not executed.
 //! assert!(actions.iter().any(|action| matches!(action, Action::Reject { request: 1, .. })));
 //! ```
 
 /// A time or a span in microseconds.
 pub type Micros = u64;
-/// A client try; never used twice.
+/// A request as a client sends it; a retry by the client has another id. Ids are not reused.
 pub type RequestId = u32;
-/// A machine that serves requests. The same at every gateway, and kept over restarts of its process.
+/// A host that serves requests. Its id is the same at every gateway, and stays when its process restarts.
 pub type BackendId = u32;
-/// An account whose use is held to its plan's quota.
+/// An account whose usage is limited by its plan's quota.
 pub type CustomerId = u64;
 
-/// What a gateway knows from its start on.
+/// Settings of a gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Number of gateways that share the work.
+    /// Number of gateways that share the load.
     pub gateways: u16,
-    /// This gateway's number among them, from 0.
+    /// Index of this gateway among them, from 0.
     pub index: u16,
-    /// The zone this gateway stands in.
+    /// Zone of this gateway.
     pub zone: u16,
-    /// Shortest time between two batches of events.
+    /// Least time between two batches of events: the granularity of time.
     pub tick: Micros,
+    /// Classes of requests, by index.
     pub classes: Vec<Class>,
+    /// Plans of customers, by index.
     pub plans: Vec<Plan>,
-    /// The shared counter service, where there is one.
+    /// The counter service that all gateways share, if there is one.
     pub counter: Option<Counter>,
-    /// Period of the usage meter; 0: there is none.
+    /// Period of the usage meter; 0: none.
     pub meter_period: Micros,
-    /// Most units that one request can count.
+    /// Most units of one request.
     pub max_request_units: f64,
-    /// A request's units are a guess; the true ones come with its first good answer.
+    /// A request's units are an estimate; its first successful response states the actual ones.
     pub units_are_estimates: bool,
+    /// Limits and features of the deployment.
     pub limits: Limits,
+    /// Rules of the deployment on deadlines, slow start and overload.
     pub safety: Safety,
-    /// Load figures that backends report, in the order of [`Report`]'s values.
+    /// Load figures that backends report, in the order of the values of a [`Report`].
     pub report_fields: Vec<ReportField>,
+    /// How backends report their load.
     pub report_via: ReportVia,
+    /// How the gateway learns of its backends.
     pub discovery: Discovery,
+    /// Meaning of the weights of backends.
     pub weights: Weights,
-    /// What a second attempt in another zone, a message, a probe or wasted work costs.
+    /// Costs of attempts in another zone, of messages, probes and wasted work.
     pub prices: Prices,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Time within which an answer earns its full worth.
+    /// Response time up to which a response has its full value.
     pub latency_target: Micros,
-    /// The aim grows by this multiple of the request's own work.
+    /// The latency target grows by this multiple of the request's own work.
     pub latency_target_stretch: f64,
-    /// Longest time a client waits, over all its tries.
+    /// Longest time that a client waits, over all its retries.
     pub deadline: Micros,
+    /// Whether a request may be executed twice.
     pub idempotency: Idempotency,
-    /// Which backends drop repeats of a keyed request.
+    /// Backends among which a repeated request is recognized by its key.
     pub dedup_scope: DedupScope,
-    /// For how long they do.
+    /// How long they remember a key.
     pub dedup_window: Micros,
-    /// Part of the worth that an answer after the aim still earns.
+    /// Part of the value that a response after the latency target still has.
     pub late_value: f64,
+    /// Value of a response, to which the plan's value is a factor.
     pub value: f64,
+    /// Responses are streamed.
     pub streamed: bool,
-    /// Requests of this class only ask whether they may proceed: they are sent nowhere.
+    /// Requests of this class are only checked against the quota and not sent to a backend.
     pub admission_only: bool,
 }
 
-/// What happens when a request runs twice.
+/// Whether a request may be executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// No harm.
+    /// It may.
     Idempotent,
-    /// No harm inside the group that drops repeats, while it remembers.
+    /// Only inside the [`DedupScope`] and while keys are remembered: a repeated request is recognized there.
     Deduplicated,
-    /// Harm.
+    /// It must not.
     AtMostOnce,
 }
 
-/// The backends that know of each other's keys.
+/// Backends that share the keys of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
@@ -109,7 +119,7 @@
 }
 
 impl DedupScope {
-    /// What the backends of one group have in common.
+    /// The value that backends in the same scope have in common.
     pub fn key(self, entry: &BackendEntry) -> u16 {
         match self {
             DedupScope::All => 0,
@@ -119,77 +129,93 @@
     }
 }
 
-/// Quota of each customer of one plan, over all gateways together.
+/// Quota of each customer of a plan, over all gateways together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// Units a second; 0: no such quota.
     pub rate: f64,
-    /// Units that may be used at once.
+    /// Units that may be used in a burst.
     pub burst: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Attempts in flight at a time; 0: no such quota.
     pub max_in_flight: f64,
+    /// Factor on the value of a request.
     pub value: f64,
-    /// Part of its worth that a request beyond the quota earns.
+    /// Part of the value that a request over the quota has.
     pub over_quota_value: f64,
-    /// Part of its worth that sending it on costs.
+    /// Part of the value that sending it costs.
     pub over_quota_cost: f64,
-    /// Hard ceiling in units a second; 0: none.
+    /// Hard limit, which must never be exceeded, in units a second; 0: none.
     pub hard_limit_rate: f64,
+    /// Units that the hard limit permits in a burst.
     pub hard_limit_burst: f64,
+    /// Units by which the hard limit may be exceeded without a violation.
     pub hard_limit_slack: f64,
 }
 
 /// The shared counter service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Counter {
-    /// A call without an answer by then ends as [`Outcome::Timeout`].
+    /// Time after which a call without a response ends as [`Outcome::Timeout`].
     pub timeout: Micros,
-    /// Price of one call a request.
+    /// Cost of one call for a request.
     pub fee: f64,
 }
 
-/// What the deployment allows.
+/// Limits of the deployment, and the features that it permits.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
+    /// Attempts of one request.
     pub max_attempts: u32,
+    /// A request may have two attempts in flight.
     pub hedging: bool,
+    /// Attempts may be cancelled.
     pub cancellation: bool,
+    /// Backends may be probed.
     pub probing: bool,
+    /// Gateways may send messages to each other.
     pub peer_messages: bool,
-    /// Messages a second that a gateway takes in.
+    /// Messages a second that a gateway accepts from its peers.
     pub peer_message_rate: f64,
-    /// Clients are told when to come again.
+    /// Rejections state when the client may retry.
     pub retry_hints: bool,
+    /// Longest time that a rejection may state.
     pub max_retry_after: Micros,
+    /// Clients mark their retries ([`Request::is_retry`]).
     pub clients_mark_retries: bool,
+    /// Requests that may be open at a time.
     pub max_open_requests: u32,
+    /// Time-out of a new connection to a backend.
     pub connect_timeout: Micros,
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
+    /// Requests that a connection carries at a time.
     pub streams_per_connection: u32,
+    /// Processor time that a gateway has in a second.
     pub cpu_per_second: Micros,
+    /// Processor time that a request takes (us).
     pub cpu_per_request: f64,
 }
 
-/// Figures of the rules.
+/// Rules of the deployment, and the properties of backends that they assume.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Safety {
-    /// A final answer may come this much after the client's deadline.
+    /// Time after the client's deadline within which a final response is still permitted.
     pub deadline_slack: Micros,
-    /// Word of a drain is heeded within this time.
+    /// Time after the notification of a drain during which a backend may still get attempts.
     pub drain_grace: Micros,
-    /// A fresh backend can do this part of its work or more.
+    /// Least part of its full capacity that a backend has at its start.
     pub slow_start_share: f64,
-    /// It is warm after this time.
+    /// Time after which it has its full capacity.
     pub slow_start_time: Micros,
-    /// It falls over when sent this multiple of what it can do ...
+    /// Load, as a multiple of its current capacity, ...
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// ... under which it fails if it lasts this long.
     pub overload_time: Micros,
-    /// Without a subscription, a gateway that has not asked for this long counts as told.
+    /// Without a subscription, a gateway that has not polled for this long counts as notified.
     pub max_poll_interval: Micros,
 }
 
-/// Points taken off the result.
+/// Costs of single actions, in the points of a run's score.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
     pub cross_zone: f64,
@@ -205,22 +231,22 @@
 /// One figure of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests in hand.
+    /// Requests that it has accepted and not finished.
     Outstanding,
-    /// Requests waiting.
+    /// Requests that wait in its queue.
     Backlog,
     Utilization,
     RecentMillis,
     Throughput,
     ErrorsPerSecond,
-    /// A figure this version does not know.
+    /// A figure that this version does not know.
     Other,
 }
 
-/// How load reports come.
+/// With what load reports come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportVia {
-    /// With answers and probe results.
+    /// With responses and probe results.
     Responses,
     /// With probe results only.
     Probes,
@@ -228,42 +254,50 @@
     Never,
 }
 
-/// How word of the backends comes.
+/// How lists of backends come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
+    /// Without a call.
     #[default]
     Push,
     /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
     Poll,
 }
 
-/// What [`BackendEntry::weight`] means.
+/// Meaning of [`BackendEntry::weight`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
+    /// Weights say nothing.
     #[default]
     Absent,
+    /// Nominal capacity.
     Nominal,
+    /// Rough estimate of the capacity.
     Rough,
+    /// Capacity as it changes.
     Live,
 }
 
-/// Values of a load report, ordered as [`Settings::report_fields`]; empty: none came.
+/// Values of a load report, in the order of [`Settings::report_fields`]; empty: no report.
 pub type Report = Vec<f64>;
 
-/// One backend in a list.
+/// An entry of a list of backends.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendEntry {
     pub id: BackendId,
     pub zone: u16,
+    /// Kind of host.
     pub kind: u8,
+    /// Cell inside its zone, see [`DedupScope::Cell`].
     pub cell: u16,
     pub condition: Condition,
+    /// Relative capacity, see [`Weights`].
     pub weight: f64,
-    /// Time of its latest start; 0: long past.
+    /// Time of its latest start; 0: long ago.
     pub started_at: Micros,
 }
 
-/// What the list says of a backend.
+/// State of a backend according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Condition {
     #[default]
@@ -272,225 +306,203 @@
     Draining,
 }
 
-/// What a list of backends is.
+/// Kind of a list of backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Delta,
     Full,
-    /// The full list as this gateway last held it before a restart.
+    /// The complete list that this gateway had before a restart.
     Cached,
-    /// A call failed or a subscription broke; the list held stays.
+    /// A call or a subscription failed; the current list stays in use.
     Failed,
 }
 
-/// A client's try, as it arrives.
+/// A request as it arrives.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
     pub id: RequestId,
     pub class: u16,
     pub plan: u16,
     pub customer: CustomerId,
-    /// Units it draws from the quota.
+    /// Units that it takes from the quota.
     pub units: f64,
-    /// Number of gateways the customer's requests come through ...
+    /// Number of gateways that receive the customer's requests: a range of consecutive indices ...
     pub gateway_count: f64,
-    /// ... and the first of them.
+    /// ... that begins here.
     pub first_gateway: f64,
-    /// Time until the client gives this try up.
+    /// Time after which the client abandons the request.
     pub timeout: Micros,
+    /// The client marks it as a retry of an earlier request.
     pub is_retry: bool,
+    /// It changes data.
     pub is_write: bool,
 }
 
 /// How an attempt, a probe or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// Succeeded.
     Ok,
-    /// Answered with an error; may have run.
+    /// Error response; may have been executed.
     Error,
-    /// Turned away unseen; did not run.
+    /// Rejected for overload before execution; not executed.
     Full,
-    /// No answer in time; may have run, may still run.
+    /// No response in time; may have been executed, or may still be.
     Timeout,
-    /// No connection; did not run.
+    /// No connection; not executed.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; may have been executed.
     Reset,
-    /// A connection kept from earlier requests broke before a byte of the answer; may have run. It tells of
-    /// that connection, which the backend or the network may have given up long before, and of nothing else.
+    /// A reused connection broke before the first byte of a response; may have been executed. This says
+    /// nothing about the backend: it or the network may have dropped the idle connection long before.
     Stale,
-    /// Withdrawn; may have run.
+    /// Cancelled; may have been executed.
     Cancelled,
-    /// Not sent at all.
+    /// Not sent, as the request may have no attempt any more; not executed.
     Moot,
-    /// Held back for want of a descriptor or at word of a drain; did not run, and is no fault of the backend's.
+    /// Not sent for want of a file descriptor or because the backend drains; not executed, and no failure of
+    /// it.
     Withheld,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that nothing ran.
+    /// Whether this outcome proves that the request was not executed.
     pub fn not_executed(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Withheld)
     }
 }
 
-/// What happens to a gateway.
+/// An event that a gateway handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
+    /// A list of backends.
     Backends {
         kind: ListKind,
         version: u64,
         entries: Vec<BackendEntry>,
     },
     Request(Request),
+    /// A timer of [`Action::Timer`] has expired.
     Timer {
         token: u64,
     },
-    /// The client left; the request is closed.
+    /// The client has disconnected; the request is closed.
     Abandoned {
         request: RequestId,
     },
-    /// A request that was let in and sent nowhere is taken back: it counts nothing, and is closed.
+    /// A request that was admitted and not sent is withdrawn: its units are taken back, and it is closed.
     Withdrawn {
         request: RequestId,
     },
     AttemptEnded(AttemptEnd),
-    /// A connection has carried a request: how long it had been kept unused (none: it was new), and whether it
-    /// broke before a byte of the answer.
+    /// A connection has carried a request: how long it had been idle before (none: it was new), and whether
+    /// it broke before the first byte of the response.
     ConnectionUsed {
         idle: Option<Micros>,
         broken: bool,
     },
-    /// A streamed answer has begun; the attempt is the client's from here on.
+    /// A streamed response has started: from now on the attempt can't be retried, and the request is closed.
     ResponseStarted {
         request: RequestId,
         attempt: u8,
         backend: BackendId,
         elapsed: Micros,
     },
+    /// A call of [`Action::AddToCounter`] has ended; calls to one counter end in their order.
     CounterAnswered {
         counter_id: u64,
         outcome: Outcome,
+        /// The counter's new total, if the outcome is [`Outcome::Ok`].
         total: f64,
         elapsed: Micros,
     },
+    /// A probe has ended.
     Probed {
         backend: BackendId,
         outcome: Outcome,
         elapsed: Micros,
         report: Report,
     },
+    /// A message of another gateway.
     PeerMessage {
+        /// Index of the sender.
         from: u32,
         data: Vec<u8>,
     },
 }
 
-/// The one result of an attempt.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     pub request: RequestId,
+    /// Number of the attempt among those of its request, from 0.
     pub attempt: u8,
     pub backend: BackendId,
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Micros,
-    /// The request is closed, by this outcome or earlier.
+    /// The request is closed, by this outcome or before.
     pub closed: bool,
-    /// True units, where they are settled later; else 0.
+    /// Actual units, if [`Settings::units_are_estimates`]; else 0.
     pub actual_units: f64,
-    /// 1 + the customer's metered use in percent of its quota; 0: none.
+    /// 1 + the customer's metered usage in percent of its quota; 0: not stated.
     pub usage: u16,
     pub report: Report,
 }
 
-/// The rule that gave a request up.
+/// Why a request was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The estimate on a total of the counter is past the limit.
+    /// The estimate with a counter total is over the quota.
     Quota,
-    /// The estimate without a total is.
+    /// The estimate without a counter total is over the quota.
     Untold,
-    /// What may be sent on untold is used up.
+    /// The allowance of units without a counter total is used up.
     Spare,
-    /// The plan's cap on attempts out.
+    /// The plan's limit on attempts in flight.
     Cap,
-    /// Held for want of a backend for as long as is of use.
+    /// No backend was available for as long as the request could be queued.
     Held,
-    /// Its last attempt ended badly, and no other is permitted or can be in time.
+    /// Its last attempt failed, and a retry is not permitted or can't be in time.
     Attempt,
-    /// Taken back after it was let in.
+    /// Withdrawn after it was admitted.
     Withdrawn,
-    /// Of no class or plan that there is.
+    /// Its class or plan does not exist.
     Unknown,
 }
 
-/// What a gateway asks for.
+/// An action that a gateway requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it is given up at `expires` (0: when the client gives up).
-    Send {
-        request: RequestId,
-        backend: BackendId,
-        expires: Micros,
-    },
-    /// A request that only asks may proceed. It stays open until it is abandoned or withdrawn.
-    Admit {
-        request: RequestId,
-    },
-    /// Final answer: not served, and trying again is harmless.
-    Reject {
-        request: RequestId,
-        retry_after: Micros,
-        reason: RejectionReason,
-    },
-    /// Final answer: failed, nothing promised.
-    Fail {
-        request: RequestId,
-        reason: RejectionReason,
-    },
-    /// Stop waiting for an attempt.
-    Cancel {
-        request: RequestId,
-        attempt: u8,
-    },
-    Probe {
-        backend: BackendId,
-    },
+    /// Send an attempt, which times out at `expires` (0: when the client abandons the request).
+    Send { request: RequestId, backend: BackendId, expires: Micros },
+    /// Admit a request of an admission-only class. It stays open until it is abandoned or withdrawn.
+    Admit { request: RequestId },
+    /// Final response: not executed, or safe to repeat. The client may retry it after a time (0: not stated).
+    Reject { request: RequestId, retry_after: Micros, reason: RejectionReason },
+    /// Final response: failed; it may have been executed.
+    Fail { request: RequestId, reason: RejectionReason },
+    /// Cancel an attempt.
+    Cancel { request: RequestId, attempt: u8 },
+    /// Probe a backend.
+    Probe { backend: BackendId },
     /// Close the idle connections to a backend.
-    CloseIdle {
-        backend: BackendId,
-    },
-    /// Use no connection to a backend that has been idle for longer.
-    SetIdleTimeout {
-        idle_timeout: Micros,
-    },
-    /// Send at most 256 bytes to one gateway, or to all others.
-    SendPeerMessage {
-        to: Option<u16>,
-        data: Vec<u8>,
-    },
-    /// Add to a named count and learn its total; a new name lives for `life`.
-    AddToCounter {
-        counter_id: u64,
-        amount: f64,
-        ttl: Micros,
-    },
-    Timer {
-        at: Micros,
-        token: u64,
-    },
-    /// Subscribe to changes of the list of backends, or end that.
-    Subscribe {
-        on: bool,
-    },
+    CloseIdle { backend: BackendId },
+    /// Reuse no connection that has been idle for longer.
+    SetIdleTimeout { idle_timeout: Micros },
+    /// Send at most 256 bytes to one gateway, or to all others (none).
+    SendPeerMessage { to: Option<u16>, data: Vec<u8> },
+    /// Add to a counter of the counter service and read its total; a new counter expires after `ttl`.
+    AddToCounter { counter_id: u64, amount: f64, ttl: Micros },
+    /// Set a timer.
+    Timer { at: Micros, token: u64 },
+    /// Subscribe to changes of the list of backends, or unsubscribe.
+    Subscribe { on: bool },
+    /// Fetch the list of backends.
     FetchList,
-    Log {
-        text: String,
-    },
-    /// The decisions themselves have failed.
-    InternalError {
-        text: String,
-    },
+    /// Write a log line.
+    Log { text: String },
+    /// Report an internal error of the decision module.
+    InternalError { text: String },
 }
