--- a/crates/decision/src/handover.rs
+++ b/crates/decision/src/handover.rs
@@ -1,9 +1,9 @@
-//! What a gateway has learned, handed from a process to the one that takes its place, and how much of it is still
-//! believed there.
+//! State handover: the learned state of a gateway, exported by one process and imported by its successor.
 //!
-//! While both live they are one gateway, and nothing is in both: units still owed to the counter are handed over, the
-//! bound on attempts out but for those that are out, and half of what may be sent on untold under a ceiling, of which
-//! each then earns half. The older one needs its half: clients go on using the connections that they have.
+//! While both processes run they are one gateway, and no limit may count twice. Unreported units are handed
+//! over, and so is the concurrency limit, less the attempts that are in flight. Of the allowance of units
+//! without a counter total (under a hard limit) each has half, and earns half. The older process needs its
+//! half, as clients keep using the connections that they have to it.
 
 use crate::backends::{Backend, Fleet};
 use crate::idle_connections::IdleConnections;
@@ -14,19 +14,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Past this age nothing is believed: a fleet is another one by then, and quotas' windows are over.
+/// Oldest state that is imported: after that, the fleet has changed and the windows of quotas are over.
 const MAX_AGE: Micros = 10_000_000;
-/// How much later than now something may have been written: two processes' clocks differ by no more.
+/// How far in the future a state may have been exported: the clocks of two processes differ by no more.
 const MAX_CLOCK_SKEW: Micros = 100_000;
-/// The longest time that an answer is taken to need (us).
+/// Longest latency that is valid (us).
 const MAX_LATENCY: f64 = 60e6;
-/// Time over which what is held of single backends goes back to what is held of a new one (us).
-const TRUST: f64 = 10e6;
+/// Time constant with which the estimates of single backends decay to those of a new one (us).
+const DECAY: f64 = 10e6;
 
-/// What one process of a gateway hands down to the next. Its backends, classes and plans go by the numbers that they
-/// have in the process that wrote it: see [`LearnedState::renumber`].
+/// The state that one process of a gateway hands over to the next. Backends, classes and plans have the ids
+/// and indices of the process that exported it: see [`LearnedState::renumber`].
 ///
-/// Its form goes with the version of what it is sealed in: the two change together.
+/// It is encoded by position, so each change of its fields needs a new version of the envelope that it is
+/// sent in.
 #[derive(Clone, Default, Deserialize, Serialize)]
 pub struct LearnedState {
     exported_at: Micros,
@@ -38,17 +39,18 @@
 }
 
 impl LearnedState {
-    /// When it was written (us).
+    /// Time of the export (us).
     pub fn exported_at(&self) -> Micros {
         self.exported_at
     }
 
-    /// How many backends and customers it tells of.
+    /// Numbers of backends and customers that it contains.
     pub fn entry_counts(&self) -> (usize, usize) {
         (self.fleet.backends.len(), self.customers.len())
     }
 
-    /// Gives backends, classes and plans the numbers that they have here; what has none here is left out.
+    /// Replaces the ids and indices of backends, classes and plans by those of this process; removes entries
+    /// without one.
     #[cold]
     pub fn renumber(
         &mut self,
@@ -57,41 +59,41 @@
         plan: impl Fn(usize) -> Option<usize>,
     ) {
         let backends = std::mem::take(&mut self.fleet.backends).into_iter();
-        self.fleet.backends.extend(backends.filter_map(|(id, known)| Some((backend(id)?, known))));
-        for times in [&mut self.fleet.typical, &mut self.fleet.best] {
-            let mut here = Vec::new();
-            for (number, time) in std::mem::take(times).into_iter().enumerate() {
-                let Some(number) = class(number) else { continue };
-                // A class that is not told of keeps what it begins with: 0 is no time.
-                here.resize(here.len().max(number + 1), 0.0);
-                here[number] = time;
+        self.fleet.backends.extend(backends.filter_map(|(id, state)| Some((backend(id)?, state))));
+        for latencies in [&mut self.fleet.typical, &mut self.fleet.best] {
+            let mut renumbered = Vec::new();
+            for (index, latency) in std::mem::take(latencies).into_iter().enumerate() {
+                let Some(index) = class(index) else { continue };
+                // 0 is no valid latency: classes without an entry keep their initial latency.
+                renumbered.resize(renumbered.len().max(index + 1), 0.0);
+                renumbered[index] = latency;
             }
-            *times = here;
+            *latencies = renumbered;
         }
         let customers = std::mem::take(&mut self.customers).into_iter();
-        let moved = |(id, customer): (CustomerId, Customer)| {
+        let renumbered = |(id, customer): (CustomerId, Customer)| {
             plan(customer.plan).map(|plan| (id, Customer { plan, ..customer }))
         };
-        self.customers.extend(customers.filter_map(moved));
+        self.customers.extend(customers.filter_map(renumbered));
     }
 }
 
-/// A figure that can have been kept by a gateway.
-fn is_between(least: f64, figure: f64, most: f64) -> bool {
-    // False for what is no number.
-    figure >= least && figure <= most
+/// Whether a value is in a range.
+fn is_between(min: f64, value: f64, max: f64) -> bool {
+    // NaN is in no range.
+    value >= min && value <= max
 }
 
 impl Backend {
     fn is_valid(&self) -> bool {
-        let parts = [self.failure_rate, self.timeout_rate, self.speed, self.gaps_needed];
-        is_between(1e-6, self.latency, 1e6) && parts.into_iter().all(|part| is_between(0.0, part, 1.0))
+        let shares = [self.failure_rate, self.timeout_rate, self.speed, self.gaps_needed];
+        is_between(1e-6, self.latency, 1e6) && shares.into_iter().all(|share| is_between(0.0, share, 1.0))
     }
 
-    /// It, as it is held to be after `kept` of the trust in its figures is left.
-    fn aged(self, kept: f64) -> Backend {
-        let (latency, failure_rate) = (1.0 + (self.latency - 1.0) * kept, self.failure_rate * kept);
-        Backend { latency, failure_rate, timeout_rate: self.timeout_rate * kept, ..self }
+    /// Its estimates after a time in which they have decayed by a factor.
+    fn decayed(self, factor: f64) -> Backend {
+        let (latency, failure_rate) = (1.0 + (self.latency - 1.0) * factor, self.failure_rate * factor);
+        Backend { latency, failure_rate, timeout_rate: self.timeout_rate * factor, ..self }
     }
 }
 
@@ -115,8 +117,8 @@
 }
 
 impl Gateway {
-    /// All it has learned, for a process that takes its place. From now on that one has half of the units that may be
-    /// sent on untold, those still owed to the counter, and the bound on attempts out but for those that are out here.
+    /// Exports the learned state for the successor process, which from now on has half of the unconfirmed
+    /// allowance, the unreported units, and the concurrency limit less the attempts that are in flight here.
     #[cold]
     pub fn export_state(&mut self, now: Micros) -> LearnedState {
         self.now = self.now.max(now);
@@ -124,7 +126,7 @@
         for customer in self.quota.customers.values_mut() {
             customer.allowance /= if customer.allowance > 0.0 { 2.0 } else { 1.0 };
         }
-        let mut belief = LearnedState {
+        let mut state = LearnedState {
             exported_at: self.now,
             fleet: self.fleet.clone(),
             counter: self.counter.clone(),
@@ -132,85 +134,89 @@
             idle_connections: self.idle_connections.clone(),
             customers: BTreeMap::new(),
         };
-        // Maps are extended, not collected: that would take a sort for each kind of entry into the program.
-        belief.customers.extend(self.quota.customers.iter().map(|(id, known)| (*id, known.clone())));
-        let out = self.requests.in_flight.len() as f64;
+        // Extended, not collected: collecting would add a sort for each type of entry to the binary.
+        state.customers.extend(self.quota.customers.iter().map(|(id, customer)| (*id, customer.clone())));
+        let in_flight = self.requests.in_flight.len() as f64;
         if self.fleet.limit > 0.0 {
-            belief.fleet.limit = (self.fleet.limit - out).max(1.0);
-            self.fleet.limit = out.max(1.0);
+            state.fleet.limit = (self.fleet.limit - in_flight).max(1.0);
+            self.fleet.limit = in_flight.max(1.0);
         }
         self.quota.customers.values_mut().for_each(|customer| customer.unreported = 0.0);
-        belief
+        state
     }
 
-    /// Nobody has taken its place after all: it goes on with what it handed down, but for the half that the other may
-    /// have sent on untold meanwhile.
+    /// Continues after a handover that failed: takes back the exported state, except the half of the
+    /// allowance, which the successor may have used.
     #[cold]
-    pub fn reclaim_state(&mut self, now: Micros, belief: &LearnedState) {
+    pub fn reclaim_state(&mut self, now: Micros, state: &LearnedState) {
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.overlapping, false) {
             return;
         }
-        self.fleet.limit = self.fleet.limit.max(belief.fleet.limit);
-        for (customer_id, lent) in &belief.customers {
+        self.fleet.limit = self.fleet.limit.max(state.fleet.limit);
+        for (customer_id, exported) in &state.customers {
             let Some(customer) = self.quota.customers.get_mut(customer_id) else { continue };
-            customer.unreported += if customer.window == lent.window { lent.unreported } else { 0.0 };
+            customer.unreported += if customer.window == exported.window { exported.unreported } else { 0.0 };
         }
     }
 
-    /// Whether another process of this gateway lives beside it. One that was handed nothing earns half as well.
-    pub fn set_overlapping(&mut self, another: bool) {
-        self.overlapping = another;
+    /// Sets whether another process of this gateway is running. Each then earns half of the allowance, also
+    /// one that has imported no state.
+    pub fn set_overlapping(&mut self, overlapping: bool) {
+        self.overlapping = overlapping;
     }
 
-    /// Takes the place of the process that has handed this down. False: it is too old, or of a time to come, and
-    /// nothing of it is believed. Backends have to be told of first: what is handed down of others is passed over.
+    /// Imports the state of the predecessor process. Returns false, and imports nothing, if the state is too
+    /// old or of a future time. The backends must be listed before: the state of others is ignored.
     #[cold]
-    pub fn import_state(&mut self, now: Micros, mut belief: LearnedState) -> bool {
+    pub fn import_state(&mut self, now: Micros, mut state: LearnedState) -> bool {
         self.now = self.now.max(now);
-        let age = self.now.saturating_sub(belief.exported_at);
-        if belief.exported_at > self.now + MAX_CLOCK_SKEW || age > MAX_AGE {
+        let age = self.now.saturating_sub(state.exported_at);
+        if state.exported_at > self.now + MAX_CLOCK_SKEW || age > MAX_AGE {
             return false;
         }
-        // All that is handed down was seen before it was written.
-        self.now = self.now.max(belief.exported_at);
-        let kept = (-(age as f64) / TRUST).exp();
-        for (id, believed) in std::mem::take(&mut belief.fleet.backends) {
-            let Some(known) = self.fleet.backends.get_mut(&id) else { continue };
-            // One that has started since is another.
-            if believed.is_valid() && believed.started >= known.started {
-                let (entry, in_flight) = (known.entry.clone(), known.in_flight);
-                *known = Backend { entry, in_flight, ..believed.aged(kept) };
+        // No time in the state is later than its export.
+        self.now = self.now.max(state.exported_at);
+        let factor = (-(age as f64) / DECAY).exp();
+        for (id, imported) in std::mem::take(&mut state.fleet.backends) {
+            let Some(backend) = self.fleet.backends.get_mut(&id) else { continue };
+            // A backend that has started since has lost its state.
+            if imported.is_valid() && imported.started >= backend.started {
+                let (entry, in_flight) = (backend.entry.clone(), backend.in_flight);
+                *backend = Backend { entry, in_flight, ..imported.decayed(factor) };
             }
         }
-        let fleet = belief.fleet;
-        for (times, told) in [(&mut self.fleet.typical, &fleet.typical), (&mut self.fleet.best, &fleet.best)]
+        let fleet = state.fleet;
+        for (latencies, imported) in
+            [(&mut self.fleet.typical, &fleet.typical), (&mut self.fleet.best, &fleet.best)]
         {
-            let told = times.iter_mut().zip(told).filter(|(_, told)| is_between(1.0, **told, MAX_LATENCY));
-            told.for_each(|(time, told)| *time = *told);
+            let valid = latencies
+                .iter_mut()
+                .zip(imported)
+                .filter(|(_, imported)| is_between(1.0, **imported, MAX_LATENCY));
+            valid.for_each(|(latency, imported)| *latency = *imported);
         }
-        let figures = [fleet.limit, fleet.attempts.value, fleet.capacity.value];
-        if figures.into_iter().all(|figure| is_between(0.0, figure, 1e9))
-            && is_between(1e-6, fleet.latency, 1e6)
+        let values = [fleet.limit, fleet.attempts.value, fleet.capacity.value];
+        if values.into_iter().all(|value| is_between(0.0, value, 1e9)) && is_between(1e-6, fleet.latency, 1e6)
         {
             (self.fleet.limit, self.fleet.latency, self.fleet.cut_at) =
                 (fleet.limit, fleet.latency, fleet.cut_at);
             (self.fleet.attempts, self.fleet.capacity) = (fleet.attempts, fleet.capacity);
         }
-        if is_between(0.0, belief.counter.query_interval.value, 1e9)
-            && is_between(0.0, belief.counter.fastest, 1e9)
+        if is_between(0.0, state.counter.query_interval.value, 1e9)
+            && is_between(0.0, state.counter.fastest, 1e9)
         {
-            self.counter = belief.counter;
+            self.counter = state.counter;
         }
-        // Word goes to whoever has the address, which from now on is this process.
-        self.peer_updates.until = belief.peer_updates_until.min(self.now + UPDATES_LAST as Micros);
-        self.actions.extend(belief.idle_connections.action());
-        self.idle_connections = belief.idle_connections;
+        // Peer messages go to the process that has the gateway's address, which is this one from now on.
+        self.peer_updates.until = state.peer_updates_until.min(self.now + UPDATES_LAST as Micros);
+        self.actions.extend(state.idle_connections.action());
+        self.idle_connections = state.idle_connections;
         let plans = self.settings.plans.len();
-        for (customer_id, customer) in belief.customers {
-            let seen = customer.bucket_at.max(customer.allowance_at).max(customer.last_request_at);
-            if customer.plan < plans && customer.is_valid() && seen <= self.now {
-                // Its requests stay with the process that took them.
+        for (customer_id, customer) in state.customers {
+            let updated_at = customer.bucket_at.max(customer.allowance_at).max(customer.last_request_at);
+            if customer.plan < plans && customer.is_valid() && updated_at <= self.now {
+                // Requests stay at the process that accepted them.
                 let (awaiting_total, open_requests, in_flight, unannounced) = (Vec::new(), 0, 0, 0.0);
                 self.quota.customers.insert(
                     customer_id,
