--- a/crates/decision/src/idle_connections.rs
+++ b/crates/decision/src/idle_connections.rs
@@ -1,56 +1,61 @@
-//! For how long an unused connection can still be used: learned from those that broke. A figure that knows nothing
-//! of nodes, requests or quotas, and chooses none of them.
+//! Estimate of how long an idle connection stays usable, from those that broke when they were reused. It is
+//! one value for all backends, and decides nothing about requests or quotas.
 
 use crate::interface::{Action, Micros};
 use serde::{Deserialize, Serialize};
 
-/// The shortest time told apart (us), and how many doublings of it are.
+/// Shortest idle time that is told apart (us), and the number of its doublings: one class of idle times each.
 const SHORTEST: Micros = 16_000;
 const AGES: usize = 10;
-/// By how much more connections of an age may break than new ones: a broken request costs far more than a
-/// handshake; and how many requests count as no different.
+/// Part of requests by which more may break on idle connections than on new ones: a broken request costs far
+/// more than a handshake. And the weight, in requests, of the assumption that idle connections are like new
+/// ones.
 const MARGIN: f64 = 0.05;
 const PRIOR: f64 = 8.0;
-/// Time over which what was seen fades (us): then longer is tried again.
-const FADE: f64 = 20e6;
+/// Time constant of the decay of what was observed (us): after that, longer times are tried again.
+const DECAY: f64 = 20e6;
 
-/// Requests that a break ended and all, on new connections and on kept ones by their time unused.
+/// What was observed of connections.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct IdleConnections {
+    /// Requests that a break ended, and all requests: on new connections first, then by class of idle time.
     requests_by_idle_time: [(f64, f64); AGES + 1],
+    /// Time of the latest request.
     updated_at: Micros,
+    /// The idle time-out last set; none: no limit.
     idle_timeout: Option<Micros>,
 }
 
 impl IdleConnections {
-    /// For how long connections may be kept by what has been seen, if that says anything.
+    /// Sets the learned idle time-out, if there is one.
     pub fn action(&self) -> Option<Action> {
         self.idle_timeout.map(|idle_timeout| Action::SetIdleTimeout { idle_timeout })
     }
 
-    /// Takes note of a request that a connection carried, which had been unused for that long (none: it was new).
-    /// Asks for another time that connections may be kept, where that has changed.
+    /// Records a request on a connection that had been idle for a time before (none: it was new), and sets
+    /// another idle time-out if the estimate has changed.
     pub fn record_request(
         &mut self,
         now: Micros,
-        unused: Option<Micros>,
-        broke: bool,
+        idle: Option<Micros>,
+        did_break: bool,
         actions: &mut Vec<Action>,
     ) {
-        let decay = (-((now - self.updated_at) as f64) / FADE).exp();
+        let decay = (-((now - self.updated_at) as f64) / DECAY).exp();
         self.updated_at = now;
         for (broken, all) in &mut self.requests_by_idle_time {
             (*broken, *all) = (*broken * decay, *all * decay);
         }
-        let age = |unused: Micros| 1 + ((unused / SHORTEST).max(1).ilog2() as usize).min(AGES - 1);
-        let (broken, all) = &mut self.requests_by_idle_time[unused.map_or(0, age)];
-        (*broken, *all) = (*broken + f64::from(u8::from(broke)), *all + 1.0);
-        let usual = self.requests_by_idle_time[0].0 / (self.requests_by_idle_time[0].1 + PRIOR);
-        let dead = |(broken, all): &(f64, f64)| (broken + PRIOR * usual) / (all + PRIOR) > usual + MARGIN;
-        let first = self.requests_by_idle_time[2..].iter().position(dead);
-        let longest = first.map(|first| SHORTEST << (first + 1));
-        if std::mem::replace(&mut self.idle_timeout, longest) != longest {
-            actions.push(Action::SetIdleTimeout { idle_timeout: longest.unwrap_or(Micros::MAX) });
+        let class = |idle: Micros| 1 + ((idle / SHORTEST).max(1).ilog2() as usize).min(AGES - 1);
+        let (broken, all) = &mut self.requests_by_idle_time[idle.map_or(0, class)];
+        (*broken, *all) = (*broken + f64::from(u8::from(did_break)), *all + 1.0);
+        let new_rate = self.requests_by_idle_time[0].0 / (self.requests_by_idle_time[0].1 + PRIOR);
+        let is_unusable =
+            |(broken, all): &(f64, f64)| (broken + PRIOR * new_rate) / (all + PRIOR) > new_rate + MARGIN;
+        let first_class = self.requests_by_idle_time[2..].iter().position(is_unusable);
+        let idle_timeout = first_class.map(|first_class| SHORTEST << (first_class + 1));
+        if std::mem::replace(&mut self.idle_timeout, idle_timeout) != idle_timeout {
+            actions.push(Action::SetIdleTimeout { idle_timeout: idle_timeout.unwrap_or(Micros::MAX) });
         }
     }
 }
--- a/crates/decision/src/peer_message.rs
+++ b/crates/decision/src/peer_message.rs
@@ -1,13 +1,13 @@
-//! The form of word between gateways. Nothing is decided here.
+//! Encoding of messages between gateways. Nothing is decided here.
 //!
 //! ```text
-//!   (customer u64, units f32) ...                           what was sent on; 21 at most
-//!   id u32, customer u64, plan u16, spread u16, first u16, units f32
-//!                                                           to be counted at its home; below 0: given back
-//!   id u32, within u8, wait u32                             how that has judged; when to come again (us)
+//!   (customer u64, units f32) ...                           units sent; 21 records at most
+//!   id u32, customer u64, plan u16, gateways u16, first u16, units f32
+//!                                                           a query to a home gateway; units below 0: taken back
+//!   id u32, within quota u8, retry after u32                the home's decision, and when to retry (us)
 //! ```
 //!
-//! All little-endian. Anything else says nothing.
+//! All numbers are little-endian. The length tells the kinds apart; any other message is invalid.
 
 use crate::interface::{CustomerId, RequestId};
 
@@ -18,11 +18,15 @@
 const QUERY_BYTES: usize = 22;
 const DECISION_BYTES: usize = 9;
 
-/// What one gateway tells another.
+/// A message from one gateway to another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
+    /// Units of customers that the sender has sent to backends since its last update.
     Units(Vec<(CustomerId, f64)>),
+    /// Asks a home to count the units of a request; or takes them back, if they are below 0. `gateways` and
+    /// `first` are the range of gateways that receive the customer's requests.
     Query { id: RequestId, customer_id: CustomerId, plan: u16, gateways: u16, first: u16, units: f64 },
+    /// A home's decision on a query, and the time after which the client may retry (us).
     Decision { id: RequestId, within_quota: bool, retry_after: u32 },
 }
 
@@ -56,7 +60,7 @@
         }
     }
 
-    /// None: not in this form.
+    /// None: an invalid message.
     pub fn decode(data: &[u8]) -> Option<Message> {
         let mut rest = data;
         match data.len() {
@@ -89,7 +93,7 @@
     }
 }
 
-/// The next bytes of a message.
+/// Removes and returns the next bytes of a message; none if it is too short.
 fn take<const N: usize>(rest: &mut &[u8]) -> Option<[u8; N]> {
     let (taken, left) = rest.split_first_chunk::<N>()?;
     *rest = left;
--- a/crates/decision/src/primitives.rs
+++ b/crates/decision/src/primitives.rs
@@ -1,5 +1,4 @@
-//! Numbers and containers that decide nothing: what fades with time, chance, and a map that is looked through in
-//! turns.
+//! Decaying sums, random numbers, deadlines, and a map with an incremental sweep. Nothing is decided here.
 
 use crate::interface::Micros;
 use serde::{Deserialize, Serialize};
@@ -15,35 +14,38 @@
     z ^ (z >> 31)
 }
 
-/// What is left, at `now`, of a figure that fades over `span` (us) and was taken at `since`.
+/// The factor by which a value of the time `since` has decayed exponentially at `now`, with time constant
+/// `span` (us).
 pub fn decay(now: Micros, since: Micros, span: f64) -> f64 {
     (-((now - since) as f64) / span).exp()
 }
 
-/// A sum whose parts fade with time.
+/// A sum whose summands decay exponentially.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct DecayingSum {
+    /// The sum at its latest update.
     pub value: f64,
-    /// When it was last added to.
+    /// Time of its latest update.
     pub updated_at: Micros,
 }
 
 impl DecayingSum {
+    /// The sum at `now`, with time constant `span` (us).
     pub fn value_at(&self, now: Micros, span: f64) -> f64 {
         self.value * decay(now, self.updated_at, span)
     }
 
-    pub fn add(&mut self, now: Micros, span: f64, part: f64) {
-        *self = DecayingSum { value: part + self.value_at(now, span), updated_at: now };
+    pub fn add(&mut self, now: Micros, span: f64, summand: f64) {
+        *self = DecayingSum { value: summand + self.value_at(now, span), updated_at: now };
     }
 
-    /// Raises it to `least`, if it is less.
+    /// Raises the sum to `least` if it is less.
     pub fn raise_to(&mut self, now: Micros, span: f64, least: f64) {
         *self = DecayingSum { value: least.max(self.value_at(now, span)), updated_at: now };
     }
 }
 
-/// What falls due when, for each id once.
+/// Deadlines, one for each id.
 #[derive(Debug, Default)]
 pub struct Deadlines {
     by_id: BTreeMap<u32, Micros>,
@@ -51,7 +53,7 @@
 }
 
 impl Deadlines {
-    /// Sets when `id` falls due, in place of an earlier time.
+    /// Sets the deadline of `id`, in place of an earlier one.
     pub fn set(&mut self, id: u32, at: Micros) {
         self.clear(id);
         self.by_id.insert(id, at);
@@ -64,12 +66,12 @@
         }
     }
 
-    /// The first time at which something falls due.
+    /// The earliest deadline.
     pub fn first(&self) -> Option<Micros> {
         self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// Takes out what is due by `now`, the earliest first.
+    /// Removes and returns the id with the earliest deadline, if that is not after `now`.
     pub fn pop(&mut self, now: Micros) -> Option<u32> {
         let (_, id) = self.by_time.first().copied().filter(|(at, _)| *at <= now)?;
         self.clear(id);
@@ -77,7 +79,7 @@
     }
 }
 
-/// Numbers between 0 and 1, by chance; the same from the same seed.
+/// Random numbers between 0 and 1; the same seed gives the same numbers.
 #[derive(Debug, Default)]
 pub struct Rng(Cell<u64>);
 
@@ -92,10 +94,11 @@
     }
 }
 
-/// A map whose entries are looked at a few at a time, in turn, to drop those that are over.
+/// A map that is swept incrementally: a few entries at a time, in the order of their keys.
 #[derive(Debug)]
 pub struct SweepMap<V> {
     entries: BTreeMap<u64, V>,
+    /// Key from which the next sweep continues.
     next: u64,
 }
 
@@ -106,13 +109,13 @@
 }
 
 impl<V> SweepMap<V> {
-    /// Looks at up to `many` entries, fewer where the last one is reached.
-    pub fn sweep(&mut self, many: usize, over: impl Fn(&V) -> bool) {
-        for _ in 0..many {
+    /// Checks up to `count` entries, fewer if it reaches the last one, and removes those that are expired.
+    pub fn sweep(&mut self, count: usize, is_expired: impl Fn(&V) -> bool) {
+        for _ in 0..count {
             let Some((key, entry)) = self.entries.range(self.next..).next() else { return self.next = 0 };
-            let (key, over) = (*key, over(entry));
+            let (key, is_expired) = (*key, is_expired(entry));
             self.next = key.saturating_add(1);
-            if over {
+            if is_expired {
                 self.entries.remove(&key);
             }
         }
--- a/crates/decision/src/view.rs
+++ b/crates/decision/src/view.rs
@@ -1,55 +1,65 @@
-//! What can be read of a gateway. Nothing is decided here, and nothing changed.
+//! Read-only views of a gateway's state. Nothing is decided here, and nothing changed.
 
 use crate::interface::*;
 use crate::Gateway;
 
-/// A customer's quota as it stands.
+/// Current state of a customer's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaState {
-    /// Units allowed at once, and units a second that refill them.
+    /// Units that may be used in a burst.
     pub burst: f64,
+    /// Units a second that refill the burst.
     pub rate: f64,
-    /// Units left, by whichever of the module's two views of the past lets in more.
+    /// Units left, by the one of the two estimates (sliding window, leaky bucket) that admits more.
     pub remaining: f64,
-    /// Time until all of them are there again.
+    /// Time until the quota is full again.
     pub reset_after: Micros,
 }
 
-/// What a gateway believes of its fleet and its counter.
+/// A gateway's estimates of its backends and of its counter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetView {
-    /// Bound on its attempts out (0: none yet), attempts out, and answer times against the fleet's best.
+    /// Limit on attempts in flight; 0: none yet.
     pub concurrency_limit: f64,
+    /// Attempts in flight.
     pub in_flight: usize,
+    /// Mean latency relative to the fleet's best.
     pub relative_latency: f64,
-    /// Time between a customer's calls to the counter from which each request asks (us), bad answers in a row.
+    /// Time between a customer's counter calls from which on each of its requests makes one (us); 0: each
+    /// does.
     pub counter_query_interval: f64,
+    /// Failed counter calls in a row.
     pub counter_failures: u32,
     pub backends: Vec<BackendView>,
 }
 
-/// What a gateway believes of one backend.
+/// A gateway's estimates of one backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendView {
     pub id: BackendId,
-    /// Draining or gone; left out for a while or back for one attempt; not yet warm.
+    /// Draining or gone.
     pub unavailable: bool,
+    /// Ejected for a time, or limited to one attempt at a time after that.
     pub ejected: bool,
+    /// In slow start.
     pub warming_up: bool,
+    /// Mean latency relative to the fleet's mean.
     pub relative_latency: f64,
+    /// Decaying share of attempts that failed.
     pub failure_rate: f64,
+    /// Attempts in flight.
     pub in_flight: u32,
 }
 
 impl Gateway {
-    /// What it believes of the fleet and of the counter.
+    /// Its estimates of the backends and of the counter.
     pub fn fleet_view(&self) -> FleetView {
-        let warm = self.settings.safety.slow_start_time;
+        let slow_start_time = self.settings.safety.slow_start_time;
         let backends = self.fleet.backends.iter().map(|(id, backend)| BackendView {
             id: *id,
             unavailable: backend.entry.condition != Condition::Ready,
             ejected: backend.ejections > 0,
-            warming_up: backend.started > 0 && self.now < backend.started + warm,
+            warming_up: backend.started > 0 && self.now < backend.started + slow_start_time,
             relative_latency: backend.latency,
             failure_rate: backend.failure_rate,
             in_flight: backend.in_flight,
@@ -64,19 +74,19 @@
         }
     }
 
-    /// How many customers and backends it keeps figures of.
+    /// Numbers of customers and backends that it has state of.
     pub fn entry_counts(&self) -> (usize, usize) {
         (self.quota.customers.len(), self.fleet.backends.len())
     }
 
-    /// A customer's quota, where its plan has one and it is known.
+    /// A customer's quota; none if its plan has no quota or the gateway has no state of the customer.
     pub fn quota_state(&self, customer_id: CustomerId) -> Option<QuotaState> {
         let customer = self.quota.customers.get(&customer_id)?;
         let plan = self.settings.plans.get(customer.plan).filter(|plan| plan.rate > 0.0)?;
         let refilled = plan.rate * (self.now - customer.bucket_at) as f64 / 1e6;
-        let stands = (customer.bucket - refilled).max(0.0);
+        let bucket = (customer.bucket - refilled).max(0.0);
         let estimate = self.estimate(customer, self.current_units(customer));
-        let remaining = (plan.burst - stands)
+        let remaining = (plan.burst - bucket)
             .max(self.settings.window(customer.plan).1 - estimate)
             .clamp(0.0, plan.burst);
         let reset_after = ((plan.burst - remaining) / plan.rate * 1e6) as Micros;
