--- a/crates/decision/examples/actions.rs
+++ b/crates/decision/examples/actions.rs
@@ -1,12 +1,12 @@
-//! Plays generated streams of events to a gateway and prints a digest of its actions for each seed: two versions of
-//! the module that print the same act the same (`cargo xtask replay` runs both).
+//! Runs a gateway on generated streams of events and prints a digest of its actions for each seed: two versions of
+//! the module that print the same digests behave the same (`cargo xtask replay` runs both).
 //!
 //! ```text
 //! actions FIRST_SEED SEEDS STEPS        SEED EVENTS ACTIONS DIGEST, a line each
 //! ```
 //!
-//! Nodes die, drain, start anew, are slow or fail; the counter is silent, slow, refuses or loses its numbers; peers
-//! speak, also nonsense; settings change. What happens depends on the actions, so a difference grows.
+//! Backends leave, drain, restart, are slow or fail; the counter does not respond, is slow, rejects calls or loses its
+//! data; peers send messages, also invalid ones; settings change. Events depend on the actions, so a difference grows.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,12 +16,12 @@
 
 const TICK: Micros = 4_000;
 const SECOND: Micros = 1_000_000;
-const NODES: u64 = 8;
+const BACKENDS: u64 = 8;
 
-/// No library: an older version of the module is built with this file and without its dependencies.
-struct Random(u64);
+/// Not from a library: older versions of the module are built with this file and don't have the dependency.
+struct Rng(u64);
 
-impl Random {
+impl Rng {
     fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % limit
@@ -47,13 +47,13 @@
     }
 }
 
-fn settings(random: &mut Random) -> Settings {
+fn settings(rng: &mut Rng) -> Settings {
     let plain = Plan { rate: 4.0, burst: 8.0, value: 1.0, ..Plan::default() };
-    let ceiling =
+    let hard_limit =
         Plan { hard_limit_rate: 10.0, hard_limit_burst: 20.0, hard_limit_slack: 2.0, ..plain.clone() };
-    let capped = Plan { max_in_flight: 6.0, rate: 20.0, burst: 30.0, value: 1.5, ..Plan::default() };
+    let limited = Plan { max_in_flight: 6.0, rate: 20.0, burst: 30.0, value: 1.5, ..Plan::default() };
     Settings {
-        gateways: 1 + random.below(12) as u16,
+        gateways: 1 + rng.below(12) as u16,
         index: 0,
         tick: TICK,
         classes: vec![
@@ -63,12 +63,12 @@
             class(Idempotency::AtMostOnce, DedupScope::All, 500_000),
             Class { admission_only: true, ..class(Idempotency::Idempotent, DedupScope::All, 300_000) },
         ],
-        plans: vec![plain, ceiling, capped, Plan { value: 1.0, ..Plan::default() }],
-        counter: (!random.one_in(8)).then_some(Counter { timeout: 50_000, fee: 0.01 }),
+        plans: vec![plain, hard_limit, limited, Plan { value: 1.0, ..Plan::default() }],
+        counter: (!rng.one_in(8)).then_some(Counter { timeout: 50_000, fee: 0.01 }),
         max_request_units: 3.0,
         limits: Limits {
             max_attempts: 3,
-            peer_messages: !random.one_in(4),
+            peer_messages: !rng.one_in(4),
             peer_message_rate: 40.0,
             retry_hints: true,
             max_retry_after: SECOND,
@@ -84,52 +84,52 @@
             overload_time: SECOND,
             max_poll_interval: 10 * SECOND,
         },
-        discovery: if random.one_in(5) { Discovery::Poll } else { Discovery::Push },
+        discovery: if rng.one_in(5) { Discovery::Poll } else { Discovery::Push },
         ..Settings::default()
     }
 }
 
-struct World {
-    random: Random,
+struct Simulation {
+    rng: Rng,
     gateway: Gateway,
     settings: Settings,
     now: Micros,
     timers: BTreeSet<(Micros, u64)>,
     calls: BTreeMap<u64, VecDeque<(Micros, f64)>>,
     totals: BTreeMap<u64, f64>,
-    /// Attempts out: request, number, node, sent, the end that awaits them.
-    out: Vec<(RequestId, u8, BackendId, Micros, Micros, Outcome)>,
+    /// Attempts in flight: request, number, backend, time sent, time and outcome of the end.
+    in_flight: Vec<(RequestId, u8, BackendId, Micros, Micros, Outcome)>,
     attempts: BTreeMap<RequestId, u8>,
     open: BTreeSet<RequestId>,
-    next: RequestId,
+    next_id: RequestId,
     events: u64,
     actions: u64,
     digest: DefaultHasher,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let mut random = Random(seed);
-        let settings = settings(&mut random);
-        World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut rng = Rng(seed);
+        let settings = settings(&mut rng);
+        Simulation {
             gateway: Gateway::new(settings.clone(), seed),
             settings,
-            random,
+            rng,
             now: 1_000 * SECOND,
             timers: BTreeSet::new(),
             calls: BTreeMap::new(),
             totals: BTreeMap::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             open: BTreeSet::new(),
-            next: 0,
+            next_id: 0,
             events: 0,
             actions: 0,
             digest: DefaultHasher::new(),
         }
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.events += 1;
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
@@ -141,7 +141,7 @@
                 Action::AddToCounter { counter_id, amount, .. } => {
                     self.calls.entry(counter_id).or_default().push_back((self.now, amount));
                 }
-                Action::Send { request, backend, .. } => self.sent(request, backend),
+                Action::Send { request, backend, .. } => self.start_attempt(request, backend),
                 Action::Reject { request, .. } | Action::Fail { request, .. } | Action::Admit { request } => {
                     self.open.remove(&request);
                 }
@@ -150,67 +150,67 @@
         }
     }
 
-    fn sent(&mut self, request: RequestId, backend: BackendId) {
+    fn start_attempt(&mut self, request: RequestId, backend: BackendId) {
         let attempt = self.attempts.entry(request).or_default();
-        // Each node has a temper, which changes with time: quick, slow, failing or silent.
-        let temper = (u64::from(backend) * 7 + self.now / (9 * SECOND)) % 11;
-        let (usual, outcome) = match temper {
+        // Each backend has a behavior, which changes with time: fast, slow, failing or unresponsive.
+        let behavior = (u64::from(backend) * 7 + self.now / (9 * SECOND)) % 11;
+        let (latency, outcome) = match behavior {
             0 => (2_000, Outcome::ConnectFailed),
             1 => (700_000, Outcome::Timeout),
             2 => (400_000, Outcome::Ok),
-            3 => (30_000, [Outcome::Error, Outcome::Reset, Outcome::Full][self.random.below(3) as usize]),
+            3 => (30_000, [Outcome::Error, Outcome::Reset, Outcome::Full][self.rng.below(3) as usize]),
             _ => (40_000, Outcome::Ok),
         };
-        let chance = [Outcome::Stale, Outcome::Withheld, Outcome::Moot, Outcome::Cancelled, Outcome::Reset];
-        let outcome = if self.random.one_in(40) { chance[self.random.below(5) as usize] } else { outcome };
-        let over = self.now + usual / 2 + self.random.below(usual);
-        self.out.push((request, *attempt, backend, self.now, over, outcome));
+        let rare = [Outcome::Stale, Outcome::Withheld, Outcome::Moot, Outcome::Cancelled, Outcome::Reset];
+        let outcome = if self.rng.one_in(40) { rare[self.rng.below(5) as usize] } else { outcome };
+        let ends_at = self.now + latency / 2 + self.rng.below(latency);
+        self.in_flight.push((request, *attempt, backend, self.now, ends_at, outcome));
         *attempt += 1;
     }
 
-    fn arrivals(&mut self) {
-        let busy = 1 + (self.now / (7 * SECOND)) % 4;
-        for _ in 0..self.random.below(1 + busy) {
-            self.next += 1;
-            let customer = self.random.below(40).min(self.random.below(40));
+    fn send_requests(&mut self) {
+        let load = 1 + (self.now / (7 * SECOND)) % 4;
+        for _ in 0..self.rng.below(1 + load) {
+            self.next_id += 1;
+            let customer = self.rng.below(40).min(self.rng.below(40));
             let request = Request {
-                id: self.next,
-                class: self.random.below(self.settings.classes.len() as u64) as u16,
-                plan: (customer % 4) as u16 + if self.random.one_in(500) { 9 } else { 0 },
+                id: self.next_id,
+                class: self.rng.below(self.settings.classes.len() as u64) as u16,
+                plan: (customer % 4) as u16 + if self.rng.one_in(500) { 9 } else { 0 },
                 customer,
-                units: 1.0 + self.random.below(3) as f64,
+                units: 1.0 + self.rng.below(3) as f64,
                 gateway_count: 1.0 + (customer % 9) as f64,
                 first_gateway: (customer % 3) as f64,
-                timeout: 20_000 + self.random.below(2 * SECOND),
+                timeout: 20_000 + self.rng.below(2 * SECOND),
                 is_retry: false,
                 is_write: false,
             };
             self.open.insert(request.id);
-            self.give(Event::Request(request));
+            self.handle(Event::Request(request));
         }
     }
 
-    fn due(&mut self) {
+    fn end_due(&mut self) {
         while let Some((at, token)) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) {
             self.timers.remove(&(at, token));
-            self.give(Event::Timer { token });
+            self.handle(Event::Timer { token });
         }
-        let (over, out) =
-            std::mem::take(&mut self.out).into_iter().partition(|attempt| attempt.4 <= self.now);
-        self.out = out;
-        let over: Vec<(RequestId, u8, BackendId, Micros, Micros, Outcome)> = over;
-        for (request, attempt, backend, sent, _, outcome) in over {
+        let (ended, in_flight) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|attempt| attempt.4 <= self.now);
+        self.in_flight = in_flight;
+        let ended: Vec<(RequestId, u8, BackendId, Micros, Micros, Outcome)> = ended;
+        for (request, attempt, backend, sent, _, outcome) in ended {
             let closed = !self.open.contains(&request) || outcome == Outcome::Ok;
             if outcome == Outcome::Ok {
                 self.open.remove(&request);
             }
-            let (elapsed, unused) = (self.now - sent, self.random.below(2_000_000));
-            let carried = Event::ConnectionUsed {
-                idle: Some(unused).filter(|unused| unused % 3 > 0),
-                broken: outcome == Outcome::Stale || (unused > 1_200_000 && unused % 5 == 0),
+            let (elapsed, idle) = (self.now - sent, self.rng.below(2_000_000));
+            let connection_used = Event::ConnectionUsed {
+                idle: Some(idle).filter(|idle| idle % 3 > 0),
+                broken: outcome == Outcome::Stale || (idle > 1_200_000 && idle % 5 == 0),
             };
-            self.give(carried);
-            self.give(Event::AttemptEnded(AttemptEnd {
+            self.handle(connection_used);
+            self.handle(Event::AttemptEnded(AttemptEnd {
                 request,
                 attempt,
                 backend,
@@ -224,22 +224,22 @@
         }
     }
 
-    fn counter(&mut self) {
-        if self.random.one_in(6_000) {
+    fn answer_counter_calls(&mut self) {
+        if self.rng.one_in(6_000) {
             self.totals.clear();
         }
-        let mood = (self.now / (5 * SECOND)) % 4;
-        let slow = [300, 300, 60_000, 30_000][mood as usize];
+        let phase = (self.now / (5 * SECOND)) % 4;
+        let latency = [300, 300, 60_000, 30_000][phase as usize];
         for counter_id in self.calls.keys().copied().collect::<Vec<_>>() {
-            while let Some((made, amount)) = self.calls[&counter_id].front().copied() {
-                let took = slow / 2 + self.random.below(slow);
-                if self.now < made + took.min(50_000) {
+            while let Some((called_at, amount)) = self.calls[&counter_id].front().copied() {
+                let took = latency / 2 + self.rng.below(latency);
+                if self.now < called_at + took.min(50_000) {
                     break;
                 }
                 self.calls.get_mut(&counter_id).expect("just read").pop_front();
-                let outcome = match self.random.below(20) {
+                let outcome = match self.rng.below(20) {
                     0 => Outcome::Full,
-                    1 if mood == 3 => Outcome::ConnectFailed,
+                    1 if phase == 3 => Outcome::ConnectFailed,
                     _ if took >= 50_000 => Outcome::Timeout,
                     _ => Outcome::Ok,
                 };
@@ -247,67 +247,72 @@
                     *self.totals.entry(counter_id).or_default() += amount;
                 }
                 let total = self.totals.get(&counter_id).copied().unwrap_or(0.0);
-                self.give(Event::CounterAnswered { counter_id, outcome, total, elapsed: self.now - made });
+                self.handle(Event::CounterAnswered {
+                    counter_id,
+                    outcome,
+                    total,
+                    elapsed: self.now - called_at,
+                });
             }
         }
-        self.calls.retain(|_, waiting| !waiting.is_empty());
+        self.calls.retain(|_, calls| !calls.is_empty());
     }
 
-    fn list(&mut self, kind: ListKind) {
+    fn send_list(&mut self, kind: ListKind) {
         let conditions = [Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone];
-        let many = if kind == ListKind::Delta { 1 } else { self.random.below(NODES + 1) };
+        let count = if kind == ListKind::Delta { 1 } else { self.rng.below(BACKENDS + 1) };
         let mut entries = Vec::new();
-        for node in 0..many {
-            let id = if kind == ListKind::Delta { self.random.below(NODES) } else { node } as BackendId;
-            let started_at = if self.random.one_in(3) { self.now - self.random.below(SECOND) } else { 0 };
-            let condition = conditions[self.random.below(4) as usize];
+        for index in 0..count {
+            let id = if kind == ListKind::Delta { self.rng.below(BACKENDS) } else { index } as BackendId;
+            let started_at = if self.rng.one_in(3) { self.now - self.rng.below(SECOND) } else { 0 };
+            let condition = conditions[self.rng.below(4) as usize];
             let weight = 1.0 + (id % 3) as f64 / 2.0;
             let (zone, cell) = ((id % 2) as u16, (id % 4) as u16);
             entries.push(BackendEntry { id, zone, kind: 0, cell, condition, weight, started_at });
         }
-        self.give(Event::Backends { kind, version: self.events, entries });
+        self.handle(Event::Backends { kind, version: self.events, entries });
     }
 
-    fn others(&mut self) {
-        if self.random.one_in(300) {
-            self.list(ListKind::Delta);
+    fn send_other_events(&mut self) {
+        if self.rng.one_in(300) {
+            self.send_list(ListKind::Delta);
         }
-        if self.random.one_in(3_000) {
-            let kind = [ListKind::Full, ListKind::Cached, ListKind::Failed][self.random.below(3) as usize];
-            self.list(kind);
+        if self.rng.one_in(3_000) {
+            let kind = [ListKind::Full, ListKind::Cached, ListKind::Failed][self.rng.below(3) as usize];
+            self.send_list(kind);
         }
-        if self.random.one_in(30) {
-            let mut data: Vec<u8> = self.random.below(40).to_le_bytes().to_vec();
-            match self.random.below(3) {
-                0 => data.push(self.random.below(3) as u8),
-                1 => data.extend((self.random.below(5) as f32).to_le_bytes()),
-                _ => data.truncate(self.random.below(9) as usize),
+        if self.rng.one_in(30) {
+            let mut data: Vec<u8> = self.rng.below(40).to_le_bytes().to_vec();
+            match self.rng.below(3) {
+                0 => data.push(self.rng.below(3) as u8),
+                1 => data.extend((self.rng.below(5) as f32).to_le_bytes()),
+                _ => data.truncate(self.rng.below(9) as usize),
             }
-            self.give(Event::PeerMessage { from: 1, data });
+            self.handle(Event::PeerMessage { from: 1, data });
         }
-        if let Some(request) = self.open.first().copied().filter(|_| self.random.one_in(60)) {
+        if let Some(request) = self.open.first().copied().filter(|_| self.rng.one_in(60)) {
             self.open.remove(&request);
-            let withdrawn = self.random.one_in(3) && !self.attempts.contains_key(&request);
-            let (gone, back) = (Event::Abandoned { request }, Event::Withdrawn { request });
-            self.give(if withdrawn { back } else { gone });
+            let withdrawn = self.rng.one_in(3) && !self.attempts.contains_key(&request);
+            let (abandoned, withdrawal) = (Event::Abandoned { request }, Event::Withdrawn { request });
+            self.handle(if withdrawn { withdrawal } else { abandoned });
         }
-        if self.random.one_in(4_000) {
-            let (plan, factor) = (self.random.below(3) as usize, 0.5 + self.random.below(4) as f64 / 2.0);
+        if self.rng.one_in(4_000) {
+            let (plan, factor) = (self.rng.below(3) as usize, 0.5 + self.rng.below(4) as f64 / 2.0);
             self.settings.plans[plan].burst = 8.0 * factor;
             self.gateway.reconfigure(self.now, self.settings.clone());
         }
     }
 
-    fn play(mut self, steps: u64) -> (u64, u64, u64) {
+    fn run(mut self, steps: u64) -> (u64, u64, u64) {
         let entry = |id| BackendEntry { id, condition: Condition::Ready, weight: 1.0, ..Default::default() };
-        let entries = (0..NODES as BackendId).map(entry).collect();
-        self.give(Event::Backends { kind: ListKind::Full, version: 1, entries });
+        let entries = (0..BACKENDS as BackendId).map(entry).collect();
+        self.handle(Event::Backends { kind: ListKind::Full, version: 1, entries });
         for _ in 0..steps {
             self.now += TICK;
-            self.arrivals();
-            self.due();
-            self.counter();
-            self.others();
+            self.send_requests();
+            self.end_due();
+            self.answer_counter_calls();
+            self.send_other_events();
         }
         format!("{:?}", self.gateway.fleet_view()).hash(&mut self.digest);
         (self.events, self.actions, self.digest.finish())
@@ -315,11 +320,11 @@
 }
 
 fn main() {
-    let mut numbers = std::env::args().skip(1).map(|word| word.parse::<u64>().expect("a whole number"));
-    let mut next = |usual| numbers.next().unwrap_or(usual);
+    let mut numbers = std::env::args().skip(1).map(|argument| argument.parse::<u64>().expect("an integer"));
+    let mut next = |default| numbers.next().unwrap_or(default);
     let (first, seeds, steps) = (next(1), next(20), next(5_000));
     for seed in first..first + seeds {
-        let (events, actions, digest) = World::new(seed).play(steps);
+        let (events, actions, digest) = Simulation::new(seed).run(steps);
         println!("{seed} {events} {actions} {digest:016x}");
     }
 }
--- a/crates/decision/src/backends.rs
+++ b/crates/decision/src/backends.rs
@@ -19,7 +19,7 @@
 const FLEET_NEWEST: f64 = 0.02;
 const FAILURE_COST: f64 = 8.0; // growth of a backend's cost with its failure rate (factor)
 const TIMEOUT_RATE_DECAY: f64 = 5e6; // us; the time-outs of a backend that is sent nothing are forgotten
-const EJECT_RATE: f64 = 0.4;
+const EJECT_RATE: f64 = 0.4; // failure rate above which a backend is ejected
 /// Attempts in a row, reset or unanswered while the fleet has capacity: a vanished host resets no connection.
 const EJECT_LOST: u32 = 3;
 /// Part of the fleet ejected at once, at most: with more, the cause lies elsewhere (a network that resets
--- a/crates/decision/src/counter.rs
+++ b/crates/decision/src/counter.rs
@@ -11,7 +11,7 @@
 const INTERVAL_DOWN: f64 = 0.88; // ... and with a good one: in balance 1 in 4 is late
 const INTERVAL_DECAY: f64 = 10e6; // us
 const MAX_INTERVAL: f64 = 120e6; // us
-pub(crate) const MAX_WAIT: f64 = 2.0; // windows up to which a customer's time without a call counts
+pub(crate) const MAX_SINCE_QUERY: f64 = 2.0; // windows up to which a customer's time without a call counts
 const HOME_MIN_INTERVAL: f64 = 20.0; // counter time-outs; these three hold where home gateways count instead
 const HOME_INTERVAL_DOWN: f64 = 0.98;
 const HOME_INTERVAL_DECAY: f64 = 30e6; // us
@@ -110,8 +110,8 @@
         true
     }
 
-    /// Units that may be admitted without a total: under a hard limit, this gateway's part of what exceeds
-    /// the quota, so that all parts and the confirmed units stay below it; else its part of the quota.
+    /// Units that may be admitted without a total: this gateway's part of the quota, or, under a hard limit,
+    /// of what that exceeds the quota by, so that all parts and the confirmed units stay below it.
     pub(crate) fn refill_allowance(&mut self, customer_id: CustomerId) -> f64 {
         let (now, max_units) = (self.now, self.settings.max_request_units);
         // The other half is for units that a home gateway admits and totals don't contain yet.
--- a/crates/decision/src/home_gateway.rs
+++ b/crates/decision/src/home_gateway.rs
@@ -15,7 +15,7 @@
 const TOTAL_VALID: f64 = 1.0;
 
 impl Gateway {
-    /// Whether home gateways are used: among few gateways, totals come in time.
+    /// Whether home gateways count while the counter is overloaded: among few gateways, totals come in time.
     pub(crate) fn uses_homes(&self) -> bool {
         self.settings.limits.peer_messages && f64::from(self.settings.gateways) > MAX_SCALED_GATEWAYS
     }
@@ -51,7 +51,7 @@
                 if home == own {
                     self.count_for_peer(own, id, customer_id, units);
                 } else {
-                    let data = ask(id, &open.request, units);
+                    let data = encode_query(id, &open.request, units);
                     self.actions.push(Action::SendPeerMessage { to: Some(home), data });
                 }
                 return true;
@@ -65,7 +65,7 @@
         if home == self.settings.index {
             self.count_for_peer(home, request.id, request.customer, -request.units);
         } else {
-            let data = ask(request.id, request, -request.units);
+            let data = encode_query(request.id, request, -request.units);
             self.actions.push(Action::SendPeerMessage { to: Some(home), data });
         }
     }
@@ -130,7 +130,7 @@
     }
 }
 
-fn ask(id: RequestId, request: &Request, units: f64) -> Vec<u8> {
+fn encode_query(id: RequestId, request: &Request, units: f64) -> Vec<u8> {
     let (customer_id, plan, first) = (request.customer, request.plan, request.first_gateway as u16);
     Message::Query { id, customer_id, plan, gateways: request.gateway_count as u16, first, units }.encode()
 }
--- a/crates/decision/src/peer_updates.rs
+++ b/crates/decision/src/peer_updates.rs
@@ -19,7 +19,7 @@
     pub(crate) until: Micros,
 }
 
-/// The share of requests rejected without a total, after a decision by a total, here or at a home.
+/// The next share of requests rejected without a total, after a decision by a total here or at a home.
 pub(crate) fn step_excess_share(share: f64, within: bool) -> f64 {
     (share + if within { ADMITTED_STEP } else { REJECTED_STEP }).clamp(0.0, 1.0)
 }
@@ -52,7 +52,7 @@
         self.actions.push(Action::SendPeerMessage { to: None, data: Message::Units(records).encode() });
     }
 
-    /// Adds units that a peer has sent, except those that a counter total has shown already.
+    /// Adds units that a peer reports as sent, except those that a counter total has shown already.
     pub(crate) fn add_peer_units(&mut self, customer_id: CustomerId, units: f64) {
         if !self.quota.customers.contains_key(&customer_id) || !(0.0..=1e6).contains(&units) {
             return;
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas: a sliding window counter. Requests add units, and a weighted estimate over two windows decides.
 
-use crate::counter::{MAX_WAIT, UNHEALTHY_AFTER};
+use crate::counter::{MAX_SINCE_QUERY, UNHEALTHY_AFTER};
 use crate::state::{Call, Customer, OpenRequest};
 use crate::{interface::*, peer_updates::step_excess_share, primitives::mix, Gateway};
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 const MAX_WINDOW: f64 = 0.4; // of MAX_TTL: two windows and late reads fit in
 const MIN_WINDOW_TICKS: f64 = 50.0; // in a shorter window, the time that a call to the counter takes matters
 const SHARE_WEIGHT: f64 = 0.5; // of the newest window in this gateway's share: that shifts in about 2 windows
-const ROUNDING: f64 = 0.9; // of this gateway's units, which a total holds at least: it has seven digits
+const ROUNDING: f64 = 0.9; // least part of this gateway's units that a total holds, which has seven digits
 const MIN_NEARNESS: f64 = 0.2; // to the limit, by which a customer's chance of a call is scaled
 /// Most gateways of a customer for which the units here are scaled up to all: beyond, a burst here would be
 /// taken for one everywhere.
@@ -30,7 +30,7 @@
 
 impl Gateway {
     pub(crate) fn on_request(&mut self, request: Request) {
-        let (id, customer) = (request.id, request.customer);
+        let (id, customer_id) = (request.id, request.customer);
         let plan = self.settings.plans.get(usize::from(request.plan));
         let (Some(plan), true) = (plan, usize::from(request.class) < self.settings.classes.len()) else {
             return self.actions.push(Action::Fail { request: id, reason: RejectionReason::Unknown });
@@ -44,7 +44,7 @@
         self.load_customer(&request);
         self.requests.open.insert(id, OpenRequest { arrived: self.now, request, ..OpenRequest::default() });
         match has_quota {
-            true => self.count_request(id, customer),
+            true => self.count_request(id, customer_id),
             false => self.admit(id),
         }
     }
@@ -143,7 +143,7 @@
         let (since_query, interval) = ((self.now - customer.queried_at) as f64, self.query_interval());
         let nearness = ((self.estimate(customer, self.current_units(customer)) + units) / limit)
             .clamp(MIN_NEARNESS, 1.0);
-        let earned = nearness * since_query.min(MAX_WAIT * length) / interval.max(1.0);
+        let earned = nearness * since_query.min(MAX_SINCE_QUERY * length) / interval.max(1.0);
         let (has_home, timeout) =
             (self.has_home(customer_id), self.settings.counter.map_or(0, |counter| counter.timeout));
         let chance = match interval > self.settings.tick as f64 {
--- a/crates/decision/src/requests.rs
+++ b/crates/decision/src/requests.rs
@@ -114,7 +114,7 @@
         let backend = self.fleet.backends.get_mut(&attempt.backend).map(|backend| &mut backend.in_flight);
         let customer =
             self.quota.customers.get_mut(&attempt.customer).map(|customer| &mut customer.in_flight);
-        backend.into_iter().chain(customer).for_each(|out| *out = out.saturating_sub(1));
+        backend.into_iter().chain(customer).for_each(|in_flight| *in_flight = in_flight.saturating_sub(1));
         self.record_outcome(attempt.backend, attempt.class, end.outcome, end.elapsed);
         if end.closed || end.outcome == Outcome::Ok {
             return self.close(end.request);
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -74,8 +74,8 @@
         self.sum_over_ready(|_| 1.0)
     }
 
-    pub(crate) fn sum_over_ready(&self, figure: impl Fn(&Backend) -> f64) -> f64 {
+    pub(crate) fn sum_over_ready(&self, value: impl Fn(&Backend) -> f64) -> f64 {
         let ready = |backend: &&Backend| backend.entry.condition == Condition::Ready;
-        self.fleet.backends.values().filter(ready).map(figure).sum()
+        self.fleet.backends.values().filter(ready).map(value).sum()
     }
 }
