--- a/crates/violetyoke/tests/account.rs
+++ b/crates/violetyoke/tests/account.rs
@@ -54,5 +54,5 @@
 #[test]
 fn nothing_is_written_down_where_it_is_not() {
     let (_backend, _counter, _discovery, ingress) = start(false);
-    assert_eq!(ingress.told(violetyoke_account::RECORD_PREFIX), 0);
+    assert_eq!(ingress.count_log_lines(violetyoke_account::RECORD_PREFIX), 0);
 }
--- a/crates/violetyoke/tests/bodies.rs
+++ b/crates/violetyoke/tests/bodies.rs
@@ -28,7 +28,7 @@
 }
 
 fn posted(framing: &str) -> String {
-    head("POST", "booking-post", "wide", "1000m") + framing + "\r\n"
+    request_head("POST", "booking-post", "wide", "1000m") + framing + "\r\n"
 }
 
 fn chunk(data: &[u8]) -> Vec<u8> {
@@ -45,7 +45,7 @@
         client.send(posted("Transfer-Encoding: chunked\r\n"));
         body.chunks(7_001).for_each(|piece| client.send(chunk(piece)));
         client.send("0\r\nX-Sum: 1\r\n\r\n");
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"done".as_slice()), "{length}");
         assert!(backend.requests().last().unwrap().body == body, "{length} bytes came otherwise");
     }
@@ -69,10 +69,10 @@
             let mut client = ingress.client();
             client.send(before.clone() + &posted(&framing) + &body);
             if goods == 1 {
-                assert_eq!(client.answer().expect("an answer").status(), 200);
+                assert_eq!(client.read_response().expect("an answer").status(), 200);
             }
-            assert_eq!(client.answer().expect("an answer").status(), 400, "{framing}");
-            assert!(client.closed(), "{framing}");
+            assert_eq!(client.read_response().expect("an answer").status(), 400, "{framing}");
+            assert!(client.is_closed(), "{framing}");
             assert_eq!(backend.request_count() - seen, goods, "{framing}");
         }
     }
@@ -91,7 +91,7 @@
         std::thread::sleep(Duration::from_millis(55));
     }
     assert!(began.elapsed() > Duration::from_millis(1_100));
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("an answer").status(), 200);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     }
     // Longer than the class's aim and than its client's time.
     assert!(began.elapsed() > Duration::from_millis(1_500));
-    assert_eq!(slow.answer().expect("an answer").status(), 200);
+    assert_eq!(slow.read_response().expect("an answer").status(), 200);
     let long: Vec<_> = backend.requests().into_iter().filter(|request| request.body.len() > 1).collect();
     assert!(long.len() == 1 && long[0].body == body);
     assert!(long[0].headers["req-deadline"].ends_with('u'));
@@ -129,7 +129,7 @@
         if ends {
             client.stream.shutdown(std::net::Shutdown::Write).unwrap();
         }
-        let answer = client.answer();
+        let answer = client.read_response();
         // 503 says the same: it has not run.
         assert!(answer.is_none_or(|answer| [400, 408, 503].contains(&answer.status())));
         assert!(began.elapsed() < Duration::from_millis(2_900), "{:?}", began.elapsed());
@@ -145,14 +145,14 @@
     let (_counter, _discovery, ingress) = start(&backend);
     let mut client = ingress.client();
     client.send(posted("Content-Length: 60000000\r\n"));
-    assert_eq!(client.answer().expect("an answer").status(), 413);
+    assert_eq!(client.read_response().expect("an answer").status(), 413);
     // In chunks it shows only once it has come.
     let mut client = ingress.client();
     client.send(posted("Transfer-Encoding: chunked\r\n"));
     let piece = chunk(&noise(1 << 20));
     let sent = (0..40).take_while(|_| client.try_send(&piece).is_some()).count();
     assert!(sent >= 32, "cut off after {sent} MiB");
-    assert!(client.answer().is_none_or(|answer| answer.status() != 200));
+    assert!(client.read_response().is_none_or(|answer| answer.status() != 200));
     assert_eq!(backend.request_count(), 0);
 }
 
@@ -207,7 +207,7 @@
             assert!(text.starts_with("HTTP/1.1 200") && !text.ends_with("0\r\n\r\n"), "{text:.80}");
             assert!((100_000..200_000).contains(&all.len()), "{}", all.len());
         } else {
-            assert_eq!(client.answer().expect("an answer").status(), 502);
+            assert_eq!(client.read_response().expect("an answer").status(), 502);
         }
         assert_eq!(backend.request_count(), 1);
     }
@@ -241,7 +241,7 @@
         assert_eq!(ingress.client().call(booking("x")).status(), 200);
     }
     for client in &mut clients {
-        let answer = client.answer().expect("a whole answer");
+        let answer = client.read_response().expect("a whole answer");
         assert_eq!((answer.status(), answer.body.len()), (200, LENGTH));
     }
     // 160 MB have gone through.
--- a/crates/violetyoke/tests/common/control.rs
+++ b/crates/violetyoke/tests/common/control.rs
@@ -1,6 +1,6 @@
 //! The control plane as a process, and a client of its API.
 
-use super::{until, Client, HttpMessage, NEXT};
+use super::{until, Client, HttpMessage, NEXT_NUMBER};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,35 +10,35 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A store's file, removed with all that stands beside it.
+/// The file of a store. It is removed with all files beside it when dropped.
 pub struct StoreFile(pub PathBuf);
 
 impl StoreFile {
     pub fn new() -> StoreFile {
-        let number = NEXT.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         StoreFile(std::env::temp_dir().join(format!("violetyoke-control-{}-{number}", std::process::id())))
     }
 }
 
 impl Drop for StoreFile {
     fn drop(&mut self) {
-        for end in ["", "-wal", "-shm", ".pepper", ".epochs"] {
-            let _ = std::fs::remove_file(format!("{}{end}", self.0.display()));
+        for suffix in ["", "-wal", "-shm", ".pepper", ".epochs"] {
+            let _ = std::fs::remove_file(format!("{}{suffix}", self.0.display()));
         }
     }
 }
 
-/// A running control plane; killed when dropped.
+/// A running control plane, which is killed when dropped.
 pub struct Control {
     pub address: SocketAddr,
     pub child: Child,
-    /// The first operator's key, if this process made it.
+    /// The first operator's key, if this process created it.
     pub key: Option<String>,
 }
 
 impl Control {
     pub fn start(file: &StoreFile, arguments: &[&str]) -> Control {
-        let fresh = !file.0.exists();
+        let is_new = !file.0.exists();
         let mut child = Command::new(env!("CARGO_BIN_EXE_violetyoke"))
             .args(["control", "--store"])
             .arg(&file.0)
@@ -49,12 +49,12 @@
             .spawn()
             .unwrap();
         let address: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
-        let (told, stderr) = (address.clone(), child.stderr.take().unwrap());
+        let (shared_address, stderr) = (address.clone(), child.stderr.take().unwrap());
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 eprintln!("{line}");
                 if let Some(text) = line.strip_prefix("violetyoke: control plane on ") {
-                    *told.lock().unwrap() = text.parse().ok();
+                    *shared_address.lock().unwrap() = text.parse().ok();
                 }
             }
         });
@@ -63,9 +63,9 @@
             address.lock().unwrap().is_some()
         });
         let address = address.lock().unwrap().unwrap();
-        // The key's line comes before the address is told, if the store is new.
+        // With a new store, the key is printed before the address is logged.
         let mut key = None;
-        if fresh {
+        if is_new {
             let mut line = String::new();
             BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
             key = line.trim().rsplit(' ').next().map(String::from);
@@ -77,9 +77,9 @@
         Api { address: self.address, key: key.to_string() }
     }
 
-    /// An operator's.
+    /// A client with the first operator's key.
     pub fn operator(&self) -> Api {
-        self.api(self.key.as_ref().expect("this process made the first key"))
+        self.api(self.key.as_ref().expect("this process created the first key"))
     }
 
     pub fn kill(&mut self) {
@@ -95,16 +95,16 @@
     }
 }
 
-/// A caller with a key.
+/// A client of the API with a key.
 #[derive(Clone)]
 pub struct Api {
     pub address: SocketAddr,
     pub key: String,
 }
 
-/// What was answered.
+/// A response of the API.
 #[derive(Debug)]
-pub struct Told {
+pub struct ApiResponse {
     pub status: u16,
     pub body: Value,
     pub version: Option<String>,
@@ -112,65 +112,65 @@
 }
 
 impl Api {
-    pub fn request(&self, method: &str, path: &str, body: &str, more: &str) -> String {
+    pub fn request(&self, method: &str, path: &str, body: &str, headers: &str) -> String {
         format!(
-            "{method} {path} HTTP/1.1\r\nHost: control\r\nAuthorization: Bearer {}\r\n{more}\
+            "{method} {path} HTTP/1.1\r\nHost: control\r\nAuthorization: Bearer {}\r\n{headers}\
              Content-Length: {}\r\n\r\n{body}",
             self.key,
             body.len()
         )
     }
 
-    pub fn try_call(&self, method: &str, path: &str, body: &str, more: &str) -> Option<Told> {
+    pub fn try_call(&self, method: &str, path: &str, body: &str, headers: &str) -> Option<ApiResponse> {
         let mut client = Client::try_open(self.address)?;
-        client.try_call(self.request(method, path, body, more)).map(told)
+        client.try_call(self.request(method, path, body, headers)).map(api_response)
     }
 
-    pub fn call(&self, method: &str, path: &str, body: &str, more: &str) -> Told {
-        self.try_call(method, path, body, more).expect("an answer")
+    pub fn call(&self, method: &str, path: &str, body: &str, headers: &str) -> ApiResponse {
+        self.try_call(method, path, body, headers).expect("the API responds")
     }
 
-    pub fn get(&self, path: &str) -> Told {
+    pub fn get(&self, path: &str) -> ApiResponse {
         self.call("GET", path, "", "")
     }
 
-    pub fn post(&self, path: &str, body: impl ToString) -> Told {
+    pub fn post(&self, path: &str, body: impl ToString) -> ApiResponse {
         self.call("POST", path, &body.to_string(), "")
     }
 
-    /// Made, or the test fails.
-    pub fn make(&self, path: &str, body: impl ToString) -> Value {
-        let told = self.post(path, body);
-        assert_eq!(told.status, 201, "{told:?}");
-        told.body
+    /// Creates a resource, or fails the test.
+    pub fn create(&self, path: &str, body: impl ToString) -> Value {
+        let response = self.post(path, body);
+        assert_eq!(response.status, 201, "{response:?}");
+        response.body
     }
 
-    /// Whatever its version is.
-    pub fn force(&self, method: &str, path: &str, body: impl ToString) -> Told {
+    /// Calls without a check of the resource's version.
+    pub fn call_any_version(&self, method: &str, path: &str, body: impl ToString) -> ApiResponse {
         self.call(method, path, &body.to_string(), "If-Match: *\r\n")
     }
 }
 
-pub fn told(http: HttpMessage) -> Told {
+pub fn api_response(http: HttpMessage) -> ApiResponse {
     let body = serde_json::from_slice(&http.body).unwrap_or_default();
-    Told { status: http.status(), body, version: http.headers.get("etag").cloned(), http }
+    ApiResponse { status: http.status(), body, version: http.headers.get("etag").cloned(), http }
 }
 
 pub const PLAN: &str = r#"{"name": "basic", "rate": 2, "burst": 8}"#;
 
 pub fn tenant(api: &Api, name: &str) {
     let body = json!({"name": name, "hosts": [format!("{name}.example.org")], "pools": ["reservations"]});
-    api.make("/v1/tenants", body);
+    api.create("/v1/tenants", body);
 }
 
 pub fn key(api: &Api, path: &str, body: Value) -> Api {
-    let made = api.make(path, body);
+    let made = api.create(path, body);
     Api { address: api.address, key: made["key"].as_str().unwrap().to_string() }
 }
 
-/// Many calls: the quota of keys is not what most tests are about.
-pub const FREE: &[&str] = &["--rate", "1000000", "--burst", "1000000"];
+/// Options for a high rate limit of keys, which most tests do not exercise.
+pub const UNLIMITED_CALLS: &[&str] = &["--rate", "1000000", "--burst", "1000000"];
 
 pub fn start(file: &StoreFile) -> Control {
-    Control::start(file, FREE)
+    Control::start(file, UNLIMITED_CALLS)
 }
--- a/crates/violetyoke/tests/common/grpc.rs
+++ b/crates/violetyoke/tests/common/grpc.rs
@@ -1,4 +1,4 @@
-//! A client of the rate limit service, of tonic's on one connection.
+//! A client of the gRPC rate limit service, with one connection.
 
 use super::{until, Service};
 use hyper_util::rt::TokioIo;
@@ -9,9 +9,9 @@
 use violetyoke_ratelimit_proto as proto;
 use violetyoke_ratelimit_proto::{Channel, LocalExecutor};
 
-pub fn asked_at(service: &Service) -> SocketAddr {
+pub fn rate_limit_address(service: &Service) -> SocketAddr {
     let mut address = None;
-    until("the service answers questions", || {
+    until("the rate limit service listens", || {
         address = service.log().iter().find_map(|line| {
             line.strip_prefix("violetyoke: answering rate limit questions on ")
                 .map(|text| text.parse().unwrap())
@@ -21,14 +21,15 @@
     address.unwrap()
 }
 
-/// Runs a test's asynchronous part, for so long at most.
-pub fn block<T>(work: impl Future<Output = T>) -> T {
+/// Runs the asynchronous part of a test, for at most 20 s.
+pub fn block_on<T>(work: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let work = async { tokio::time::timeout(Duration::from_secs(20), work).await.expect("in time") };
+    let work =
+        async { tokio::time::timeout(Duration::from_secs(20), work).await.expect("the test ends in time") };
     LocalSet::new().block_on(&runtime, work)
 }
 
-pub type Asker = proto::RateLimitServiceClient<Channel>;
+pub type RateLimitClient = proto::RateLimitServiceClient<Channel>;
 
 pub async fn channel(address: SocketAddr) -> Channel {
     let stream = tokio::net::TcpStream::connect(address).await.unwrap();
@@ -38,7 +39,7 @@
     channel
 }
 
-pub async fn client(address: SocketAddr) -> Asker {
+pub async fn client(address: SocketAddr) -> RateLimitClient {
     proto::RateLimitServiceClient::new(channel(address).await)
 }
 
--- a/crates/violetyoke/tests/common/mod.rs
+++ b/crates/violetyoke/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! The program as a process, its clients, and the platform's settings. What stands round it comes from
-//! `violetyoke-standin`. Everything is on loopback; waits are on conditions, with a limit after which a test
-//! fails.
+//! The program as a process, its clients, and the platform's settings. The services that it depends on are
+//! stubs of `violetyoke-standin`. All sockets are on loopback. Tests wait for conditions, and fail after a
+//! time-out.
 
 #![allow(
     clippy::let_underscore_must_use,
@@ -11,8 +11,8 @@
 
 pub mod control;
 pub mod grpc;
-pub mod held;
-pub mod hosted;
+pub mod shared_socket;
+pub mod tenant_service;
 
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
@@ -29,18 +29,19 @@
 pub use violetyoke_standin::http::{read_http, HttpMessage};
 pub use violetyoke_standin::scripted::{ok, raw, Backend, Reply, NTH};
 
-const LIMIT: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Waits until the condition holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn until(text: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < LIMIT, "waited too long until {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {text}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Settings of one ingress among `balancers`: a safe and an unsafe class, a plan with room and a narrow one.
+/// Settings of one of `balancers` ingresses: an idempotent and an at-most-once class, and plans with a high and
+/// with a low quota.
 pub fn settings(index: u16, balancers: u16) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "aim-us": 750_000, "deadline-us": 2_000_000, "value": 2.0,
@@ -70,9 +71,9 @@
     })
 }
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A running ingress; killed when dropped.
+/// A running ingress, which is killed when dropped.
 pub struct Ingress {
     pub address: SocketAddr,
     pub child: Child,
@@ -82,8 +83,8 @@
 
 type Log = Arc<Mutex<Vec<String>>>;
 
-/// Keeps what a program writes to its log, and passes it on.
-fn follow(child: &mut Child) -> Log {
+/// Collects the log lines of a process, and also prints them.
+fn collect_log(child: &mut Child) -> Log {
     let log = Log::default();
     let (lines, stderr) = (log.clone(), child.stderr.take().unwrap());
     thread::spawn(move || {
@@ -97,26 +98,26 @@
 
 /// An address that no other test listens on.
 ///
-/// It is bound to find it, and never listened on: a process that another thread is just starting holds copies of all
-/// sockets until it has become its program, and a copy that listens would keep the address from whom it is meant for.
+/// The socket is bound but never listens. A process that another thread is starting has copies of all sockets
+/// until it executes its program, and a copy of a listening socket would keep the address in use.
 pub fn free_address() -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
-    socket.bind(&SocketAddr::new(own_host(), 0).into()).unwrap();
+    socket.bind(&SocketAddr::new(unused_host(), 0).into()).unwrap();
     socket.local_addr().unwrap().as_socket().unwrap()
 }
 
-/// The same, held at once: nobody can take it before it is listened on.
+/// A listener on such an address, which no other process can take.
 pub fn free_listener() -> TcpListener {
-    TcpListener::bind((own_host(), 0)).unwrap()
+    TcpListener::bind((unused_host(), 0)).unwrap()
 }
 
-/// A host that no other test uses at the time.
-fn own_host() -> IpAddr {
-    let number = NEXT.fetch_add(1, Ordering::SeqCst);
+/// A loopback host that no other test uses at the same time.
+fn unused_host() -> IpAddr {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
     let process = std::process::id();
-    let part = |number: u32| (number % 250) as u8;
-    Ipv4Addr::new(127, 1 + part(process), part(process / 250), 1 + part(number)).into()
+    let octet = |number: u32| (number % 250) as u8;
+    Ipv4Addr::new(127, 1 + octet(process), octet(process / 250), 1 + octet(number)).into()
 }
 
 impl Ingress {
@@ -135,12 +136,12 @@
         ingress
     }
 
-    /// Starts one without waiting until it is ready.
+    /// Starts an ingress without waiting until it is ready.
     pub fn spawn(counter: &Counter, discovery: &Discovery, adjust: impl FnOnce(&mut Value)) -> Ingress {
         Ingress::spawn_as(counter, discovery, adjust, Command::new)
     }
 
-    /// Starts one by a command of the caller's, made of the program's path.
+    /// Starts an ingress by a command that the caller builds from the path of the program.
     pub fn spawn_as(
         counter: &Counter,
         discovery: &Discovery,
@@ -156,7 +157,7 @@
             "settings": settings(0, 2)
         });
         adjust(&mut config);
-        let number = NEXT.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("violetyoke-{}-{number}.json", std::process::id()));
         std::fs::write(&path, config.to_string()).unwrap();
         let mut child = command(env!("CARGO_BIN_EXE_violetyoke"))
@@ -166,17 +167,17 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let log = follow(&mut child);
+        let log = collect_log(&mut child);
         Ingress { address, child, config: path, log }
     }
 
-    /// How many lines of its log have these words.
-    pub fn told(&self, what: &str) -> usize {
-        self.log.lock().unwrap().iter().filter(|line| line.contains(what)).count()
+    /// The number of log lines that contain this text.
+    pub fn count_log_lines(&self, text: &str) -> usize {
+        self.log.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
 
     pub fn client(&self) -> Client {
-        Client::try_open(self.address).expect("the ingress takes connections")
+        Client::try_open(self.address).expect("the ingress accepts connections")
     }
 
     pub fn terminate(&self) {
@@ -188,7 +189,7 @@
         assert!(status.success());
     }
 
-    /// Replaces the configuration's file and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.config, text).unwrap();
         self.signal("-HUP");
@@ -198,7 +199,7 @@
         serde_json::from_slice(&std::fs::read(&self.config).unwrap()).unwrap()
     }
 
-    pub fn exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         until("the ingress ends", || {
             status = self.child.try_wait().unwrap();
@@ -218,7 +219,7 @@
 
 pub const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-/// One client connection.
+/// A client connection.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -227,7 +228,7 @@
 impl Client {
     pub fn try_open(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Some(Client { stream, reader })
@@ -237,34 +238,34 @@
         self.stream.write_all(text.as_ref()).unwrap();
     }
 
-    /// Sends where the peer may have closed already.
+    /// Sends on a connection that the peer may already have closed.
     pub fn try_send(&mut self, text: impl AsRef<[u8]>) -> Option<()> {
         self.stream.write_all(text.as_ref()).ok()
     }
 
-    pub fn answer(&mut self) -> Option<HttpMessage> {
+    pub fn read_response(&mut self) -> Option<HttpMessage> {
         read_http(&mut self.reader)
     }
 
     pub fn try_call(&mut self, text: impl AsRef<[u8]>) -> Option<HttpMessage> {
         self.stream.write_all(text.as_ref()).ok()?;
-        self.answer()
+        self.read_response()
     }
 
     pub fn call(&mut self, text: impl AsRef<[u8]>) -> HttpMessage {
         self.send(text);
-        self.answer().expect("a whole answer")
+        self.read_response().expect("a complete response")
     }
 
-    /// Whether the peer has ended the connection, with nothing more to read.
-    pub fn closed(&mut self) -> bool {
+    /// Whether the peer has closed the connection and no data is left to read.
+    pub fn is_closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 1]), Ok(0) | Err(_))
     }
 }
 
-/// A well-formed request head for customer 7 of `tier`; each call has an id of its own.
-pub fn head(method: &str, class: &str, tier: &str, deadline: &str) -> String {
-    let id = NEXT.fetch_add(1, Ordering::SeqCst);
+/// A valid request head for customer 7 of `tier`, with a new id for each call.
+pub fn request_head(method: &str, class: &str, tier: &str, deadline: &str) -> String {
+    let id = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
     format!(
         "{method} /{class}/x?room=4%201&q=a HTTP/1.1\r\nHost: app.svc\r\nReq-Id: 9b1f03aa{id:08x}\r\n\
          Req-Kind: {class}\r\nX-Tier: {tier}\r\nCookie: account=0000000000000007\r\nReq-Deadline: {deadline}\r\n\
@@ -273,14 +274,15 @@
 }
 
 pub fn read_request() -> String {
-    head("GET", "avail-read", "wide", "1500m") + "\r\n"
+    request_head("GET", "avail-read", "wide", "1500m") + "\r\n"
 }
 
 pub fn booking(body: &str) -> String {
-    head("POST", "booking-post", "wide", "1000m") + &format!("Content-Length: {}\r\n\r\n{body}", body.len())
+    request_head("POST", "booking-post", "wide", "1000m")
+        + &format!("Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The program serving a file of our own; killed when dropped.
+/// The service with a configuration file, which is killed when dropped.
 pub struct Service {
     pub address: SocketAddr,
     pub child: Child,
@@ -290,9 +292,9 @@
 }
 
 impl Service {
-    /// Starts it on a file whose `LISTEN` stands for any free address.
+    /// Starts the service with a file in which `LISTEN` is replaced by any free address.
     pub fn start(text: &str) -> Service {
-        let number = NEXT.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let file = std::env::temp_dir().join(format!("violetyoke-{}-{number}.toml", std::process::id()));
         std::fs::write(&file, text.replace("LISTEN", "127.0.0.1:0")).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_violetyoke"))
@@ -301,7 +303,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let log = follow(&mut child);
+        let log = collect_log(&mut child);
         let mut service = Service { address: ([127, 0, 0, 1], 0).into(), child, file, log, reloads: 0 };
         until("the service listens", || {
             assert!(service.child.try_wait().unwrap().is_none(), "the service ended");
@@ -317,8 +319,8 @@
         self.log.lock().unwrap().clone()
     }
 
-    fn told(&self, what: &str) -> usize {
-        self.log().iter().filter(|line| line.contains(what)).count()
+    fn count_log_lines(&self, text: &str) -> usize {
+        self.log().iter().filter(|line| line.contains(text)).count()
     }
 
     /// Replaces the file, sends SIGHUP, and waits until it is in force.
@@ -326,15 +328,15 @@
         std::fs::write(&self.file, text.replace("LISTEN", "127.0.0.1:0")).unwrap();
         self.signal("-HUP");
         self.reloads += 1;
-        until("the file is in force", || self.told("is in force") >= self.reloads);
+        until("the file is in force", || self.count_log_lines("is in force") >= self.reloads);
     }
 
-    /// Replaces the file, sends SIGHUP, and waits until it is refused.
-    pub fn reload_refused(&mut self, text: &str) {
-        let before = self.told("the configuration in force stays");
+    /// Replaces the file, sends SIGHUP, and waits until the file is rejected.
+    pub fn reload_rejected(&mut self, text: &str) {
+        let before = self.count_log_lines("the configuration in force stays");
         std::fs::write(&self.file, text.replace("LISTEN", "127.0.0.1:0")).unwrap();
         self.signal("-HUP");
-        until("the file is refused", || self.told("the configuration in force stays") > before);
+        until("the file is rejected", || self.count_log_lines("the configuration in force stays") > before);
     }
 
     pub fn signal(&self, name: &str) {
@@ -343,7 +345,7 @@
     }
 
     pub fn client(&self) -> Client {
-        Client::try_open(self.address).expect("the service takes connections")
+        Client::try_open(self.address).expect("the service accepts connections")
     }
 }
 
@@ -355,8 +357,8 @@
     }
 }
 
-/// A request in the open form: what is not said has its usual value.
-pub fn open_request(method: &str, host: &str, path: &str, account: &str, body: &str) -> String {
+/// A request in the service's format, with default values for all optional fields.
+pub fn service_request(method: &str, host: &str, path: &str, account: &str, body: &str) -> String {
     let length = if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nX-Account: {account}\r\n{length}\r\n{body}")
 }
--- a/crates/violetyoke/tests/common/held.rs
+++ b/crates/violetyoke/tests/common/shared_socket.rs
@@ -1,44 +1,45 @@
-//! Processes of one ingress, started as the platform does that holds their listening socket.
+//! Processes of one ingress that inherit their listening socket, as on the platform.
 
 use super::*;
 use std::os::fd::OwnedFd;
 
-/// One call to a second address, on a connection of its own, and how it was answered.
+/// Makes one call to the console on a new connection. Returns the status.
 pub fn call(console: SocketAddr, method: &str, path: &str) -> u16 {
-    let mut client = Client::try_open(console).expect("the console takes connections");
+    let mut client = Client::try_open(console).expect("the console accepts connections");
     client.call(format!("{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n")).status()
 }
 
-pub fn serves(ingress: &Ingress, times: usize) {
+/// Sends requests to an ingress, which must all be served.
+pub fn assert_serves(ingress: &Ingress, times: usize) {
     let mut client = ingress.client();
     for _ in 0..times {
-        let answer = client.call(read_request());
-        assert_eq!(answer.status(), 200);
-        // By a process that was taken over: the next connection is its successor's.
-        if answer.headers.get("connection").is_some_and(|word| word == "close") {
+        let response = client.call(read_request());
+        assert_eq!(response.status(), 200);
+        // The process was taken over: the next connection is accepted by its successor.
+        if response.headers.get("connection").is_some_and(|value| value == "close") {
             client = ingress.client();
         }
     }
 }
 
-/// One process of an ingress whose listening socket is held outside.
+/// A process of an ingress with an inherited listening socket.
 pub struct Process {
     pub ingress: Ingress,
     pub console: SocketAddr,
 }
 
-/// What all processes of one ingress have: the socket, held for them, and a folder.
-pub struct Held {
+/// The listening socket and the folder that all processes of an ingress share.
+pub struct SharedSocket {
     listener: TcpListener,
     pub folder: PathBuf,
     pub counter: Counter,
     pub discovery: Discovery,
-    /// Descriptors that a process may hold, where that is not the usual number.
+    /// Limit on file descriptors of a process, if not the default.
     pub sockets: Option<u32>,
 }
 
-impl Held {
-    pub fn new(backends: &[&Backend]) -> Held {
+impl SharedSocket {
+    pub fn new(backends: &[&Backend]) -> SharedSocket {
         let entries = backends.iter().enumerate();
         let members = entries.map(|(i, backend)| member(&format!("s-{i}"), backend.address, "in_service"));
         let listener = free_listener();
@@ -48,7 +49,7 @@
             listener.local_addr().unwrap().port()
         ));
         std::fs::create_dir_all(&folder).unwrap();
-        Held {
+        SharedSocket {
             listener,
             folder,
             counter: Counter::start(),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Starts a process, as the platform does: the socket is its descriptor 7.
+    /// Starts a process as the platform does, with the socket as file descriptor 7.
     pub fn start(&self) -> Process {
         let console = free_address();
         let socket = OwnedFd::from(self.listener.try_clone().unwrap());
@@ -69,7 +70,7 @@
                 if let Some(sockets) = self.sockets {
                     config["limits"]["sockets"] = json!(sockets);
                 }
-                // Clients send as fast as they are answered: their quota is not what is at stake.
+                // The tests send requests without pause, so the quota must not limit them.
                 for (key, units) in [("quota-rate", 1e6), ("peak-units", 1e7)] {
                     config["settings"]["tariffs"][0][key] = json!(units);
                 }
@@ -86,13 +87,13 @@
             assert!(ingress.child.try_wait().unwrap().is_none(), "the process ended");
             Client::try_open(console)
                 .and_then(|mut client| client.try_call("GET /-/ready HTTP/1.1\r\nHost: c\r\n\r\n"))
-                .is_some_and(|answer| answer.status() == 200)
+                .is_some_and(|response| response.status() == 200)
         });
         Process { ingress, console }
     }
 }
 
-impl Drop for Held {
+impl Drop for SharedSocket {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/crates/violetyoke/tests/consult.rs
+++ b/crates/violetyoke/tests/consult.rs
@@ -67,7 +67,7 @@
 
 fn booking(address: SocketAddr, account: &str) -> HttpMessage {
     let mut client = Client::try_open(address).expect("the service takes connections");
-    client.call(open_request("POST", HOST, "/bookings", account, "room=4"))
+    client.call(service_request("POST", HOST, "/bookings", account, "room=4"))
 }
 
 fn status(service: &Service, account: &str) -> u16 {
@@ -75,7 +75,7 @@
 }
 
 fn tried(service: &Service, account: &str, name: &str) -> u16 {
-    let request = open_request("POST", HOST, "/bookings", account, "room=4");
+    let request = service_request("POST", HOST, "/bookings", account, "room=4");
     service.client().call(request.replacen("X-Account", &format!("X-Try: {name}\r\nX-Account"), 1)).status()
 }
 
@@ -130,7 +130,7 @@
     let consult = OWN.replace("budget_ms = 100", "budget_ms = 60000");
     let service = Service::start(&file(&node, &limiter, &consult, ""));
     limiter.set(Behavior::Silent);
-    let request = open_request("POST", HOST, "/bookings", "h", "room=4");
+    let request = service_request("POST", HOST, "/bookings", "h", "room=4");
     let began = Instant::now();
     let hurried = request.replacen("X-Account", "Req-Deadline: 400m\r\nX-Account", 1);
     assert_eq!(service.client().call(hurried).status(), 200);
@@ -265,7 +265,7 @@
     let service = Service::start(&file(&node, &limiter, &consult, ""));
     limiter.set(Behavior::Delay(Duration::from_millis(300)));
     let mut client = service.client();
-    client.send(open_request("POST", HOST, "/bookings", "h", "room=4"));
+    client.send(service_request("POST", HOST, "/bookings", "h", "room=4"));
     until("it is out", || limiter.received().len() == 1);
     drop(client);
     limiter.set(Behavior::Answer);
@@ -278,13 +278,13 @@
 fn questions_over_grpc_ask_the_outside_server_too() {
     let (node, limiter) = (node(), limiter(2));
     let service = Service::start(&file(&node, &limiter, REFUSE, ""));
-    let address = asked_at(&service);
+    let address = rate_limit_address(&service);
     let about = |accounts: &[&str]| proto::RateLimitRequest {
         domain: "rooms".into(),
         descriptors: accounts.iter().map(|account| descriptor(&[("account", account)])).collect(),
         hits_addend: 0,
     };
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         let mut ask = async |accounts: &[&str]| {
             let answer = client.should_rate_limit(about(accounts)).await.unwrap().into_inner();
@@ -361,5 +361,5 @@
     assert_eq!((status(&service, "h"), limiter.received().len()), (200, 2));
     service.reload(&text.replace("refuse", "own_quota"));
     assert_eq!((status(&service, "h"), limiter.received().len()), (429, 3));
-    service.reload_refused(&text.replace("refuse", "perhaps"));
+    service.reload_rejected(&text.replace("refuse", "perhaps"));
 }
--- a/crates/violetyoke/tests/control.rs
+++ b/crates/violetyoke/tests/control.rs
@@ -16,7 +16,7 @@
     let control = start(file);
     let api = control.operator();
     tenant(&api, "acme");
-    api.make("/v1/tenants/acme/plans", PLAN);
+    api.create("/v1/tenants/acme/plans", PLAN);
     control
 }
 
@@ -77,14 +77,17 @@
     let control = start_with_plan(&file);
     let api = control.operator();
     for name in ["hotel 7/ü", "b", "a", "c"] {
-        api.make("/v1/tenants/acme/accounts", json!({"name": name, "plan": "basic"}));
+        api.create("/v1/tenants/acme/accounts", json!({"name": name, "plan": "basic"}));
     }
 
-    assert_eq!(api.force("DELETE", PLAN_PATH, "").status, 409);
+    assert_eq!(api.call_any_version("DELETE", PLAN_PATH, "").status, 409);
     for name in ["hotel%207%2F%C3%BC", "b", "a", "c"] {
-        assert_eq!(api.force("DELETE", &format!("/v1/tenants/acme/accounts/{name}"), "").status, 204);
+        assert_eq!(
+            api.call_any_version("DELETE", &format!("/v1/tenants/acme/accounts/{name}"), "").status,
+            204
+        );
     }
-    assert_eq!(api.force("DELETE", PLAN_PATH, "").status, 204);
+    assert_eq!(api.call_any_version("DELETE", PLAN_PATH, "").status, 204);
     assert_eq!(api.get(PLAN_PATH).status, 404);
 }
 
@@ -93,9 +96,12 @@
     let file = StoreFile::new();
     let control = start_with_plan(&file);
     let api = control.operator();
-    assert_eq!(api.force("PATCH", PLAN_PATH, r#"{"rate": 3}"#).status, 200);
-    assert_eq!(api.force("PUT", PLAN_PATH, r#"{"name": "basic", "rate": 1, "burst": 1}"#).status, 200);
-    assert_eq!(api.force("DELETE", PLAN_PATH, "").status, 204);
+    assert_eq!(api.call_any_version("PATCH", PLAN_PATH, r#"{"rate": 3}"#).status, 200);
+    assert_eq!(
+        api.call_any_version("PUT", PLAN_PATH, r#"{"name": "basic", "rate": 1, "burst": 1}"#).status,
+        200
+    );
+    assert_eq!(api.call_any_version("DELETE", PLAN_PATH, "").status, 204);
 
     let audit = api.get("/v1/tenants/acme/audit").body;
 
--- a/crates/violetyoke/tests/control_access.rs
+++ b/crates/violetyoke/tests/control_access.rs
@@ -81,7 +81,7 @@
     let operator = control.operator();
     for name in ["acme", "other"] {
         tenant(&operator, name);
-        operator.make(&format!("/v1/tenants/{name}/plans"), PLAN);
+        operator.create(&format!("/v1/tenants/{name}/plans"), PLAN);
     }
     let keys = |tenant: &str| format!("/v1/tenants/{tenant}/keys");
     let callers = [
@@ -154,7 +154,7 @@
     let rotated = operator.post(&format!("/v1/tenants/acme/keys/{}/rotate", &new.key[3..19]), json!({}));
     let newest = Api { key: rotated.body["key"].as_str().unwrap().into(), ..admin.clone() };
     assert_eq!((status(&admin), status(&new), status(&newest)), (200, 401, 200));
-    assert_eq!(operator.force("DELETE", &format!("/v1/tenants/acme/keys/{id}"), "").status, 204);
+    assert_eq!(operator.call_any_version("DELETE", &format!("/v1/tenants/acme/keys/{id}"), "").status, 204);
     assert_eq!((status(&admin), status(&newest)), (401, 200));
     // Secrets and hashes are shown nowhere.
     let shown =
@@ -176,7 +176,7 @@
         waiting.call("GET", &format!("/v1/snapshot?held={held}&ingress=i1"), "", "Prefer: wait=10\r\n").status
     });
     until("it waits", || operator.get("/v1/ingresses").body["items"]["i1"]["held"] == held);
-    operator.force("DELETE", &format!("/v1/keys/{}", &ingress.key[3..19]), "");
+    operator.call_any_version("DELETE", &format!("/v1/keys/{}", &ingress.key[3..19]), "");
     assert_eq!(wait.join().unwrap(), 401);
 }
 
--- a/crates/violetyoke/tests/control_kills.rs
+++ b/crates/violetyoke/tests/control_kills.rs
@@ -117,7 +117,7 @@
     let mut control = start(&file);
     let key = control.key.clone().unwrap();
     tenant(&control.operator(), "acme");
-    control.operator().make(PLANS, PLAN);
+    control.operator().create(PLANS, PLAN);
     let mut known = KnownRates::default();
     let mut random: u64 = 11;
     while known.changes < 200 {
--- a/crates/violetyoke/tests/control_lasting.rs
+++ b/crates/violetyoke/tests/control_lasting.rs
@@ -15,7 +15,7 @@
 
 /// A control plane with tenant `acme`, whose draining takes 1.5 s.
 fn start_draining_quickly(file: &StoreFile) -> Control {
-    let control = Control::start(file, &[FREE, &["--drain-ms", "1500"]].concat());
+    let control = Control::start(file, &[UNLIMITED_CALLS, &["--drain-ms", "1500"]].concat());
     tenant(&control.operator(), "acme");
     control
 }
@@ -32,11 +32,11 @@
     let admin = administrator_of_acme(&api);
     let before = api.get(ACME);
 
-    let drained = api.force("DELETE", ACME, "");
+    let drained = api.call_any_version("DELETE", ACME, "");
     assert_eq!((drained.status, &drained.body["state"]), (202, &json!("draining")));
-    assert_eq!(api.force("DELETE", ACME, "").status, 409);
+    assert_eq!(api.call_any_version("DELETE", ACME, "").status, 409);
     assert_eq!(admin.post(PLANS, r#"{"name": "p", "rate": 0}"#).status, 409);
-    let restored = api.force("POST", "/v1/tenants/acme/restore", "");
+    let restored = api.call_any_version("POST", "/v1/tenants/acme/restore", "");
     assert_eq!(
         (restored.status, &restored.body["state"], &restored.body["epoch"]),
         (200, &json!("active"), &before.body["epoch"])
@@ -51,7 +51,7 @@
     let api = control.operator();
     let admin = administrator_of_acme(&api);
 
-    let drained = api.force("DELETE", ACME, "");
+    let drained = api.call_any_version("DELETE", ACME, "");
     let wait = format!("If-None-Match: {}\r\nPrefer: wait=30\r\n", drained.version.unwrap());
     let started = Instant::now();
     let deleted = api.call("GET", ACME, "", &wait);
@@ -59,7 +59,7 @@
     assert_eq!(deleted.status, 404);
     assert!(started.elapsed() < Duration::from_secs(15));
     assert_eq!((api.get(PLANS).status, admin.get(ACME).status), (404, 401));
-    assert_eq!(api.force("POST", "/v1/tenants/acme/restore", "").status, 404);
+    assert_eq!(api.call_any_version("POST", "/v1/tenants/acme/restore", "").status, 404);
 }
 
 #[test]
@@ -68,11 +68,11 @@
     let control = start_draining_quickly(&file);
     let api = control.operator();
     tenant(&api, "acme-2");
-    api.make(PLANS, PLAN);
-    api.make("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
+    api.create(PLANS, PLAN);
+    api.create("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
     let admin = administrator_of_acme(&api);
     let before = api.get(ACME);
-    assert_eq!(api.force("DELETE", ACME, "").status, 202);
+    assert_eq!(api.call_any_version("DELETE", ACME, "").status, 202);
     until("the tenant is deleted", || api.get(ACME).status == 404);
 
     // Its host is free too.
@@ -94,11 +94,12 @@
     let api = control.operator();
     let ingress = key(&api, "/v1/keys", json!({"role": "ingress"}));
     tenant(&api, "acme");
-    api.make("/v1/tenants/acme/plans", PLAN);
-    api.make("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
+    api.create("/v1/tenants/acme/plans", PLAN);
+    api.create("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
     tenant(&api, "other");
-    let take =
-        |held: &TenantDirectory, told: &Told| held.apply(Snapshot::parse(&told.http.body).unwrap()).unwrap();
+    let take = |held: &TenantDirectory, told: &ApiResponse| {
+        held.apply(Snapshot::parse(&told.http.body).unwrap()).unwrap()
+    };
     let held = take(&TenantDirectory::default(), &ingress.get("/v1/snapshot?ingress=i1"));
     assert_eq!(held.tenants.keys().collect::<Vec<_>>(), ["acme", "other"]);
     assert_eq!(held.tenants["acme"].accounts[0].name, "h");
@@ -108,14 +109,14 @@
     let waiting = ingress.clone();
     let wait = thread::spawn(move || waiting.call("GET", &path, "", "Prefer: wait=20\r\n"));
     until("it waits", || api.get("/v1/ingresses").body["items"]["i1"]["held"] == held.revision);
-    api.force("PATCH", "/v1/tenants/acme/plans/basic", r#"{"rate": 5}"#);
+    api.call_any_version("PATCH", "/v1/tenants/acme/plans/basic", r#"{"rate": 5}"#);
     let part = wait.join().unwrap();
     assert_eq!(part.body["base"], held.revision);
     let held = take(&held, &part);
     assert_eq!(part.body["tenants"].as_array().unwrap().len(), 1);
     assert_eq!(held.tenants["acme"].plans[0].rate, 5.0);
     // Draining is told, and that a tenant is gone.
-    api.force("DELETE", "/v1/tenants/other", "");
+    api.call_any_version("DELETE", "/v1/tenants/other", "");
     let held = take(&held, &ingress.get(&format!("/v1/snapshot?held={}", held.revision)));
     assert!(held.tenants["other"].draining && !held.tenants["acme"].draining);
     // One that holds what is newer than the store (an old store was put back) gets all, and refuses it.
--- a/crates/violetyoke/tests/control_rejections.rs
+++ b/crates/violetyoke/tests/control_rejections.rs
@@ -12,7 +12,7 @@
     let control = start(file);
     let api = control.operator();
     tenant(&api, "acme");
-    api.make("/v1/tenants/acme/plans", PLAN);
+    api.create("/v1/tenants/acme/plans", PLAN);
     control
 }
 
@@ -93,7 +93,7 @@
     ]
 }
 
-fn assert_rejected(told: &Told, invalid: &Invalid) {
+fn assert_rejected(told: &ApiResponse, invalid: &Invalid) {
     let Invalid { status, field, reason, .. } = invalid;
     assert_eq!(told.status, *status, "{told:?}");
     assert_eq!(told.http.headers["content-type"], "application/problem+json");
@@ -109,7 +109,7 @@
     let control = start_with_plan(&file);
     let api = control.operator();
     tenant(&api, "other");
-    api.make(ROUTES, route());
+    api.create(ROUTES, route());
 
     for invalid in [invalid_tenants(), invalid_resources(), invalid_keys()].into_iter().flatten() {
         assert_rejected(&api.post(invalid.path, &invalid.body), &invalid);
@@ -125,9 +125,9 @@
     let file = StoreFile::new();
     let control = start_with_plan(&file);
     let api = control.operator();
-    api.make(ROUTES, route());
+    api.create(ROUTES, route());
 
-    let told = api.force("PATCH", "/v1/tenants/acme", r#"{"pools": []}"#);
+    let told = api.call_any_version("PATCH", "/v1/tenants/acme", r#"{"pools": []}"#);
 
     assert_eq!((told.status, &told.body["errors"][0]["field"]), (422, &json!("pools")), "{told:?}");
 }
--- a/crates/violetyoke/tests/crowd.rs
+++ b/crates/violetyoke/tests/crowd.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::held::{Held, Process};
+use common::shared_socket::{Process, SharedSocket};
 use common::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -47,7 +47,7 @@
 #[test]
 fn a_crowd_that_says_nothing_keeps_nobody_from_being_served_over_restarts() {
     let a = Backend::start(|_| ok(b"a"));
-    let mut held = Held::new(&[&a]);
+    let mut held = SharedSocket::new(&[&a]);
     held.sockets = Some(SOCKETS);
     let mut process = held.start();
     let address = process.ingress.address;
@@ -61,7 +61,7 @@
         crowds.push(crowd(address));
         old.ingress.terminate();
         let mut old = old;
-        assert!(old.ingress.exit().success());
+        assert!(old.ingress.wait_for_exit().success());
         served(address, 10);
     }
     let seen = crowds.iter().map(Vec::len).sum::<usize>();
--- a/crates/violetyoke/tests/duties.rs
+++ b/crates/violetyoke/tests/duties.rs
@@ -180,7 +180,7 @@
         ("/v1/duties/report/shards/8", json!({}), "shard"),
         ("/v1/duties/report/shards/1", json!({"next": "nobody"}), "next"),
     ] {
-        let told = operator.force("PUT", path, body);
+        let told = operator.call_any_version("PUT", path, body);
         assert_eq!((told.status, told.body["errors"][0]["field"].as_str()), (422, Some(field)), "{told:?}");
     }
 }
@@ -267,6 +267,6 @@
     assert!(upkeep(&operator).unwrap().1 > epoch);
     // And it works: a tenant that has drained is deleted.
     tenant(&operator, "acme");
-    assert_eq!(operator.force("DELETE", "/v1/tenants/acme", "").status, 202);
+    assert_eq!(operator.call_any_version("DELETE", "/v1/tenants/acme", "").status, 202);
     until("the tenant is deleted", || operator.get("/v1/tenants/acme").status == 404);
 }
--- a/crates/violetyoke/tests/handed_down.rs
+++ b/crates/violetyoke/tests/handed_down.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::held::{serves, Held, Process};
+use common::shared_socket::{assert_serves, Process, SharedSocket};
 use common::*;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -19,26 +19,26 @@
 fn learn_of(process: &Process, node: &Backend) {
     until("the sick node is left out", || {
         let before = node.request_count();
-        serves(&process.ingress, 20);
+        assert_serves(&process.ingress, 20);
         node.request_count() == before
     });
 }
 
 /// A process that serves has written its line, but the test's reader of its log may not have come to it yet.
 fn until_told(process: &Process, what: &str) {
-    until(what, || process.ingress.told(what) == 1);
+    until(what, || process.ingress.count_log_lines(what) == 1);
 }
 
 #[test]
 fn a_new_process_knows_the_sick_node_that_the_old_one_knew() {
     let (a, b, c) = (sick(), Backend::start(|_| ok(b"b")), Backend::start(|_| ok(b"c")));
-    let held = Held::new(&[&a, &b, &c]);
+    let held = SharedSocket::new(&[&a, &b, &c]);
     let old = held.start();
     learn_of(&old, &a);
     let new = held.start();
     until_told(&new, "state handover: imported: 3 nodes");
     let before = a.request_count();
-    serves(&new.ingress, 4);
+    assert_serves(&new.ingress, 4);
     assert_eq!(a.request_count(), before);
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Predecessor {
-    fn new(held: &Held) -> Predecessor {
+    fn new(held: &SharedSocket) -> Predecessor {
         let folder = held.folder.join("violetyoke-n0");
         std::fs::create_dir_all(folder.join("out")).unwrap();
         std::fs::write(folder.join("serving"), "an older one").unwrap();
@@ -105,12 +105,12 @@
     ];
     for (why, answer) in answers {
         let a = Backend::start(|_| ok(b"a"));
-        let held = Held::new(&[&a]);
+        let held = SharedSocket::new(&[&a]);
         Predecessor::new(&held).answers(answer);
         let new = held.start();
         until_told(&new, why);
-        assert_eq!(new.ingress.told("state handover: nothing imported"), 1);
-        serves(&new.ingress, 2);
+        assert_eq!(new.ingress.count_log_lines("state handover: nothing imported"), 1);
+        assert_serves(&new.ingress, 2);
     }
 }
 
@@ -123,7 +123,7 @@
 fn the_wait_for_an_answer_begins_once_the_request_is_written() {
     use violetyoke_succession::{seal, Header, HANDOVER_TIMEOUT};
     let a = Backend::start(|_| ok(b"a"));
-    let held = Held::new(&[&a]);
+    let held = SharedSocket::new(&[&a]);
     let folder = Predecessor::new(&held).folder;
     let [earlier, answer, request, asks] =
         ["handed", "handed.new", "asks.new", "asks"].map(|n| folder.join(n));
@@ -147,72 +147,74 @@
     });
     let new = held.start();
     until_told(&new, "state handover: nothing imported: settings: not the expected one");
-    serves(&new.ingress, 2);
+    assert_serves(&new.ingress, 2);
 }
 
 #[test]
 fn a_first_process_asks_nobody() {
     let a = Backend::start(|_| ok(b"a"));
-    let held = Held::new(&[&a]);
+    let held = SharedSocket::new(&[&a]);
     let first = held.start();
-    assert_eq!(first.ingress.told("state handover"), 0);
+    assert_eq!(first.ingress.count_log_lines("state handover"), 0);
     assert!(!held.folder.join("violetyoke-n0/asks").exists());
 }
 
 #[test]
 fn what_was_handed_to_a_process_that_died_is_taken_back() {
     let (a, b) = (Backend::start(|_| ok(b"a")), Backend::start(|_| ok(b"b")));
-    let held = Held::new(&[&a, &b]);
+    let held = SharedSocket::new(&[&a, &b]);
     let old = held.start();
-    serves(&old.ingress, 4);
+    assert_serves(&old.ingress, 4);
     // One that asks and is never heard of again.
     std::fs::write(held.folder.join("violetyoke-n0/asks"), "a process that died").unwrap();
     until("it is handed down", || held.folder.join("violetyoke-n0/handed").exists());
-    serves(&old.ingress, 4);
-    until("it is taken back", || old.ingress.told("the exported state is reclaimed") == 1);
-    serves(&old.ingress, 4);
+    assert_serves(&old.ingress, 4);
+    until("it is taken back", || old.ingress.count_log_lines("the exported state is reclaimed") == 1);
+    assert_serves(&old.ingress, 4);
     // The next one gets it all the same.
     let new = held.start();
-    until("it is heard what was handed down", || new.ingress.told("state handover: ") == 1);
-    assert_eq!(new.ingress.told("imported: 2 nodes"), 1, "{:?}", new.ingress.log.lock().unwrap());
+    until("it is heard what was handed down", || new.ingress.count_log_lines("state handover: ") == 1);
+    assert_eq!(new.ingress.count_log_lines("imported: 2 nodes"), 1, "{:?}", new.ingress.log.lock().unwrap());
 }
 
 #[test]
 fn what_an_hour_old_process_left_is_not_taken_for_an_answer() {
     let (a, b) = (sick(), Backend::start(|_| ok(b"b")));
-    let held = Held::new(&[&a, &b]);
+    let held = SharedSocket::new(&[&a, &b]);
     let mut old = held.start();
     learn_of(&old, &a);
     std::fs::write(held.folder.join("violetyoke-n0/asks"), "an earlier one").unwrap();
     let handed = held.folder.join("violetyoke-n0/handed");
     until("it is handed down", || handed.exists());
     old.ingress.child.kill().unwrap();
-    old.ingress.exit();
+    old.ingress.wait_for_exit();
     // The dead one's answer is still there, and its word that it serves.
     let new = held.start();
     until_told(&new, "state handover: nothing imported: the process that served has ended");
     assert!(!handed.exists());
-    serves(&new.ingress, 4);
+    assert_serves(&new.ingress, 4);
 }
 
 #[test]
 fn a_new_process_that_dies_right_after_its_yes_leaves_the_old_one_serving() {
     let (a, b) = (sick(), Backend::start(|_| ok(b"b")));
-    let held = Held::new(&[&a, &b]);
+    let held = SharedSocket::new(&[&a, &b]);
     let old = held.start();
     learn_of(&old, &a);
     let mut new = held.start();
-    until("the old process has seen the new one", || old.ingress.told("clients: TakenOver") == 1);
+    until("the old process has seen the new one", || old.ingress.count_log_lines("clients: TakenOver") == 1);
     new.ingress.child.kill().unwrap();
-    new.ingress.exit();
-    until("the old one takes clients again", || old.ingress.told("clients: Serving") == 1);
-    until("and has back what it lent", || old.ingress.told("the exported state is reclaimed") == 1);
+    new.ingress.wait_for_exit();
+    until("the old one takes clients again", || old.ingress.count_log_lines("clients: Serving") == 1);
+    until("and has back what it lent", || {
+        old.ingress.count_log_lines("the exported state is reclaimed") == 1
+    });
     let before = a.request_count();
-    serves(&old.ingress, 4);
+    assert_serves(&old.ingress, 4);
     assert_eq!(a.request_count(), before);
     // And hands it to the next.
     let next = held.start();
     until_told(&next, "state handover: imported: 2 nodes");
-    until("the old process has seen the next", || old.ingress.told("clients: TakenOver") == 2);
-    serves(&next.ingress, 4);
+    until("the old process has seen the next", || old.ingress.count_log_lines("clients: TakenOver") == 2);
+    assert_serves(&next.ingress, 4);
 }
--- a/crates/violetyoke/tests/operations.rs
+++ b/crates/violetyoke/tests/operations.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::held::{call, serves};
+use common::shared_socket::{assert_serves, call};
 use common::*;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
@@ -35,7 +35,7 @@
     assert_eq!(call(console, "PUT", "/-/backends/s-0/disable"), 200);
     assert_eq!(call(console, "PUT", "/-/backends/s-0/disable"), 200);
     let before = a.request_count();
-    serves(&ingress, 20);
+    assert_serves(&ingress, 20);
     assert_eq!((a.request_count(), b.request_count() >= 20), (before, true));
     // Whatever the list says of it meanwhile: it drains, and starts anew.
     discovery.update(member("s-0", a.address, "terminating"));
@@ -44,7 +44,7 @@
     discovery.update(started);
     discovery.update(member("s-9", b.address, "in_service"));
     until("the list is heard", || call(console, "PUT", "/-/backends/s-9/enable") == 200);
-    serves(&ingress, 20);
+    assert_serves(&ingress, 20);
     assert_eq!(a.request_count(), before);
     assert_eq!(call(console, "PUT", "/-/backends/s-0/enable"), 200);
     let mut client = ingress.client();
@@ -102,11 +102,11 @@
     // Still served, and told to go.
     let answer = busy.call(read_request());
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
-    assert!(busy.closed() && idle.closed());
+    assert!(busy.is_closed() && idle.is_closed());
     // Half a request was there when the idle connections were closed: it is answered.
     half.send(rest);
-    assert_eq!(half.answer().expect("an answer").status(), 200);
-    assert!(half.closed());
+    assert_eq!(half.read_response().expect("an answer").status(), 200);
+    assert!(half.is_closed());
     assert_eq!(ingress.client().call(read_request()).status(), 200);
     assert_eq!(call(console, "PUT", "/-/resume"), 200);
     assert_eq!((call(console, "GET", "/-/ready"), ingress.client().call(READY).status()), (200, 200));
@@ -116,7 +116,7 @@
 }
 
 fn posted(class: &str) -> String {
-    head("POST", class, "wide", "1000m") + "Content-Length: 1\r\n\r\nx"
+    request_head("POST", class, "wide", "1000m") + "Content-Length: 1\r\n\r\nx"
 }
 
 #[test]
@@ -140,7 +140,7 @@
     config["settings"]["categories"][0]["effect"] = json!("idempotent");
     config["settings"]["bounds"]["attempts-cap"] = json!(2);
     ingress.reload(&config.to_string());
-    let again = || head("GET", "booking-post", "wide", "1000m") + "\r\n";
+    let again = || request_head("GET", "booking-post", "wide", "1000m") + "\r\n";
     until("its effect has changed", || ingress.client().call(again()).status() == 503);
     let before = a.request_count();
     assert_eq!(ingress.client().call(again()).status(), 503);
@@ -183,9 +183,9 @@
         with(&|config| config["settings"]["categories"][1]["name"] = json!("look-read")),
     ];
     for text in broken {
-        let refused = ingress.told("the configuration in force stays");
+        let refused = ingress.count_log_lines("the configuration in force stays");
         ingress.reload(&text);
-        until("the file is read", || ingress.told("the configuration in force stays") > refused);
+        until("the file is read", || ingress.count_log_lines("the configuration in force stays") > refused);
         assert_eq!(ingress.client().call(read_request()).status(), 200, "after {text:.60}");
     }
     assert_eq!(call(console, "GET", "/-/ready"), 200);
--- a/crates/violetyoke/tests/platform.rs
+++ b/crates/violetyoke/tests/platform.rs
@@ -138,7 +138,7 @@
     let mut clients: Vec<_> = (0..16).map(|_| ingress.client()).collect();
     for _ in 0..4 {
         clients.iter_mut().for_each(|client| client.send(read_request()));
-        assert!(clients.iter_mut().all(|client| client.answer().unwrap().status() == 200));
+        assert!(clients.iter_mut().all(|client| client.read_response().unwrap().status() == 200));
     }
     assert_eq!(backends[2].request_count(), 3);
 }
@@ -190,13 +190,13 @@
     let mut clients: Vec<_> = (0..8).map(|_| ingress.client()).collect();
     until("several connections are kept", || {
         clients.iter_mut().for_each(|client| client.send(read_request()));
-        assert!(clients.iter_mut().all(|client| client.answer().unwrap().status() == 200));
+        assert!(clients.iter_mut().all(|client| client.read_response().unwrap().status() == 200));
         backend.connections() >= 4
     });
     breaks.store(true, SeqCst);
     let kept = backend.connections();
     clients[..4].iter_mut().for_each(|client| client.send(booking("x")));
-    assert!(clients[..4].iter_mut().all(|client| client.answer().unwrap().status() == 502));
+    assert!(clients[..4].iter_mut().all(|client| client.read_response().unwrap().status() == 502));
     assert_eq!(backend.connections(), kept);
     breaks.store(false, SeqCst);
     assert_eq!(clients[0].call(read_request()).status(), 200);
@@ -507,7 +507,7 @@
     let backend = Backend::start(|_| ok(b"x"));
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let mut client = ingress.client();
-    let narrow = || head("GET", "avail-read", "narrow", "1500m") + "\r\n";
+    let narrow = || request_head("GET", "avail-read", "narrow", "1500m") + "\r\n";
     let refused = (0..12).find_map(|_| {
         let start = Instant::now();
         let answer = client.call(narrow());
@@ -594,7 +594,7 @@
         assert!(good.contains(from), "{from}");
         good.replace(from, to)
     };
-    let booking_head = head("POST", "booking-post", "wide", "1000m");
+    let booking_head = request_head("POST", "booking-post", "wide", "1000m");
     let cases = [
         (without("Req-Id"), 400),
         (without("Req-Kind"), 400),
@@ -640,7 +640,7 @@
     let mut half = ingress.client();
     half.send(booking_head + "Content-Length: 10\r\n\r\nhalf");
     half.stream.shutdown(Shutdown::Write).unwrap();
-    assert!(half.answer().is_none_or(|answer| answer.status() == 400));
+    assert!(half.read_response().is_none_or(|answer| answer.status() == 400));
     ingress.client().send(&good[..good.len() / 2]);
     assert_eq!(backend.request_count(), 0);
     assert_eq!(ingress.client().call(read_request()).status(), 200);
@@ -664,7 +664,7 @@
     }
     // Nobody had to wait for an idle connection to be old enough to be closed.
     assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
-    assert!(closed > 50 && stay[99].closed(), "{closed}");
+    assert!(closed > 50 && stay[99].is_closed(), "{closed}");
     // Those that were told nothing of the kind are of use.
     assert_eq!(stay[0].call(read_request()).status(), 200);
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", ingress.child.id())).unwrap().count();
@@ -679,9 +679,9 @@
     let start = Instant::now();
     let (mut silent, mut half, mut body) = (ingress.client(), ingress.client(), ingress.client());
     half.send(&read_request()[..40]);
-    body.send(head("POST", "booking-post", "wide", "1000m") + "Content-Length: 10\r\n\r\nhalf");
-    assert!(silent.closed() && half.closed());
-    assert!(body.answer().is_none_or(|answer| answer.status() == 408));
+    body.send(request_head("POST", "booking-post", "wide", "1000m") + "Content-Length: 10\r\n\r\nhalf");
+    assert!(silent.is_closed() && half.is_closed());
+    assert!(body.read_response().is_none_or(|answer| answer.status() == 408));
     let took = start.elapsed();
     assert!(took > Duration::from_millis(2000) && took < Duration::from_millis(3000), "{took:?}");
     assert_eq!(backend.request_count(), 0);
@@ -694,7 +694,10 @@
     let hidden = read_request();
     let chunked = format!("0\r\n\r\n{hidden}");
     let (te, cl) = ("Transfer-Encoding: chunked\r\n", format!("Content-Length: {}\r\n", chunked.len()));
-    let heads = [head("POST", "booking-post", "wide", "1000m"), head("GET", "avail-read", "wide", "1000m")];
+    let heads = [
+        request_head("POST", "booking-post", "wide", "1000m"),
+        request_head("GET", "avail-read", "wide", "1000m"),
+    ];
     let ready = "GET /-/ready HTTP/1.1\r\nHost: a\r\n".to_string();
     let mut cases = Vec::new();
     for head in heads.iter().chain([&ready]) {
@@ -706,13 +709,15 @@
         }
     }
     cases.push(read_request().replace("units=2", "units=7") + &hidden);
-    cases.push(head("POST", "booking-post", "wide", "1000m") + "Content-Length: 40000000\r\n\r\n" + &hidden);
+    cases.push(
+        request_head("POST", "booking-post", "wide", "1000m") + "Content-Length: 40000000\r\n\r\n" + &hidden,
+    );
     for text in cases {
         let mut client = ingress.client();
         let answer = client.call(&text);
         assert!((400..500).contains(&answer.status()), "{} {text}", answer.status());
         assert_eq!(answer.headers["connection"], "close", "{text}");
-        assert!(client.closed(), "{text}");
+        assert!(client.is_closed(), "{text}");
     }
     assert_eq!(backend.request_count(), 0);
 }
@@ -722,13 +727,13 @@
     let backend = Backend::start(|_| ok(b"x"));
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let mut client = ingress.client();
-    client.send(head("POST", "booking-post", "wide", "1000m") + "Content-Length: 60000000\r\n\r\n");
+    client.send(request_head("POST", "booking-post", "wide", "1000m") + "Content-Length: 60000000\r\n\r\n");
     let part = vec![b'x'; 1_000_000];
     // It reads nothing before all is sent; a reset on the way would fail a write, or eat the answer.
     (0..60).for_each(|_| client.send(&part));
-    assert_eq!(client.answer().map(|answer| answer.status()), Some(413));
+    assert_eq!(client.read_response().map(|answer| answer.status()), Some(413));
     client.stream.shutdown(Shutdown::Write).unwrap();
-    assert!(client.closed());
+    assert!(client.is_closed());
 }
 
 #[test]
@@ -742,7 +747,7 @@
     assert_eq!(second.call(&request).status(), 400);
     assert_eq!(backend.request_count(), 1);
     // Once it is over the id is forgotten.
-    assert_eq!(first.answer().map(|answer| answer.status()), Some(502));
+    assert_eq!(first.read_response().map(|answer| answer.status()), Some(502));
     second = ingress.client();
     second.send(&request);
     until("it is sent on", || backend.request_count() == 2);
@@ -782,7 +787,7 @@
     ingress.reload(&second.to_string());
     asked(&counter2, b"new");
     ingress.terminate();
-    assert_eq!(ingress.exit().code(), Some(0));
+    assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
 #[test]
@@ -826,13 +831,13 @@
     busy.send(booking("x"));
     until("the request is out", || backend.request_count() == 1);
     ingress.terminate();
-    assert!(idle.closed(), "an idle connection is closed between requests");
+    assert!(idle.is_closed(), "an idle connection is closed between requests");
     release.send(()).unwrap();
-    let answer = busy.answer().expect("what was taken is answered");
+    let answer = busy.read_response().expect("what was taken is answered");
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
     let answer = ingress.client().call(read_request());
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
-    assert_eq!(ingress.exit().code(), Some(0));
+    assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
 #[test]
@@ -842,11 +847,11 @@
     let mut half = ingress.client();
     half.send(&read_request()[..40]);
     let mut body = ingress.client();
-    body.send(head("POST", "booking-post", "wide", "1000m") + "Content-Length: 10\r\n\r\nhalf");
+    body.send(request_head("POST", "booking-post", "wide", "1000m") + "Content-Length: 10\r\n\r\nhalf");
     assert_eq!(ingress.client().call(READY).status(), 200);
     let start = Instant::now();
     ingress.terminate();
-    assert_eq!(ingress.exit().code(), Some(0));
+    assert_eq!(ingress.wait_for_exit().code(), Some(0));
     // SIGKILL comes no sooner than the longest deadline and 0.7 s more, and 0.7 s on top are granted.
     assert!(start.elapsed() < Duration::from_millis(3400), "{:?}", start.elapsed());
 }
--- a/crates/violetyoke/tests/ratelimit.rs
+++ b/crates/violetyoke/tests/ratelimit.rs
@@ -68,7 +68,7 @@
     fn start(rate: f64, burst: f64, more: &str) -> Rooms {
         let node = node();
         let service = Service::start(&file(&node, rate, burst, more));
-        let address = asked_at(&service);
+        let address = rate_limit_address(&service);
         Rooms { node, service, address }
     }
 }
@@ -82,29 +82,29 @@
 }
 
 async fn ask(
-    client: &mut Asker,
+    client: &mut RateLimitClient,
     request: proto::RateLimitRequest,
 ) -> Result<proto::RateLimitResponse, Status> {
     client.should_rate_limit(request).await.map(|response| response.into_inner())
 }
 
-async fn ok(client: &mut Asker, request: proto::RateLimitRequest) -> bool {
+async fn ok(client: &mut RateLimitClient, request: proto::RateLimitRequest) -> bool {
     ask(client, request).await.unwrap().overall_code() == proto::Code::Ok
 }
 
 fn booking(service: &Service, account: &str) -> u16 {
-    service.client().call(open_request("POST", HOST, "/bookings", account, "room=4")).status()
+    service.client().call(service_request("POST", HOST, "/bookings", account, "room=4")).status()
 }
 
 fn tried(service: &Service, account: &str, name: &str) -> u16 {
-    let request = open_request("POST", HOST, "/bookings", account, "room=4");
+    let request = service_request("POST", HOST, "/bookings", account, "room=4");
     service.client().call(request.replacen("X-Account", &format!("X-Try: {name}\r\nX-Account"), 1)).status()
 }
 
 #[test]
 fn questions_and_requests_draw_from_one_quota() {
     let Rooms { node, service, address } = Rooms::start(0.01, 6.0, "");
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         assert!(ok(&mut client, about("h")).await);
         assert_eq!((booking(&service, "h"), booking(&service, "h")), (200, 200));
@@ -120,7 +120,7 @@
 #[test]
 fn answers_have_every_field_that_clients_read() {
     let Rooms { node: _node, service: _service, address } = Rooms::start(2.0, 3.0, "");
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         let answer = ask(&mut client, about("h")).await.unwrap();
         let status = &answer.statuses[0];
@@ -154,7 +154,7 @@
 #[test]
 fn several_descriptors_are_all_or_nothing() {
     let Rooms { node: _node, service: _service, address } = Rooms::start(0.01, 2.0, "");
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         let both = || question(vec![descriptor(&[("account", "a")]), descriptor(&[("account", "b")])]);
         assert!(ok(&mut client, about("b")).await && ok(&mut client, about("b")).await);
@@ -173,7 +173,7 @@
 #[test]
 fn what_is_not_known_gets_the_answer_that_the_file_states() {
     let Rooms { node: _node, service: _service, address } = Rooms::start(0.01, 2.0, "");
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         for _ in 0..4 {
             assert!(ok(&mut client, proto::RateLimitRequest { domain: "other".into(), ..about("a") }).await);
@@ -185,7 +185,7 @@
 #[test]
 fn bad_questions_get_a_status_that_names_the_fault_and_count_nothing() {
     let Rooms { node: _node, service: _service, address } = Rooms::start(0.01, 2.0, "largest_request = 10");
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         let good = || descriptor(&[("account", "a")]);
         let with = |request: proto::RateLimitRequest, code, word: &'static str| (request, code, word);
@@ -234,7 +234,7 @@
     let unknown = [good.as_slice(), b"\x9a\x06\x02hi"].concat();
     let broken = good.iter().map(|byte| if *byte == b'a' + 17 { 0xff } else { *byte }).collect::<Vec<_>>();
     assert_ne!(good, broken);
-    block(async {
+    block_on(async {
         let codes = [raw_status(address, &good).await, raw_status(address, &unknown).await];
         assert_eq!(codes, [0, 0]);
         assert_ne!(raw_status(address, &broken).await, 0);
@@ -270,9 +270,9 @@
     let text = text.replace("[service]\n", "[service]\ningresses = 2\nindex = INDEX\n");
     let a = Service::start(&text.replace("INDEX", "0"));
     let b = Service::start(&text.replace("INDEX", "1"));
-    let (at_a, at_b) = (asked_at(&a), asked_at(&b));
+    let (at_a, at_b) = (rate_limit_address(&a), rate_limit_address(&b));
     let named = |name: &str| question(vec![descriptor(&[("account", "h"), ("try", name)])]);
-    block(async {
+    block_on(async {
         let (mut a_client, mut b_client) = (client(at_a).await, client(at_b).await);
         // Asked at one, asked again at the other, then sent through both: one count.
         assert!(ok(&mut a_client, named("t1")).await);
@@ -305,7 +305,7 @@
 fn a_name_is_no_way_past_a_quota() {
     let Rooms { node, service, address } = Rooms::start(0.01, 3.0, "");
     let named = |account: &str| question(vec![descriptor(&[("account", account), ("try", "same")])]);
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         // One name for everything: it is counted request by request, but for the one that the question counted.
         assert!(ok(&mut client, named("h")).await);
@@ -325,7 +325,7 @@
     let Rooms { node: _node, service: _service, address } =
         Rooms::start(0.01, 3.0, &format!("counter = \"{}\"", counter.address));
     let named = || question(vec![descriptor(&[("account", "h"), ("try", "t")])]);
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         counter.set(Mode::Silent);
         let began = Instant::now();
@@ -341,7 +341,7 @@
 #[test]
 fn ten_thousand_questions_on_one_connection_at_once() {
     let Rooms { node: _node, service, address } = Rooms::start(1_000_000.0, 1_000_000.0, "");
-    block(async {
+    block_on(async {
         let client = client(address).await;
         let all = (0..10_000).map(|number| {
             let mut client = client.clone();
@@ -392,7 +392,7 @@
     // GOAWAY (kind 7), with ENHANCE_YOUR_CALM (11), is the last word.
     let goaway = seen.windows(17).any(|bytes| bytes[3] == 7 && bytes[13..17] == 11u32.to_be_bytes());
     assert!(goaway, "{} bytes and no GOAWAY", seen.len());
-    block(async {
+    block_on(async {
         let mut client = client(address).await;
         assert!(ok(&mut client, about("h")).await);
     });
@@ -403,10 +403,10 @@
     let node = node();
     let counter = Counter::start();
     let mut service = Service::start(&file(&node, 10.0, 10.0, &format!("counter = \"{}\"", counter.address)));
-    let address = asked_at(&service);
+    let address = rate_limit_address(&service);
     // Each question waits for the counter's time-out, so that some are open when the signal comes.
     counter.set(Mode::Silent);
-    let answered = block(async {
+    let answered = block_on(async {
         let client = client(address).await;
         let open: Vec<_> = (0..5)
             .map(|number| {
@@ -433,7 +433,7 @@
 #[test]
 fn health_and_reflection_answer_too() {
     let Rooms { node: _node, service: _service, address } = Rooms::start(10.0, 10.0, "");
-    block(async {
+    block_on(async {
         use tonic_health::pb::health_check_response::ServingStatus;
         use tonic_health::pb::{health_client::HealthClient, HealthCheckRequest};
         let mut health = HealthClient::new(channel(address).await);
@@ -479,10 +479,10 @@
             file(&node, 0.01, 4.0, &more).replace("[service]\n", "[service]\ningresses = 2\nindex = INDEX\n");
         let mut a = Service::start(&text.replace("INDEX", "0"));
         let b = Service::start(&text.replace("INDEX", "1"));
-        let (at_a, at_b) = (asked_at(&a), asked_at(&b));
+        let (at_a, at_b) = (rate_limit_address(&a), rate_limit_address(&b));
         let named = || question(vec![descriptor(&[("account", "h"), ("try", "t")])]);
         counter.set_after(answered, mode);
-        let passed = block(async {
+        let passed = block_on(async {
             if first_over_grpc {
                 let mut client = client(at_a).await;
                 let asked = tokio::task::spawn_local(async move { ask(&mut client, named()).await });
@@ -493,12 +493,12 @@
                 assert_eq!(tried(&b, "h", "t"), 200, "{case}");
                 1
             } else {
-                let request = open_request("POST", HOST, "/bookings", "h", "room=4");
+                let request = service_request("POST", HOST, "/bookings", "h", "room=4");
                 let mut client = a.client();
                 client.send(request.replacen("X-Account", "X-Try: t\r\nX-Account", 1));
                 wait_for_calls(&counter, answered).await;
                 a.child.kill().unwrap();
-                drop(client.answer());
+                drop(client.read_response());
                 counter.set(Mode::Answer);
                 assert!(ok(&mut self::client(at_b).await, named()).await, "{case}");
                 1
--- a/crates/violetyoke/tests/reload.rs
+++ b/crates/violetyoke/tests/reload.rs
@@ -41,7 +41,7 @@
 }
 
 fn booking(account: &str) -> String {
-    open_request("POST", HOST, "/bookings", account, "room=4")
+    service_request("POST", HOST, "/bookings", account, "room=4")
 }
 
 fn passed(service: &Service, account: &str, tries: usize) -> usize {
@@ -58,10 +58,10 @@
     client.send(booking("hotel"));
     until("the booking is out", || old.executed().len() == 1);
     service.reload(&new(&old, &other));
-    let answer = client.answer().expect("one final answer");
+    let answer = client.read_response().expect("one final answer");
     assert_eq!((answer.status(), &answer.body[..3]), (200, b"old".as_slice()));
     client.stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-    assert!(client.answer().is_none(), "and no second one");
+    assert!(client.read_response().is_none(), "and no second one");
     assert_eq!((old.executed().len(), other.executed().len()), (1, 0));
     // One of two units is used, where the quota is still the same.
     let left = if used_before { 1 } else { 2 };
@@ -107,7 +107,7 @@
     service.reload(&text.replace("\"unsafe\"", "\"safe\""));
     // What hangs is reset when the fault ends.
     old.inject(Fault::None);
-    assert_eq!(client.answer().unwrap().status(), 502);
+    assert_eq!(client.read_response().unwrap().status(), 502);
     assert_eq!(old.received().len(), 1);
     // New ones go by the new effect: they are repeated.
     assert_eq!(service.client().call(booking("hotel")).status(), 200);
@@ -123,7 +123,7 @@
     client.send(&request[..40]);
     service.reload(&File { pools: &pools, to: "b" }.text());
     client.send(&request[40..]);
-    assert_eq!(client.answer().unwrap().status(), 200);
+    assert_eq!(client.read_response().unwrap().status(), 200);
     assert_eq!((a.executed().len(), b.executed().len()), (0, 1));
 }
 
@@ -138,10 +138,10 @@
     let mut client = service.client();
     client.send(head);
     // The go-ahead is written when the body is asked for, which is after the match.
-    assert_eq!(client.answer().unwrap().status(), 100);
+    assert_eq!(client.read_response().unwrap().status(), 100);
     service.reload(&File { pools: &pools[1..], to: "b" }.text());
     client.send(body);
-    assert_eq!(client.answer().unwrap().status(), 200);
+    assert_eq!(client.read_response().unwrap().status(), 200);
     assert_eq!((a.executed().len(), b.executed().len()), (1, 0));
     // The pool that has gone took its last request; the connection serves on.
     assert_eq!(client.call(booking("hotel")).status(), 200);
@@ -224,7 +224,7 @@
     ] {
         let text = good.replacen(from, to, 1);
         assert_ne!(text, good);
-        service.reload_refused(&text);
+        service.reload_rejected(&text);
         until("the reason is told", || service.log().iter().any(|line| line.contains(why)));
         // The old one serves on; each account here has its quota whole.
         assert_eq!(service.client().call(booking(&format!("of-{}", why.len()))).status(), 200);
--- a/crates/violetyoke/tests/service.rs
+++ b/crates/violetyoke/tests/service.rs
@@ -56,11 +56,11 @@
 }
 
 fn read(account: &str) -> String {
-    open_request("GET", AVAIL, "/hotels/7", account, "")
+    service_request("GET", AVAIL, "/hotels/7", account, "")
 }
 
 fn booking(account: &str) -> String {
-    open_request("POST", BOOKING, "/bookings", account, "room=4")
+    service_request("POST", BOOKING, "/bookings", account, "room=4")
 }
 
 #[test]
@@ -75,7 +75,7 @@
     assert_eq!((answer.status(), &answer.body[..10]), (200, b"b answers ".as_slice()));
     assert_eq!(client.call(read("x")).status(), 200);
     assert_eq!((avail.executed().len(), reserve.executed().len()), (2, 1));
-    let answer = client.call(open_request("GET", "other.example.org", "/", "x", ""));
+    let answer = client.call(service_request("GET", "other.example.org", "/", "x", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (404, b"path: no route\n".as_slice()));
     assert_eq!(service.client().call(READY).status(), 200);
 }
@@ -116,7 +116,7 @@
         ("/b/..", AVAIL, "/"),
     ];
     for (path, host, goes_on) in cases {
-        let answer = service.client().call(open_request("GET", host, path, "x", ""));
+        let answer = service.client().call(service_request("GET", host, path, "x", ""));
         assert_eq!(answer.status(), 200, "{path}");
         let seen = backend.requests().last().unwrap().start_line.clone();
         assert_eq!(seen, format!("GET {goes_on} HTTP/1.1"), "{path}");
@@ -125,22 +125,22 @@
     let hidden =
         ["/x/%2e%2e%2fadmin", "/x/..;/admin", "/%5cadmin", "/..%2fadmin", "/../admin", "/x%00", "/a%"];
     for path in hidden {
-        let answer = service.client().call(open_request("GET", AVAIL, path, "x", ""));
+        let answer = service.client().call(service_request("GET", AVAIL, path, "x", ""));
         assert_eq!(answer.status(), 400, "{path}");
     }
     for request in [
         read("x").replacen("Host: avail.example.org\r\n", "", 1),
         read("x").replacen("Host:", "Host: booking.example.org\r\nHost:", 1),
-        open_request("GET", AVAIL, "http://booking.example.org/x", "x", ""),
-        open_request("GET", "avail.example.org, booking.example.org", "/x", "x", ""),
-        open_request("GET", "user@avail.example.org", "/x", "x", ""),
+        service_request("GET", AVAIL, "http://booking.example.org/x", "x", ""),
+        service_request("GET", "avail.example.org, booking.example.org", "/x", "x", ""),
+        service_request("GET", "user@avail.example.org", "/x", "x", ""),
     ] {
         assert_eq!(service.client().call(&request).status(), 400, "{request}");
     }
     assert_eq!(backend.request_count(), before);
     // Whichever way the path is written, it is the route of its normal form that holds.
     for path in ["/admin/keys", "//admin//keys", "/x/../admin/keys", "/%61dmin/keys", "/./admin/keys"] {
-        let request = open_request("GET", AVAIL, path, "x", "");
+        let request = service_request("GET", AVAIL, path, "x", "");
         let request = request.replacen("X-Account: x\r\n", "X-Account: x\r\nReq-Kind: booking-post\r\n", 1);
         // The class is one of the pool behind the route, and of that alone.
         assert_eq!(service.client().call(request).status(), 200, "{path}");
@@ -217,7 +217,9 @@
         for _ in 0..3 {
             let began = Instant::now();
             clients.iter_mut().for_each(|client| client.send(read("x")));
-            statuses.extend(clients.iter_mut().map(|client| client.answer().expect("one answer").status()));
+            statuses.extend(
+                clients.iter_mut().map(|client| client.read_response().expect("one answer").status()),
+            );
             // The deadline, and what the machine may take for it.
             assert!(began.elapsed() < Duration::from_millis(600 + 400), "{:?}", began.elapsed());
         }
@@ -323,19 +325,19 @@
     let body = "x".repeat(65_000);
     avail.inject(Fault::Hang);
     let mut full: Vec<_> = (0..12).map(|_| service.client()).collect();
-    let large = open_request("POST", AVAIL, "/rates", "x", &body);
+    let large = service_request("POST", AVAIL, "/rates", "x", &body);
     full.iter_mut().for_each(|client| client.send(&large));
     // 260 of 400 KB are not the other pool's, which is four bodies; the others are refused at once.
     let refused = |client: &mut Client| {
         client.stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-        client.answer().is_some_and(|answer| answer.status() == 503)
+        client.read_response().is_some_and(|answer| answer.status() == 503)
     };
     let mut count = 0;
     until("what does not fit is refused", || {
         count += full.iter_mut().map(|client| usize::from(refused(client))).sum::<usize>();
         count >= 8
     });
-    let own = open_request("POST", BOOKING, "/bookings", "y", &body);
+    let own = service_request("POST", BOOKING, "/bookings", "y", &body);
     assert_eq!(service.client().call(&own).status(), 200);
     assert_eq!(reserve.executed().len(), 1);
 }
@@ -352,7 +354,7 @@
     let began = Instant::now();
     assert_eq!(service.client().call(read("x")).status(), 503);
     assert!(began.elapsed() < Duration::from_millis(300), "refused at once, not after {:?}", began.elapsed());
-    clients.iter_mut().for_each(|client| assert_ne!(client.answer().unwrap().status(), 200));
+    clients.iter_mut().for_each(|client| assert_ne!(client.read_response().unwrap().status(), 200));
     avail.inject(Fault::None);
     until("there is room again", || service.client().call(read("x")).status() == 200);
 }
@@ -388,7 +390,7 @@
     client.send(booking("x"));
     until("it is out", || reserve.received().len() == 1);
     service.signal("-TERM");
-    assert_eq!(client.answer().unwrap().status(), 200);
+    assert_eq!(client.read_response().unwrap().status(), 200);
     until("the service ends", || service.child.try_wait().unwrap().is_some());
     assert!(service.child.wait().unwrap().success());
 }
--- a/crates/violetyoke/tests/takeover.rs
+++ b/crates/violetyoke/tests/takeover.rs
@@ -4,13 +4,13 @@
 
 mod common;
 
-use common::held::{call, serves, Held};
+use common::shared_socket::{assert_serves, call, SharedSocket};
 use common::*;
 
 #[test]
 fn a_process_takes_over_and_nobody_is_turned_away() {
     let (a, b) = (Backend::start(|_| ok(b"a")), Backend::start(|_| ok(b"b")));
-    let held = Held::new(&[&a, &b]);
+    let held = SharedSocket::new(&[&a, &b]);
     let mut old = held.start();
     assert_eq!(call(old.console, "PUT", "/-/backends/s-0/disable"), 200);
     let mut kept = old.ingress.client();
@@ -41,7 +41,7 @@
         for _ in 0..3 {
             let new = held.start();
             old.ingress.terminate();
-            assert!(old.ingress.exit().success());
+            assert!(old.ingress.wait_for_exit().success());
             old = new;
         }
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
@@ -59,7 +59,7 @@
 #[test]
 fn a_kept_connection_is_served_to_the_end_by_the_process_that_has_it() {
     let a = Backend::start(|_| Reply::Later(ok_start(), b"x".to_vec()));
-    let held = Held::new(&[&a]);
+    let held = SharedSocket::new(&[&a]);
     let mut old = held.start();
     let mut kept = old.ingress.client();
     assert_eq!(kept.call(read_request()).status(), 200);
@@ -70,9 +70,9 @@
         assert_eq!(answer.status(), 200);
         answer.headers.get("connection").is_some_and(|word| word == "close")
     });
-    assert!(kept.closed());
+    assert!(kept.is_closed());
     old.ingress.terminate();
-    assert!(old.ingress.exit().success());
+    assert!(old.ingress.wait_for_exit().success());
 }
 
 fn ok_start() -> Vec<u8> {
@@ -83,9 +83,9 @@
 fn nodes_move_by_hand_while_one_process_takes_over_from_another() {
     for put_back in [true, false] {
         let (a, b) = (Backend::start(|_| ok(b"a")), Backend::start(|_| ok(b"b")));
-        let held = Held::new(&[&a, &b]);
+        let held = SharedSocket::new(&[&a, &b]);
         let mut old = held.start();
-        serves(&old.ingress, 4);
+        assert_serves(&old.ingress, 4);
         if !put_back {
             assert_eq!(call(old.console, "PUT", "/-/backends/s-0/disable"), 200);
         }
@@ -107,7 +107,7 @@
         if put_back {
             until("nothing more goes to it", || {
                 let before = a.request_count();
-                serves(&new.ingress, 10);
+                assert_serves(&new.ingress, 10);
                 a.request_count() == before
             });
             // Put back through the new one, a moment after.
@@ -118,12 +118,12 @@
             new.ingress.client().call(read_request()).status() == 200 && a.request_count() > before
         });
         old.ingress.terminate();
-        assert!(old.ingress.exit().success());
+        assert!(old.ingress.wait_for_exit().success());
         if !put_back {
             // And out through the new one, after the old one has gone.
             assert_eq!(call(new.console, "PUT", "/-/backends/s-0/disable"), 200);
             let before = a.request_count();
-            serves(&new.ingress, 20);
+            assert_serves(&new.ingress, 20);
             assert_eq!(a.request_count(), before);
         }
     }
@@ -133,32 +133,34 @@
 fn long_bodies_in_both_directions_go_on_over_a_takeover() {
     const LONG: usize = 32 << 20;
     let echo = Backend::start(|request| ok(&request.body));
-    let held = Held::new(&[&echo]);
+    let held = SharedSocket::new(&[&echo]);
     let mut old = held.start();
     let body: Vec<u8> = (0..LONG as u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
-    let request = head("POST", "booking-post", "wide", "2000m") + &format!("Content-Length: {LONG}\r\n\r\n");
+    let request =
+        request_head("POST", "booking-post", "wide", "2000m") + &format!("Content-Length: {LONG}\r\n\r\n");
     let (mut through_old, mut whole) = (old.ingress.client(), None);
     // Half of it through the old process; the rest while it is taken over and told to end.
     through_old.send(&request);
     through_old.send(&body[..LONG / 2]);
     let new = held.start();
-    until("the old process has seen the new one", || old.ingress.told("clients: TakenOver") == 1);
+    until("the old process has seen the new one", || old.ingress.count_log_lines("clients: TakenOver") == 1);
     let mut through_new = new.ingress.client();
-    through_new
-        .send(head("POST", "booking-post", "wide", "2000m") + &format!("Content-Length: {LONG}\r\n\r\n"));
+    through_new.send(
+        request_head("POST", "booking-post", "wide", "2000m") + &format!("Content-Length: {LONG}\r\n\r\n"),
+    );
     through_new.send(&body[..LONG / 2]);
     old.ingress.terminate();
     std::thread::scope(|scope| {
         scope.spawn(|| {
             through_old.send(&body[LONG / 2..]);
-            whole = through_old.answer();
+            whole = through_old.read_response();
         });
         through_new.send(&body[LONG / 2..]);
-        let answer = through_new.answer().expect("a whole answer of the new process");
+        let answer = through_new.read_response().expect("a whole answer of the new process");
         assert!(answer.status() == 200 && answer.body == body, "{} bytes", answer.body.len());
     });
     let whole = whole.expect("a whole answer of the old process");
     assert!(whole.status() == 200 && whole.body == body, "{} bytes", whole.body.len());
-    assert!(old.ingress.exit().success());
+    assert!(old.ingress.wait_for_exit().success());
     assert_eq!(echo.request_count(), 2);
 }
