--- a/crates/violetyoke/tests/account.rs
+++ b/crates/violetyoke/tests/decision_log.rs
@@ -1,4 +1,5 @@
-//! What an ingress writes down of its decisions: each answer with its rule where it is asked for, nothing elsewhere.
+//! The decision log of an ingress: records of responses, attempts and state if it is enabled, and none
+//! otherwise.
 
 #![cfg(test)]
 
@@ -8,8 +9,8 @@
 use std::process::Command;
 use violetyoke_account::Record;
 
-/// An ingress with one node, with the account asked for or not.
-fn start(asked: bool) -> (Backend, Counter, Discovery, Ingress) {
+/// An ingress with one node, with the decision log enabled or not.
+fn start(is_enabled: bool) -> (Backend, Counter, Discovery, Ingress) {
     let backend = Backend::start(|_| ok(b"a"));
     let members = vec![member("s-0", backend.address, "in_service")];
     let (counter, discovery) = (Counter::start(), Discovery::start(members));
@@ -19,7 +20,7 @@
         |_| {},
         |program| {
             let mut command = Command::new(program);
-            match asked {
+            match is_enabled {
                 true => command.env("VIOLETYOKE_ACCOUNT", "1"),
                 false => command.env_remove("VIOLETYOKE_ACCOUNT"),
             };
@@ -34,13 +35,13 @@
 }
 
 #[test]
-fn each_answer_and_attempt_is_written_down_where_it_is_asked_for() {
+fn responses_attempts_and_state_are_logged_if_the_log_is_enabled() {
     let (_backend, _counter, _discovery, ingress) = start(true);
-    until("the answer, its attempt and the beliefs are written down", || {
+    until("the response, its attempt and the state are logged", || {
         let log = ingress.log.lock().unwrap();
         let records: Vec<_> =
             log.iter().filter_map(|line| Record::parse_log_line(line)).map(Result::unwrap).collect();
-        let has = |of: &dyn Fn(&Record) -> bool| records.iter().any(of);
+        let has = |predicate: &dyn Fn(&Record) -> bool| records.iter().any(predicate);
         has(&|record| {
             matches!(record, Record::Final { outcome, class, value, .. }
                 if outcome == "served" && !class.is_empty() && *value > 0.0)
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn nothing_is_written_down_where_it_is_not() {
+fn nothing_is_logged_if_the_log_is_not_enabled() {
     let (_backend, _counter, _discovery, ingress) = start(false);
     assert_eq!(ingress.count_log_lines(violetyoke_account::RECORD_PREFIX), 0);
 }
--- a/crates/violetyoke/tests/takeover.rs
+++ b/crates/violetyoke/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! A process that takes over from another on a passed socket.
+//! A new process of an ingress takes over from the old one on an inherited listening socket.
 
 #![cfg(test)]
 
@@ -8,13 +8,13 @@
 use common::*;
 
 #[test]
-fn a_process_takes_over_and_nobody_is_turned_away() {
+fn takeover_rejects_no_client_and_keeps_manual_ejections() {
     let (a, b) = (Backend::start(|_| ok(b"a")), Backend::start(|_| ok(b"b")));
-    let held = SharedSocket::new(&[&a, &b]);
-    let mut old = held.start();
+    let socket = SharedSocket::new(&[&a, &b]);
+    let mut old = socket.start();
     assert_eq!(call(old.console, "PUT", "/-/backends/s-0/disable"), 200);
-    let mut kept = old.ingress.client();
-    assert_eq!(kept.call(read_request()).status(), 200);
+    let mut keep_alive = old.ingress.client();
+    assert_eq!(keep_alive.call(read_request()).status(), 200);
     let address = old.ingress.address;
     let stop = std::sync::atomic::AtomicBool::new(false);
     let before = a.request_count();
@@ -27,10 +27,10 @@
                     while !stop.load(std::sync::atomic::Ordering::SeqCst) {
                         let mut open: Client =
                             client.take().unwrap_or_else(|| Client::try_open(address).unwrap());
-                        let answer = open.call(read_request());
-                        assert_eq!(answer.status(), 200);
+                        let response = open.call(read_request());
+                        assert_eq!(response.status(), 200);
                         served += 1;
-                        if answer.headers.get("connection").is_none_or(|word| word != "close") {
+                        if response.headers.get("connection").is_none_or(|value| value != "close") {
                             client = Some(open);
                         }
                     }
@@ -39,7 +39,7 @@
             })
             .collect();
         for _ in 0..3 {
-            let new = held.start();
+            let new = socket.start();
             old.ingress.terminate();
             assert!(old.ingress.wait_for_exit().success());
             old = new;
@@ -47,7 +47,7 @@
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
         assert!(clients.into_iter().all(|client| client.join().unwrap() > 0));
     });
-    // Out by hand is out for its successors' successor too, until it is put back there.
+    // The manual ejection also holds in the third process, until the node is restored there.
     assert_eq!(a.request_count(), before);
     assert_eq!(call(old.console, "PUT", "/-/backends/s-0/enable"), 200);
     let mut client = old.ingress.client();
@@ -57,20 +57,20 @@
 }
 
 #[test]
-fn a_kept_connection_is_served_to_the_end_by_the_process_that_has_it() {
+fn keep_alive_connection_is_served_and_closed_by_the_old_process() {
     let a = Backend::start(|_| Reply::Later(ok_start(), b"x".to_vec()));
-    let held = SharedSocket::new(&[&a]);
-    let mut old = held.start();
-    let mut kept = old.ingress.client();
-    assert_eq!(kept.call(read_request()).status(), 200);
-    let _new = held.start();
-    // It was taken over: the request is served, the connection is not kept.
+    let socket = SharedSocket::new(&[&a]);
+    let mut old = socket.start();
+    let mut keep_alive = old.ingress.client();
+    assert_eq!(keep_alive.call(read_request()).status(), 200);
+    let _new = socket.start();
+    // After the takeover the old process serves the request and closes the connection.
     until("the old process has seen the new one", || {
-        let answer = kept.call(read_request());
-        assert_eq!(answer.status(), 200);
-        answer.headers.get("connection").is_some_and(|word| word == "close")
+        let response = keep_alive.call(read_request());
+        assert_eq!(response.status(), 200);
+        response.headers.get("connection").is_some_and(|value| value == "close")
     });
-    assert!(kept.is_closed());
+    assert!(keep_alive.is_closed());
     old.ingress.terminate();
     assert!(old.ingress.wait_for_exit().success());
 }
@@ -80,47 +80,47 @@
 }
 
 #[test]
-fn nodes_move_by_hand_while_one_process_takes_over_from_another() {
-    for put_back in [true, false] {
+fn manual_ejections_during_a_takeover_are_not_lost() {
+    for restore_first in [true, false] {
         let (a, b) = (Backend::start(|_| ok(b"a")), Backend::start(|_| ok(b"b")));
-        let held = SharedSocket::new(&[&a, &b]);
-        let mut old = held.start();
+        let socket = SharedSocket::new(&[&a, &b]);
+        let mut old = socket.start();
         assert_serves(&old.ingress, 4);
-        if !put_back {
+        if !restore_first {
             assert_eq!(call(old.console, "PUT", "/-/backends/s-0/disable"), 200);
         }
-        // Through the old one, while the new one starts: its list of nodes out may be read already.
+        // Changes through the old process while the new one starts, which may already have read the ejections.
         let console = old.console;
         let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
         let stopped = stop.clone();
-        let (first, last) = if put_back { ("enable", "disable") } else { ("disable", "enable") };
-        let moving = std::thread::spawn(move || {
+        let (first, last) = if restore_first { ("enable", "disable") } else { ("disable", "enable") };
+        let ejections = std::thread::spawn(move || {
             while !stopped.load(std::sync::atomic::Ordering::SeqCst) {
                 call(console, "PUT", &format!("/-/backends/s-0/{first}"));
                 call(console, "PUT", &format!("/-/backends/s-0/{last}"));
             }
         });
-        let new = held.start();
+        let new = socket.start();
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
-        moving.join().unwrap();
-        // The last word through the old one holds in the new one, within the rule on drains.
-        if put_back {
-            until("nothing more goes to it", || {
+        ejections.join().unwrap();
+        // The last change through the old process holds in the new one, within the drain grace.
+        if restore_first {
+            until("the node gets no more requests", || {
                 let before = a.request_count();
                 assert_serves(&new.ingress, 10);
                 a.request_count() == before
             });
-            // Put back through the new one, a moment after.
+            // The node is restored through the new process.
             assert_eq!(call(new.console, "PUT", "/-/backends/s-0/enable"), 200);
         }
         let before = a.request_count();
-        until("it is used", || {
+        until("the node is used", || {
             new.ingress.client().call(read_request()).status() == 200 && a.request_count() > before
         });
         old.ingress.terminate();
         assert!(old.ingress.wait_for_exit().success());
-        if !put_back {
-            // And out through the new one, after the old one has gone.
+        if !restore_first {
+            // The node is ejected through the new process, after the old one has ended.
             assert_eq!(call(new.console, "PUT", "/-/backends/s-0/disable"), 200);
             let before = a.request_count();
             assert_serves(&new.ingress, 20);
@@ -130,19 +130,19 @@
 }
 
 #[test]
-fn long_bodies_in_both_directions_go_on_over_a_takeover() {
+fn large_bodies_in_both_directions_are_not_interrupted_by_a_takeover() {
     const LONG: usize = 32 << 20;
     let echo = Backend::start(|request| ok(&request.body));
-    let held = SharedSocket::new(&[&echo]);
-    let mut old = held.start();
+    let socket = SharedSocket::new(&[&echo]);
+    let mut old = socket.start();
     let body: Vec<u8> = (0..LONG as u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
     let request =
         request_head("POST", "booking-post", "wide", "2000m") + &format!("Content-Length: {LONG}\r\n\r\n");
-    let (mut through_old, mut whole) = (old.ingress.client(), None);
-    // Half of it through the old process; the rest while it is taken over and told to end.
+    let (mut through_old, mut old_response) = (old.ingress.client(), None);
+    // The first half is sent to the old process, the rest while it is taken over and terminated.
     through_old.send(&request);
     through_old.send(&body[..LONG / 2]);
-    let new = held.start();
+    let new = socket.start();
     until("the old process has seen the new one", || old.ingress.count_log_lines("clients: TakenOver") == 1);
     let mut through_new = new.ingress.client();
     through_new.send(
@@ -153,14 +153,14 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             through_old.send(&body[LONG / 2..]);
-            whole = through_old.read_response();
+            old_response = through_old.read_response();
         });
         through_new.send(&body[LONG / 2..]);
-        let answer = through_new.read_response().expect("a whole answer of the new process");
-        assert!(answer.status() == 200 && answer.body == body, "{} bytes", answer.body.len());
+        let response = through_new.read_response().expect("a complete response of the new process");
+        assert!(response.status() == 200 && response.body == body, "{} bytes", response.body.len());
     });
-    let whole = whole.expect("a whole answer of the old process");
-    assert!(whole.status() == 200 && whole.body == body, "{} bytes", whole.body.len());
+    let old_response = old_response.expect("a complete response of the old process");
+    assert!(old_response.status() == 200 && old_response.body == body, "{} bytes", old_response.body.len());
     assert!(old.ingress.wait_for_exit().success());
     assert_eq!(echo.request_count(), 2);
 }
