--- a/crates/violetyoke/tests/commands.rs
+++ b/crates/violetyoke/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line: what a newcomer types, and what a bad file is answered with.
+//! The command line: the examples of the documentation, and the errors of invalid files.
 
 #![cfg(test)]
 #![allow(clippy::let_underscore_must_use, reason = "not yet revised for readers: see docs/ROADMAP.md")]
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn the_example_is_a_good_file() {
+fn example_configuration_is_valid() {
     let output = run(&["check", &example()]);
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     assert!(String::from_utf8_lossy(&output.stdout).contains("3 pools"), "{output:?}");
 }
 
 #[test]
-fn a_bad_file_is_answered_with_all_that_is_wrong_and_exit_code_2() {
+fn invalid_file_is_reported_with_all_faults_and_exit_code_2() {
     let path = std::env::temp_dir().join(format!("violetyoke-bad-{}.toml", std::process::id()));
     let text = std::fs::read_to_string(example()).unwrap();
     let text =
@@ -37,8 +37,12 @@
         assert_eq!(output.status.code(), Some(2), "{errors}");
         for key in ["service.lisen", "service.listen", "effect"] {
             let line = errors.lines().find(|line| line.contains(key)).unwrap_or_default();
-            let place = line.strip_prefix(path.to_str().unwrap()).and_then(|rest| rest.split(':').nth(1));
-            assert!(place.is_some_and(|place| place.parse::<u32>().is_ok()), "{key}: {errors}");
+            let line_number =
+                line.strip_prefix(path.to_str().unwrap()).and_then(|rest| rest.split(':').nth(1));
+            assert!(
+                line_number.is_some_and(|line_number| line_number.parse::<u32>().is_ok()),
+                "{key}: {errors}"
+            );
         }
     }
     std::fs::remove_file(&path).unwrap();
@@ -46,14 +50,14 @@
 }
 
 #[test]
-fn the_service_can_be_called_by_its_own_name() {
+fn service_program_can_be_run_by_its_own_name() {
     let output =
         Command::new(env!("CARGO_BIN_EXE_violetyoke-service")).args(["check", &example()]).output().unwrap();
     assert!(output.status.success());
 }
 
 #[test]
-fn without_arguments_it_is_the_platforms_and_help_says_what_there_is() {
+fn program_without_arguments_is_a_platform_ingress_and_help_lists_the_commands() {
     let output = run(&[]);
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(String::from_utf8_lossy(&output.stderr), "violetyoke: EDGE_CONFIG is not set\n");
@@ -65,7 +69,7 @@
 }
 
 #[test]
-fn the_demos_lines_do_what_they_say() {
+fn printed_commands_of_the_demo_have_the_described_results() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_violetyoke"))
         .args(["demo", "--listen", "127.0.0.1:0"])
         .stdout(Stdio::piped())
@@ -80,7 +84,7 @@
         .any(|line| line.contains("serving on"));
     assert!(ready);
     let curls: Vec<_> = lines.iter().filter(|line| line.trim_start().starts_with("curl ")).collect();
-    let statuses: Vec<u16> = curls.iter().map(|line| play(line)).collect();
+    let statuses: Vec<u16> = curls.iter().map(|line| run_curl(line)).collect();
     let _ = child.kill();
     let _ = child.wait();
     let file = lines.iter().find_map(|line| line.strip_prefix("The service's file is "));
@@ -91,7 +95,7 @@
 }
 
 #[test]
-fn the_demo_with_tenants_shows_the_quiet_one_served() {
+fn demo_with_tenants_serves_the_quiet_tenant() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_violetyoke"))
         .args(["demo", "--tenants", "--listen", "127.0.0.1:0"])
         .stdout(Stdio::piped())
@@ -99,24 +103,26 @@
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(child.stdout.take().unwrap()).lines().map_while(Result::ok);
-    // The first seconds may be before the tenants are in force.
+    // In the first seconds the tenants may not be in force yet.
     let served = |line: &String| {
         let rest = line.strip_prefix("quiet: ")?;
         let count: u32 = rest.split(' ').next()?.parse().ok()?;
-        let loud: u64 = rest.split("loud: ").nth(1)?.split(' ').next()?.parse().ok()?;
-        (count > 0 && loud > 0).then_some(count)
+        let served_loud: u64 = rest.split("loud: ").nth(1)?.split(' ').next()?.parse().ok()?;
+        (count > 0 && served_loud > 0).then_some(count)
     };
-    let found = lines.by_ref().take(30).find_map(|line| served(&line));
+    let served_quiet = lines.by_ref().take(30).find_map(|line| served(&line));
     let _ = child.kill();
     let _ = child.wait();
-    for end in [".db", ".db-wal", ".db-shm", ".key", ".toml"] {
-        let _ =
-            std::fs::remove_file(std::env::temp_dir().join(format!("violetyoke-demo-{}{end}", child.id())));
+    for suffix in [".db", ".db-wal", ".db-shm", ".key", ".toml"] {
+        let _ = std::fs::remove_file(
+            std::env::temp_dir().join(format!("violetyoke-demo-{}{suffix}", child.id())),
+        );
     }
-    assert!(found.is_some());
+    assert!(served_quiet.is_some());
 }
 
-/// The lines up to the one that ends the demo's words: its output stays open for as long as it runs.
+/// Collects the lines up to the last one of the demo's instructions. Its output stays open until the process
+/// ends.
 trait CollectToEnd {
     fn collect_to_end(self) -> Vec<String>;
 }
@@ -135,15 +141,15 @@
     }
 }
 
-/// Does what a line of curl says: the fields, the method and the body that it names.
-fn play(line: &str) -> u16 {
-    let words: Vec<&str> = line.split('\'').collect();
-    let fields: String = words.iter().skip(1).step_by(2).map(|field| format!("{field}\r\n")).collect();
+/// Sends the request of a curl command line, with its headers, method and body. Returns the status.
+fn run_curl(line: &str) -> u16 {
+    let parts: Vec<&str> = line.split('\'').collect();
+    let headers: String = parts.iter().skip(1).step_by(2).map(|field| format!("{field}\r\n")).collect();
     let url = line.rsplit(' ').next().unwrap().strip_prefix("http://").unwrap();
     let (address, path) = url.split_once('/').unwrap();
     let method = if line.contains("-X POST") { "POST" } else { "GET" };
     let body = line.split("-d ").nth(1).map_or("", |rest| rest.split(' ').next().unwrap());
     let length = if method == "POST" { format!("Content-Length: {}\r\n", body.len()) } else { String::new() };
-    let request = format!("{method} /{path} HTTP/1.1\r\n{fields}{length}\r\n{body}");
+    let request = format!("{method} /{path} HTTP/1.1\r\n{headers}{length}\r\n{body}");
     Client::try_open(address.parse().unwrap()).unwrap().call(request).status()
 }
--- a/crates/violetyoke/tests/consult.rs
+++ b/crates/violetyoke/tests/consult.rs
@@ -1,5 +1,5 @@
-//! A pool that asks an outside rate limit server before it admits: answers in time, late, wrong and never, on real
-//! sockets with the stand-in server.
+//! A pool that asks an outside rate limit server before it admits: answers in time, late, wrong and never, on
+//! real sockets with the stand-in server.
 
 #![cfg(test)]
 
@@ -94,7 +94,8 @@
     let entries: Vec<_> = seen[0].entries.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
     let expected = [("service", "rooms"), ("account", "h"), ("tier", "basic"), ("class", "booking-post")];
     assert_eq!((seen[0].domain.as_str(), entries.as_slice()), ("partners", expected.as_slice()));
-    // A server that counts wrongly lets nobody past the pool's own quota, and one that is too strict costs none.
+    // A server that counts wrongly lets nobody past the pool's own quota, and one that is too strict costs
+    // none.
     let service =
         Service::start(&file(&node, &limiter, REFUSE, "plan = [{ name = \"p\", rate = 0.01, burst = 2 }]"));
     limiter.set(Behavior::AdmitNone);
@@ -110,10 +111,14 @@
             let (node, limiter) = (node(), limiter(9));
             let service = Service::start(&file(&node, &limiter, consult, ""));
             limiter.set(mode);
-            let began = Instant::now();
+            let started_at = Instant::now();
             assert_eq!(status(&service, "h"), code, "{mode:?}");
             // Well before its deadline of 2 s: the budget is 100 ms.
-            assert!(began.elapsed() < Duration::from_millis(1_500), "{mode:?}: {:?}", began.elapsed());
+            assert!(
+                started_at.elapsed() < Duration::from_millis(1_500),
+                "{mode:?}: {:?}",
+                started_at.elapsed()
+            );
             assert_eq!(limiter.received().len(), 1);
         }
         // Nobody listens there at all.
@@ -131,10 +136,10 @@
     let service = Service::start(&file(&node, &limiter, &consult, ""));
     limiter.set(Behavior::Silent);
     let request = service_request("POST", HOST, "/bookings", "h", "room=4");
-    let began = Instant::now();
+    let started_at = Instant::now();
     let hurried = request.replacen("X-Account", "Req-Deadline: 400m\r\nX-Account", 1);
     assert_eq!(service.client().call(hurried).status(), 200);
-    assert!(began.elapsed() < Duration::from_millis(400), "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < Duration::from_millis(400), "{:?}", started_at.elapsed());
 }
 
 #[test]
@@ -145,7 +150,8 @@
     limiter.set(Behavior::Delay(Duration::from_millis(400)));
     assert_eq!(status(&service, "h"), 503);
     assert_eq!(node.received().len(), 0);
-    // The only unit has been counted for it; in time the answer is booked, and exactly one request passes by it.
+    // The only unit has been counted for it; in time the answer is booked, and exactly one request passes by
+    // it.
     limiter.set(Behavior::Answer);
     let mut codes = Vec::new();
     until("the late answer is booked", || {
@@ -245,8 +251,8 @@
     limiter.set(Behavior::Silent);
     let address = service.address;
     let call = thread::spawn(move || {
-        let began = Instant::now();
-        (booking(address, "h").status(), began.elapsed())
+        let started_at = Instant::now();
+        (booking(address, "h").status(), started_at.elapsed())
     });
     until("it is out", || limiter.received().len() == 1);
     limiter.close_abruptly();
@@ -287,8 +293,8 @@
     block_on(async {
         let mut client = client(address).await;
         let mut ask = async |accounts: &[&str]| {
-            let answer = client.should_rate_limit(about(accounts)).await.unwrap().into_inner();
-            answer.overall_code() == proto::Code::Ok
+            let response = client.should_rate_limit(about(accounts)).await.unwrap().into_inner();
+            response.overall_code() == proto::Code::Ok
         };
         assert!(ask(&["a"]).await && ask(&["a"]).await && !ask(&["a"]).await);
         // All or nothing: what was counted for the first is not used up by the second's refusal.
--- a/crates/violetyoke/tests/control_access.rs
+++ b/crates/violetyoke/tests/control_access.rs
@@ -11,8 +11,9 @@
 use std::thread;
 use violetyoke_control::api::{Access, ENDPOINTS};
 
-/// What a key of each kind gets of each endpoint: the operator's, an ingress's, a reader's and an administrator's of
-/// the tenant in the path, and an administrator's of another. 2: it may; else the code that says that it may not.
+/// What a key of each kind gets of each endpoint: the operator's, an ingress's, a reader's and an
+/// administrator's of the tenant in the path, and an administrator's of another. 2: it may; else the code that
+/// says that it may not.
 const MAY: &[(&str, [u16; 5])] = &[
     ("GET /v1/openapi.json", [2, 2, 2, 2, 2]),
     ("GET /v1/health", [2, 2, 2, 2, 2]),
@@ -93,7 +94,8 @@
     ];
     for endpoint in ENDPOINTS {
         let name = format!("{} {}", endpoint.method, endpoint.path);
-        // Of a thing that is not there: whoever may call it is told so, or that the body is none, and nothing changes.
+        // Of a thing that is not there: whoever may call it is told so, or that the body is none, and nothing
+        // changes.
         let path =
             endpoint.path.replace("{tenant}", "acme").replace("{name}", "none").replace("{key}", "none");
         let body = if endpoint.request_schema.is_some() { "[]" } else { "" };
@@ -160,8 +162,8 @@
     let shown =
         format!("{:?}{:?}", operator.get("/v1/tenants/acme/keys"), operator.get("/v1/audit?limit=1000"));
     assert!(!shown.contains(&newest.key[20..]) && !shown.contains("hash"), "{shown}");
-    // One that is good for some seconds is not after that. How many it takes to be seen good before turns on how busy
-    // this machine is.
+    // One that is good for some seconds is not after that. How many it takes to be seen good before turns on
+    // how busy this machine is.
     let brief = [1, 2, 4, 8, 16].into_iter().find_map(|seconds| {
         let brief = key(&operator, "/v1/keys", json!({"role": "operator", "expires_in_seconds": seconds}));
         (brief.get("/v1/tenants").status == 200).then_some(brief)
--- a/crates/violetyoke/tests/crowd.rs
+++ b/crates/violetyoke/tests/crowd.rs
@@ -1,5 +1,5 @@
-//! Thousands of connections that say nothing, or half of something, on a process that may hold few: requests on new
-//! connections are served all the same, also over restarts.
+//! Many connections that are idle or have a partial request, on a process with few file descriptors: requests
+//! on new connections must still be served, also across restarts.
 
 #![cfg(test)]
 
@@ -11,12 +11,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Half of what the platform gives.
+/// Half of the platform's limit.
 const SOCKETS: u32 = 256;
-const CROWD: usize = 700;
+const IDLE_CONNECTIONS: usize = 700;
 
-/// Connections that stay: every second one says half a head. What is closed on is opened no more.
-fn crowd(address: SocketAddr) -> Vec<TcpStream> {
+/// Opens connections that stay idle, every second one with a partial request head. Closed ones are not
+/// reopened.
+fn open_idle_connections(address: SocketAddr) -> Vec<TcpStream> {
     let open = |i: usize| {
         let mut stream = TcpStream::connect(address).ok()?;
         let head = read_request();
@@ -25,17 +26,17 @@
         }
         Some(stream)
     };
-    (0..CROWD).filter_map(open).collect()
+    (0..IDLE_CONNECTIONS).filter_map(open).collect()
 }
 
-/// Requests, each on a connection of its own; how long the slowest took.
-fn served(address: SocketAddr, times: usize) -> Duration {
+/// Sends requests on new connections. Returns the latency of the slowest.
+fn serve_requests(address: SocketAddr, times: usize) -> Duration {
     let mut slowest = Duration::ZERO;
     for _ in 0..times {
-        let began = Instant::now();
-        let mut client = Client::try_open(address).expect("a connection");
+        let started_at = Instant::now();
+        let mut client = Client::try_open(address).expect("the process accepts connections");
         assert_eq!(client.call(read_request()).status(), 200);
-        slowest = slowest.max(began.elapsed());
+        slowest = slowest.max(started_at.elapsed());
     }
     slowest
 }
@@ -45,25 +46,25 @@
 }
 
 #[test]
-fn a_crowd_that_says_nothing_keeps_nobody_from_being_served_over_restarts() {
+fn many_idle_connections_do_not_keep_new_clients_out_across_restarts() {
     let a = Backend::start(|_| ok(b"a"));
-    let mut held = SharedSocket::new(&[&a]);
-    held.sockets = Some(SOCKETS);
-    let mut process = held.start();
+    let mut socket = SharedSocket::new(&[&a]);
+    socket.sockets = Some(SOCKETS);
+    let mut process = socket.start();
     let address = process.ingress.address;
-    let mut crowds = vec![crowd(address)];
+    let mut idle_connections = vec![open_idle_connections(address)];
     for _ in 0..2 {
-        let slowest = served(address, 10);
+        let slowest = serve_requests(address, 10);
         assert!(slowest < Duration::from_secs(3), "{slowest:?}");
         assert!(descriptors(&process) <= SOCKETS as usize, "{} descriptors", descriptors(&process));
-        let new = held.start();
+        let new = socket.start();
         let old = std::mem::replace(&mut process, new);
-        crowds.push(crowd(address));
+        idle_connections.push(open_idle_connections(address));
         old.ingress.terminate();
         let mut old = old;
         assert!(old.ingress.wait_for_exit().success());
-        served(address, 10);
+        serve_requests(address, 10);
     }
-    let seen = crowds.iter().map(Vec::len).sum::<usize>();
-    assert!(seen > 2 * CROWD, "{seen} connections came up");
+    let opened = idle_connections.iter().map(Vec::len).sum::<usize>();
+    assert!(opened > 2 * IDLE_CONNECTIONS, "{opened} connections were opened");
 }
--- a/crates/violetyoke/tests/duties.rs
+++ b/crates/violetyoke/tests/duties.rs
@@ -1,5 +1,5 @@
-//! Singleton roles at the control plane: who is granted a lease, which requests are rejected, and upkeep by one of two
-//! control planes on one store.
+//! Singleton roles at the control plane: who is granted a lease, which requests are rejected, and upkeep by one
+//! of two control planes on one store.
 
 #![cfg(test)]
 
@@ -204,7 +204,8 @@
             .status
     };
     assert_eq!((prefer("b"), prefer("a")), (200, 412));
-    // The owner is asked to hand over, and the other is granted the shard once it is released, under a newer epoch.
+    // The owner is asked to hand over, and the other is granted the shard once it is released, under a newer
+    // epoch.
     let owned = granted.iter().find(|grant| grant["shard"] == 5).unwrap();
     let renewals = json!([{"duty": "report", "shard": 5, "epoch": owned["epoch"], "acts": 1}]);
     let response = renew(&api, json!({"holder": "a#1", "duties": ["report"], "renew": renewals}));
--- a/crates/violetyoke/tests/lab.rs
+++ b/crates/violetyoke/tests/lab.rs
@@ -1,4 +1,4 @@
-//! `violetyoke lab` as it is typed: a file is checked, played and compared.
+//! The command `violetyoke lab`: experiments are checked, run and compared.
 
 #![cfg(test)]
 
@@ -9,7 +9,7 @@
     Command::new(env!("CARGO_BIN_EXE_violetyoke-service")).arg("lab").args(arguments).output().unwrap()
 }
 
-/// A file of this test's own, with that text.
+/// Writes a temporary file for this test.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("violetyoke-lab-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_file_is_played_written_and_compared_with_another_setting() {
+fn experiment_is_run_saved_and_compared_with_another_setting() {
     let before = file("before.toml", &calibration());
     let after =
         file("after.toml", &calibration().replace("tries_per_second = 150", "tries_per_second = 420"));
@@ -34,22 +34,22 @@
     for part in ["loopback: 3 ingresses, 4 nodes", "| kept |", "mean place", "lost to", "calls: "] {
         assert!(text.contains(part), "{part:?}: {text}");
     }
-    // What was written stands for its file: the difference of a run with itself is nothing.
-    let same = lab(&["compare", json, before]);
-    let same = String::from_utf8_lossy(&same.stdout).to_string();
+    // The saved result can be compared with its experiment: a run does not differ from itself.
+    let same_run = lab(&["compare", json, before]);
+    let same_run = String::from_utf8_lossy(&same_run.stdout).to_string();
     assert!(
-        same.lines().filter(|line| line.contains("| +0.000 | +0.000 to +0.000 |")).count() == 4,
-        "{same}"
+        same_run.lines().filter(|line| line.contains("| +0.000 | +0.000 to +0.000 |")).count() == 4,
+        "{same_run}"
     );
-    let other = lab(&["compare", json, after]);
-    let other = String::from_utf8_lossy(&other.stdout).to_string();
-    let served = other.lines().find(|line| line.contains("| served |")).unwrap_or_default();
-    assert!(served.contains("| -0."), "{other}");
+    let other_run = lab(&["compare", json, after]);
+    let other_run = String::from_utf8_lossy(&other_run.stdout).to_string();
+    let served = other_run.lines().find(|line| line.contains("| served |")).unwrap_or_default();
+    assert!(served.contains("| -0."), "{other_run}");
     [before, after, json].iter().for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 #[test]
-fn a_bad_file_is_answered_with_line_and_key_and_exit_code_2() {
+fn invalid_file_is_reported_with_line_and_key_and_exit_code_2() {
     let text = calibration().replace("count = 4", "count = 0");
     let line = 1 + text.lines().position(|line| line == "count = 0").unwrap();
     let path = file("bad.toml", &text);
--- a/crates/violetyoke/tests/ratelimit.rs
+++ b/crates/violetyoke/tests/ratelimit.rs
@@ -122,29 +122,30 @@
     let Rooms { node: _node, service: _service, address } = Rooms::start(2.0, 3.0, "");
     block_on(async {
         let mut client = client(address).await;
-        let answer = ask(&mut client, about("h")).await.unwrap();
-        let status = &answer.statuses[0];
-        assert_eq!((answer.overall_code(), status.code()), (proto::Code::Ok, proto::Code::Ok));
+        let response = ask(&mut client, about("h")).await.unwrap();
+        let status = &response.statuses[0];
+        assert_eq!((response.overall_code(), status.code()), (proto::Code::Ok, proto::Code::Ok));
         let limit = status.current_limit.as_ref().unwrap();
         assert_eq!((limit.requests_per_unit, limit.unit()), (2, proto::Unit::Second));
         assert_eq!(status.limit_remaining, 2);
         let reset = status.duration_until_reset.as_ref().unwrap();
         assert!(reset.seconds == 0 && reset.nanos > 100_000_000, "{reset:?}");
-        let names: Vec<_> = answer.response_headers_to_add.iter().map(|header| header.key.as_str()).collect();
+        let names: Vec<_> =
+            response.response_headers_to_add.iter().map(|header| header.key.as_str()).collect();
         assert!(names.contains(&"ratelimit") && names.contains(&"ratelimit-policy"), "{names:?}");
         // Two units and three: the second has no room, and says when it would have.
         assert!(ok(&mut client, proto::RateLimitRequest { hits_addend: 2, ..about("h") }).await);
-        let answer =
+        let response =
             ask(&mut client, proto::RateLimitRequest { hits_addend: 3, ..about("h") }).await.unwrap();
-        assert_eq!(answer.overall_code(), proto::Code::OverLimit);
-        let reset = answer.statuses[0].duration_until_reset.as_ref().unwrap();
+        assert_eq!(response.overall_code(), proto::Code::OverLimit);
+        let reset = response.statuses[0].duration_until_reset.as_ref().unwrap();
         assert!(reset.seconds >= 1, "{reset:?}");
         // A descriptor's own units go before the request's, and none of its own ask how things stand.
         let own = proto::RateLimitDescriptor { hits_addend: Some(0), ..descriptor(&[("account", "fresh")]) };
-        let answer = ask(&mut client, proto::RateLimitRequest { hits_addend: 9, ..question(vec![own]) })
+        let response = ask(&mut client, proto::RateLimitRequest { hits_addend: 9, ..question(vec![own]) })
             .await
             .unwrap();
-        assert_eq!((answer.overall_code(), answer.statuses[0].limit_remaining), (proto::Code::Ok, 3));
+        assert_eq!((response.overall_code(), response.statuses[0].limit_remaining), (proto::Code::Ok, 3));
         // A plan without a quota has no limit to tell of.
         let free = question(vec![descriptor(&[("account", "f"), ("tier", "none")])]);
         assert!(ask(&mut client, free).await.unwrap().statuses[0].current_limit.is_none());
@@ -159,9 +160,9 @@
         let both = || question(vec![descriptor(&[("account", "a")]), descriptor(&[("account", "b")])]);
         assert!(ok(&mut client, about("b")).await && ok(&mut client, about("b")).await);
         for _ in 0..5 {
-            let answer = ask(&mut client, both()).await.unwrap();
-            let codes: Vec<_> = answer.statuses.iter().map(|status| status.code()).collect();
-            assert_eq!(answer.overall_code(), proto::Code::OverLimit);
+            let response = ask(&mut client, both()).await.unwrap();
+            let codes: Vec<_> = response.statuses.iter().map(|status| status.code()).collect();
+            assert_eq!(response.overall_code(), proto::Code::OverLimit);
             assert_eq!(codes, [proto::Code::Ok, proto::Code::OverLimit]);
         }
         // Nothing was added for the first one meanwhile.
@@ -328,13 +329,13 @@
     block_on(async {
         let mut client = client(address).await;
         counter.set(Mode::Silent);
-        let began = Instant::now();
+        let started_at = Instant::now();
         for _ in 0..3 {
             assert!(ok(&mut client, named()).await);
         }
         // Each counted for itself, as nothing could be known of the others; and nobody waited for long.
         assert!(!ok(&mut client, named()).await);
-        assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
     });
 }
 
@@ -450,15 +451,15 @@
         let mut reflection = ServerReflectionClient::new(channel(address).await);
         let stream = futures_util::stream::iter([request]);
         let mut answers = reflection.server_reflection_info(stream).await.unwrap().into_inner();
-        let answer = answers.message().await.unwrap().unwrap().message_response.unwrap();
-        let MessageResponse::ListServicesResponse(list) = answer else { panic!("{answer:?}") };
+        let response = answers.message().await.unwrap().unwrap().message_response.unwrap();
+        let MessageResponse::ListServicesResponse(list) = response else { panic!("{response:?}") };
         let names: Vec<_> = list.service.iter().map(|service| service.name.as_str()).collect();
         assert!(names.contains(&"envoy.service.ratelimit.v3.RateLimitService"), "{names:?}");
     });
 }
 
-/// An ingress dies at each point between the claim and its answer, and the try comes again through another, over
-/// either way: it passes, it is counted at least once, and at most once more than it would have been.
+/// An ingress dies at each point between the claim and its answer, and the try comes again through another,
+/// over either way: it passes, it is counted at least once, and at most once more than it would have been.
 #[test]
 fn a_try_whose_ingress_is_killed_is_counted_again_through_another() {
     // Its calls: the claim, its units, the outcome. Each is lost on its way, or is added and its answer lost.
@@ -529,7 +530,8 @@
     let a = Service::start(&text.replace("INDEX", "0"));
     let b = Service::start(&text.replace("INDEX", "1"));
     counter.set(Mode::Late);
-    // Every answer comes after its call was given up: nobody knows of the claim, and the try is counted at both.
+    // Every answer comes after its call was given up: nobody knows of the claim, and the try is counted at
+    // both.
     assert_eq!(tried(&a, "h", "t"), 200);
     assert_eq!(tried(&b, "h", "t"), 200);
     counter.set(Mode::Answer);
--- a/crates/violetyoke/tests/reload.rs
+++ b/crates/violetyoke/tests/reload.rs
@@ -1,5 +1,5 @@
-//! A table that is replaced while requests are on their way: one answer each, by the table that matched them, and
-//! nobody's quota anew.
+//! A table that is replaced while requests are on their way: one answer each, by the table that matched them,
+//! and nobody's quota anew.
 
 #![cfg(test)]
 
@@ -58,8 +58,8 @@
     client.send(booking("hotel"));
     until("the booking is out", || old.executed().len() == 1);
     service.reload(&new(&old, &other));
-    let answer = client.read_response().expect("one final answer");
-    assert_eq!((answer.status(), &answer.body[..3]), (200, b"old".as_slice()));
+    let response = client.read_response().expect("one final answer");
+    assert_eq!((response.status(), &response.body[..3]), (200, b"old".as_slice()));
     client.stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     assert!(client.read_response().is_none(), "and no second one");
     assert_eq!((old.executed().len(), other.executed().len()), (1, 0));
@@ -160,7 +160,7 @@
     };
     let mut service = Service::start(&file(10.0, false));
     let (address, over) = (service.address, Arc::new(AtomicBool::new(false)));
-    let began = Instant::now();
+    let started_at = Instant::now();
     let load: Vec<_> = (0..4)
         .map(|_| {
             let over = over.clone();
@@ -182,10 +182,10 @@
     for number in 0..50 {
         service.reload(&file(if number % 2 == 0 { 8.0 } else { 10.0 }, number % 5 == 0));
         let next = Duration::from_millis(100 * (number + 1));
-        std::thread::sleep(next.saturating_sub(began.elapsed()));
+        std::thread::sleep(next.saturating_sub(started_at.elapsed()));
     }
     over.store(true, SeqCst);
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let counts: Vec<(u32, u32)> = load.into_iter().map(|thread| thread.join().unwrap()).collect();
     let (served, refused) = counts.iter().fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1));
     assert!(refused > 100, "{counts:?}");
