--- a/crates/violetyoke/tests/control.rs
+++ b/crates/violetyoke/tests/control.rs
@@ -31,11 +31,11 @@
     let api = control.operator();
     tenant(&api, "acme");
 
-    let made = api.post("/v1/tenants/acme/plans", PLAN);
-    assert_eq!((made.status, made.http.headers["location"].as_str()), (201, PLAN_PATH));
+    let created = api.post("/v1/tenants/acme/plans", PLAN);
+    assert_eq!((created.status, created.http.headers["location"].as_str()), (201, PLAN_PATH));
     let read = api.get(PLAN_PATH);
-    assert_eq!((read.status, &read.body["burst"], &read.version), (200, &json!(8.0), &made.version));
-    // A merge patch changes what it names, a replacement everything.
+    assert_eq!((read.status, &read.body["burst"], &read.version), (200, &json!(8.0), &created.version));
+    // A merge patch changes the given fields, a replacement all fields.
     let patched = api.call("PATCH", PLAN_PATH, r#"{"rate": 3}"#, &if_match(&read.version.unwrap()));
     assert_eq!(
         (patched.status, &patched.body["rate"], &patched.body["burst"]),
@@ -53,9 +53,9 @@
     let api = control.operator();
 
     for name in ["hotel 7/ü", "b", "a", "c"] {
-        let made = api.post("/v1/tenants/acme/accounts", json!({"name": name, "plan": "basic"}));
-        // It is at its location: a slash in its name is not one of the path.
-        assert_eq!(api.get(&made.http.headers["location"]).body["name"], name);
+        let created = api.post("/v1/tenants/acme/accounts", json!({"name": name, "plan": "basic"}));
+        // The account can be read at its location: a slash in its name is encoded.
+        assert_eq!(api.get(&created.http.headers["location"]).body["name"], name);
     }
     let read = api.get("/v1/tenants/acme/accounts/hotel%207%2F%C3%BC");
     assert_eq!((read.status, read.body["name"].as_str()), (200, Some("hotel 7/ü")));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn plan_is_deleted_only_when_no_account_has_it() {
+fn plan_is_deleted_only_if_no_account_uses_it() {
     let file = StoreFile::new();
     let control = start_with_plan(&file);
     let api = control.operator();
@@ -133,7 +133,7 @@
     assert_eq!(format!("\"{}\"", late.body["current_version"]), now);
 }
 
-/// Adds a pool to the tenant, again after each conflict; returns how many there were.
+/// Adds a pool to the tenant, with a retry after each conflict. Returns the number of conflicts.
 fn add_pool(api: &Api, path: &str, pool: &str) -> u32 {
     let mut conflicts = 0;
     loop {
@@ -180,24 +180,24 @@
     let file = StoreFile::new();
     let control = start(&file);
     let api = control.operator();
-    let again =
+    let create_with_key =
         |body: &str, key: &str| api.call("POST", "/v1/tenants", body, &format!("Idempotency-Key: {key}\r\n"));
-    let first = again(r#"{"name": "acme"}"#, "k1");
-    let second = again(r#"{"name": "acme"}"#, "k1");
+    let first = create_with_key(r#"{"name": "acme"}"#, "k1");
+    let second = create_with_key(r#"{"name": "acme"}"#, "k1");
     assert_eq!((first.status, second.status, &first.body), (201, 201, &second.body));
     assert_eq!(
         (&first.version, &first.http.headers["location"]),
         (&second.version, &second.http.headers["location"])
     );
-    assert_eq!(again(r#"{"name": "other"}"#, "k1").status, 422);
-    assert_eq!(again(r#"{"name": "acme"}"#, "k2").status, 409);
+    assert_eq!(create_with_key(r#"{"name": "other"}"#, "k1").status, 422);
+    assert_eq!(create_with_key(r#"{"name": "acme"}"#, "k2").status, 409);
     let audit = api.get("/v1/audit").body;
     assert_eq!(audit["items"].as_array().unwrap().len(), 2, "{audit}");
-    // Of a key that is made, the secret is in the first answer only.
+    // The secret of a created key is only in the first response.
     let key = |body: &str| api.call("POST", "/v1/keys", body, "Idempotency-Key: k3\r\n").body;
     let (first, second) = (key(r#"{"role": "ingress"}"#), key(r#"{"role": "ingress"}"#));
     assert!(first["key"].is_string() && second["key"].is_null() && first["id"] == second["id"]);
-    // A creation that failed is not kept: sent again when it can be done, it is.
+    // A failed creation is not recorded: the same request succeeds once the tenant exists.
     let plan = |tenant: &str| {
         api.call("POST", &format!("/v1/tenants/{tenant}/plans"), PLAN, "Idempotency-Key: k4\r\n").status
     };
--- a/crates/violetyoke/tests/control_access.rs
+++ b/crates/violetyoke/tests/control_access.rs
@@ -1,4 +1,4 @@
-//! Who may do what at the administration API, and how often.
+//! Access of each role to the administration API, and its rate limit.
 
 #![cfg(test)]
 
@@ -11,10 +11,10 @@
 use std::thread;
 use violetyoke_control::api::{Access, ENDPOINTS};
 
-/// What a key of each kind gets of each endpoint: the operator's, an ingress's, a reader's and an
-/// administrator's of the tenant in the path, and an administrator's of another. 2: it may; else the code that
-/// says that it may not.
-const MAY: &[(&str, [u16; 5])] = &[
+/// The expected access of each kind of key to each endpoint: the operator's, an ingress's, a reader's and an
+/// administrator's of the tenant in the path, and an administrator's of another tenant. 2: allowed; otherwise
+/// the status of the rejection.
+const EXPECTED_ACCESS: &[(&str, [u16; 5])] = &[
     ("GET /v1/openapi.json", [2, 2, 2, 2, 2]),
     ("GET /v1/health", [2, 2, 2, 2, 2]),
     ("GET /v1/tenants", [2, 403, 403, 403, 403]),
@@ -72,11 +72,11 @@
 
 #[test]
 fn every_endpoint_admits_exactly_the_roles_of_the_table() {
-    let there: BTreeSet<String> =
+    let endpoints: BTreeSet<String> =
         ENDPOINTS.iter().map(|endpoint| format!("{} {}", endpoint.method, endpoint.path)).collect();
     let expected: BTreeMap<String, [u16; 5]> =
-        MAY.iter().map(|(name, may)| (name.to_string(), *may)).collect();
-    assert_eq!(there, expected.keys().cloned().collect(), "each endpoint has to stand in the table");
+        EXPECTED_ACCESS.iter().map(|(name, access)| (name.to_string(), *access)).collect();
+    assert_eq!(endpoints, expected.keys().cloned().collect(), "each endpoint must be in the table");
     let file = StoreFile::new();
     let control = start(&file);
     let operator = control.operator();
@@ -94,38 +94,38 @@
     ];
     for endpoint in ENDPOINTS {
         let name = format!("{} {}", endpoint.method, endpoint.path);
-        // Of a thing that is not there: whoever may call it is told so, or that the body is none, and nothing
+        // The resource does not exist: an allowed caller gets that error, or one about the body, and nothing
         // changes.
         let path =
             endpoint.path.replace("{tenant}", "acme").replace("{name}", "none").replace("{key}", "none");
         let body = if endpoint.request_schema.is_some() { "[]" } else { "" };
-        for (caller, may) in callers.iter().zip(expected[&name]) {
-            let told = caller.call(endpoint.method, &path, body, "If-Match: \"1\"\r\n");
-            match may {
-                2 => assert!(![401, 403, 429, 500].contains(&told.status), "{name}: {told:?}"),
-                code => assert_eq!(told.status, code, "{name}: {told:?}"),
+        for (caller, access) in callers.iter().zip(expected[&name]) {
+            let response = caller.call(endpoint.method, &path, body, "If-Match: \"1\"\r\n");
+            match access {
+                2 => assert!(![401, 403, 429, 500].contains(&response.status), "{name}: {response:?}"),
+                code => assert_eq!(response.status, code, "{name}: {response:?}"),
             }
-            // Another tenant's answer is that of a tenant that is not there.
-            if may == 404 && endpoint.path.contains("{tenant}") {
+            // A foreign tenant looks the same as one that does not exist.
+            if access == 404 && endpoint.path.contains("{tenant}") {
                 let absent = caller.call(
                     endpoint.method,
                     &path.replace("acme", "absent"),
                     body,
                     "If-Match: \"1\"\r\n",
                 );
-                assert_eq!((absent.status, absent.body), (told.status, told.body), "{name}");
+                assert_eq!((absent.status, absent.body), (response.status, response.body), "{name}");
             }
         }
-        // Without a key, and with one that is not ours.
-        for nobody in
+        // Without a key, and with an unknown key.
+        for invalid_key in
             ["", "vy_0000000000000000_0000000000000000000000000000000000000000000000000000000000000000"]
         {
-            let told = control.api(nobody).call(endpoint.method, &path, body, "");
+            let response = control.api(invalid_key).call(endpoint.method, &path, body, "");
             let expected = if endpoint.access == Access::Public { 200 } else { 401 };
-            assert_eq!(told.status, expected, "{name}: {told:?}");
+            assert_eq!(response.status, expected, "{name}: {response:?}");
         }
     }
-    // A key is not reached through another tenant's path either.
+    // A key can't be read through another tenant's path either.
     let id = callers[3].key[3..19].to_string();
     assert_eq!(callers[4].get(&format!("/v1/tenants/other/keys/{id}")).status, 404);
     assert_eq!(operator.get(&format!("/v1/keys/{id}")).status, 404);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn keys_expire_rotate_and_are_withdrawn_on_open_connections() {
+fn expiry_rotation_and_deletion_of_keys_apply_to_open_connections() {
     let file = StoreFile::new();
     let control = start(&file);
     let operator = control.operator();
@@ -145,7 +145,7 @@
     );
     let id = admin.key[3..19].to_string();
     let path = "/v1/tenants/acme/plans";
-    // One connection from the beginning to the end.
+    // The same connection is used for all calls.
     let mut open = Client::try_open(control.address).unwrap();
     let mut status = |key: &Api| open.call(key.request("GET", path, "", "")).status();
     assert_eq!(status(&admin), 200);
@@ -158,26 +158,30 @@
     assert_eq!((status(&admin), status(&new), status(&newest)), (200, 401, 200));
     assert_eq!(operator.call_any_version("DELETE", &format!("/v1/tenants/acme/keys/{id}"), "").status, 204);
     assert_eq!((status(&admin), status(&newest)), (401, 200));
-    // Secrets and hashes are shown nowhere.
-    let shown =
+    // Secrets and hashes are not in any response.
+    let listing =
         format!("{:?}{:?}", operator.get("/v1/tenants/acme/keys"), operator.get("/v1/audit?limit=1000"));
-    assert!(!shown.contains(&newest.key[20..]) && !shown.contains("hash"), "{shown}");
-    // One that is good for some seconds is not after that. How many it takes to be seen good before turns on
-    // how busy this machine is.
-    let brief = [1, 2, 4, 8, 16].into_iter().find_map(|seconds| {
-        let brief = key(&operator, "/v1/keys", json!({"role": "operator", "expires_in_seconds": seconds}));
-        (brief.get("/v1/tenants").status == 200).then_some(brief)
+    assert!(!listing.contains(&newest.key[20..]) && !listing.contains("hash"), "{listing}");
+    // A key with an expiry is invalid after it. On a busy machine a short one may expire before the first call.
+    let short_lived = [1, 2, 4, 8, 16].into_iter().find_map(|seconds| {
+        let short_lived =
+            key(&operator, "/v1/keys", json!({"role": "operator", "expires_in_seconds": seconds}));
+        (short_lived.get("/v1/tenants").status == 200).then_some(short_lived)
     });
-    let brief = brief.expect("none was ever good");
-    until("it has expired", || brief.get("/v1/tenants").status == 401);
-    // Who waits for something new when its key is withdrawn is not answered with it.
+    let short_lived = short_lived.expect("one of the keys was valid");
+    until("the key has expired", || short_lived.get("/v1/tenants").status == 401);
+    // A long poll whose key is deleted meanwhile gets no snapshot.
     let ingress = key(&operator, "/v1/keys", json!({"role": "ingress"}));
-    let held = ingress.get("/v1/snapshot").body["revision"].as_u64().unwrap();
+    let revision = ingress.get("/v1/snapshot").body["revision"].as_u64().unwrap();
     let waiting = ingress.clone();
     let wait = thread::spawn(move || {
-        waiting.call("GET", &format!("/v1/snapshot?held={held}&ingress=i1"), "", "Prefer: wait=10\r\n").status
+        waiting
+            .call("GET", &format!("/v1/snapshot?held={revision}&ingress=i1"), "", "Prefer: wait=10\r\n")
+            .status
+    });
+    until("the ingress waits for a snapshot", || {
+        operator.get("/v1/ingresses").body["items"]["i1"]["held"] == revision
     });
-    until("it waits", || operator.get("/v1/ingresses").body["items"]["i1"]["held"] == held);
     operator.call_any_version("DELETE", &format!("/v1/keys/{}", &ingress.key[3..19]), "");
     assert_eq!(wait.join().unwrap(), 401);
 }
@@ -189,11 +193,14 @@
     let api = control.operator();
     let codes: Vec<u16> = (0..8).map(|_| api.get("/v1/tenants").status).collect();
     assert_eq!(codes, [200, 200, 200, 200, 200, 429, 429, 429]);
-    let told = api.get("/v1/tenants");
-    let after: f64 = told.http.headers["retry-after"].parse().unwrap();
-    assert!(told.status == 429 && after >= 1.0 && told.body["retry_after"].as_f64() > Some(0.0), "{told:?}");
-    // Guesses share one quota, and use up nobody's.
+    let response = api.get("/v1/tenants");
+    let retry_after: f64 = response.http.headers["retry-after"].parse().unwrap();
+    assert!(
+        response.status == 429 && retry_after >= 1.0 && response.body["retry_after"].as_f64() > Some(0.0),
+        "{response:?}"
+    );
+    // Calls with invalid keys share one quota, separate from those of valid keys.
     let guesses: Vec<u16> = (0..8).map(|_| control.api("vy_x").get("/v1/tenants").status).collect();
     assert_eq!(guesses, [401, 401, 401, 401, 401, 429, 429, 429]);
-    until("some of the quota is back", || api.get("/v1/tenants").status == 200);
+    until("a part of the quota is refilled", || api.get("/v1/tenants").status == 200);
 }
--- a/crates/violetyoke/tests/control_commands.rs
+++ b/crates/violetyoke/tests/control_commands.rs
@@ -1,4 +1,4 @@
-//! The administration API by its page and by the command line.
+//! The OpenAPI document of the administration API, and its command line.
 
 #![cfg(test)]
 
@@ -39,29 +39,50 @@
         let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
         (output.status.success(), text(output.stdout), text(output.stderr))
     };
-    let done = |arguments: &[&str]| {
+    let run_successfully = |arguments: &[&str]| {
         let (success, out, error) = run(arguments);
         assert!(success, "{arguments:?}: {error}");
         out
     };
-    done(&["tenant", "create", "acme", "weight=2", "hosts=[\"a.example.org\"]", "pools=[\"reservations\"]"]);
-    done(&["plan", "--tenant", "acme", "create", "basic", "rate=2", "burst=8"]);
-    done(&["account", "--tenant", "acme", "create", "hotel 7/a", "plan=basic"]);
-    done(&["route", "--tenant", "acme", "create", "all", "host=a.example.org", "pool=reservations"]);
-    done(&["plan", "--tenant", "acme", "set", "basic", "rate=3"]);
-    let table = done(&["plan", "--tenant", "acme", "list"]);
+    run_successfully(&[
+        "tenant",
+        "create",
+        "acme",
+        "weight=2",
+        "hosts=[\"a.example.org\"]",
+        "pools=[\"reservations\"]",
+    ]);
+    run_successfully(&["plan", "--tenant", "acme", "create", "basic", "rate=2", "burst=8"]);
+    run_successfully(&["account", "--tenant", "acme", "create", "hotel 7/a", "plan=basic"]);
+    run_successfully(&[
+        "route",
+        "--tenant",
+        "acme",
+        "create",
+        "all",
+        "host=a.example.org",
+        "pool=reservations",
+    ]);
+    run_successfully(&["plan", "--tenant", "acme", "set", "basic", "rate=3"]);
+    let table = run_successfully(&["plan", "--tenant", "acme", "list"]);
     assert!(table.starts_with("NAME ") && table.contains("basic") && table.contains("3.0"), "{table}");
     let listed: Value =
-        serde_json::from_str(&done(&["account", "--tenant", "acme", "--json", "list"])).unwrap();
+        serde_json::from_str(&run_successfully(&["account", "--tenant", "acme", "--json", "list"])).unwrap();
     assert_eq!(listed[0]["name"], "hotel 7/a");
-    let made: Value =
-        serde_json::from_str(&done(&["key", "--tenant", "acme", "--json", "create", "tenant_reader"]))
-            .unwrap();
-    assert!(made["key"].is_string(), "{made}");
-    let rotated = done(&["key", "--tenant", "acme", "rotate", made["id"].as_str().unwrap()]);
+    let created: Value = serde_json::from_str(&run_successfully(&[
+        "key",
+        "--tenant",
+        "acme",
+        "--json",
+        "create",
+        "tenant_reader",
+    ]))
+    .unwrap();
+    assert!(created["key"].is_string(), "{created}");
+    let rotated = run_successfully(&["key", "--tenant", "acme", "rotate", created["id"].as_str().unwrap()]);
     assert!(rotated.contains("vy_"), "{rotated}");
-    assert!(done(&["tenant", "delete", "acme"]).contains("draining"));
-    assert!(done(&["tenant", "restore", "acme"]).contains("active"));
+    assert!(run_successfully(&["tenant", "delete", "acme"]).contains("draining"));
+    assert!(run_successfully(&["tenant", "restore", "acme"]).contains("active"));
     let (success, _, error) = run(&["plan", "--tenant", "acme", "create", "bad", "rate=2"]);
     assert!(!success && error.contains("burst: must be 1 or more"), "{error}");
 }
--- a/crates/violetyoke/tests/control_kills.rs
+++ b/crates/violetyoke/tests/control_kills.rs
@@ -1,4 +1,4 @@
-//! What the control plane has acknowledged outlives its process.
+//! Changes that the control plane has acknowledged survive its process.
 
 #![cfg(test)]
 
@@ -13,12 +13,12 @@
 
 const PLANS: &str = "/v1/tenants/acme/plans";
 
-/// The rates of plans as a client knows them.
+/// The rates of plans as known to a client.
 #[derive(Default)]
 struct KnownRates {
     acknowledged: BTreeMap<String, f64>,
-    /// Of changes without a response, which may have been done or not.
-    unsure: BTreeMap<String, f64>,
+    /// The rates of changes without a response, which may or may not have been made.
+    unconfirmed: BTreeMap<String, f64>,
     changes: u32,
 }
 
@@ -28,25 +28,27 @@
         loop {
             let (name, rate) = (format!("p{}", self.changes % 7), f64::from(self.changes + 1));
             let body = json!({"name": name, "rate": rate, "burst": rate}).to_string();
-            let may_exist = self.acknowledged.contains_key(&name) || self.unsure.contains_key(&name);
+            let may_exist = self.acknowledged.contains_key(&name) || self.unconfirmed.contains_key(&name);
             self.changes += 1;
-            let told = if may_exist {
+            let response = if may_exist {
                 api.try_call("PUT", &format!("{PLANS}/{name}"), &body, "If-Match: *\r\n")
             } else {
                 api.try_call("POST", PLANS, &body, "")
             };
-            match told.map(|told| told.status) {
+            match response.map(|response| response.status) {
                 Some(200 | 201) => {
-                    self.unsure.remove(&name);
+                    self.unconfirmed.remove(&name);
                     self.acknowledged.insert(name, rate);
                 }
-                // Its creation had not been done.
-                Some(404) if self.unsure.contains_key(&name) && !self.acknowledged.contains_key(&name) => {
-                    self.unsure.remove(&name);
+                // The plan had not been created.
+                Some(404)
+                    if self.unconfirmed.contains_key(&name) && !self.acknowledged.contains_key(&name) =>
+                {
+                    self.unconfirmed.remove(&name);
                 }
                 Some(other) => panic!("{other}"),
                 None => {
-                    self.unsure.insert(name, rate);
+                    self.unconfirmed.insert(name, rate);
                     return;
                 }
             }
@@ -57,14 +59,14 @@
     fn assert_kept(&self, plans: &BTreeMap<String, Value>) {
         for (name, rate) in &self.acknowledged {
             let now = plans[name]["rate"].as_f64().unwrap();
-            let may_be = now == *rate || self.unsure.get(name) == Some(&now);
+            let may_be = now == *rate || self.unconfirmed.get(name) == Some(&now);
             assert!(may_be, "{name}: {now}, acknowledged {rate}");
         }
     }
 
-    /// Takes over what became of the changes without a response.
-    fn learn(&mut self, plans: &BTreeMap<String, Value>) {
-        for (name, rate) in std::mem::take(&mut self.unsure) {
+    /// Records the outcome of the changes without a response.
+    fn resolve_unconfirmed(&mut self, plans: &BTreeMap<String, Value>) {
+        for (name, rate) in std::mem::take(&mut self.unconfirmed) {
             match plans.get(&name).and_then(|plan| plan["rate"].as_f64()) {
                 Some(now) => {
                     assert!(now == rate || self.acknowledged.get(&name) == Some(&now));
@@ -82,7 +84,8 @@
     items.iter().map(|plan| (plan["name"].as_str().unwrap().to_string(), plan.clone())).collect()
 }
 
-/// The documents that the audit log leads to. Each entry starts with what the one before it has left.
+/// The documents after all changes of the audit log. Each entry must start with the document of the previous
+/// one.
 fn audited_documents(api: &Api) -> BTreeMap<String, Value> {
     let mut documents: BTreeMap<String, Value> = BTreeMap::new();
     let mut after = 0;
@@ -100,7 +103,7 @@
     }
 }
 
-/// Checks that no change was done in part, and that the audit log agrees.
+/// Checks that no change was made partially, and that the audit log agrees.
 fn assert_consistent(plans: &BTreeMap<String, Value>, audited: &BTreeMap<String, Value>) {
     for (name, plan) in plans {
         let rate = plan["burst"].as_f64().filter(|_| name != "basic").unwrap_or(2.0);
@@ -137,6 +140,6 @@
         let plans = plans(&api);
         known.assert_kept(&plans);
         assert_consistent(&plans, &audited_documents(&api));
-        known.learn(&plans);
+        known.resolve_unconfirmed(&plans);
     }
 }
--- a/crates/violetyoke/tests/control_lasting.rs
+++ b/crates/violetyoke/tests/control_lasting.rs
@@ -1,4 +1,4 @@
-//! Deletion of tenants at the control plane, and the snapshots that ingresses get of changes.
+//! Deletion of tenants at the control plane, and the snapshots of changes for ingresses.
 
 #![cfg(test)]
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn end_of_a_tenants_draining_can_be_waited_for_and_is_final() {
+fn deletion_of_a_drained_tenant_can_be_awaited_and_is_final() {
     let file = StoreFile::new();
     let control = start_draining_quickly(&file);
     let api = control.operator();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn new_tenant_of_a_deleted_ones_name_inherits_nothing() {
+fn new_tenant_with_the_name_of_a_deleted_one_shares_nothing_with_it() {
     let file = StoreFile::new();
     let control = start_draining_quickly(&file);
     let api = control.operator();
@@ -75,7 +75,7 @@
     assert_eq!(api.call_any_version("DELETE", ACME, "").status, 202);
     until("the tenant is deleted", || api.get(ACME).status == 404);
 
-    // Its host is free too.
+    // The host of the deleted tenant can be used again.
     tenant(&api, "acme");
 
     assert!(api.get(ACME).body["epoch"].as_u64() > before.body["epoch"].as_u64());
@@ -97,34 +97,38 @@
     api.create("/v1/tenants/acme/plans", PLAN);
     api.create("/v1/tenants/acme/accounts", json!({"name": "h", "plan": "basic"}));
     tenant(&api, "other");
-    let take = |held: &TenantDirectory, told: &ApiResponse| {
-        held.apply(Snapshot::parse(&told.http.body).unwrap()).unwrap()
+    let apply_snapshot = |directory: &TenantDirectory, response: &ApiResponse| {
+        directory.apply(Snapshot::parse(&response.http.body).unwrap()).unwrap()
     };
-    let held = take(&TenantDirectory::default(), &ingress.get("/v1/snapshot?ingress=i1"));
-    assert_eq!(held.tenants.keys().collect::<Vec<_>>(), ["acme", "other"]);
-    assert_eq!(held.tenants["acme"].accounts[0].name, "h");
-    // Nothing new: it waits, and what comes then is only what has changed.
-    let path = format!("/v1/snapshot?held={}&ingress=i1", held.revision);
+    let directory = apply_snapshot(&TenantDirectory::default(), &ingress.get("/v1/snapshot?ingress=i1"));
+    assert_eq!(directory.tenants.keys().collect::<Vec<_>>(), ["acme", "other"]);
+    assert_eq!(directory.tenants["acme"].accounts[0].name, "h");
+    // Without a change the call waits, and then gets only the changes.
+    let path = format!("/v1/snapshot?held={}&ingress=i1", directory.revision);
     assert_eq!(ingress.get(&path).status, 304);
     let waiting = ingress.clone();
     let wait = thread::spawn(move || waiting.call("GET", &path, "", "Prefer: wait=20\r\n"));
-    until("it waits", || api.get("/v1/ingresses").body["items"]["i1"]["held"] == held.revision);
+    until("the ingress waits for a snapshot", || {
+        api.get("/v1/ingresses").body["items"]["i1"]["held"] == directory.revision
+    });
     api.call_any_version("PATCH", "/v1/tenants/acme/plans/basic", r#"{"rate": 5}"#);
-    let part = wait.join().unwrap();
-    assert_eq!(part.body["base"], held.revision);
-    let held = take(&held, &part);
-    assert_eq!(part.body["tenants"].as_array().unwrap().len(), 1);
-    assert_eq!(held.tenants["acme"].plans[0].rate, 5.0);
-    // Draining is told, and that a tenant is gone.
+    let incremental = wait.join().unwrap();
+    assert_eq!(incremental.body["base"], directory.revision);
+    let directory = apply_snapshot(&directory, &incremental);
+    assert_eq!(incremental.body["tenants"].as_array().unwrap().len(), 1);
+    assert_eq!(directory.tenants["acme"].plans[0].rate, 5.0);
+    // A snapshot reports that a tenant drains.
     api.call_any_version("DELETE", "/v1/tenants/other", "");
-    let held = take(&held, &ingress.get(&format!("/v1/snapshot?held={}", held.revision)));
-    assert!(held.tenants["other"].draining && !held.tenants["acme"].draining);
-    // One that holds what is newer than the store (an old store was put back) gets all, and refuses it.
-    let whole = ingress.get("/v1/snapshot?held=999999");
+    let directory =
+        apply_snapshot(&directory, &ingress.get(&format!("/v1/snapshot?held={}", directory.revision)));
+    assert!(directory.tenants["other"].draining && !directory.tenants["acme"].draining);
+    // An ingress with a newer revision than the store (after the restore of a backup) gets a full snapshot and
+    // rejects it.
+    let full = ingress.get("/v1/snapshot?held=999999");
     assert!(TenantDirectory { revision: 999_999, ..TenantDirectory::default() }
-        .apply(Snapshot::parse(&whole.http.body).unwrap())
+        .apply(Snapshot::parse(&full.http.body).unwrap())
         .is_err());
-    // What it refused, and why, is told to operators.
+    // The rejected revision and the reason are reported to operators.
     ingress.get("/v1/snapshot?held=3&ingress=i2&rejected=9&reason=no%20such%20pool");
     let state = &api.get("/v1/ingresses").body["items"]["i2"];
     assert_eq!((&state["rejected"], &state["reason"]), (&json!(9), &json!("no such pool")));
--- a/crates/violetyoke/tests/control_rejections.rs
+++ b/crates/violetyoke/tests/control_rejections.rs
@@ -1,4 +1,4 @@
-//! Requests that the control plane's API rejects, and by which field.
+//! Requests that the API of the control plane rejects, and the fields that it names.
 
 #![cfg(test)]
 
@@ -21,12 +21,12 @@
     path: &'static str,
     body: Value,
     status: u16,
-    /// The field that is not valid, and a part of the reason.
+    /// The invalid field, and a part of the reason.
     field: &'static str,
     reason: &'static str,
 }
 
-/// An invalid request, with its fields in the order of a table.
+/// Creates an invalid request from positional arguments.
 fn invalid(
     path: &'static str,
     body: Value,
@@ -93,14 +93,14 @@
     ]
 }
 
-fn assert_rejected(told: &ApiResponse, invalid: &Invalid) {
+fn assert_rejected(response: &ApiResponse, invalid: &Invalid) {
     let Invalid { status, field, reason, .. } = invalid;
-    assert_eq!(told.status, *status, "{told:?}");
-    assert_eq!(told.http.headers["content-type"], "application/problem+json");
-    let error = &told.body["errors"][0];
-    assert_eq!(error["field"], *field, "{told:?}");
-    assert!(error["reason"].as_str().unwrap().contains(reason), "{told:?}");
-    assert_eq!(told.body["status"], *status);
+    assert_eq!(response.status, *status, "{response:?}");
+    assert_eq!(response.http.headers["content-type"], "application/problem+json");
+    let error = &response.body["errors"][0];
+    assert_eq!(error["field"], *field, "{response:?}");
+    assert!(error["reason"].as_str().unwrap().contains(reason), "{response:?}");
+    assert_eq!(response.body["status"], *status);
 }
 
 #[test]
@@ -127,9 +127,13 @@
     let api = control.operator();
     api.create(ROUTES, route());
 
-    let told = api.call_any_version("PATCH", "/v1/tenants/acme", r#"{"pools": []}"#);
+    let response = api.call_any_version("PATCH", "/v1/tenants/acme", r#"{"pools": []}"#);
 
-    assert_eq!((told.status, &told.body["errors"][0]["field"]), (422, &json!("pools")), "{told:?}");
+    assert_eq!(
+        (response.status, &response.body["errors"][0]["field"]),
+        (422, &json!("pools")),
+        "{response:?}"
+    );
 }
 
 #[test]
@@ -141,9 +145,9 @@
     for (method, path, status) in
         [("GET", "/v1/nothing", 404), ("PUT", "/v1/tenants", 405), ("GET", "/v1/tenants?limit=0", 422)]
     {
-        let told = api.call(method, path, "", "");
-        assert_eq!((told.status, &told.body["status"]), (status, &json!(status)));
+        let response = api.call(method, path, "", "");
+        assert_eq!((response.status, &response.body["status"]), (status, &json!(status)));
     }
     let large = format!("{{\"name\": \"{}\"}}", "x".repeat(2 << 20));
-    assert!(api.try_call("POST", "/v1/tenants", &large, "").is_none_or(|told| told.status == 413));
+    assert!(api.try_call("POST", "/v1/tenants", &large, "").is_none_or(|response| response.status == 413));
 }
--- a/crates/violetyoke/tests/duties.rs
+++ b/crates/violetyoke/tests/duties.rs
@@ -1,5 +1,5 @@
-//! Singleton roles at the control plane: who is granted a lease, which requests are rejected, and upkeep by one
-//! of two control planes on one store.
+//! Singleton roles at the control plane: grants of leases, rejected requests, and upkeep by one of two control
+//! planes with the same store.
 
 #![cfg(test)]
 
@@ -63,10 +63,10 @@
     if let Some(token) = ECHOES.lock().unwrap().get(&holder) {
         body["echo"] = token.clone();
     }
-    let told = api.post("/v1/leases", body);
-    assert_eq!(told.status, 200, "{told:?}");
-    ECHOES.lock().unwrap().insert(holder, told.body["token"].clone());
-    told.body
+    let response = api.post("/v1/leases", body);
+    assert_eq!(response.status, 200, "{response:?}");
+    ECHOES.lock().unwrap().insert(holder, response.body["token"].clone());
+    response.body
 }
 
 fn grants(response: &Value) -> &Vec<Value> {
@@ -109,9 +109,9 @@
             "release[0].shard",
         ),
     ] {
-        let told = api.post("/v1/leases", &body);
-        assert_eq!(told.status, status, "{body}: {told:?}");
-        assert_eq!(told.body["errors"][0]["field"], field, "{body}: {told:?}");
+        let response = api.post("/v1/leases", &body);
+        assert_eq!(response.status, status, "{body}: {response:?}");
+        assert_eq!(response.body["errors"][0]["field"], field, "{body}: {response:?}");
     }
 }
 
@@ -135,7 +135,10 @@
         let faults = response["faults"].as_array().unwrap();
         let fields: Vec<&str> = faults.iter().map(|fault| fault[0].as_str().unwrap()).collect();
         assert_eq!(fields, ["duties[0]", "duties[2]", "renew[0].epoch"]);
-        assert!(response["newest"].as_u64().unwrap() < implausible / 2, "it is not believed either");
+        assert!(
+            response["newest"].as_u64().unwrap() < implausible / 2,
+            "an implausible epoch is not adopted"
+        );
         granted == SHARDS
     });
 }
@@ -156,7 +159,7 @@
     };
     let shard = operator.get("/v1/duties/report/shards/3");
     let epoch = shard.body["epoch"].as_u64().unwrap();
-    // A watermark is no change for ingresses: none would ever run a revision that counted it.
+    // A watermark is not a change for ingresses and does not increase the revision.
     let announced = || operator.get("/v1/ingresses").body["revision"].clone();
     let before = announced();
     assert_eq!(record(epoch, 7).status, 204);
@@ -180,8 +183,12 @@
         ("/v1/duties/report/shards/8", json!({}), "shard"),
         ("/v1/duties/report/shards/1", json!({"next": "nobody"}), "next"),
     ] {
-        let told = operator.call_any_version("PUT", path, body);
-        assert_eq!((told.status, told.body["errors"][0]["field"].as_str()), (422, Some(field)), "{told:?}");
+        let response = operator.call_any_version("PUT", path, body);
+        assert_eq!(
+            (response.status, response.body["errors"][0]["field"].as_str()),
+            (422, Some(field)),
+            "{response:?}"
+        );
     }
 }
 
@@ -258,15 +265,15 @@
     let declared = Declarations::new(&file, DUTIES);
     let mut first = declared.start(&file);
     let operator = first.operator();
-    until("the first has the upkeep", || upkeep(&operator).is_some());
+    until("the first has the role of upkeep", || upkeep(&operator).is_some());
     let (owner, epoch) = upkeep(&operator).unwrap();
     let second = declared.start(&file);
     let operator = second.api(&operator.key);
-    assert_eq!(upkeep(&operator), Some((owner.clone(), epoch)), "what is held is not taken");
+    assert_eq!(upkeep(&operator), Some((owner.clone(), epoch)), "a lease with an owner is not granted");
     first.kill();
-    until("the second has it", || upkeep(&operator).is_some_and(|(holder, _)| holder != owner));
+    until("the second has the role", || upkeep(&operator).is_some_and(|(holder, _)| holder != owner));
     assert!(upkeep(&operator).unwrap().1 > epoch);
-    // And it works: a tenant that has drained is deleted.
+    // The upkeep runs: a drained tenant is deleted.
     tenant(&operator, "acme");
     assert_eq!(operator.call_any_version("DELETE", "/v1/tenants/acme", "").status, 202);
     until("the tenant is deleted", || operator.get("/v1/tenants/acme").status == 404);
--- a/crates/violetyoke/tests/tenants.rs
+++ b/crates/violetyoke/tests/tenants.rs
@@ -19,7 +19,7 @@
     setup.tenant("acme", 3.0, &json!({}));
     setup.tenant("zeta", 2.0, &json!({}));
     setup.wait_until_in_force();
-    // The same names are other accounts, and each has its quota.
+    // Accounts of the same name in two tenants have separate quotas.
     let codes = |tenant: &str, account: &str| -> Vec<u16> {
         (0..4).map(|_| book(&service, tenant, account)).collect()
     };
@@ -27,15 +27,15 @@
     assert_eq!(codes("acme", "b"), [200, 200, 200, 429]);
     assert_eq!(codes("zeta", "a"), [200, 200, 429, 429]);
     assert_eq!(book(&service, "acme", "c"), 403);
-    // What a client says of its plan counts nothing, and the file's own routes are served as before.
+    // A plan in the request has no effect, and the routes of the file are still served.
     let request = service_request("POST", &host("acme"), "/bookings", "a", "x");
-    let bold = request.replacen("X-Account", "X-Tier: house\r\nX-Account", 1);
-    assert_eq!(service.client().call(bold).status(), 429);
+    let with_plan = request.replacen("X-Account", "X-Tier: house\r\nX-Account", 1);
+    assert_eq!(service.client().call(with_plan).status(), 429);
     assert_eq!(
         service.client().call(service_request("POST", "house.example.org", "/x", "a", "x")).status(),
         200
     );
-    // An account that is made is known, and one that is deleted is not.
+    // A created account is known, and a deleted one is not.
     setup.api.create("/v1/tenants/acme/accounts", json!({"name": "hotel 7/ü", "plan": "basic"}));
     setup.wait_until_in_force();
     let request = service_request("POST", &host("acme"), "/bookings", "hotel 7/ü", "x");
@@ -57,7 +57,7 @@
     for _ in 0..6 {
         assert_eq!(book(&service, "acme", "a"), 200);
     }
-    // Six are used: of eight, two are left, and of five, none.
+    // Six units are used: two of eight remain, and none of five.
     setup.api.call_any_version("PATCH", "/v1/tenants/acme/plans/basic", r#"{"burst": 8}"#);
     setup.wait_until_in_force();
     let codes: Vec<u16> = (0..4).map(|_| book(&service, "acme", "a")).collect();
@@ -65,32 +65,32 @@
     setup.api.call_any_version("PATCH", "/v1/tenants/acme/plans/basic", r#"{"burst": 5}"#);
     setup.wait_until_in_force();
     assert_eq!(book(&service, "acme", "a"), 429);
-    let fresh: Vec<u16> = (0..6).map(|_| book(&service, "acme", "b")).collect();
-    assert_eq!(fresh, [200, 200, 200, 200, 200, 429]);
+    let other_account: Vec<u16> = (0..6).map(|_| book(&service, "acme", "b")).collect();
+    assert_eq!(other_account, [200, 200, 200, 200, 200, 429]);
 }
 
 #[test]
-fn request_in_flight_outlives_its_tenant_and_a_successor_inherits_nothing() {
+fn open_request_of_a_deleted_tenant_is_completed_and_a_new_tenant_has_a_new_quota() {
     let setup = TenantService::start(node(4_000));
     let service = setup.serve();
     setup.tenant("acme", 2.0, &json!({}));
     setup.wait_until_in_force();
     let mut client = service.client();
     client.send(service_request("POST", &host("acme"), "/bookings", "a", "room=4"));
-    until("the booking is out", || setup.node.received().len() == 1);
-    // Draining: nothing new, on whatever connection.
+    until("the booking is in flight", || setup.node.received().len() == 1);
+    // The tenant drains: no new requests on any connection.
     let mut kept = service.client();
     assert_eq!(setup.api.call_any_version("DELETE", "/v1/tenants/acme", "").status, 202);
     setup.wait_until_in_force();
     assert_eq!(book(&service, "acme", "b"), 503);
     kept.send(service_request("POST", &host("acme"), "/bookings", "b", "x"));
     assert_eq!(kept.read_response().unwrap().status(), 503);
-    // Gone, while the booking is still out: it gets its one answer.
-    until("it is gone", || setup.api.get("/v1/tenants/acme").status == 404);
+    // The tenant is deleted while the booking is in flight, which still gets its response.
+    until("the tenant is deleted", || setup.api.get("/v1/tenants/acme").status == 404);
     wait_for_booking_status(&service, "acme", "a", 404);
-    assert_eq!(client.read_response().expect("one answer").status(), 200);
+    assert_eq!(client.read_response().expect("one response").status(), 200);
     assert_eq!(setup.node.received().len(), 1);
-    // Anew under the name: its quota is whole, although the old one's account had used some of it.
+    // A new tenant of the same name has its full quota, although the old one's account had used some.
     setup.tenant("acme", 2.0, &json!({}));
     setup.wait_until_in_force();
     let calls: Vec<_> = (0..3)
@@ -137,7 +137,7 @@
         })
     };
     let open: Vec<_> = (0..2).map(|_| call("acme")).collect();
-    until("two are out", || setup.node.received().len() == 2);
+    until("two requests are in flight", || setup.node.received().len() == 2);
     assert_eq!(book(&service, "acme", "b"), 503);
     assert_eq!(book(&service, "zeta", "b"), 200);
     assert!(open.into_iter().all(|call| call.join().unwrap() == 200));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn external_limiter_counts_accounts_of_two_tenants_apart() {
+fn external_limiter_counts_accounts_of_two_tenants_separately() {
     let setup = TenantService::start(node(1));
     let limiter =
         RateLimitServer::start(violetyoke_standin::any_port(), 1, Duration::from_secs(3_600)).unwrap();
--- a/crates/violetyoke/tests/tenants_control_plane.rs
+++ b/crates/violetyoke/tests/tenants_control_plane.rs
@@ -1,4 +1,4 @@
-//! An ingress whose control plane dies, sends what cannot be put in force, or has an old store.
+//! An ingress whose control plane is killed, sends an incompatible snapshot, or has an old store.
 
 #![cfg(test)]
 
@@ -16,22 +16,23 @@
     let service = setup.serve();
     setup.tenant("acme", 50.0, &json!({}));
     setup.wait_until_in_force();
-    let gone = setup.control.address;
-    until("it is kept", || setup.last_good.exists());
+    let old_address = setup.control.address;
+    until("the snapshot is stored", || setup.last_good.exists());
     setup.control.kill();
     for _ in 0..3 {
         assert_eq!(book(&service, "acme", "a"), 200);
     }
     drop(service);
-    // Started anew without it, from what was kept.
-    let service = Service::start(&setup.file(gone));
+    // The ingress restarts without the control plane, from the stored snapshot.
+    let service = Service::start(&setup.file(old_address));
     assert_eq!(book(&service, "acme", "a"), 200);
     drop(service);
-    // What was kept is torn: told, and served without tenants until the control plane is there.
+    // The stored snapshot is truncated: it is reported, and the ingress serves without tenants until the
+    // control plane responds.
     let bytes = fs::read(&setup.last_good).unwrap();
     fs::write(&setup.last_good, &bytes[..bytes.len() / 2]).unwrap();
     setup.control = Control::start(&setup.store, UNLIMITED);
-    let service = Service::start(&setup.file(gone));
+    let service = Service::start(&setup.file(old_address));
     assert!(service.log().iter().any(|line| line.contains("not readable")), "{:?}", service.log());
     assert_eq!(book(&service, "acme", "a"), 404);
     drop(service);
@@ -45,25 +46,25 @@
     let service = setup.serve();
     setup.tenant("acme", 50.0, &json!({}));
     setup.wait_until_in_force();
-    // A pool that this ingress does not have.
+    // The snapshot names a pool that this ingress does not have.
     setup.api.call_any_version("PATCH", "/v1/tenants/acme", r#"{"pools": ["reservations", "spa"]}"#);
     let route = json!({"name": "spa", "host": host("acme"), "path": "/spa/*", "pool": "spa"});
     setup.api.create("/v1/tenants/acme/routes", route);
     let state = || setup.api.get("/v1/ingresses").body["items"]["i1"].clone();
-    until("it is told", || {
+    until("the rejection is reported", || {
         state()["reason"].as_str().is_some_and(|reason| reason.contains("no pool \"spa\""))
     });
     assert_eq!(book(&service, "acme", "a"), 200);
-    // More than there is to be guaranteed.
+    // The guaranteed descriptors exceed those of the ingress.
     assert_eq!(setup.api.call_any_version("DELETE", "/v1/tenants/acme/routes/spa", "").status, 204);
     setup.wait_until_in_force();
-    let greedy = json!({"limits": {"descriptors": {"guaranteed": 1_000_000, "most": 0}}});
-    setup.api.call_any_version("PATCH", "/v1/tenants/acme", greedy);
-    until("it is told", || {
+    let too_high_guarantee = json!({"limits": {"descriptors": {"guaranteed": 1_000_000, "most": 0}}});
+    setup.api.call_any_version("PATCH", "/v1/tenants/acme", too_high_guarantee);
+    until("the rejection is reported", || {
         state()["reason"].as_str().is_some_and(|reason| reason.contains("limits.descriptors"))
     });
     assert_eq!(book(&service, "acme", "a"), 200);
-    // A host that the file's own routes have.
+    // The host is also in a route of the file.
     setup.api.call_any_version(
         "PATCH",
         "/v1/tenants/acme",
@@ -72,24 +73,26 @@
     setup.wait_until_in_force();
     let route = json!({"name": "house", "host": "house.example.org", "pool": "reservations"});
     setup.api.create("/v1/tenants/acme/routes", route);
-    until("it is told", || state()["reason"].as_str().is_some_and(|reason| reason.contains("same requests")));
+    until("the rejection is reported", || {
+        state()["reason"].as_str().is_some_and(|reason| reason.contains("same requests"))
+    });
     assert_eq!(book(&service, "acme", "a"), 200);
-    // Mended, it is taken, and nothing is left of the word.
+    // After the correction the snapshot is in force, and the reason is cleared.
     assert_eq!(setup.api.call_any_version("DELETE", "/v1/tenants/acme/routes/house", "").status, 204);
     setup.wait_until_in_force();
-    until("the word is gone", || state()["reason"].is_null());
+    until("the reason is cleared", || state()["reason"].is_null());
 }
 
 #[test]
-fn restored_old_store_does_not_undo_what_is_in_force() {
+fn restored_old_store_does_not_replace_the_newer_snapshot_in_force() {
     let mut setup = TenantService::start(node(1));
     let service = setup.serve();
     setup.wait_until_in_force();
-    // A copy of the store as it is before the tenant, with nothing written meanwhile.
+    // A copy of the store from before the tenant is created.
     setup.control.kill();
     let copy = StoreFile::new();
-    for end in ["", "-wal", ".pepper"] {
-        let name = |file: &StoreFile| format!("{}{end}", file.0.display());
+    for suffix in ["", "-wal", ".pepper"] {
+        let name = |file: &StoreFile| format!("{}{suffix}", file.0.display());
         if fs::exists(name(&setup.store)).unwrap() {
             fs::copy(name(&setup.store), name(&copy)).unwrap();
         }
@@ -105,6 +108,8 @@
     setup.control = Control::start(&copy, &[UNLIMITED, &["--listen", &listen]].concat());
     setup.api = setup.control.api(&key);
     let state = || setup.api.get("/v1/ingresses").body["items"]["i1"].clone();
-    until("it is told", || state()["reason"].as_str().is_some_and(|reason| reason.contains("is older than")));
+    until("the rejection is reported", || {
+        state()["reason"].as_str().is_some_and(|reason| reason.contains("is older than"))
+    });
     assert_eq!(book(&service, "acme", "a"), 200);
 }
