--- a/crates/violetyoke/src/admin.rs
+++ b/crates/violetyoke/src/admin.rs
@@ -1,5 +1,5 @@
-//! `violetyoke tenant`, `plan`, `account`, `route` and `key`: calls of the administration API, printed as a table or
-//! as JSON.
+//! `violetyoke tenant`, `plan`, `account`, `route` and `key`: calls of the administration API, printed as a
+//! table or as JSON.
 
 use crate::client::{segment, Access, ClientError};
 use clap::{Args, Subcommand};
@@ -10,7 +10,7 @@
 pub struct Arguments {
     #[command(flatten)]
     access: Access,
-    /// Whose it is, for what a tenant has.
+    /// The tenant that the resource belongs to.
     #[arg(long, global = true)]
     tenant: Option<String>,
     #[command(subcommand)]
@@ -19,31 +19,23 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// All of them.
+    /// Lists all resources.
     List,
-    Show {
-        name: String,
-    },
-    /// Makes one, of FIELD=VALUE: `rate=2.5`, `hosts='["a.example.org"]'`, `plan=basic`.
+    /// Shows a resource.
+    Show { name: String },
+    /// Creates a resource with FIELD=VALUE: `rate=2.5`, `hosts='["a.example.org"]'`, `plan=basic`.
     Create {
-        /// Of a key: its role (operator, ingress, tenant_admin, tenant_reader).
-        name: String,
-        fields: Vec<String>,
-    },
-    /// Changes fields, as they are now: whoever changed it meanwhile is not overwritten.
-    Set {
+        /// The name; for a key its role (operator, ingress, tenant_admin, tenant_reader).
         name: String,
         fields: Vec<String>,
     },
-    /// Deletes one; a tenant drains first, and goes after that.
-    Delete {
-        name: String,
-    },
-    /// Ends a tenant's draining.
-    Restore {
-        name: String,
-    },
-    /// Exchanges a key; the old one is good for so long beside the new one.
+    /// Changes fields. Fails if the resource is changed by another call at the same time.
+    Set { name: String, fields: Vec<String> },
+    /// Deletes a resource. A tenant drains before it is deleted.
+    Delete { name: String },
+    /// Restores a draining tenant.
+    Restore { name: String },
+    /// Replaces a key. The old key stays valid for the overlap.
     Rotate {
         name: String,
         #[arg(long, default_value_t = 0)]
@@ -62,10 +54,10 @@
         (_, None) => return Err(ClientError::MissingTenant),
         (_, Some(tenant)) => format!("/v1/tenants/{}/{collection}", segment(tenant)),
     };
-    let one = |name: &str| format!("{base}/{}", segment(name));
-    let answer = match &action {
+    let path_of = |name: &str| format!("{base}/{}", segment(name));
+    let response = match &action {
         Action::List => client.list(&base).await?,
-        Action::Show { name } => client.call(Method::GET, &one(name), None, None).await?.body,
+        Action::Show { name } => client.call(Method::GET, &path_of(name), None, None).await?.body,
         Action::Create { name, fields } => {
             let mut body = parse_fields(fields)?;
             let key = if collection == "keys" { "role" } else { "name" };
@@ -76,24 +68,27 @@
             client.call(Method::POST, &base, Some(Value::Object(body)), None).await?.body
         }
         Action::Set { name, fields } => {
-            let current = client.call(Method::GET, &one(name), None, None).await?;
+            let current = client.call(Method::GET, &path_of(name), None, None).await?;
             let body = Value::Object(parse_fields(fields)?);
-            client.call(Method::PATCH, &one(name), Some(body), current.version).await?.body
+            client.call(Method::PATCH, &path_of(name), Some(body), current.version).await?.body
         }
         Action::Delete { name } => {
-            let current = client.call(Method::GET, &one(name), None, None).await?;
-            client.call(Method::DELETE, &one(name), None, current.version).await?.body
+            let current = client.call(Method::GET, &path_of(name), None, None).await?;
+            client.call(Method::DELETE, &path_of(name), None, current.version).await?.body
         }
         Action::Restore { name } => {
-            let current = client.call(Method::GET, &one(name), None, None).await?;
-            client.call(Method::POST, &format!("{}/restore", one(name)), None, current.version).await?.body
+            let current = client.call(Method::GET, &path_of(name), None, None).await?;
+            client
+                .call(Method::POST, &format!("{}/restore", path_of(name)), None, current.version)
+                .await?
+                .body
         }
         Action::Rotate { name, overlap_seconds } => {
             let body = json!({ "overlap_seconds": overlap_seconds });
-            client.call(Method::POST, &format!("{}/rotate", one(name)), Some(body), None).await?.body
+            client.call(Method::POST, &format!("{}/rotate", path_of(name)), Some(body), None).await?.body
         }
     };
-    access.print(&answer);
+    access.print(&response);
     Ok(())
 }
 
--- a/crates/violetyoke/src/bin/violetyoke-service.rs
+++ b/crates/violetyoke/src/bin/violetyoke-service.rs
@@ -1,4 +1,4 @@
-//! The program with its commands: several pools by a file of our own.
+//! The program with all commands: the service with several pools, the control plane and tools.
 
 #![allow(
     clippy::let_underscore_must_use,
@@ -32,9 +32,9 @@
 use tokio::runtime::{Builder, Runtime};
 use violetyoke_ingress::service;
 
-/// A quota-keeping ingress: requests are admitted by each account's quota, and answered once and in time.
+/// An ingress with quotas: admits requests by the quota of each account, and responds once and in time.
 ///
-/// Without a command, `violetyoke` is one ingress of the platform, configured by EDGE_CONFIG.
+/// Without a command, `violetyoke` runs one ingress of the platform, configured by EDGE_CONFIG.
 #[derive(Parser)]
 #[command(name = "violetyoke", bin_name = "violetyoke", version)]
 struct Cli {
@@ -44,39 +44,40 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves the pools of a configuration file; SIGHUP reads it again, SIGTERM ends.
+    /// Serves the pools of a configuration file. SIGHUP reloads the file, SIGTERM ends the process.
     Serve { file: PathBuf },
-    /// Checks a configuration file: exits 0 if it is good, else 2 with all that is wrong with it.
+    /// Checks a configuration file: exits with 0 if it is valid, otherwise with 2 after all faults.
     Check { file: PathBuf },
-    /// Starts a service with two pools and stand-in nodes on this machine, and prints what to try.
+    /// Starts a service with two pools and stub nodes on this machine, and prints what to try.
     Demo {
         #[arg(long, default_value = "127.0.0.1:8080")]
         listen: SocketAddr,
-        /// With a control plane and two tenants, one of which floods the service.
+        /// Adds a control plane and two tenants, one of which floods the service.
         #[arg(long)]
         tenants: bool,
     },
-    /// The control plane: keeps tenants in a file and answers the administration API. The first start prints an
-    /// operator's key.
+    /// Runs the control plane: stores tenants in a file and serves the administration API. The first start
+    /// prints an operator's key.
     Control(control::Arguments),
-    /// Tenants of a hosted service, by way of the administration API.
+    /// Manages tenants by the administration API.
     Tenant(admin::Arguments),
-    /// A tenant's plans.
+    /// Manages the plans of a tenant.
     Plan(admin::Arguments),
-    /// A tenant's accounts.
+    /// Manages the accounts of a tenant.
     Account(admin::Arguments),
-    /// A tenant's routes.
+    /// Manages the routes of a tenant.
     Route(admin::Arguments),
-    /// Keys of the administration API: a tenant's, or without one operators' and ingresses'.
+    /// Manages keys of the administration API: those of a tenant, or without a tenant those of operators and
+    /// ingresses.
     Key(admin::Arguments),
-    /// What the fleet does on its own behalf: who owns it, and handing it over.
+    /// Manages the singleton roles of the fleet: their owners, and handover between processes.
     Duties(duties::Arguments),
-    /// Experiments on an emulated fleet of hundreds of ingresses, in virtual time.
+    /// Runs experiments on an emulated fleet of hundreds of ingresses, in virtual time.
     Lab(lab::Arguments),
 }
 
-/// What `check` and `serve` exit with for a bad file.
-const BAD_FILE: u8 = 2;
+/// Exit code of `check` and `serve` for an invalid file.
+const INVALID_FILE: u8 = 2;
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).init();
@@ -86,11 +87,11 @@
                 println!("{}: {} pools, {} routes", file.display(), config.pools.len(), config.routes.len());
                 ExitCode::SUCCESS
             }
-            Err(errors) => bad_file(&errors),
+            Err(errors) => invalid_file(&errors),
         },
         Command::Serve { file } => match service::read(&file) {
             Ok(config) => run(|runtime| runtime.block_on(service::serve(file, config))),
-            Err(errors) => bad_file(&errors),
+            Err(errors) => invalid_file(&errors),
         },
         Command::Control(arguments) => run(|runtime| runtime.block_on(control::serve(arguments))),
         Command::Tenant(arguments) => administrate("tenants", arguments),
@@ -137,7 +138,7 @@
     ExitCode::FAILURE
 }
 
-fn bad_file(errors: &str) -> ExitCode {
+fn invalid_file(errors: &str) -> ExitCode {
     eprint!("{errors}");
-    ExitCode::from(BAD_FILE)
+    ExitCode::from(INVALID_FILE)
 }
--- a/crates/violetyoke/src/client.rs
+++ b/crates/violetyoke/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the administration API, and the options that say where the API is and which key to use.
+//! A client of the administration API, and the options for its address and key.
 
 use clap::Args;
 use hyper::body::Bytes;
@@ -12,25 +12,26 @@
 use std::time::Duration;
 use violetyoke_duties::http_client::{call, HttpError, Response};
 
-/// How long connecting, and a response, may take each.
+/// Time-out of a connection attempt, and of a response.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Taken before and after the verb.
+/// Options that are accepted before and after the action.
 #[derive(Args)]
 pub struct Access {
-    /// Where the control plane is; else VIOLETYOKE_CONTROL, else 127.0.0.1:8070.
+    /// Address of the control plane [default: VIOLETYOKE_CONTROL, or 127.0.0.1:8070].
     #[arg(long, global = true)]
     server: Option<SocketAddr>,
-    /// A file that holds the key; else VIOLETYOKE_KEY holds it. Never an argument: those are seen by others.
+    /// A file with the key [default: the key in VIOLETYOKE_KEY]. The key is never an argument, which other
+    /// users could see.
     #[arg(long, global = true)]
     key_file: Option<PathBuf>,
-    /// The answers as they came.
+    /// Prints the responses as JSON.
     #[arg(long, global = true)]
     pub json: bool,
 }
 
 impl Access {
-    /// The client that these options and the environment ask for.
+    /// Creates the client from these options and the environment.
     pub fn client(&self) -> Result<Client, ClientError> {
         let server = match (self.server, std::env::var("VIOLETYOKE_CONTROL")) {
             (Some(server), _) => server,
@@ -45,17 +46,17 @@
         Ok(Client { server, key: key.trim().to_string() })
     }
 
-    /// Prints a response as a table, or as JSON if that is asked for.
-    pub fn print(&self, answer: &Value) {
+    /// Prints a response as a table, or as JSON with `--json`.
+    pub fn print(&self, response: &Value) {
         if self.json {
-            println!("{answer}");
+            println!("{response}");
         } else {
-            print!("{}", crate::table::table(answer));
+            print!("{}", crate::table::table(response));
         }
     }
 }
 
-/// A name as a segment of a path.
+/// Encodes a name as a segment of a path.
 pub fn segment(name: &str) -> String {
     utf8_percent_encode(name, NON_ALPHANUMERIC).to_string()
 }
@@ -77,10 +78,10 @@
         /// The cause.
         source: io::Error,
     },
-    /// `--tenant` is given for what belongs to no tenant.
-    #[error("--tenant is for what a tenant has")]
+    /// `--tenant` is given for a resource that belongs to no tenant.
+    #[error("--tenant is only for resources of a tenant")]
     UnexpectedTenant,
-    /// `--tenant` is not given for what belongs to a tenant.
+    /// `--tenant` is missing for a resource that belongs to a tenant.
     #[error("--tenant is missing")]
     MissingTenant,
     /// An argument is not a field and its value.
@@ -123,21 +124,21 @@
 }
 
 /// A successful response.
-pub struct Reply {
+pub struct ApiResponse {
     pub body: Value,
     /// The version, for `If-Match`.
     pub version: Option<String>,
 }
 
 impl Client {
-    /// Makes one call on a connection of its own: nothing is ever sent twice.
+    /// Makes one call on a new connection, without retries.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<Value>,
         version: Option<String>,
-    ) -> Result<Reply, ClientError> {
+    ) -> Result<ApiResponse, ClientError> {
         let mut request =
             Request::builder().method(method).uri(path).header(AUTHORIZATION, format!("Bearer {}", self.key));
         if let Some(version) = version {
@@ -153,7 +154,7 @@
             parsed.map_err(|source| ClientError::Json { server: self.server, source })?
         };
         if status.is_success() {
-            return Ok(Reply { body, version });
+            return Ok(ApiResponse { body, version });
         }
         let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
         let errors = body["errors"].as_array().into_iter().flatten();
--- a/crates/violetyoke/src/control.rs
+++ b/crates/violetyoke/src/control.rs
@@ -26,37 +26,37 @@
 
 #[derive(Args)]
 pub struct Arguments {
-    /// Where the state is kept (SQLite). `FILE.pepper` beside it holds what keys are hashed with.
+    /// File of the store (SQLite). `FILE.pepper` beside it contains the pepper with which keys are hashed.
     #[arg(long)]
     store: PathBuf,
     #[arg(long, default_value = "127.0.0.1:8070")]
     listen: SocketAddr,
-    /// From a tenant's deletion until it and all that is its own goes.
+    /// Time from the deletion of a tenant until it and all its resources are removed (ms).
     #[arg(long, default_value_t = 10_000)]
     drain_ms: u64,
-    /// Calls a second of one key, and calls at once.
+    /// Rate limit of each key (calls a second).
     #[arg(long, default_value_t = 200.0)]
     rate: f64,
+    /// Burst of each key (calls).
     #[arg(long, default_value_t = 400.0)]
     burst: f64,
-    /// The duties of the fleet; SIGHUP reads the file again. Without it those of the last start stay.
+    /// File of the fleet's duties, reloaded on SIGHUP. Without it the duties of the last start stay in force.
     #[arg(long)]
     duties: Option<PathBuf>,
-    /// A directory for backups of the store; none: no backups are made.
+    /// A directory for backups of the store. Without it no backups are made.
     #[arg(long)]
     backups: Option<PathBuf>,
     #[arg(long, default_value_t = 3_600)]
     backup_seconds: u64,
-    /// How many backups are kept.
+    /// Number of backups that are kept.
     #[arg(long, default_value_t = 24)]
     backups_kept: usize,
-    /// A file whose number of milliseconds is added to the wall clock, looked at ten times a second: for tests of
-    /// a clock that is wrong.
+    /// A file with an offset of the wall clock (ms), read ten times a second, for tests with a wrong clock.
     #[arg(long, hide = true)]
     clock_offset: Option<PathBuf>,
 }
 
-/// How often the file with the wrong clock's offset is read.
+/// How often the file with the clock offset is read.
 const CLOCK_OFFSET_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs a control plane until SIGTERM, and then hands over the leases that it holds itself.
@@ -89,7 +89,7 @@
         shutdown.send_replace(true);
     });
     api::serve(listener, app, wait_for_shutdown(is_shutdown)).await?;
-    // Its leases are released before the process ends.
+    // The upkeep releases its leases before the process ends.
     upkeep.await.map_err(io::Error::other)
 }
 
@@ -113,7 +113,7 @@
 }
 
 async fn wait_for_shutdown(mut is_shutdown: watch::Receiver<bool>) {
-    // An error means that the sender is gone with the task that waits for SIGTERM, which is a shutdown too.
+    // An error means that the task that waits for SIGTERM has ended, which is a shutdown too.
     drop(is_shutdown.wait_for(|is_shutdown| *is_shutdown).await);
 }
 
@@ -132,7 +132,7 @@
     Ok(supervisor::run(client, holder, workers, wait_for_shutdown(is_shutdown)))
 }
 
-/// Reads the file of roles again at each SIGHUP, until the process ends.
+/// Reloads the file of roles on each SIGHUP, until the process ends.
 async fn declare_roles_on_hangup(store: Arc<Sqlite>, path: PathBuf, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         if let Err(error) = declare_roles(&*store, Some(&path)) {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Puts the file's roles in force. One that is not valid is reported, and the others stand.
+/// Puts the roles of the file in force. Invalid ones are reported, and do not affect the others.
 fn declare_roles(store: &dyn Store, path: Option<&Path>) -> io::Result<()> {
     let declared = path.map(read_roles).transpose()?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -163,7 +163,7 @@
     Ok(roles)
 }
 
-/// The offset of a wrong clock in milliseconds, as a test writes it to a file; 0 without a file.
+/// The offset of the clock (ms), which a test writes to a file; 0 without a file.
 fn clock_offset(file: Option<PathBuf>) -> Arc<AtomicI64> {
     let offset = Arc::new(AtomicI64::new(0));
     if let Some(path) = file {
@@ -179,7 +179,7 @@
     offset
 }
 
-/// Reads the offset. A file that is absent or half written leaves it as it is.
+/// Reads the offset. A missing or partially written file does not change it.
 fn read_clock_offset(path: &Path, offset: &AtomicI64) {
     let text = fs::read_to_string(path).unwrap_or_default();
     if let Ok(ms) = text.trim().parse() {
@@ -187,7 +187,7 @@
     }
 }
 
-/// Reads the pepper of a store, or makes one for a store that does not exist. A store without its pepper verifies no key.
+/// Reads the pepper of a store, or creates one for a new store. A store without its pepper can't verify keys.
 fn open_pepper(store: &Path) -> io::Result<Pepper> {
     let mut path = store.as_os_str().to_owned();
     path.push(".pepper");
@@ -199,9 +199,9 @@
             let pepper = Pepper::random().map_err(|error| with_path(&error))?;
             let opened = fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path);
             let mut file = match opened {
-                // Another process started on the same store at this moment.
+                // Another process has started with the same store at the same time.
                 Err(error) if error.kind() == io::ErrorKind::AlreadyExists => {
-                    return Err(with_path(&"another process is making it: start again"));
+                    return Err(with_path(&"another process is creating it: start again"));
                 }
                 opened => opened?,
             };
--- a/crates/violetyoke/src/demo.rs
+++ b/crates/violetyoke/src/demo.rs
@@ -1,4 +1,4 @@
-//! `violetyoke demo`: a service that a newcomer can try, with stand-in nodes in this process.
+//! `violetyoke demo`: a service to try out, with stub nodes in this process.
 
 use std::fs;
 use std::io;
@@ -9,8 +9,8 @@
 use violetyoke_ingress::service;
 use violetyoke_standin::node::{Node, Shape};
 
-/// The address itself; for port 0 one that is free, so that others can be told of it.
-pub fn chosen(listen: SocketAddr) -> Result<SocketAddr, String> {
+/// Returns the address. For port 0, chooses a free port, so that the address can be printed.
+pub fn resolve_port(listen: SocketAddr) -> Result<SocketAddr, String> {
     match listen.port() {
         0 => TcpListener::bind(listen)
             .and_then(|listener| listener.local_addr())
@@ -19,13 +19,13 @@
     }
 }
 
-/// Starts the nodes, writes the service's file beside other temporary ones, and says what to try.
+/// Starts the nodes, writes the configuration file to the temporary directory, and prints what to try.
 pub fn start(listen: SocketAddr) -> Result<(PathBuf, Service), String> {
-    let told = |error: io::Error| error.to_string();
-    let listen = chosen(listen)?;
+    let to_text = |error: io::Error| error.to_string();
+    let listen = resolve_port(listen)?;
     let node = |name: &str, milliseconds| {
         let shape = Shape { service: Duration::from_millis(milliseconds), ..Shape::default() };
-        Node::start(violetyoke_standin::any_port(), name, shape).map_err(told)
+        Node::start(violetyoke_standin::any_port(), name, shape).map_err(to_text)
     };
     let nodes = [node("avail-1", 5)?, node("avail-2", 5)?, node("booking-1", 20)?];
     let text = format!(
@@ -62,7 +62,7 @@
         nodes[0].address, nodes[1].address, nodes[2].address
     );
     let file = std::env::temp_dir().join(format!("violetyoke-demo-{}.toml", std::process::id()));
-    fs::write(&file, text).map_err(told)?;
+    fs::write(&file, text).map_err(to_text)?;
     let config = service::read(&file)?;
     let booking = format!(
         "curl -i -X POST -H 'Host: booking.example.org' -H 'X-Account: hotel-7' -d room=4 http://{listen}/bookings"
--- a/crates/violetyoke/src/demo_tenants.rs
+++ b/crates/violetyoke/src/demo_tenants.rs
@@ -1,8 +1,8 @@
-//! `violetyoke demo --tenants`: a control plane and a service with two tenants on this machine. One floods; what the
-//! other sees of it is printed every second.
+//! `violetyoke demo --tenants`: a control plane and a service with two tenants on this machine. One tenant
+//! floods the service, and the effect on the other is printed every second.
 
 use crate::client::Client;
-use crate::demo::chosen;
+use crate::demo::resolve_port;
 use hyper::Method;
 use serde_json::{json, Value};
 use std::fs;
@@ -23,20 +23,21 @@
 use violetyoke_standin::http::read_http;
 use violetyoke_standin::node::{Node, Shape};
 
-/// Connections of the tenant that floods, and how often the other one books.
-const FLOOD: usize = 64;
-const PAUSE: Duration = Duration::from_millis(100);
+/// Number of connections of the flooding tenant.
+const FLOOD_CONNECTIONS: usize = 64;
+/// Interval of the other tenant's bookings.
+const BOOKING_INTERVAL: Duration = Duration::from_millis(100);
 
 pub fn start(listen: SocketAddr) -> Result<(PathBuf, Service), String> {
-    let listen = chosen(listen)?;
-    let beside =
-        |end: &str| std::env::temp_dir().join(format!("violetyoke-demo-{}{end}", std::process::id()));
+    let listen = resolve_port(listen)?;
+    let temporary_file =
+        |suffix: &str| std::env::temp_dir().join(format!("violetyoke-demo-{}{suffix}", std::process::id()));
     let shape = Shape { service: Duration::from_millis(5), ..Shape::default() };
     let node =
         Node::start(violetyoke_standin::any_port(), "booking-1", shape).map_err(|error| error.to_string())?;
-    let (control, key) = control_plane(beside(".db"))?;
+    let (control, key) = control_plane(temporary_file(".db"))?;
     let ingress = tenants(control, &key)?;
-    let key_file = beside(".key");
+    let key_file = temporary_file(".key");
     fs::write(&key_file, ingress).map_err(|error| error.to_string())?;
     let text = format!(
         r#"# What `violetyoke demo --tenants` serves.
@@ -57,27 +58,27 @@
         node.address,
         key_file.display()
     );
-    let file = beside(".toml");
+    let file = temporary_file(".toml");
     fs::write(&file, text).map_err(|error| error.to_string())?;
     let config = service::read(&file)?;
     println!("The control plane is http://{control}, the operator's key {key}:");
     println!("  VIOLETYOKE_KEY={key} violetyoke tenant --server {control} list");
     println!("  VIOLETYOKE_KEY={key} violetyoke tenant --server {control} set loud weight=1");
     println!("Tenant loud floods, tenant quiet books ten times a second. Ctrl-C ends it.");
-    thread::spawn(move || watch(listen));
+    thread::spawn(move || run_clients(listen));
     Ok((file, config))
 }
 
-/// A control plane in a thread of its own, and its first key.
+/// Starts a control plane in a new thread. Returns its address and its first key.
 fn control_plane(store: PathBuf) -> Result<(SocketAddr, String), String> {
-    let (told, started) = mpsc::channel();
+    let (result_sender, result) = mpsc::channel();
     thread::spawn(move || {
         let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
-            Err(error) => return drop(told.send(Err(error.to_string()))),
+            Err(error) => return drop(result_sender.send(Err(error.to_string()))),
         };
         runtime.block_on(async {
-            let begin = async {
+            let start_up = async {
                 let store = Sqlite::open(&store).map_err(|error| error.to_string())?;
                 let rate_limit = RateLimit { calls_per_second: 200.0, burst: 400.0 };
                 let options = Options {
@@ -89,16 +90,16 @@
                 };
                 let app = App::new(Arc::new(store), options).map_err(|error| error.to_string())?;
                 let key = app.create_first_key().map_err(|error| error.to_string())?;
-                let key = key.ok_or("the demonstration's store is not new")?;
+                let key = key.ok_or("the store of the demo is not new")?;
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
                 let listener = listener.map_err(|error| error.to_string())?;
                 let address = listener.local_addr().map_err(|error| error.to_string())?;
                 Ok::<_, String>((app, listener, address, key))
             };
-            match begin.await {
-                Err(error) => drop(told.send(Err(error))),
+            match start_up.await {
+                Err(error) => drop(result_sender.send(Err(error))),
                 Ok((app, listener, address, key)) => {
-                    let _ = told.send(Ok((address, key)));
+                    let _ = result_sender.send(Ok((address, key)));
                     if let Err(error) = api::serve(listener, app, std::future::pending()).await {
                         eprintln!("violetyoke: control plane: {error}");
                     }
@@ -106,36 +107,36 @@
             }
         });
     });
-    started.recv().map_err(|_| "the control plane ended".to_string())?
+    result.recv().map_err(|_| "the control plane ended".to_string())?
 }
 
-/// Makes the two tenants; an ingress's key.
+/// Creates the two tenants. Returns a key for the ingress.
 fn tenants(server: SocketAddr, key: &str) -> Result<String, String> {
     let client = Client { server, key: key.to_string() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|error| error.to_string())?.block_on(async {
-        let make = async |path: &str, body: Value| {
+        let create = async |path: &str, body: Value| {
             let reply = client.call(Method::POST, path, Some(body), None).await;
             reply.map_err(|error| error.to_string())
         };
         for name in ["loud", "quiet"] {
             let host = format!("{name}.example.org");
-            make("/v1/tenants", json!({"name": name, "hosts": [host], "pools": ["reservations"]})).await?;
+            create("/v1/tenants", json!({"name": name, "hosts": [host], "pools": ["reservations"]})).await?;
             let path = format!("/v1/tenants/{name}");
-            make(&format!("{path}/plans"), json!({"name": "basic", "rate": 20, "burst": 20})).await?;
-            make(&format!("{path}/accounts"), json!({"name": "hotel-7", "plan": "basic"})).await?;
+            create(&format!("{path}/plans"), json!({"name": "basic", "rate": 20, "burst": 20})).await?;
+            create(&format!("{path}/accounts"), json!({"name": "hotel-7", "plan": "basic"})).await?;
             let route = json!({"name": "all", "host": host, "pool": "reservations"});
-            make(&format!("{path}/routes"), route).await?;
+            create(&format!("{path}/routes"), route).await?;
         }
-        let made = make("/v1/keys", json!({"role": "ingress", "label": "demo"})).await?;
-        made.body["key"].as_str().map(String::from).ok_or_else(|| "no key was made".to_string())
+        let created = create("/v1/keys", json!({"role": "ingress", "label": "demo"})).await?;
+        created.body["key"].as_str().map(String::from).ok_or_else(|| "no key was created".to_string())
     })
 }
 
-/// Plays both tenants' clients, and tells every second what they got.
-fn watch(address: SocketAddr) {
+/// Runs the clients of both tenants, and prints their results every second.
+fn run_clients(address: SocketAddr) {
     let loud: Arc<[AtomicU64; 2]> = Arc::default();
-    for _ in 0..FLOOD {
+    for _ in 0..FLOOD_CONNECTIONS {
         let loud = loud.clone();
         thread::spawn(move || loop {
             let connection = TcpStream::connect(address);
@@ -148,26 +149,26 @@
     loop {
         let (end, mut times, mut served) = (Instant::now() + Duration::from_secs(1), Vec::new(), 0);
         while Instant::now() < end {
-            let began = Instant::now();
-            let answered = TcpStream::connect(address).ok().and_then(|stream| call(&stream, "quiet"));
-            served += u32::from(answered == Some(200));
-            times.push(began.elapsed());
-            thread::sleep(PAUSE);
+            let started_at = Instant::now();
+            let status = TcpStream::connect(address).ok().and_then(|stream| call(&stream, "quiet"));
+            served += u32::from(status == Some(200));
+            times.push(started_at.elapsed());
+            thread::sleep(BOOKING_INTERVAL);
         }
-        let longest = times.iter().max().map_or(0.0, Duration::as_secs_f64) * 1e3;
-        let [sent, passed] = [0, 1].map(|which| loud[which].swap(0, Relaxed));
+        let max_latency = times.iter().max().map_or(0.0, Duration::as_secs_f64) * 1e3;
+        let [sent, served_loud] = [0, 1].map(|which| loud[which].swap(0, Relaxed));
         println!(
-            "quiet: {served} of {} served, longest {longest:.1} ms   loud: {sent} sent, {passed} served",
+            "quiet: {served} of {} served, longest {max_latency:.1} ms   loud: {sent} sent, {served_loud} served",
             times.len()
         );
     }
 }
 
-fn flood(stream: TcpStream, seen: &[AtomicU64; 2]) -> Option<()> {
+fn flood(stream: TcpStream, counts: &[AtomicU64; 2]) -> Option<()> {
     loop {
-        seen[0].fetch_add(1, Relaxed);
-        let code = call(&stream, "loud")?;
-        seen[1].fetch_add(u64::from(code == 200), Relaxed);
+        counts[0].fetch_add(1, Relaxed);
+        let status = call(&stream, "loud")?;
+        counts[1].fetch_add(u64::from(status == 200), Relaxed);
     }
 }
 
--- a/crates/violetyoke/src/duties.rs
+++ b/crates/violetyoke/src/duties.rs
@@ -1,4 +1,4 @@
-//! `violetyoke duties`: the fleet's singleton roles, and who runs them.
+//! `violetyoke duties`: the fleet's singleton roles and their owners.
 
 use crate::client::{segment, Access, Client, ClientError};
 use clap::{Args, Subcommand};
@@ -15,20 +15,20 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// All duties, with how many of their shards are owned and set aside.
+    /// Lists all duties, with the number of shards that are owned and set aside.
     List,
-    /// A duty's shards: owner, epoch, since when, and the last sign of work.
+    /// Shows the shards of a duty: owner, epoch, start of the lease, and last sign of work.
     Show { duty: String },
-    /// Gives a shard to a process, which keeps it while it lives; its owner ends its act first.
+    /// Assigns a shard to a process, which owns it until it ends. The current owner finishes its work first.
     HandOver { duty: String, shard: u32, to: String },
-    /// Nobody is to have a shard, until it is let go.
+    /// Withholds a shard from all processes until `let-go`.
     Hold {
         duty: String,
         shard: u32,
         #[arg(long, default_value = "held by hand")]
         reason: String,
     },
-    /// Ends what hand-over or hold has said, and forgives owners that fell.
+    /// Ends an assignment by `hand-over` or `hold`, and clears the record of failed owners.
     LetGo { duty: String, shard: u32 },
 }
 
@@ -36,7 +36,7 @@
 pub async fn run(arguments: Arguments) -> Result<(), ClientError> {
     let Arguments { access, action } = arguments;
     let client = access.client()?;
-    let answer = match action {
+    let response = match action {
         Action::List => client.call(Method::GET, "/v1/duties", None, None).await?.body["items"].take(),
         Action::Show { duty } => client.list(&format!("/v1/duties/{}/shards", segment(&duty))).await?,
         Action::HandOver { duty, shard, to } => {
@@ -47,11 +47,12 @@
         }
         Action::LetGo { duty, shard } => override_shard(&client, &duty, shard, json!({})).await?,
     };
-    access.print(&answer);
+    access.print(&response);
     Ok(())
 }
 
-/// Overrides the assignment of a shard, unless another operator does so meanwhile; returns the shard after it.
+/// Overrides the assignment of a shard, unless another operator does so at the same time. Returns the new
+/// state.
 async fn override_shard(
     client: &Client,
     duty: &str,
--- a/crates/violetyoke/src/lab.rs
+++ b/crates/violetyoke/src/lab.rs
@@ -8,7 +8,7 @@
 use violetyoke_lab::run::{self, Report};
 use violetyoke_lab::{compare, experiment, table};
 
-const BAD_FILE: u8 = 2;
+const INVALID_FILE: u8 = 2;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -18,22 +18,24 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Checks an experiment's file: exits 0 if it is good, else 2 with all that is wrong with it.
+    /// Checks the file of an experiment: exits with 0 if it is valid, otherwise with 2 after all faults.
     Check { file: PathBuf },
-    /// Plays an experiment, every variant and seed beside an oracle and blind chance, and prints a table.
+    /// Runs an experiment with each variant and seed, compares it with an oracle and random choice, and prints
+    /// a table.
     Run {
         file: PathBuf,
-        /// Writes all figures there.
+        /// Writes all results to this file.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Threads to play on; all cores unless told.
+        /// Number of threads [default: all cores].
         #[arg(long)]
         threads: Option<usize>,
-        /// The account of the losses, by the module's own reasons.
+        /// Prints the losses by the reasons of the decision module.
         #[arg(long)]
         losses: bool,
     },
-    /// Two settings (experiments' files) or two builds (what `run --json` wrote), paired by variant and seed.
+    /// Compares two settings (files of experiments) or two builds (results of `run --json`) by variant and
+    /// seed.
     Compare {
         before: PathBuf,
         after: PathBuf,
@@ -43,11 +45,11 @@
 }
 
 pub fn run(arguments: Arguments) -> ExitCode {
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Check { file } => {
             read(&file).map(|(_, variants)| println!("{}: {} variants", file.display(), variants.len()))
         }
-        Command::Run { file, json, threads, losses } => play(&file, threads).and_then(|report| {
+        Command::Run { file, json, threads, losses } => run_experiment(&file, threads).and_then(|report| {
             print!("{}", table::results(&report));
             if losses {
                 print!("{}", table::losses(&report));
@@ -56,7 +58,7 @@
         }),
         Command::Compare { before, after, threads } => compare(&before, &after, threads),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err((code, text)) => {
             eprint!("{text}");
@@ -65,51 +67,51 @@
     }
 }
 
-type Failed = (u8, String);
+type Failure = (u8, String);
 
-fn failed(text: impl std::fmt::Display) -> Failed {
+fn failure(text: impl std::fmt::Display) -> Failure {
     (1, format!("violetyoke lab: {text}\n"))
 }
 
-fn read(file: &Path) -> Result<(experiment::Experiment, Vec<experiment::Variant>), Failed> {
+fn read(file: &Path) -> Result<(experiment::Experiment, Vec<experiment::Variant>), Failure> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|error| failed(format!("{name}: {error}")))?;
-    let bad = |errors: violetyoke_config::Errors| (BAD_FILE, errors.of_file(&name));
-    let read = experiment::parse(&text).map_err(bad)?;
-    let variants = experiment::variants(&text, &read).map_err(bad)?;
+    let text = std::fs::read_to_string(file).map_err(|error| failure(format!("{name}: {error}")))?;
+    let invalid_file = |errors: violetyoke_config::Errors| (INVALID_FILE, errors.of_file(&name));
+    let read = experiment::parse(&text).map_err(invalid_file)?;
+    let variants = experiment::variants(&text, &read).map_err(invalid_file)?;
     Ok((read, variants))
 }
 
-fn play(file: &Path, threads: Option<usize>) -> Result<Report, Failed> {
+fn run_experiment(file: &Path, threads: Option<usize>) -> Result<Report, Failure> {
     let (experiment, variants) = read(file)?;
-    let pool = rayon::ThreadPoolBuilder::new().num_threads(threads.unwrap_or(0)).build().map_err(failed)?;
-    let many = variants.iter().map(|variant| variant.experiment.seeds.len() as u64).sum();
-    let bar = ProgressBar::new(many);
+    let pool = rayon::ThreadPoolBuilder::new().num_threads(threads.unwrap_or(0)).build().map_err(failure)?;
+    let run_count = variants.iter().map(|variant| variant.experiment.seeds.len() as u64).sum();
+    let bar = ProgressBar::new(run_count);
     let style = "{elapsed_precise} [{bar:40}] {pos}/{len} runs";
-    bar.set_style(ProgressStyle::with_template(style).map_err(failed)?.progress_chars("=> "));
+    bar.set_style(ProgressStyle::with_template(style).map_err(failure)?.progress_chars("=> "));
     bar.enable_steady_tick(Duration::from_millis(200));
     let runs = pool.install(|| run::run_all(&variants, || bar.inc(1)));
     bar.finish_and_clear();
     Ok(run::report(&experiment, runs))
 }
 
-fn write(path: &Path, report: &Report) -> Result<(), Failed> {
-    let text = serde_json::to_string_pretty(report).map_err(failed)?;
-    std::fs::write(path, text + "\n").map_err(|error| failed(format!("{}: {error}", path.display())))
+fn write(path: &Path, report: &Report) -> Result<(), Failure> {
+    let text = serde_json::to_string_pretty(report).map_err(failure)?;
+    std::fs::write(path, text + "\n").map_err(|error| failure(format!("{}: {error}", path.display())))
 }
 
-/// The figures of a file: those of an earlier run, or of one made now.
-fn figures(file: &Path, threads: Option<usize>) -> Result<Vec<compare::Figures>, Failed> {
+/// The results of a file: those of an earlier run, or of a new run of its experiment.
+fn load_figures(file: &Path, threads: Option<usize>) -> Result<Vec<compare::Figures>, Failure> {
     if file.extension().is_some_and(|ending| ending == "json") {
-        let text = std::fs::read(file).map_err(|error| failed(format!("{}: {error}", file.display())))?;
-        return compare::parse_report(&text).map_err(|error| failed(format!("{}: {error}", file.display())));
+        let text = std::fs::read(file).map_err(|error| failure(format!("{}: {error}", file.display())))?;
+        return compare::parse_report(&text).map_err(|error| failure(format!("{}: {error}", file.display())));
     }
-    play(file, threads).map(|report| report.runs.iter().map(compare::Figures::from).collect())
+    run_experiment(file, threads).map(|report| report.runs.iter().map(compare::Figures::from).collect())
 }
 
-fn compare(before: &Path, after: &Path, threads: Option<usize>) -> Result<(), Failed> {
-    let (before, after) = (figures(before, threads)?, figures(after, threads)?);
+fn compare(before: &Path, after: &Path, threads: Option<usize>) -> Result<(), Failure> {
+    let (before, after) = (load_figures(before, threads)?, load_figures(after, threads)?);
     let table = table::comparison(&before, &after);
-    print!("{}", table.ok_or_else(|| failed("the two have no variant and seed in common"))?);
+    print!("{}", table.ok_or_else(|| failure("the two have no variant and seed in common"))?);
     Ok(())
 }
--- a/crates/violetyoke/src/main.rs
+++ b/crates/violetyoke/src/main.rs
@@ -1,6 +1,7 @@
-//! The platform's program: one real ingress. It reads its configuration, serves until SIGTERM, and exits 0 once
-//! all is answered. With arguments it becomes `violetyoke-service`, which stands beside it: what that needs (a
-//! command line, a file of our own) would be memory that an ingress of the platform holds and never uses.
+//! The platform's program: one ingress. It reads its configuration, serves until SIGTERM, and exits with 0 once
+//! all requests have a response. With arguments it executes `violetyoke-service` from the same directory. That
+//! is a separate program because an ingress of the platform must not hold memory for a command line and a
+//! configuration file that it never uses.
 
 #![allow(clippy::needless_pass_by_value, reason = "not yet revised for readers: see docs/ROADMAP.md")]
 
@@ -28,11 +29,11 @@
     }
 }
 
-/// Does not return but for an error.
+/// Replaces this process. Returns only if that fails.
 fn become_service() -> ExitCode {
     let service = match std::env::current_exe() {
         Ok(program) => program.with_file_name("violetyoke-service"),
-        Err(error) => return fail(format!("where this program is: {error}")),
+        Err(error) => return fail(format!("path of this program: {error}")),
     };
     let error = Command::new(&service).args(std::env::args_os().skip(1)).exec();
     fail(format!("{}: {error} (cargo build makes both programs)", service.display()))
