--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -1,15 +1,15 @@
-//! What a hosted ingress knows of its tenants, without I/O and without a clock.
+//! The tenants of a hosted ingress. The crate does no I/O and reads no clock.
 //!
-//! - [`model`] has the resources that administrators write, and the rules for their fields: [`model::Tenant`],
+//! - [`model`] defines the resources that administrators manage, and validates their fields: [`model::Tenant`],
 //!   [`model::Plan`], [`model::Account`], [`model::Route`].
-//! - [`snapshot`] has the form in which ingresses get them: a [`snapshot::Snapshot`] is applied to a
+//! - [`snapshot`] defines how ingresses receive them: a [`snapshot::Snapshot`] is applied to a
 //!   [`snapshot::TenantDirectory`].
-//! - [`account_number`] makes a number of an account's name.
+//! - [`account_number`] maps an account to its number.
 //!
-//! Storing resources and serving snapshots belong to `violetyoke_control`; counting an account's requests belongs to the
-//! decision module and the counting service. `violetyoke_quota` has the rate limits of the other product: there a tenant
-//! has one limit, counted by one registry for all proxies. Here a tenant has many accounts, each with the quotas of its
-//! plan. So neither has use for the rules of the other.
+//! `violetyoke_control` stores the resources and serves the snapshots; the decision module and the counter service count
+//! the requests of accounts. `violetyoke_quota` is not used here: it implements the rate limits of the other product, where
+//! a tenant has one limit that a registry counts for all proxies. Here a tenant has many accounts, each with the quotas of
+//! its plan.
 //!
 //! ```
 //! use violetyoke_tenants::model::{Account, Resource};
--- a/crates/tenants/src/model/mod.rs
+++ b/crates/tenants/src/model/mod.rs
@@ -1,7 +1,7 @@
 //! Resources of the administration API: tenants, and the plans, accounts and routes of each.
 //!
-//! Doc comments of types and fields that have a schema stand in the API's published description, and so does their
-//! absence. They change together with `docs/api.json` only.
+//! The doc comments of types and fields with a schema are published in the API's description, `docs/api.json`. To add,
+//! change or remove one, update that file in the same commit.
 
 #![expect(missing_docs, reason = "comments of fields would change docs/api.json")]
 
--- a/crates/tenants/src/model/resource.rs
+++ b/crates/tenants/src/model/resource.rs
@@ -1,41 +1,42 @@
-//! The resources as they are written and stored.
+//! The resources, as administrators write them and as the control plane stores them.
 
 use super::field_error::FieldError;
 use serde::{Deserialize, Serialize};
 
-/// Something that administrators create, read, update and delete by its name: a tenant, or what belongs to one.
+/// A resource that administrators create, read, update and delete by its name: a tenant, or a resource of a tenant.
 pub trait Resource: Clone + Serialize + for<'de> Deserialize<'de> {
-    /// The collection of these in paths of the API: `/v1/tenants/acme/plans`.
+    /// The name of the collection in paths of the API: `plans` in `/v1/tenants/acme/plans`.
     const COLLECTION: &'static str;
 
-    /// Its name, which is unique in its collection.
+    /// The name of the resource, which is unique in its collection.
     fn name(&self) -> &str;
 
-    /// Checks what can be told from this resource alone. Returns an error for each field that is not valid.
+    /// Validates this resource without regard to others. Returns an error for each invalid field.
     fn validate(&self) -> Vec<FieldError>;
 }
 
-/// A tenant as administrators write it.
+/// A tenant, as administrators write it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// 1 to 40 letters, digits, - or _.
     pub name: String,
-    /// Its part of the core against other tenants': 1 to 1000.
+    /// Its share of the processor relative to other tenants: 1 to 1000.
     #[serde(default = "default_weight")]
     pub weight: u32,
     #[serde(default)]
     pub limits: Limits,
-    /// Hosts that its routes may be for, exact or `*.` and a domain. No two tenants have the same.
+    /// Hosts that its routes may match: names, or `*.` and a domain. A host belongs to one tenant only.
     #[serde(default)]
     pub hosts: Vec<String>,
-    /// Pools of the ingresses that its routes may lead to.
+    /// Pools of the ingresses to which its routes may forward requests.
     #[serde(default)]
     pub pools: Vec<String>,
 }
 
-/// What is kept for a tenant, and what it may use at most while others leave room. 0 at most: no bound of its own.
+/// The resources that are guaranteed to a tenant, and the most that it may use while capacity is available. A maximum of 0
+/// means no limit for the tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 #[serde(deny_unknown_fields, default)]
@@ -55,58 +56,58 @@
     pub max: u64,
 }
 
-/// Where a tenant stands. Only the control plane writes it.
+/// The state of a tenant. Only the control plane writes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 #[cfg_attr(feature = "schema", schema(as = State))]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum TenantState {
     Active,
-    /// Nothing new is taken for it; at `gone_at` (Unix time in milliseconds) it and all that is its own goes.
+    /// Its new requests are rejected. At `gone_at` (Unix time in milliseconds), the tenant and its resources are removed.
     Draining {
         #[serde(rename = "gone_at")]
         removed_at: u64,
     },
 }
 
-/// A tenant as it is kept.
+/// A tenant, as the control plane stores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 pub struct StoredTenant {
     #[serde(flatten)]
     pub tenant: Tenant,
-    /// The revision at which it was made. A tenant made anew under the name has another, and so its accounts have
-    /// other numbers: nothing is inherited.
+    /// The revision at which the tenant was created. A tenant that is created again under the same name has another epoch,
+    /// and so its accounts have other numbers and new counters.
     pub epoch: u64,
     #[serde(flatten)]
     pub state: TenantState,
 }
 
-/// A plan: quotas of each account that has it.
+/// A plan: the quotas of each account that has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     pub name: String,
-    /// Units a second; 0: no quota.
+    /// Units per second; 0 means no quota.
     pub rate: f64,
-    /// Units at once.
+    /// Units that may be used at once.
     #[serde(default)]
     pub burst: f64,
-    /// Requests on their way to nodes at once; 0: no bound.
+    /// The maximum number of requests in flight to nodes; 0 means no limit.
     #[serde(default, rename = "open")]
     pub max_in_flight: u32,
-    /// Worth against other plans where not all can be served.
+    /// The value of requests relative to other plans when not all requests can be served.
     #[serde(default = "default_value", rename = "worth")]
     pub value: f64,
-    /// Held even while the counter does not answer; 0: none.
+    /// A hard limit in units per second, which holds even while the counter service does not answer; 0 means none.
     #[serde(default, rename = "ceiling_rate")]
     pub hard_limit_rate: f64,
     #[serde(default, rename = "ceiling_burst")]
     pub hard_limit_burst: f64,
 }
 
-/// An account, by any name that its tenant gives it.
+/// An account, with a name that the tenant chooses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 #[serde(deny_unknown_fields)]
@@ -125,14 +126,14 @@
     pub name: String,
     /// One of the tenant's hosts.
     pub host: String,
-    /// As in the file of a service: exact, `/prefix/*` or a template.
+    /// As in the settings file of an ingress: an exact path, `/prefix/*` or a template.
     #[serde(default = "all_paths")]
     pub path: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub method: Option<String>,
-    /// The pool, one of the tenant's.
+    /// One of the tenant's pools.
     pub pool: String,
-    /// Class of requests that state none.
+    /// The class of requests without a class header.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub default_class: Option<String>,
 }
--- a/crates/tenants/src/model/validation.rs
+++ b/crates/tenants/src/model/validation.rs
@@ -1,4 +1,4 @@
-//! Rules for the fields of resources.
+//! Validation of the fields of resources.
 
 use super::field_error::FieldError;
 use super::resource::{Account, Limits, Plan, Resource, Route, Tenant};
@@ -7,7 +7,7 @@
     Conflict, HostError, HostPattern, PathError, PathPattern, Route as TableRoute, RouteTable,
 };
 
-/// Names that stand in paths, file names and logs.
+/// Checks a name that is used in paths, file names and logs.
 fn check_name(field: &str, name: &str) -> Option<FieldError> {
     let is_valid = (1..=40).contains(&name.len())
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_');
@@ -34,8 +34,8 @@
         }
         errors.extend(self.limits.errors());
         errors.extend(host_errors(&self.hosts));
-        for (number, pool) in self.pools.iter().enumerate() {
-            errors.extend(check_name(&format!("pools[{number}]"), pool));
+        for (index, pool) in self.pools.iter().enumerate() {
+            errors.extend(check_name(&format!("pools[{index}]"), pool));
         }
         errors
     }
@@ -61,14 +61,14 @@
     }
 }
 
-/// Each host must be a valid name or domain, and stand there once.
+/// Each host must be a valid name or domain, and occur once.
 fn host_errors(hosts: &[String]) -> Vec<FieldError> {
     let mut errors = Vec::new();
-    for (number, host) in hosts.iter().enumerate() {
-        let field = format!("hosts[{number}]");
+    for (index, host) in hosts.iter().enumerate() {
+        let field = format!("hosts[{index}]");
         match host.parse::<HostPattern>() {
             Ok(HostPattern::Any) => errors.push(FieldError::new(field, "must name a host or a domain")),
-            Ok(_) if hosts[..number].contains(host) => {
+            Ok(_) if hosts[..index].contains(host) => {
                 errors.push(FieldError::new(field, "stands there twice"));
             }
             Ok(_) => {}
@@ -148,8 +148,8 @@
         errors.extend(
             self.path.parse::<PathPattern>().err().map(|reason| FieldError::new("path", reason.to_string())),
         );
-        let known = ["GET", "POST", "PUT", "PATCH", "DELETE"];
-        if self.method.as_ref().is_some_and(|method| !known.contains(&method.as_str())) {
+        let methods = ["GET", "POST", "PUT", "PATCH", "DELETE"];
+        if self.method.as_ref().is_some_and(|method| !methods.contains(&method.as_str())) {
             errors.push(FieldError::new("method", "is none of GET, POST, PUT, PATCH, DELETE"));
         }
         errors.extend(check_name("pool", &self.pool));
@@ -158,30 +158,30 @@
     }
 }
 
-/// Why the host or the path of a route can't be read.
+/// Why the host or the path of a route is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RouteError {
-    /// No host pattern.
+    /// The host is not a valid host pattern.
     #[error(transparent)]
     Host(#[from] HostError),
-    /// No path pattern.
+    /// The path is not a valid path pattern.
     #[error(transparent)]
     Path(#[from] PathError),
 }
 
 impl Route {
-    /// The route as the route table has it.
+    /// Converts the route to a route of the route table.
     ///
     /// # Errors
-    /// If its host or path can't be read, which [`Resource::validate`] finds as well.
+    /// If the host or the path is invalid, which [`Resource::validate`] reports as well.
     pub fn to_table_route(&self) -> Result<TableRoute, RouteError> {
         let (host, path) = (self.host.parse()?, self.path.parse()?);
         Ok(TableRoute { host, path, method: self.method.clone(), class: None })
     }
 }
 
-/// Checks a tenant's routes against the tenant and against each other. Returns an error for each route that leads where
-/// the tenant may not go, and for each that matches the same requests as an earlier one.
+/// Checks a tenant's routes against the tenant and against each other. Returns an error for each route with a host or a pool
+/// that is not the tenant's, and for each route that conflicts with an earlier one.
 pub fn validate_routes(tenant: &Tenant, routes: &[Route]) -> Vec<FieldError> {
     let mut errors = Vec::new();
     for route in routes {
--- a/crates/tenants/src/snapshot/directory.rs
+++ b/crates/tenants/src/snapshot/directory.rs
@@ -8,29 +8,29 @@
 
 type Tenants = BTreeMap<String, Arc<TenantView>>;
 
-/// All tenants at one revision, as an ingress has them.
+/// All tenants at one revision, as an ingress uses them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantDirectory {
-    /// Revision of the store at which they were read.
+    /// The revision of the control plane's store from which the tenants were read.
     pub revision: u64,
-    /// The tenants by name. Their accounts are sorted by name.
+    /// The tenants, by name. The accounts of each one are sorted by name.
     pub tenants: Tenants,
 }
 
 impl TenantDirectory {
-    /// A full snapshot of it, to be stored and read again.
+    /// A full snapshot of the directory, for storage.
     pub fn to_snapshot(&self) -> Snapshot {
         let tenants = self.tenants.values().map(|tenant| TenantView::clone(tenant)).collect();
         Snapshot::new(None, self.revision, tenants, vec![])
     }
 
-    /// The directory that results from a snapshot; this one stays as it is.
+    /// Applies a snapshot, and returns the resulting directory. This directory does not change.
     ///
     /// # Errors
-    /// If the snapshot is damaged, doesn't fit to this directory, or has a tenant that is not valid.
+    /// If the snapshot is damaged, does not apply to the revision of this directory, or has an invalid tenant.
     pub fn apply(&self, snapshot: Snapshot) -> Result<TenantDirectory, SnapshotError> {
         snapshot.check_envelope()?;
-        let mut tenants = self.base_of(&snapshot)?;
+        let mut tenants = self.base_tenants(&snapshot)?;
         for name in &snapshot.removed {
             tenants.remove(name);
         }
@@ -44,20 +44,20 @@
         Ok(TenantDirectory { revision: snapshot.revision, tenants })
     }
 
-    /// What a snapshot changes: nothing if it is full, else the tenants of this directory.
-    fn base_of(&self, snapshot: &Snapshot) -> Result<Tenants, SnapshotError> {
+    /// The tenants that a snapshot starts from: none if it is full, else the tenants of this directory.
+    fn base_tenants(&self, snapshot: &Snapshot) -> Result<Tenants, SnapshotError> {
         if snapshot.revision < self.revision {
-            return Err(SnapshotError::OlderRevision { held: self.revision, offered: snapshot.revision });
+            return Err(SnapshotError::OlderRevision { current: self.revision, offered: snapshot.revision });
         }
         match snapshot.base {
             None => Ok(BTreeMap::new()),
             Some(base) if base == self.revision => Ok(self.tenants.clone()),
-            Some(base) => Err(SnapshotError::BaseMismatch { held: self.revision, base }),
+            Some(base) => Err(SnapshotError::BaseMismatch { current: self.revision, base }),
         }
     }
 }
 
-/// No two tenants may have the same host.
+/// Checks that no two tenants have the same host.
 fn check_hosts(tenants: &Tenants) -> Result<(), SnapshotError> {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for tenant in tenants.values() {
--- a/crates/tenants/src/snapshot/error.rs
+++ b/crates/tenants/src/snapshot/error.rs
@@ -1,68 +1,68 @@
-//! Why a snapshot is rejected.
+//! Errors of snapshots. Their texts are sent to the control plane, and must not change.
 
 use thiserror::Error;
 
-/// Why a snapshot is rejected. The directory that it was for stays in force.
+/// Why a snapshot is rejected. The present directory stays in force.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    /// No JSON, or not of this shape: truncated, or something else.
+    /// The text is truncated, not JSON, or JSON of another type.
     #[error("not readable: {0}")]
     Unreadable(#[source] serde_json::Error),
-    /// It has another format than this program reads.
+    /// This program does not read the format of the snapshot.
     #[error("format {found} is not known, only {supported}")]
     UnsupportedFormat {
-        /// Its format.
+        /// The format of the snapshot.
         found: u32,
         /// The format that this program reads.
         supported: u32,
     },
-    /// Its content was changed after it was made.
+    /// The content was changed after the checksum was made.
     #[error("its sum is not that of what it holds")]
     ChecksumMismatch,
-    /// It is older than the directory.
-    #[error("revision {offered} is older than {held}, which is held")]
+    /// The snapshot is older than the directory.
+    #[error("revision {offered} is older than {current}, which is held")]
     OlderRevision {
-        /// Revision of the directory.
-        held: u64,
-        /// Revision of the snapshot.
+        /// The revision of the directory.
+        current: u64,
+        /// The revision of the snapshot.
         offered: u64,
     },
-    /// It is incremental, and starts from another revision than the directory's.
-    #[error("it changes revision {base}, and {held} is held")]
+    /// The snapshot is incremental, and its base is not the revision of the directory.
+    #[error("it changes revision {base}, and {current} is held")]
     BaseMismatch {
-        /// Revision of the directory.
-        held: u64,
-        /// The revision that it changes.
+        /// The revision of the directory.
+        current: u64,
+        /// The revision that the snapshot is based on.
         base: u64,
     },
-    /// A tenant of it is not valid.
+    /// A tenant is invalid.
     #[error("tenant {name:?}: {problem}")]
     Tenant {
-        /// Name of the tenant.
+        /// The name of the tenant.
         name: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         problem: TenantProblem,
     },
 }
 
-/// What is wrong with a tenant of a snapshot.
+/// Why a tenant of a snapshot is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TenantProblem {
-    /// A field of the tenant, or of one of its resources.
+    /// A field of the tenant or of one of its resources is invalid.
     #[error("{field}: {reason}")]
     Field {
-        /// The field.
+        /// The path of the field.
         field: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         reason: String,
     },
-    /// Names of plans have to be unique in a tenant.
+    /// Two plans have the same name.
     #[error("two plans have one name")]
     DuplicatePlan,
-    /// Names of accounts have to be unique in a tenant.
+    /// Two accounts have the same name.
     #[error("account {0:?} stands there twice")]
     DuplicateAccount(String),
-    /// An account refers to a plan that the tenant doesn't have.
+    /// An account refers to a plan that the tenant does not have.
     #[error("account {account:?} has plan {plan:?}, which is not there")]
     UnknownPlan {
         /// The account.
@@ -70,7 +70,7 @@
         /// The plan.
         plan: String,
     },
-    /// Hosts tell tenants apart: two with the same would serve each other's requests.
+    /// Two tenants have the same host. Requests are assigned to tenants by host, so they would get each other's requests.
     #[error("host {host:?} is tenant {other:?}'s too")]
     SharedHost {
         /// The host.
--- a/crates/tenants/src/snapshot/message.rs
+++ b/crates/tenants/src/snapshot/message.rs
@@ -1,4 +1,4 @@
-//! A snapshot as it is sent and stored.
+//! Snapshots, as they are sent and stored.
 
 use super::error::SnapshotError;
 use super::view::TenantView;
@@ -8,26 +8,26 @@
 /// The format that this program writes and reads.
 pub const FORMAT: u32 = 1;
 
-/// All tenants, or a part of them.
+/// All tenants, or the changes of them since a revision.
 #[expect(missing_docs, reason = "comments of fields would change docs/api.json")]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 pub struct Snapshot {
     pub format: u32,
-    /// None: these are all; else what has changed since that revision.
+    /// None for a full snapshot, which has all tenants; otherwise the revision since which the tenants have changed.
     pub base: Option<u64>,
     pub revision: u64,
     pub tenants: Vec<TenantView>,
-    /// Tenants that are no longer there, of a part only.
+    /// The tenants that were removed since `base`; empty in a full snapshot.
     #[serde(rename = "gone")]
     pub removed: Vec<String>,
-    /// SHA-256 of all the above, as 64 hex digits.
+    /// The SHA-256 checksum of all fields above, as 64 hex digits.
     pub sum: String,
 }
 
 impl Snapshot {
-    /// A snapshot with its checksum. `base`: the revision that it changes, or `None` if it is full. `removed`: the tenants
-    /// that were removed since `base`.
+    /// Creates a snapshot with its checksum. `base` is the revision that it is based on, or `None` for a full one; `removed`
+    /// are the tenants that were removed since `base`.
     pub fn new(base: Option<u64>, revision: u64, tenants: Vec<TenantView>, removed: Vec<String>) -> Snapshot {
         let mut snapshot = Snapshot { format: FORMAT, base, revision, tenants, removed, sum: String::new() };
         snapshot.sum = snapshot.checksum_of_content();
@@ -36,13 +36,13 @@
 
     fn checksum_of_content(&self) -> String {
         let mut hasher = Sha256::new();
-        // Field by field, without the checksum itself.
+        // All fields except the checksum.
         for part in [
             serde_json::to_vec(&(self.format, self.base, self.revision)),
             serde_json::to_vec(&self.tenants),
             serde_json::to_vec(&self.removed),
         ] {
-            // Strings, numbers and lists of them always encode; were one not to, both sides would leave it out alike.
+            // Strings, numbers and lists always encode. If one did not, both sides would omit it.
             if let Ok(bytes) = part {
                 hasher.update(bytes);
             }
@@ -51,13 +51,13 @@
         hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Reads a snapshot. Nothing of it may be used before
-    /// [`TenantDirectory::apply`](super::TenantDirectory::apply) has validated it.
+    /// Parses a snapshot. It must not be used before [`TenantDirectory::apply`](super::TenantDirectory::apply) has validated
+    /// it.
     ///
     /// # Errors
-    /// If it is no JSON of this shape, or has another format.
+    /// If the text is not JSON of this type, or has another format.
     pub fn parse(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
-        // The format first: a later one may have any shape.
+        // The format is checked first, as snapshots of other formats may have other fields.
         #[derive(Deserialize)]
         struct FormatOnly {
             format: u32,
@@ -67,7 +67,7 @@
         serde_json::from_slice(bytes).map_err(SnapshotError::Unreadable)
     }
 
-    /// Checks what can be told from the envelope: its format, and that the content has not changed.
+    /// Checks the format and the checksum.
     pub(super) fn check_envelope(&self) -> Result<(), SnapshotError> {
         check_format(self.format)?;
         if self.sum != self.checksum_of_content() {
--- a/crates/tenants/src/snapshot/mod.rs
+++ b/crates/tenants/src/snapshot/mod.rs
@@ -1,5 +1,5 @@
-//! Snapshots, by which ingresses get tenants from the control plane: all tenants at a revision (full), or those that
-//! have changed since one (incremental). A snapshot is validated in full before any of it is used.
+//! Snapshots, with which ingresses receive tenants from the control plane: all tenants at a revision (full), or those that
+//! have changed since an earlier revision (incremental). A snapshot is validated completely before any of it is used.
 
 mod directory;
 mod error;
--- a/crates/tenants/src/snapshot/view.rs
+++ b/crates/tenants/src/snapshot/view.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// One tenant, as an ingress needs it.
+/// A tenant with its resources, as ingresses use it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(utoipa::ToSchema))]
 pub struct TenantView {
@@ -17,7 +17,7 @@
     pub epoch: u64,
     pub weight: u32,
     pub limits: Limits,
-    /// Nothing new is taken for it.
+    /// Whether new requests of the tenant are rejected, before it is removed.
     pub draining: bool,
     pub hosts: Vec<String>,
     pub pools: Vec<String>,
@@ -27,7 +27,7 @@
 }
 
 impl TenantView {
-    /// The tenant with its resources, as the control plane has stored them.
+    /// Combines a tenant and its resources, as the control plane stores them.
     pub fn new(
         stored: StoredTenant,
         plans: Vec<Plan>,
@@ -40,14 +40,14 @@
         TenantView { name, epoch, weight, limits, draining, hosts, pools, plans, accounts, routes }
     }
 
-    /// The index of an account's plan among [`TenantView::plans`]; `None`: there is no such account. Accounts must be
-    /// sorted by name, as they are in a [`TenantDirectory`](super::TenantDirectory).
+    /// The index of an account's plan in [`TenantView::plans`]; `None` if there is no such account. Accounts must be sorted by
+    /// name, as they are in a [`TenantDirectory`](super::TenantDirectory).
     pub fn plan_index(&self, account: &str) -> Option<usize> {
-        let index = self.accounts.binary_search_by(|known| known.name.as_str().cmp(account)).ok()?;
+        let index = self.accounts.binary_search_by(|other| other.name.as_str().cmp(account)).ok()?;
         self.plans.iter().position(|plan| plan.name == self.accounts[index].plan)
     }
 
-    /// Sorts accounts for [`TenantView::plan_index`], and checks all that can be told from this tenant alone.
+    /// Sorts the accounts for [`TenantView::plan_index`], and validates the tenant without regard to others.
     pub(super) fn prepare(&mut self) -> Result<(), TenantProblem> {
         self.accounts.sort_by(|a, b| a.name.cmp(&b.name));
         self.validate_fields()?;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Expects accounts sorted by name.
+    /// Checks that names are unique and that accounts refer to plans of the tenant. Accounts must be sorted by name.
     fn validate_references(&self) -> Result<(), TenantProblem> {
         let plans: BTreeSet<&str> = self.plans.iter().map(|plan| plan.name.as_str()).collect();
         if plans.len() < self.plans.len() {
--- a/crates/tenants/tests/golden/main.rs
+++ b/crates/tenants/tests/golden/main.rs
@@ -1,5 +1,5 @@
-//! Snapshots that the control plane sends to ingresses, as the builds before wrote them: half of the ingresses may be of
-//! another build than the control plane. The golden files are never edited.
+//! The encoding of snapshots, which must stay the same in all builds: during an upgrade, ingresses and control plane are of
+//! different builds. The golden files were written by earlier builds and are never edited.
 
 #![cfg(test)]
 
@@ -55,7 +55,7 @@
         pool: "main".into(),
         default_class: Some("interactive".into()),
     };
-    let bare = Route {
+    let minimal = Route {
         name: "rest".into(),
         path: "/*".into(),
         method: None,
@@ -63,7 +63,7 @@
         pool: "batch".into(),
         ..full.clone()
     };
-    vec![full, bare]
+    vec![full, minimal]
 }
 
 fn views() -> Vec<TenantView> {
@@ -91,12 +91,12 @@
 }
 
 #[test]
-fn snapshots_keep_their_form() {
+fn snapshots_keep_their_encoding() {
     let encode = |snapshot: &Snapshot| serde_json::to_vec(snapshot).expect("encoded");
     folder().check(&snapshots(), encode, Snapshot::parse);
 }
 
-/// The sum of a snapshot covers the order of its fields, so that is a part of the form.
+/// The checksum of a snapshot depends on the order of the fields, so the order is part of the encoding.
 #[test]
 fn snapshots_of_earlier_builds_are_applied() {
     let [full, part] = ["snapshot-full", "snapshot-part"].map(|name| {
@@ -104,17 +104,17 @@
         Snapshot::parse(&golden).expect("read")
     });
 
-    let held = TenantDirectory::default().apply(full).expect("applied");
-    let next = held.apply(part).expect("applied");
+    let first = TenantDirectory::default().apply(full).expect("applied");
+    let next = first.apply(part).expect("applied");
 
-    let names: Vec<&str> = held.tenants.keys().map(String::as_str).collect();
-    assert_eq!((held.revision, names), (70_000, vec!["acme", "globex"]));
+    let names: Vec<&str> = first.tenants.keys().map(String::as_str).collect();
+    assert_eq!((first.revision, names), (70_000, vec!["acme", "globex"]));
     let names: Vec<&str> = next.tenants.keys().map(String::as_str).collect();
     assert_eq!((next.revision, names), (70_001, vec!["acme"]));
 }
 
 #[test]
 fn every_golden_file_has_a_sample() {
-    let names: BTreeSet<String> = snapshots().iter().map(|it| it.name.to_owned()).collect();
+    let names: BTreeSet<String> = snapshots().iter().map(|sample| sample.name.to_owned()).collect();
     assert_eq!(folder().names(), names);
 }
--- a/crates/tenants/tests/snapshots.rs
+++ b/crates/tenants/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Which snapshots are applied and which rejected; numbers of accounts.
+//! Which snapshots are applied and which are rejected, and account numbers.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -67,22 +67,22 @@
     changed.tenants[1].plans[0].rate = 2.0;
     assert!(matches!(directory.apply(changed), Err(SnapshotError::ChecksumMismatch)));
     let older = directory.apply(full(8, &["a"]));
-    assert!(matches!(older, Err(SnapshotError::OlderRevision { held: 9, offered: 8 })));
+    assert!(matches!(older, Err(SnapshotError::OlderRevision { current: 9, offered: 8 })));
     let part = Snapshot::new(Some(8), 10, vec![], vec![]);
-    assert!(matches!(directory.apply(part), Err(SnapshotError::BaseMismatch { held: 9, base: 8 })));
-    let later = Snapshot::parse(br#"{"format": 2, "pages": []}"#);
-    assert!(matches!(later, Err(SnapshotError::UnsupportedFormat { found: 2, supported: 1 })));
+    assert!(matches!(directory.apply(part), Err(SnapshotError::BaseMismatch { current: 9, base: 8 })));
+    let unsupported = Snapshot::parse(br#"{"format": 2, "pages": []}"#);
+    assert!(matches!(unsupported, Err(SnapshotError::UnsupportedFormat { found: 2, supported: 1 })));
     assert_eq!(directory.apply(good).unwrap().tenants.len(), 2);
 }
 
 #[test]
-fn invalid_tenant_is_rejected_by_name() {
-    let assert_rejected = |change: &dyn Fn(&mut TenantView), word: &str| {
-        let mut bad = tenant("b", 1.0);
-        change(&mut bad);
-        let snapshot = Snapshot::new(None, 1, vec![tenant("a", 1.0), bad], vec![]);
+fn snapshot_with_an_invalid_tenant_is_rejected_with_the_name_of_the_tenant() {
+    let assert_rejected = |change: &dyn Fn(&mut TenantView), expected: &str| {
+        let mut invalid = tenant("b", 1.0);
+        change(&mut invalid);
+        let snapshot = Snapshot::new(None, 1, vec![tenant("a", 1.0), invalid], vec![]);
         let error = TenantDirectory::default().apply(snapshot).unwrap_err().to_string();
-        assert!(error.contains("\"b\"") && error.contains(word), "{error}");
+        assert!(error.contains("\"b\"") && error.contains(expected), "{error}");
     };
     assert_rejected(&|tenant| tenant.hosts = vec!["a.example.org".into()], "host");
     assert_rejected(&|tenant| tenant.hosts.push("a.example.org".into()), "is tenant \"a\"'s too");
@@ -121,13 +121,13 @@
 
 #[test]
 fn accounts_of_different_tenants_have_different_numbers() {
-    let mut seen = BTreeSet::new();
+    let mut numbers = BTreeSet::new();
     for tenant in 0..200 {
         for account in 0..100 {
-            assert!(seen.insert(account_number(&format!("t{tenant}"), 7, &format!("a{account}"))));
+            assert!(numbers.insert(account_number(&format!("t{tenant}"), 7, &format!("a{account}"))));
         }
     }
-    // A tenant that is created again under its name inherits nothing, and names don't run into each other.
+    // A tenant that is created again under the same name has other numbers, and so have names with the same concatenation.
     assert_ne!(account_number("t", 1, "a"), account_number("t", 2, "a"));
     assert_ne!(account_number("ta", 1, "b"), account_number("t", 1, "ab"));
 }
@@ -142,17 +142,16 @@
         prop_assert_eq!(number(&first) == number(&second), first == second);
     }
 
-    /// A byte that is changed anywhere is detected.
     #[test]
-    fn changed_byte_is_detected(place in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn changed_byte_is_detected(offset in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let good = full(4, &["a", "b"]);
         let mut bytes = serde_json::to_vec(&good).unwrap();
-        let place = place.index(bytes.len());
-        let before = std::mem::replace(&mut bytes[place], byte);
-        let taken = Snapshot::parse(&bytes).and_then(|snapshot| TenantDirectory::default().apply(snapshot));
+        let offset = offset.index(bytes.len());
+        let before = std::mem::replace(&mut bytes[offset], byte);
+        let result = Snapshot::parse(&bytes).and_then(|snapshot| TenantDirectory::default().apply(snapshot));
         if before != byte {
-            // It may say the same in other words (a space for a space), but never anything else.
-            prop_assert!(taken.is_err() || taken.ok() == TenantDirectory::default().apply(good).ok(), "{place}: {byte}");
+            // The changed JSON may still encode the same snapshot (other whitespace), but must not encode another one.
+            prop_assert!(result.is_err() || result.ok() == TenantDirectory::default().apply(good).ok(), "{offset}: {byte}");
         }
     }
 }
