--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -68,14 +68,14 @@
     }
 
     /// Whether a backend has the capacity for an attempt now.
-    pub(crate) fn can_take(&self, id: &str, criteria: SelectionCriteria<'_>) -> bool {
-        self.directory.borrow().can_take(self.clock.now(), id, criteria)
+    pub(crate) fn is_selectable(&self, id: &str, criteria: SelectionCriteria<'_>) -> bool {
+        self.directory.borrow().is_selectable(self.clock.now(), id, criteria)
     }
 
     /// Whether a request must be rejected because its backends are overloaded. `left_ms` is the time until its latency
     /// target.
-    pub(crate) fn is_refused_in_overload(&self, criteria: SelectionCriteria<'_>, left_ms: Millis) -> bool {
-        self.directory.borrow().is_refused_in_overload(self.clock.now(), criteria, left_ms)
+    pub(crate) fn should_shed(&self, criteria: SelectionCriteria<'_>, left_ms: Millis) -> bool {
+        self.directory.borrow().should_shed(self.clock.now(), criteria, left_ms)
     }
 
     /// A random sample of the uniform distribution on 0 to 1.
--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -1,10 +1,10 @@
-//! One proxy in virtual time, between scripted registries and backends.
+//! Tests of one proxy in virtual time, with scripted registries and backends.
 
 #![cfg(test)]
 
+mod client_disconnects;
 mod connections;
 mod control_updates;
-mod leaving_clients;
 mod metrics;
 mod operation_ends;
 mod operation_registries;
--- a/crates/proxy/tests/proxy/operation_ends.rs
+++ b/crates/proxy/tests/proxy/operation_ends.rs
@@ -76,7 +76,7 @@
         drop(client);
 
         assert!(wait_until(Duration::from_secs(1), || is_executed(&stores)).await);
-        assert_eq!(ledger.broken_off_at("disconnected"), None);
+        assert_eq!(ledger.disconnected_at("disconnected"), None);
         let repeat = send_commit("key-1", "repeat", KEY).await;
         assert_eq!((repeat.status, repeat.body.as_str()), (200, "booked"));
     });
