--- a/crates/ingress/src/counter.rs
+++ b/crates/ingress/src/counter_client.rs
@@ -34,7 +34,7 @@
     written: Rc<Cell<bool>>,
 }
 
-pub struct Counter {
+pub struct CounterClient {
     queue: mpsc::UnboundedSender<Call>,
     shared: Rc<Shared>,
 }
@@ -57,18 +57,18 @@
     }
 }
 
-impl Counter {
+impl CounterClient {
     pub fn open(
         address: SocketAddr,
         space: Option<Rc<str>>,
         timeout: Micros,
         clock: Clock,
         messages: Messages,
-    ) -> Counter {
+    ) -> CounterClient {
         let (queue, calls) = mpsc::unbounded_channel();
         let shared = Rc::new(Shared { clock, space, timeout, messages, held: Cell::new(0) });
         tasks::spawn(run(address, shared.clone(), calls));
-        Counter { queue, shared }
+        CounterClient { queue, shared }
     }
 
     /// Makes a call, and tells by then whether it may have been written; none if it can't be made.
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The watch on discovery: one call after another, each from the version that the last answer brought.
 
-use super::watch::{Failure, Watch, WAIT};
+use super::poll_schedule::{PollFailure, PollSchedule, WAIT};
 use super::{tasks, Message, Messages};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
@@ -72,31 +72,31 @@
 type Sender = SendRequest<Empty<Bytes>>;
 
 /// Keeps the watch for as long as the process runs.
-pub async fn keep(mut watch: Watch, address: SocketAddr, messages: Messages) {
+pub async fn watch_targets(mut watch: PollSchedule, address: SocketAddr, messages: Messages) {
     let mut connection: Option<Sender> = None;
     loop {
         let (path, called) = (watch.path(), Instant::now());
         let answer = timeout(WAIT + PATIENCE, call(&mut connection, address, &path)).await;
         let pause = match answer.unwrap_or_else(|_| Err("no answer".into())) {
             Ok(list) => {
-                if watch.failures() > 0 {
+                if watch.consecutive_failures() > 0 {
                     eprintln!("discovery {address}: answers again");
                 }
                 let (version, news) = (list.revision, list.complete || !list.members.is_empty());
                 if news && messages.send(Message::Targets(list)).is_err() {
                     return;
                 }
-                watch.answered(version, news, called.elapsed())
+                watch.on_answer(version, news, called.elapsed())
             }
             Err(error) => {
-                if watch.failures() == 0 {
+                if watch.consecutive_failures() == 0 {
                     eprintln!("discovery {address}: {error}");
                 }
                 connection = None;
-                watch.failed(match error.downcast_ref::<Refused>() {
-                    Some(_) if called.elapsed() < AT_ONCE => Failure::TurnedAway,
-                    Some(_) => Failure::Taken,
-                    None => Failure::Lost,
+                watch.on_failure(match error.downcast_ref::<Refused>() {
+                    Some(_) if called.elapsed() < AT_ONCE => PollFailure::TurnedAway,
+                    Some(_) => PollFailure::Taken,
+                    None => PollFailure::Lost,
                 })
             }
         };
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -7,10 +7,10 @@
 use super::discovery::{Phase, Target, TargetList};
 use super::embedded::Link;
 use super::exchange_port::{PendingClient, SocketPort};
-use super::peers::Peers;
+use super::peers::PeerSocket;
 use super::pool::Pool;
-use super::sets;
 use super::succession::Inheritance;
+use super::task_scheduler;
 use super::{ClientAnswer, ClientRequest, Clock, Message, Messages};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
     /// The last known list of backends.
     pub initial_targets: TargetList,
     pub counter: Option<Link>,
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSocket>,
     /// Backends that operators have ejected.
     pub ejections: ManualEjections,
     /// Whether this process takes over from one that is still running.
@@ -118,7 +118,7 @@
                 self.handle_message(now, message);
                 self.exchange.process_events(now);
                 if let Some((member, started_at)) = charged_member {
-                    sets::charge(member, started_at.elapsed().as_micros() as u64);
+                    task_scheduler::charge(member, started_at.elapsed().as_micros() as u64);
                 }
             }
             if self.retiring && self.pool.open_requests() == 0 && self.exchange.is_idle() {
--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -2,10 +2,10 @@
 
 use super::account::Account;
 use super::backend::{self, AttemptResult, Backend};
-use super::counter::Counter;
+use super::counter_client::CounterClient;
 use super::discovery::Target;
 use super::embedded::Link;
-use super::peers::Peers;
+use super::peers::PeerSocket;
 use super::pool::Pool;
 use super::streaming::Upload;
 use super::tasks::{self, TaskHandle};
@@ -23,7 +23,7 @@
 
 /// An open connection to the shared counter, or the counter in this process.
 pub(crate) enum CounterConnection {
-    Remote(Counter),
+    Remote(CounterClient),
     Embedded(Link),
 }
 
@@ -56,7 +56,7 @@
     pub messages: Messages,
     pub pool: Rc<Pool>,
     pub counter: Option<CounterConnection>,
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSocket>,
     pub report_fields: Rc<[ReportField]>,
     pub backend_ids: BackendIds,
     pub backends: HashMap<BackendId, Rc<Backend>>,
@@ -72,7 +72,7 @@
 impl SocketPort {
     pub fn open(&self, link: Link, timeout: Micros) -> CounterConnection {
         match link {
-            Link::Remote { address, space } => CounterConnection::Remote(Counter::open(
+            Link::Remote { address, space } => CounterConnection::Remote(CounterClient::open(
                 address,
                 space,
                 timeout,
@@ -236,7 +236,7 @@
 
     fn send_to_peers(&mut self, _: Micros, to: Option<u16>, data: Vec<u8>) {
         if let Some(peers) = &self.peers {
-            peers.tell(to, &data);
+            peers.send(to, &data);
         }
     }
 
--- a/crates/ingress/src/consult.rs
+++ b/crates/ingress/src/external_limiter.rs
@@ -31,7 +31,7 @@
 const LARGEST_ANSWER: usize = 64 * 1024;
 
 /// One pool's outside server.
-pub struct Consulting {
+pub struct ExternalLimiterClient {
     file: RefCell<Rc<Consult>>,
     outside: RefCell<ExternalLimiter>,
     /// The connection in use, and what asks on it.
@@ -48,7 +48,7 @@
     pool: String,
 }
 
-impl Consulting {
+impl ExternalLimiterClient {
     pub fn new(
         file: Consult,
         clock: Clock,
@@ -56,9 +56,9 @@
         member: Member,
         set: Rc<TaskSet>,
         pool: String,
-    ) -> Rc<Consulting> {
+    ) -> Rc<ExternalLimiterClient> {
         let outside = ExternalLimiter::new(file.settings, clock.now() ^ (member as u64) << 40);
-        Rc::new(Consulting {
+        Rc::new(ExternalLimiterClient {
             file: RefCell::new(Rc::new(file)),
             outside: RefCell::new(outside),
             link: RefCell::default(),
@@ -73,31 +73,36 @@
     }
 
     /// Whether the same server stands in the new file: what is known of it then stays.
-    pub fn is_at(&self, file: &Consult) -> bool {
+    pub fn has_address_of(&self, file: &Consult) -> bool {
         self.file.borrow().address == file.address
     }
 
-    pub fn change(&self, file: Consult) {
+    pub fn update_settings(&self, file: Consult) {
         self.outside.borrow_mut().update_settings(file.settings);
         *self.file.borrow_mut() = Rc::new(file);
     }
 
-    pub fn asks_about(&self, plan: &str) -> bool {
+    pub fn applies_to_plan(&self, plan: &str) -> bool {
         let file = self.file.borrow();
         file.plans.is_empty() || file.plans.iter().any(|known| known == plan)
     }
 
     /// Asks, and returns by the time that the answer counts until, whatever the server does.
-    pub async fn ask(self: &Rc<Consulting>, about: &PrecheckRequest) -> (Decision, Option<Asked>) {
+    pub async fn query(
+        self: &Rc<ExternalLimiterClient>,
+        about: &PrecheckRequest,
+    ) -> (Decision, Option<ExternalQuery>) {
         let deadline = about.arrived_at.saturating_add(about.timeout);
         let ask = self.outside.borrow_mut().start(self.clock.now(), deadline, key_of(about));
         let (number, until) = match ask {
-            Start::Credited { id: number } => return (Decision::Proceed, Some(Asked::new(self, number))),
+            Start::Credited { id: number } => {
+                return (Decision::Proceed, Some(ExternalQuery::new(self, number)))
+            }
             Start::NoQuery(word) => return (word, None),
             Start::Query { id: number, until } => (number, until),
         };
         // Dropped while it waits, its client has gone.
-        let mut asked = Asked::new(self, number);
+        let mut asked = ExternalQuery::new(self, number);
         asked.left = true;
         let (tell, mut told) = oneshot::channel();
         let request = self.question(about);
@@ -123,7 +128,7 @@
 
     /// Carries a question out and its answer back, in time or late.
     async fn carry(
-        self: Rc<Consulting>,
+        self: Rc<ExternalLimiterClient>,
         number: u64,
         until: Micros,
         request: proto::RateLimitRequest,
@@ -273,24 +278,24 @@
 }
 
 /// A question that has been asked, until its request's end is known.
-pub struct Asked {
-    consulting: Rc<Consulting>,
+pub struct ExternalQuery {
+    consulting: Rc<ExternalLimiterClient>,
     number: u64,
     left: bool,
 }
 
-impl Asked {
-    fn new(consulting: &Rc<Consulting>, number: u64) -> Asked {
-        Asked { consulting: consulting.clone(), number, left: false }
+impl ExternalQuery {
+    fn new(consulting: &Rc<ExternalLimiterClient>, number: u64) -> ExternalQuery {
+        ExternalQuery { consulting: consulting.clone(), number, left: false }
     }
 
-    pub fn ended(self, let_in: bool) {
+    pub fn on_request_end(self, let_in: bool) {
         let now = self.consulting.clock.now();
         self.consulting.outside.borrow_mut().on_request_end(now, self.number, let_in);
     }
 }
 
-impl Drop for Asked {
+impl Drop for ExternalQuery {
     fn drop(&mut self) {
         let now = self.consulting.clock.now();
         let mut outside = self.consulting.outside.borrow_mut();
--- a/crates/ingress/src/passed.rs
+++ b/crates/ingress/src/inherited_listener.rs
@@ -5,7 +5,7 @@
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
 /// Takes up the listening socket that this process has inherited under a number.
-pub fn listener(number: RawFd) -> io::Result<tokio::net::TcpListener> {
+pub fn open(number: RawFd) -> io::Result<tokio::net::TcpListener> {
     if number <= 2 {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "EDGE_PASSED_SOCKET: a number above 2"));
     }
--- a/crates/ingress/src/nodes.rs
+++ b/crates/ingress/src/nodes.rs
@@ -1,16 +1,16 @@
 //! Where a pool's nodes come from: the file's own list, or a discovery that is watched.
 
 use crate::discovery::{self, Phase, Target, TargetList};
+use crate::poll_schedule::PollSchedule;
 use crate::running::Run;
-use crate::sets::Sets;
+use crate::task_scheduler::TaskSets;
 use crate::tasks::TaskSet;
-use crate::watch::Watch;
 use crate::Message;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use violetyoke_config::{self as file, Nodes};
 
 /// Tells the driver of a static list, or has a discovery watched from now on.
-pub fn watch_nodes(run: &mut Run, sets: &Sets, set: &TaskSet) {
+pub fn watch_nodes(run: &mut Run, sets: &TaskSets, set: &TaskSet) {
     if let Some(watch) = run.watch.take() {
         watch.abort();
     }
@@ -18,16 +18,16 @@
         Nodes::Discovery(address) => {
             let messages = run.pool.messages();
             // Many processes may watch one discovery: each draws its own pauses.
-            let watch = Watch::new(None, 1, RandomState::new().build_hasher().finish());
-            run.watch = Some(sets.spawn(set, discovery::keep(watch, *address, messages)));
+            let watch = PollSchedule::new(None, 1, RandomState::new().build_hasher().finish());
+            run.watch = Some(sets.spawn(set, discovery::watch_targets(watch, *address, messages)));
         }
         nodes => {
-            run.pool.send(Message::Targets(list(nodes, run.revision)));
+            run.pool.send(Message::Targets(static_target_list(nodes, run.revision)));
         }
     }
 }
 
-pub fn list(nodes: &Nodes, revision: u64) -> TargetList {
+pub fn static_target_list(nodes: &Nodes, revision: u64) -> TargetList {
     let Nodes::Static(nodes) = nodes else { return TargetList::default() };
     let target = |node: &file::Node| Target {
         id: node.id.clone(),
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -11,14 +11,14 @@
 /// The longest datagram that is allowed.
 const MAX_STREAMED_BODY: usize = 256;
 
-pub struct Peers {
+pub struct PeerSocket {
     socket: Rc<UdpSocket>,
     peers: Vec<SocketAddr>,
     all: Option<SocketAddr>,
 }
 
-impl Peers {
-    pub fn open(address: SocketAddr, config: &Config, messages: Messages) -> io::Result<Peers> {
+impl PeerSocket {
+    pub fn open(address: SocketAddr, config: &Config, messages: Messages) -> io::Result<PeerSocket> {
         let bind = || {
             let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
             // A successor binds the address while this process still has it; what comes is then the newer one's.
@@ -30,13 +30,13 @@
         let bound = bind()
             .map_err(|error| io::Error::new(error.kind(), format!("peer_listen {address}: {error}")))?;
         let socket = Rc::new(bound);
-        let peers = Peers { socket: socket.clone(), peers: config.peers.clone(), all: config.peers_all };
+        let peers = PeerSocket { socket: socket.clone(), peers: config.peers.clone(), all: config.peers_all };
         tokio::task::spawn_local(receive(socket, config.peers.clone(), messages));
         Ok(peers)
     }
 
     /// Sends to one ingress, or to all; what cannot go out now is lost, as datagrams may be.
-    pub fn tell(&self, to: Option<u16>, data: &[u8]) {
+    pub fn send(&self, to: Option<u16>, data: &[u8]) {
         let address = match to {
             Some(number) => self.peers.get(usize::from(number)).copied(),
             None => self.all,
--- a/crates/ingress/src/platform.rs
+++ b/crates/ingress/src/platform.rs
@@ -7,12 +7,12 @@
 use crate::driver::{Driver, DriverSetup};
 use crate::embedded::Link;
 use crate::handover::Handover;
+use crate::poll_schedule::PollSchedule;
 use crate::pool::Pool;
 use crate::request::{RequestFormat, Rules};
 use crate::router::{Router, Routing};
 use crate::takeover::{inherited, look, Lender};
-use crate::watch::Watch;
-use crate::{discovery, passed, peers, server, Clock, Message, Messages};
+use crate::{discovery, inherited_listener, peers, server, Clock, Message, Messages};
 use siphasher::sip::SipHasher13;
 use std::cell::Cell;
 use std::hash::Hasher;
@@ -35,7 +35,7 @@
     let clock = Clock::start();
     let (messages, inbox) = mpsc::unbounded_channel();
     let listener = match config.passed {
-        Some(number) => passed::listener(number)
+        Some(number) => inherited_listener::open(number)
             .map_err(|error| io::Error::new(error.kind(), format!("descriptor {number}: {error}")))?,
         None => server::listen(config.listen)?,
     };
@@ -50,7 +50,7 @@
     };
     let peers = match config.peer_listen {
         Some(address) if config.settings.limits.peer_messages => {
-            Some(peers::Peers::open(address, &config, messages.clone())?)
+            Some(peers::PeerSocket::open(address, &config, messages.clone())?)
         }
         _ => None,
     };
@@ -81,8 +81,8 @@
     let gateways = setup.settings.gateways;
     let driver = Driver::new(setup, clock, messages.clone(), pool.clone());
     let driver = tokio::task::spawn_local(driver.run(inbox));
-    let watch = Watch::new(version, gateways, config.seed);
-    let watch = discovery::keep(watch, config.discovery, messages.clone());
+    let watch = PollSchedule::new(version, gateways, config.seed);
+    let watch = discovery::watch_targets(watch, config.discovery, messages.clone());
     let reloads = Reloads {
         indices,
         written: config.written,
@@ -182,8 +182,8 @@
             // Another discovery may count versions of its own: a new watch begins with the whole list.
             self.watch.abort();
             (self.discovery, self.seed) = (new.discovery, self.seed.wrapping_add(1));
-            let watch = Watch::new(None, gateways, self.seed);
-            let watch = discovery::keep(watch, new.discovery, self.messages.clone());
+            let watch = PollSchedule::new(None, gateways, self.seed);
+            let watch = discovery::watch_targets(watch, new.discovery, self.messages.clone());
             self.watch = tokio::task::spawn_local(watch);
         }
         if let Some(address) = new.counter.filter(|new| self.counter != Some(*new)) {
--- a/crates/ingress/src/watch.rs
+++ b/crates/ingress/src/poll_schedule.rs
@@ -33,7 +33,7 @@
 
 /// Why a call brought no list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Failure {
+pub enum PollFailure {
     /// Discovery said at once that it takes no call now.
     TurnedAway,
     /// Discovery took the call, and gave it up when it had waited in vain.
@@ -43,19 +43,19 @@
 }
 
 /// One gateway's watch.
-pub struct Watch {
+pub struct PollSchedule {
     version: Option<u64>,
     turned_away: Duration,
     failures: u32,
     chance: Pcg32,
 }
 
-impl Watch {
+impl PollSchedule {
     /// `known`: the version of the list that the gateway holds already; none: the whole list is asked for. The first
     /// call is due at once, in a fleet of any size: a gateway that does not ask counts as told.
-    pub fn new(known: Option<u64>, gateways: u16, seed: u64) -> Watch {
+    pub fn new(known: Option<u64>, gateways: u16, seed: u64) -> PollSchedule {
         let turned_away = (TURNED_AWAY_EACH * u32::from(gateways)).clamp(TURNED_AWAY, MOST_TURNED_AWAY);
-        Watch { version: known, turned_away, failures: 0, chance: Pcg32::seed_from_u64(seed) }
+        PollSchedule { version: known, turned_away, failures: 0, chance: Pcg32::seed_from_u64(seed) }
     }
 
     /// Path and query of the next call.
@@ -67,7 +67,7 @@
     }
 
     /// An answer has brought the list up to `version`, so long after the call; returns the pause before the next.
-    pub fn answered(&mut self, version: u64, news: bool, took: Duration) -> Duration {
+    pub fn on_answer(&mut self, version: u64, news: bool, took: Duration) -> Duration {
         // One that counts anew from less than is known would be waited on for long: it is asked for all it has.
         let anew = self.version.is_some_and(|known| version < known);
         (self.version, self.failures) = (Some(version).filter(|_| !anew), 0);
@@ -79,21 +79,21 @@
     }
 
     /// A call has failed; returns the pause before the next. What is held stays, and the next call goes on from it.
-    pub fn failed(&mut self, failure: Failure) -> Duration {
+    pub fn on_failure(&mut self, failure: PollFailure) -> Duration {
         let doublings = self.failures.min(16);
         self.failures += 1;
         let (first, longest) = match failure {
-            Failure::TurnedAway => (self.turned_away, LONGEST_TURNED_AWAY),
-            Failure::Taken => (TAKEN, TAKEN),
-            Failure::Lost if doublings == 0 => return AGAIN,
-            Failure::Lost => (AGAIN, TAKEN),
+            PollFailure::TurnedAway => (self.turned_away, LONGEST_TURNED_AWAY),
+            PollFailure::Taken => (TAKEN, TAKEN),
+            PollFailure::Lost if doublings == 0 => return AGAIN,
+            PollFailure::Lost => (AGAIN, TAKEN),
         };
         let mean = (first * 2u32.pow(doublings)).min(longest);
         mean.mul_f64(LEAST_PART + 2.0 * (1.0 - LEAST_PART) * self.chance.random::<f64>())
     }
 
     /// Calls in a row that have failed.
-    pub fn failures(&self) -> u32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.failures
     }
 }
--- a/crates/ingress/src/watch/tests.rs
+++ b/crates/ingress/src/poll_schedule/tests.rs
@@ -14,20 +14,20 @@
 trait Caller {
     fn whole(&self) -> bool;
     fn answered(&mut self) -> Duration;
-    fn failed(&mut self, failure: Failure) -> Duration;
+    fn failed(&mut self, failure: PollFailure) -> Duration;
 }
 
-struct Fleet(Watch);
+struct Fleet(PollSchedule);
 
 impl Caller for Fleet {
     fn whole(&self) -> bool {
         !self.0.path().contains("index=")
     }
     fn answered(&mut self) -> Duration {
-        self.0.answered(7, false, WAIT)
+        self.0.on_answer(7, false, WAIT)
     }
-    fn failed(&mut self, failure: Failure) -> Duration {
-        self.0.failed(failure)
+    fn failed(&mut self, failure: PollFailure) -> Duration {
+        self.0.on_failure(failure)
     }
 }
 
@@ -41,7 +41,7 @@
     fn answered(&mut self) -> Duration {
         Duration::ZERO
     }
-    fn failed(&mut self, _: Failure) -> Duration {
+    fn failed(&mut self, _: PollFailure) -> Duration {
         AGAIN
     }
 }
@@ -81,11 +81,11 @@
         seen.calls[i] += 1;
         in_second[(now / S) as usize] += 1;
         let (at, pause) = if busy > now + TIMEOUT {
-            (now + 3 * MS, caller.failed(Failure::TurnedAway))
+            (now + 3 * MS, caller.failed(PollFailure::TurnedAway))
         } else {
             busy = busy.max(now) + if caller.whole() { whole } else { whole / 2 };
             if busy > now + TIMEOUT {
-                (now + TIMEOUT, caller.failed(Failure::Taken))
+                (now + TIMEOUT, caller.failed(PollFailure::Taken))
             } else {
                 seen.first[i].get_or_insert(busy);
                 answered_at[i] = Some(busy);
@@ -100,7 +100,7 @@
 
 fn fleet(gateways: u16, known: Option<u64>) -> Vec<Box<dyn Caller>> {
     (0..gateways)
-        .map(|i| Box::new(Fleet(Watch::new(known, gateways, 977 + u64::from(i)))) as Box<dyn Caller>)
+        .map(|i| Box::new(Fleet(PollSchedule::new(known, gateways, 977 + u64::from(i)))) as Box<dyn Caller>)
         .collect()
 }
 
@@ -140,57 +140,57 @@
 
 #[test]
 fn a_single_lost_call_is_made_again_while_the_watch_still_goes_on() {
-    let mut watch = Watch::new(Some(3), 1, 1);
-    watch.answered(4, true, Duration::from_millis(900));
-    let pause = watch.failed(Failure::Lost);
+    let mut watch = PollSchedule::new(Some(3), 1, 1);
+    watch.on_answer(4, true, Duration::from_millis(900));
+    let pause = watch.on_failure(PollFailure::Lost);
     assert!(pause < Duration::from_micros(GOES_ON), "{pause:?}");
     assert_eq!(watch.path(), "/api/targets?index=4&wait=3000");
     // But a silent discovery is not called twenty times a second.
-    let pauses: Duration = (0..20).map(|_| watch.failed(Failure::Lost)).sum();
+    let pauses: Duration = (0..20).map(|_| watch.on_failure(PollFailure::Lost)).sum();
     assert!(pauses > Duration::from_secs(25), "{pauses:?}");
 }
 
 #[test]
 fn no_pause_after_a_taken_call_lets_word_grow_old() {
-    let mut watch = Watch::new(Some(3), 1, 5);
+    let mut watch = PollSchedule::new(Some(3), 1, 5);
     for _ in 0..1000 {
-        assert!(watch.failed(Failure::Taken) < Duration::from_secs(6));
+        assert!(watch.on_failure(PollFailure::Taken) < Duration::from_secs(6));
     }
 }
 
 #[test]
 fn pauses_after_refusals_double_are_drawn_and_end_with_an_answer() {
     let pauses = |seed| -> Vec<Duration> {
-        let mut watch = Watch::new(Some(3), 1, seed);
-        (0..8).map(|_| watch.failed(Failure::TurnedAway)).collect()
+        let mut watch = PollSchedule::new(Some(3), 1, seed);
+        (0..8).map(|_| watch.on_failure(PollFailure::TurnedAway)).collect()
     };
     for (n, pause) in pauses(1).into_iter().enumerate() {
         let mean = (TURNED_AWAY * 2u32.pow(n as u32)).min(LONGEST_TURNED_AWAY);
         assert!(pause >= mean / 2 && pause <= mean * 3 / 2, "{n}: {pause:?}");
     }
     assert_ne!(pauses(1), pauses(2));
-    let mut watch = Watch::new(None, 1, 1);
+    let mut watch = PollSchedule::new(None, 1, 1);
     for _ in 0..6 {
-        watch.failed(Failure::TurnedAway);
+        watch.on_failure(PollFailure::TurnedAway);
     }
-    watch.answered(9, true, Duration::ZERO);
-    assert!(watch.failed(Failure::TurnedAway) <= TURNED_AWAY * 3 / 2);
+    watch.on_answer(9, true, Duration::ZERO);
+    assert!(watch.on_failure(PollFailure::TurnedAway) <= TURNED_AWAY * 3 / 2);
 }
 
 #[test]
 fn a_discovery_that_counts_anew_is_asked_for_the_whole_list() {
-    let mut watch = Watch::new(Some(41), 1, 1);
-    watch.answered(2, false, WAIT);
+    let mut watch = PollSchedule::new(Some(41), 1, 1);
+    watch.on_answer(2, false, WAIT);
     assert_eq!(watch.path(), "/api/targets");
-    watch.answered(2, true, WAIT);
+    watch.on_answer(2, true, WAIT);
     assert_eq!(watch.path(), "/api/targets?index=2&wait=3000");
 }
 
 #[test]
 fn an_agent_that_does_not_wait_is_not_asked_in_a_loop() {
-    let mut watch = Watch::new(None, 1, 1);
+    let mut watch = PollSchedule::new(None, 1, 1);
     assert_eq!(watch.path(), "/api/targets");
-    assert_eq!(watch.answered(9, true, Duration::ZERO), Duration::ZERO);
-    assert_eq!(watch.answered(9, false, Duration::ZERO), SOON);
-    assert_eq!(watch.answered(9, false, WAIT), Duration::ZERO);
+    assert_eq!(watch.on_answer(9, true, Duration::ZERO), Duration::ZERO);
+    assert_eq!(watch.on_answer(9, false, Duration::ZERO), SOON);
+    assert_eq!(watch.on_answer(9, false, WAIT), Duration::ZERO);
 }
--- a/crates/ingress/src/precheck.rs
+++ b/crates/ingress/src/precheck.rs
@@ -2,7 +2,7 @@
 //! client's named attempt has been counted already, and what an external rate limit server decides. A pool that
 //! needs neither has no precheck, and neither has the pool of the platform's program.
 
-use crate::consult::{Asked, Consulting};
+use crate::external_limiter::{ExternalLimiterClient, ExternalQuery};
 use crate::request::claim_id;
 use crate::{Message, Messages};
 use std::cell::RefCell;
@@ -50,7 +50,7 @@
     pub already_counted: bool,
     /// The id of the attempt's claim, if this request has to record the outcome.
     pub claim: Option<u64>,
-    limiter_query: Option<Asked>,
+    limiter_query: Option<ExternalQuery>,
 }
 
 impl PrecheckPass {
@@ -58,7 +58,7 @@
     /// may have been.
     pub fn finish(&mut self, admitted: bool) {
         if let Some(limiter_query) = self.limiter_query.take() {
-            limiter_query.ended(admitted);
+            limiter_query.on_request_end(admitted);
         }
     }
 }
@@ -75,7 +75,7 @@
 /// The checks of a pool of the service.
 pub struct PoolPrecheck {
     messages: Messages,
-    limiter: RefCell<Option<Rc<Consulting>>>,
+    limiter: RefCell<Option<Rc<ExternalLimiterClient>>>,
 }
 
 impl PoolPrecheck {
@@ -84,29 +84,30 @@
     }
 
     /// Replaces the external limiter. Queries that are in flight end with the limiter that they were sent to.
-    pub fn set_external_limiter(&self, limiter: Option<Rc<Consulting>>) {
+    pub fn set_external_limiter(&self, limiter: Option<Rc<ExternalLimiterClient>>) {
         *self.limiter.borrow_mut() = limiter;
     }
 
-    pub fn external_limiter(&self) -> Option<Rc<Consulting>> {
+    pub fn external_limiter(&self) -> Option<Rc<ExternalLimiterClient>> {
         self.limiter.borrow().clone()
     }
 }
 
 impl Precheck for PoolPrecheck {
     fn applies_to(&self, has_attempt_name: bool, plan: &str) -> bool {
-        has_attempt_name || self.limiter.borrow().as_ref().is_some_and(|limiter| limiter.asks_about(plan))
+        has_attempt_name
+            || self.limiter.borrow().as_ref().is_some_and(|limiter| limiter.applies_to_plan(plan))
     }
 
     fn run(&self, request: PrecheckRequest) -> PrecheckFuture {
-        let limiter = self.external_limiter().filter(|limiter| limiter.asks_about(&request.plan));
+        let limiter = self.external_limiter().filter(|limiter| limiter.applies_to_plan(&request.plan));
         Box::pin(run_checks(self.messages.clone(), limiter, request))
     }
 }
 
 async fn run_checks(
     messages: Messages,
-    limiter: Option<Rc<Consulting>>,
+    limiter: Option<Rc<ExternalLimiterClient>>,
     request: PrecheckRequest,
 ) -> PrecheckOutcome {
     let mut pass = PrecheckPass { already_counted: false, claim: None, limiter_query: None };
@@ -122,7 +123,7 @@
         }
     }
     let Some(limiter) = limiter else { return PrecheckOutcome::Pass(pass) };
-    let (decision, limiter_query) = limiter.ask(&request).await;
+    let (decision, limiter_query) = limiter.query(&request).await;
     match decision {
         Decision::Proceed => {
             pass.limiter_query = limiter_query;
--- a/crates/ingress/src/questions.rs
+++ b/crates/ingress/src/rate_limit_server.rs
@@ -46,15 +46,15 @@
 const FIRST_TIME: Duration = Duration::from_millis(2_400);
 
 /// What questions are answered by; replaced as a whole by a reload.
-pub struct Asking {
+pub struct RateLimitConfig {
     pub file: File,
     /// By the numbers that the mapping has.
     pub pools: Vec<Rc<Pool>>,
 }
 
 /// The service, as its connections share it.
-pub struct Questions {
-    asking: RefCell<Rc<Asking>>,
+pub struct RateLimitServer {
+    asking: RefCell<Rc<RateLimitConfig>>,
     clock: Clock,
     descriptors: SharedCapacity,
     member: Member,
@@ -97,11 +97,16 @@
     Status::invalid_argument("grpc-timeout: at most 8 digits and one of H, M, S, m, u, n")
 }
 
-impl Questions {
-    pub fn new(asking: Asking, clock: Clock, descriptors: SharedCapacity, member: Member) -> Rc<Questions> {
+impl RateLimitServer {
+    pub fn new(
+        asking: RateLimitConfig,
+        clock: Clock,
+        descriptors: SharedCapacity,
+        member: Member,
+    ) -> Rc<RateLimitServer> {
         let most = asking.file.connections;
         descriptors.borrow_mut().set_limits(member, 0, most);
-        Rc::new(Questions {
+        Rc::new(RateLimitServer {
             asking: RefCell::new(Rc::new(asking)),
             clock,
             descriptors,
@@ -112,7 +117,7 @@
     }
 
     /// Answers by a new file from now on; its listener stays.
-    pub fn replace(&self, asking: Asking) {
+    pub fn update_config(&self, asking: RateLimitConfig) {
         self.descriptors.borrow_mut().set_limits(self.member, 0, asking.file.connections);
         *self.asking.borrow_mut() = Rc::new(asking);
     }
@@ -123,7 +128,7 @@
 
     /// Accepts until SIGTERM; returns once what was taken has been answered, or `longest` has passed.
     pub async fn serve(
-        self: Rc<Questions>,
+        self: Rc<RateLimitServer>,
         listener: TcpListener,
         mut terminate: Signal,
         longest: Duration,
@@ -172,7 +177,7 @@
         Ok(())
     }
 
-    fn open(self: &Rc<Questions>, socket: Socket, routes: Routes, mut closing: watch::Receiver<()>) {
+    fn open(self: &Rc<RateLimitServer>, socket: Socket, routes: Routes, mut closing: watch::Receiver<()>) {
         if !self.descriptors.borrow_mut().try_acquire(self.member, 1) {
             return;
         }
@@ -223,7 +228,7 @@
 
 /// A connection's place, given back when its task ends.
 struct Connected {
-    questions: Rc<Questions>,
+    questions: Rc<RateLimitServer>,
 }
 
 impl Drop for Connected {
@@ -250,7 +255,7 @@
 
 /// Answers a question: all of its descriptors, or none.
 async fn answer_one(
-    asking: &Asking,
+    asking: &RateLimitConfig,
     clock: Clock,
     handing: Handing,
 ) -> Result<proto::RateLimitResponse, Status> {
@@ -315,7 +320,7 @@
 }
 
 impl Ready {
-    fn check(asking: &Asking, number: usize, query: QuotaQuery) -> Result<Ready, Status> {
+    fn check(asking: &RateLimitConfig, number: usize, query: QuotaQuery) -> Result<Ready, Status> {
         let wrong = |what: &str| Status::invalid_argument(format!("descriptors[{number}]: {what}"));
         let pool = asking.pools.get(query.pool).ok_or_else(|| Status::internal("the pool is gone"))?;
         let rules = pool.rules();
--- a/crates/ingress/src/router.rs
+++ b/crates/ingress/src/router.rs
@@ -1,9 +1,9 @@
 //! Selects the pool for a request. The routing table is replaced as a whole; a request that has been matched
 //! keeps its pool.
 
-use crate::guest::Guest;
 use crate::pool::Pool;
 use crate::request::{bad_request, Rejection};
+use crate::tenant_access::TenantAccess;
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use hyper::{StatusCode, Uri};
@@ -31,7 +31,7 @@
     /// The class of requests that name none.
     pub class: Option<String>,
     /// The tenant that owns the route, if any.
-    pub tenant: Option<Rc<dyn Guest>>,
+    pub tenant: Option<Rc<dyn TenantAccess>>,
 }
 
 pub struct RouteMatch {
@@ -39,7 +39,7 @@
     /// The normalized request target that is sent to the backend.
     pub uri: Uri,
     pub class: Option<u16>,
-    pub tenant: Option<Rc<dyn Guest>>,
+    pub tenant: Option<Rc<dyn TenantAccess>>,
 }
 
 impl Router {
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -6,9 +6,9 @@
 use crate::pool::{Pool, SharedCapacity};
 use crate::precheck::PoolPrecheck;
 use crate::prepared::{HostedRoute, Prepared};
-use crate::questions::Asking;
+use crate::rate_limit_server::RateLimitConfig;
 use crate::router::{Route, Routing};
-use crate::sets::Sets;
+use crate::task_scheduler::TaskSets;
 use crate::tasks::{TaskHandle, TaskSet};
 use crate::tenants::Tenancy;
 use crate::Clock;
@@ -30,7 +30,7 @@
 /// The pools that run, and what they share.
 pub struct Pools {
     pub clock: Clock,
-    pub sets: Rc<Sets>,
+    pub sets: Rc<TaskSets>,
     pub door: Rc<TaskSet>,
     pub descriptors: SharedCapacity,
     pub bytes: SharedCapacity,
@@ -54,7 +54,7 @@
 }
 
 impl Pools {
-    pub fn new(config: &file::Service, sets: Rc<Sets>, door: Rc<TaskSet>, uses: UsageCounters) -> Pools {
+    pub fn new(config: &file::Service, sets: Rc<TaskSets>, door: Rc<TaskSet>, uses: UsageCounters) -> Pools {
         let capacity = |total| Rc::new(RefCell::new(CapacityPool::new(total)));
         let (descriptors, bytes) = (capacity(config.descriptors), capacity(config.buffered_bytes));
         let open = config.control.as_ref().map_or(0, |control| control.open_requests);
@@ -79,7 +79,7 @@
         config: &file::Service,
         prepared: &Prepared,
         hosted: Vec<HostedRoute>,
-    ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<TenantDirectory>)) {
+    ) -> (Routing, Option<RateLimitConfig>, (Vec<Member>, Arc<TenantDirectory>)) {
         let door = config.descriptors / DOOR_PART;
         self.descriptors.borrow_mut().resize(config.descriptors);
         self.descriptors.borrow_mut().set_limits(
@@ -132,7 +132,7 @@
             class: route.class,
             tenant: self.tenancy.tenant(&route.tenant),
         }));
-        let asking = config.ratelimit.clone().map(|file| Asking { file, pools });
+        let asking = config.ratelimit.clone().map(|file| RateLimitConfig { file, pools });
         (Routing::Table { table: prepared.table.clone(), routes }, asking, left)
     }
 
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -2,11 +2,11 @@
 //! driver, and shuts down on SIGTERM.
 
 use super::connections::{ClientConnection, ConnectionTable, Stage};
+use super::migrating_task;
 use super::pool::{Pool, ResponseBody};
 use super::precheck::{PrecheckOutcome, PrecheckRequest};
 use super::quota_headers;
 use super::request::{account_name, bad_request, check, read_body, Rejection, BODY_TIMED_OUT};
-use super::roaming;
 use super::router::{RouteMatch, Router};
 use super::socket::Socket;
 use super::streaming::ResponseInProgress;
@@ -243,7 +243,7 @@
         }
     };
     match unassigned_tasks {
-        Some(unassigned_tasks) => roaming::start(&unassigned_tasks, Box::pin(work), connection),
+        Some(unassigned_tasks) => migrating_task::spawn(&unassigned_tasks, Box::pin(work), connection),
         None => connection.set_task(tasks::spawn(work)),
     }
 }
@@ -267,7 +267,7 @@
     let RouteMatch { pool, uri, class, tenant } = shared.router.find(&head)?;
     // The member whose capacity the request uses.
     let member = tenant.as_ref().map_or(pool.member, |tenant| tenant.member());
-    let set = || tenant.as_ref().map_or_else(|| pool.set.clone(), |tenant| tenant.set());
+    let set = || tenant.as_ref().map_or_else(|| pool.set.clone(), |tenant| tenant.task_set());
     if !shared.connections.assign(client, member, set) {
         return Ok(with_connection_close(empty_response(StatusCode::SERVICE_UNAVAILABLE)));
     }
@@ -282,8 +282,8 @@
         None => None,
         Some(tenant) => match tenant.admit(pool.member, &account_name(&head.headers)) {
             Ok(admitted) => {
-                (terms.plan, terms.customer) = (admitted.plan, admitted.customer);
-                Some(admitted.place)
+                (terms.plan, terms.customer) = (admitted.plan, admitted.customer_id);
+                Some(admitted.open_request)
             }
             Err(rejection) if rejection.code == StatusCode::SERVICE_UNAVAILABLE => {
                 return Ok(with_connection_close(rejection_response(shared, rejection)));
@@ -311,7 +311,7 @@
             attempt_name: terms.attempt_name,
             account: tenant.as_ref().map_or_else(
                 || account_name(&head.headers),
-                |tenant| tenant.account(&account_name(&head.headers)),
+                |tenant| tenant.qualified_account(&account_name(&head.headers)),
             ),
             plan: rules.plans[usize::from(plan)].clone(),
             class: Some(rules.classes[usize::from(terms.class)].clone()),
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -3,10 +3,10 @@
 
 use crate::connections::{ConnectionTable, UNASSIGNED};
 use crate::prepared::Prepared;
-use crate::questions::{Asking, Questions};
+use crate::rate_limit_server::{RateLimitConfig, RateLimitServer};
 use crate::router::{Router, Routing};
 use crate::running::{Pools, ASKING};
-use crate::sets::{Running, Sets};
+use crate::task_scheduler::{FairExecutor, TaskSets};
 use crate::{duties, follow, server};
 use std::cell::{Cell, RefCell};
 use std::fs;
@@ -45,9 +45,9 @@
     let reload = signal(SignalKind::hangup())?;
     let listener = server::listen(config.listen)?;
     let address = listener.local_addr()?;
-    let (sets, over) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
+    let (sets, over) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
     let door = sets.add(UNASSIGNED, DOOR_WEIGHT);
-    let running = Running::new(sets.clone(), over.clone());
+    let running = FairExecutor::new(sets.clone(), over.clone());
     let uses = UsageCounters::default();
     let mut pools = Pools::new(&config, sets.clone(), door.clone(), uses.clone());
     let config = Arc::new(config);
@@ -64,7 +64,7 @@
     let routes = std::mem::take(&mut prepared.routes);
     let (routing, asking, _) = pools.apply(&config, &prepared, routes);
     let questions =
-        asking.map(|asking| Questions::new(asking, pools.clock, pools.descriptors.clone(), ASKING));
+        asking.map(|asking| RateLimitServer::new(asking, pools.clock, pools.descriptors.clone(), ASKING));
     let clients = ConnectionTable::with_shared_capacity(pools.descriptors.clone());
     let shared =
         Rc::new(server::ServerState::new(Router::new(routing), pools.clock, clients, Some(door.clone())));
@@ -128,7 +128,7 @@
     in_force: watched::Sender<Arc<file::Service>>,
     mut pools: Pools,
     shared: Rc<server::ServerState>,
-    questions: Option<Rc<Questions>>,
+    questions: Option<Rc<RateLimitServer>>,
     mut reload: tokio::signal::unix::Signal,
     mut offered: mpsc::Receiver<follow::Offered>,
 ) {
@@ -204,8 +204,8 @@
     prepared.unwrap_or_else(|_| Err("it could not be checked".into()))
 }
 
-fn sets_weight(pools: &Pools, asking: &Asking) {
-    pools.sets.weigh(ASKING, asking.file.weight);
+fn sets_weight(pools: &Pools, asking: &RateLimitConfig) {
+    pools.sets.set_weight(ASKING, asking.file.weight);
 }
 
 /// Puts a file and tenants in force that have been checked together. What they take the place of is dropped on
@@ -215,7 +215,7 @@
     config: &file::Service,
     mut prepared: Prepared,
     shared: &Rc<server::ServerState>,
-    questions: Option<&Rc<Questions>>,
+    questions: Option<&Rc<RateLimitServer>>,
 ) {
     let routes = std::mem::take(&mut prepared.routes);
     let (routing, asking, (gone, held)) = pools.apply(config, &prepared, routes);
@@ -225,7 +225,7 @@
     };
     if let (Some(questions), Some(asking)) = (questions, asking) {
         sets_weight(pools, &asking);
-        questions.replace(asking);
+        questions.update_config(asking);
     }
     pools.retire(config, &shared.connections);
     for member in gone {
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -3,10 +3,10 @@
 use crate::backend::ConnectionBudget;
 use crate::class_plan_indices::ClassPlanIndices;
 use crate::config::Names;
-use crate::consult::Consulting;
 use crate::driver::{Driver, DriverSetup};
 use crate::embedded::Link;
-use crate::nodes::{list, watch_nodes};
+use crate::external_limiter::ExternalLimiterClient;
+use crate::nodes::{static_target_list, watch_nodes};
 use crate::pool::Pool;
 use crate::precheck::PoolPrecheck;
 use crate::running::{Pools, Run};
@@ -54,7 +54,7 @@
             names: names(file),
             seed: self.clock.now() ^ (member as u64) << 48,
             budget: ConnectionBudget::new(self.descriptors.clone(), member),
-            initial_targets: list(&file.nodes, 1),
+            initial_targets: static_target_list(&file.nodes, 1),
             counter: Some(self.link(file)),
             peers: None,
             ejections: ManualEjections::default(),
@@ -85,14 +85,14 @@
     fn consult(&self, run: &Run, file: &file::Pool) {
         let old = run.checks.external_limiter();
         run.checks.set_external_limiter(file.consult.clone().map(|consult| match old {
-            Some(old) if old.is_at(&consult) => {
-                old.change(consult);
+            Some(old) if old.has_address_of(&consult) => {
+                old.update_settings(consult);
                 old
             }
             _ => {
                 let set = run.pool.set.clone().unwrap_or_else(|| self.door.clone());
                 let (descriptors, name) = (self.descriptors.clone(), file.name.clone());
-                Consulting::new(consult, self.clock, descriptors, run.pool.member, set, name)
+                ExternalLimiterClient::new(consult, self.clock, descriptors, run.pool.member, set, name)
             }
         }));
     }
@@ -109,7 +109,7 @@
             return;
         }
         run.hosted = hosted.to_vec();
-        self.sets.weigh(run.pool.member, file.weight);
+        self.sets.set_weight(run.pool.member, file.weight);
         run.slots.update(file, hosted);
         run.pool.update(run.slots.rules(file), file.open_requests);
         run.pool.quota_headers.set(file.fields);
--- a/crates/ingress/src/sets.rs
+++ b/crates/ingress/src/task_scheduler.rs
@@ -24,11 +24,11 @@
     /// Whether there are sets. Plain and never written in the platform's program, so that the linker's optimiser
     /// finds what is for sets only to be dead there: it would be memory held and never used.
     static ANY: Cell<bool> = const { Cell::new(false) };
-    static WOKEN: RefCell<Option<Arc<Woken>>> = const { RefCell::new(None) };
+    static WOKEN: RefCell<Option<Arc<WakeQueue>>> = const { RefCell::new(None) };
 }
 
 /// How tasks of this thread's sets tell that they have something to do; none: there are no sets.
-pub fn woken() -> Option<Arc<Woken>> {
+pub fn wake_queue() -> Option<Arc<WakeQueue>> {
     if !ANY.get() {
         return None;
     }
@@ -37,20 +37,20 @@
 
 /// Charges a member for what another's task has done for it, in microseconds.
 pub fn charge(member: Member, cost: u64) {
-    if let Some(woken) = woken() {
+    if let Some(woken) = wake_queue() {
         woken.charges.lock().unwrap_or_else(PoisonError::into_inner).push((member, cost));
     }
 }
 
 /// Members whose sets have something to do, and how to wake the whole.
 #[derive(Default)]
-pub struct Woken {
+pub struct WakeQueue {
     state: Mutex<(Vec<Member>, Option<Waker>)>,
     /// What has been done for members in others' turns, in microseconds.
     charges: Mutex<Vec<(Member, u64)>>,
 }
 
-impl Woken {
+impl WakeQueue {
     pub fn wake(&self, member: Member) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if !state.0.contains(&member) {
@@ -64,8 +64,8 @@
 
 /// The sets, for those who add and end them.
 #[derive(Default)]
-pub struct Sets {
-    woken: Arc<Woken>,
+pub struct TaskSets {
+    woken: Arc<WakeQueue>,
     pending: RefCell<Vec<Change>>,
 }
 
@@ -75,14 +75,14 @@
     Remove(Member),
 }
 
-impl Sets {
+impl TaskSets {
     pub fn add(&self, member: Member, weight: u64) -> Rc<TaskSet> {
         let set = TaskSet::new(member);
         self.pending.borrow_mut().push(Change::Add(weight, set.clone()));
         set
     }
 
-    pub fn weigh(&self, member: Member, weight: u64) {
+    pub fn set_weight(&self, member: Member, weight: u64) {
         self.pending.borrow_mut().push(Change::Weight(member, weight));
     }
 
@@ -97,19 +97,19 @@
 }
 
 /// Runs all sets until one of their tasks ends the whole.
-pub struct Running {
-    sets: Rc<Sets>,
+pub struct FairExecutor {
+    sets: Rc<TaskSets>,
     scheduler: FairScheduler,
     runs: BTreeMap<Member, Rc<TaskSet>>,
     over: Rc<Cell<bool>>,
 }
 
-impl Running {
+impl FairExecutor {
     /// `over` ends it.
-    pub fn new(sets: Rc<Sets>, over: Rc<Cell<bool>>) -> Running {
+    pub fn new(sets: Rc<TaskSets>, over: Rc<Cell<bool>>) -> FairExecutor {
         ANY.set(true);
         WOKEN.set(Some(sets.woken.clone()));
-        Running { sets, scheduler: FairScheduler::new(QUANTUM), runs: BTreeMap::new(), over }
+        FairExecutor { sets, scheduler: FairScheduler::new(QUANTUM), runs: BTreeMap::new(), over }
     }
 
     fn take_changes(&mut self) {
@@ -148,7 +148,7 @@
     }
 }
 
-impl Future for Running {
+impl Future for FairExecutor {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
--- a/crates/ingress/src/sets/tests.rs
+++ b/crates/ingress/src/task_scheduler/tests.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_set_with_many_tasks_keeps_another_with_one_waiting_for_a_turn_only() {
-    let (sets, over) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
+    let (sets, over) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
     let (flood, calm) = (sets.add(1, 1), sets.add(2, 1));
     let flooded = Rc::new(Cell::new(0u32));
     for _ in 0..200 {
@@ -50,7 +50,7 @@
         ended.set(true);
     });
     let waker = Waker::from(Arc::new(Noted(Mutex::new(0))));
-    let mut running = Running::new(sets, over);
+    let mut running = FairExecutor::new(sets, over);
     while Pin::new(&mut running).poll(&mut Context::from_waker(&waker)).is_pending() {}
     drop(task);
     // Nine waits for turns of 200 us, of polls of 50 us, and a generous part for a machine that stalls. In one
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_task_started_by_a_task_is_its_sets_and_an_aborted_one_is_dropped() {
-    let (sets, over) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
+    let (sets, over) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
     let set = sets.add(7, 1);
     let alive = Rc::new(());
     let (ended, held) = (over.clone(), alive.clone());
@@ -75,7 +75,7 @@
         ended.set(true);
     });
     let waker = Waker::from(Arc::new(Noted(Mutex::new(0))));
-    let mut running = Running::new(sets, over);
+    let mut running = FairExecutor::new(sets, over);
     while Pin::new(&mut running).poll(&mut Context::from_waker(&waker)).is_pending() {}
     assert_eq!(Rc::strong_count(&alive), 1);
 }
--- a/crates/ingress/src/tasks.rs
+++ b/crates/ingress/src/tasks.rs
@@ -2,7 +2,7 @@
 //! that the fair scheduler counts its work for that pool. Where there are no task sets (the platform's
 //! program), tasks are tokio's own.
 
-use crate::sets::Woken;
+use crate::task_scheduler::WakeQueue;
 use async_task::{Runnable, Task};
 use hyper::rt::Executor;
 use std::cell::RefCell;
@@ -39,11 +39,15 @@
     }
 
     /// Starts a task in this set; `woken` is notified whenever the task becomes ready.
-    pub fn spawn(&self, woken: &Arc<Woken>, future: impl Future<Output = ()> + 'static) -> TaskHandle {
-        let (queue, woken, member) = (self.queue.clone(), woken.clone(), self.member);
+    pub fn spawn(
+        &self,
+        wake_queue: &Arc<WakeQueue>,
+        future: impl Future<Output = ()> + 'static,
+    ) -> TaskHandle {
+        let (queue, wake_queue, member) = (self.queue.clone(), wake_queue.clone(), self.member);
         let schedule = move |runnable| {
             queue.runnable.lock().unwrap_or_else(PoisonError::into_inner).push_back(runnable);
-            woken.wake(member);
+            wake_queue.wake(member);
         };
         let (runnable, task) = async_task::spawn_local(future, schedule);
         runnable.schedule();
@@ -64,19 +68,19 @@
 
 /// Starts a task in the set of the task that calls this, or on tokio if there is none.
 pub fn spawn(future: impl Future<Output = ()> + 'static) -> TaskHandle {
-    let Some(woken) = crate::sets::woken() else {
+    let Some(wake_queue) = crate::task_scheduler::wake_queue() else {
         return TaskHandle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle()));
     };
     match CURRENT.with_borrow(Clone::clone) {
-        Some(set) => set.spawn(&woken, future),
+        Some(set) => set.spawn(&wake_queue, future),
         None => TaskHandle(Inner::Tokio(tokio::task::spawn_local(future).abort_handle())),
     }
 }
 
 /// Starts a task in the given set, whichever set the caller runs in.
 pub fn spawn_in(set: &TaskSet, future: impl Future<Output = ()> + 'static) {
-    if let Some(woken) = crate::sets::woken() {
-        drop(set.spawn(&woken, future));
+    if let Some(wake_queue) = crate::task_scheduler::wake_queue() {
+        drop(set.spawn(&wake_queue, future));
     }
 }
 
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -1,11 +1,11 @@
 //! Tenants as the service runs them: each tenant's room, turns and plans, and what it has used.
 
-use crate::guest::{Admitted, Guest};
 use crate::pool::SharedCapacity;
 use crate::prepared::{slot, Prepared};
 use crate::request::{bad_request, Rejection};
-use crate::sets::Sets;
+use crate::task_scheduler::TaskSets;
 use crate::tasks::TaskSet;
+use crate::tenant_access::{TenantAccess, TenantAdmission};
 use hyper::StatusCode;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
     /// The numbers of its plans in each pool that it has routes to.
     plans: RefCell<BTreeMap<Member, Vec<u16>>>,
     requests: SharedCapacity,
-    sets: Option<Rc<Sets>>,
+    sets: Option<Rc<TaskSets>>,
     /// Made when its first request comes: most tenants are quiet.
     set: RefCell<Option<Rc<TaskSet>>>,
     /// Tries that were let in, until they are told of.
@@ -46,23 +46,23 @@
 /// A tenant with itself at hand: places hold it.
 pub struct Handle(pub Rc<Tenant>);
 
-impl Guest for Handle {
+impl TenantAccess for Handle {
     fn member(&self) -> Member {
         self.0.member
     }
 
-    fn set(&self) -> Option<Rc<TaskSet>> {
+    fn task_set(&self) -> Option<Rc<TaskSet>> {
         let sets = self.0.sets.as_ref()?;
         let mut set = self.0.set.borrow_mut();
         let weight = u64::from(self.0.view.borrow().weight);
         Some(set.get_or_insert_with(|| sets.add(self.0.member, weight)).clone())
     }
 
-    fn account(&self, name: &str) -> String {
+    fn qualified_account(&self, name: &str) -> String {
         format!("{}/{name}", self.0.view.borrow().name)
     }
 
-    fn admit(&self, pool: Member, account: &str) -> Result<Admitted, Rejection> {
+    fn admit(&self, pool: Member, account: &str) -> Result<TenantAdmission, Rejection> {
         const FULL: Rejection =
             Rejection { code: StatusCode::SERVICE_UNAVAILABLE, reason: "tenant: no room" };
         const DRAINS: Rejection =
@@ -84,8 +84,8 @@
             return Err(FULL);
         }
         tenant.used.fetch_add(1, Ordering::Relaxed);
-        let customer = account_number(&view.name, view.epoch, account);
-        Ok(Admitted { plan: *plan, customer, place: Box::new(Place(tenant.clone())) })
+        let customer_id = account_number(&view.name, view.epoch, account);
+        Ok(TenantAdmission { plan: *plan, customer_id, open_request: Box::new(Place(tenant.clone())) })
     }
 }
 
@@ -96,7 +96,7 @@
     requests: SharedCapacity,
     descriptors: SharedCapacity,
     bytes: SharedCapacity,
-    sets: Option<Rc<Sets>>,
+    sets: Option<Rc<TaskSets>>,
     uses: UsageCounters,
 }
 
@@ -108,7 +108,7 @@
         open_requests: u64,
         descriptors: SharedCapacity,
         bytes: SharedCapacity,
-        sets: Option<Rc<Sets>>,
+        sets: Option<Rc<TaskSets>>,
         uses: UsageCounters,
     ) -> Tenancy {
         let requests = Rc::new(RefCell::new(CapacityPool::new(open_requests)));
@@ -154,7 +154,7 @@
             if changed {
                 self.share(config, &tenant, view);
                 if let (Some(sets), Some(_)) = (&self.sets, &*tenant.set.borrow()) {
-                    sets.weigh(tenant.member, u64::from(view.weight));
+                    sets.set_weight(tenant.member, u64::from(view.weight));
                 }
                 *tenant.view.borrow_mut() = view.clone();
             }
@@ -193,7 +193,7 @@
         }
     }
 
-    pub fn tenant(&self, name: &str) -> Option<Rc<dyn Guest>> {
-        self.running.get(name).map(|tenant| Rc::new(Handle(tenant.clone())) as Rc<dyn Guest>)
+    pub fn tenant(&self, name: &str) -> Option<Rc<dyn TenantAccess>> {
+        self.running.get(name).map(|tenant| Rc::new(Handle(tenant.clone())) as Rc<dyn TenantAccess>)
     }
 }
