--- a/crates/ingress/src/counter_client.rs
+++ b/crates/ingress/src/counter_client.rs
@@ -1,4 +1,5 @@
-//! The shared counter: RESP2 calls, written one behind another, answered in their order.
+//! The client of the counter service. Calls are sent in the RESP2 protocol and pipelined on one connection; replies arrive
+//! in the order of the calls.
 
 use super::{tasks, Clock, Message, Messages};
 use std::cell::Cell;
@@ -13,24 +14,28 @@
 use tokio::time::{sleep, timeout};
 use violetyoke_decision::interface::{Micros, Outcome};
 
-/// Most calls handed over and not yet answered: a stalled counter must not grow memory without bound.
-const MOST_CALLS: usize = 4096;
-/// Calls written in one go.
-const BATCH: usize = 64;
-/// How long a connection may owe its oldest answer before it is given up for a new one.
-const STALL: Duration = Duration::from_secs(2);
-/// Idle time after which a connection is not trusted: the counter closes idle ones after 10 s or less.
-const IDLE: Micros = 4_000_000;
-const CONNECT: Duration = Duration::from_millis(250);
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// The maximum number of unanswered calls, so that a stalled counter service does not make memory grow without bound.
+const MAX_CALLS: usize = 4096;
+/// The maximum number of calls in one write.
+const MAX_BATCH: usize = 64;
+/// A connection on which the oldest reply is outstanding for this long is closed and replaced.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection that was idle for this long is replaced before the next call: the counter service closes idle connections
+/// after 10 s or less.
+const MAX_IDLE_TIME: Micros = 4_000_000;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// The pause after the first failed attempt to connect; it doubles with each further one, up to `MAX_RECONNECT_PAUSE`.
+const MIN_RECONNECT_PAUSE: Duration = Duration::from_millis(20);
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(500);
 
+/// A call that adds an amount to a counter and returns the total.
 struct Call {
     id: u64,
-    at: Micros,
+    created_at: Micros,
     name: u64,
     amount: f64,
-    life: Micros,
+    /// How long the counter service keeps the counter after the call.
+    ttl: Micros,
     written: Rc<Cell<bool>>,
 }
 
@@ -41,18 +46,18 @@
 
 struct Shared {
     clock: Clock,
-    /// What names begin with, and a colon: pools that share a counter must not meet there.
-    space: Option<Rc<str>>,
-    /// After that long a call has been reported as never made and must not be written any more.
+    /// The prefix of counter names, without the colon. It separates the counters of pools that share a counter service.
+    namespace: Option<Rc<str>>,
+    /// A call that was not written within this time has been reported as not made, and must not be written any more.
     timeout: Micros,
     messages: Messages,
-    /// Calls not yet answered.
-    held: Cell<usize>,
+    /// The number of calls that have not ended.
+    open_calls: Cell<usize>,
 }
 
 impl Shared {
     fn end(&self, call: u64, outcome: Outcome, total: f64) {
-        self.held.set(self.held.get() - 1);
+        self.open_calls.set(self.open_calls.get() - 1);
         let _ = self.messages.send(Message::CounterCallEnded { call, outcome, total });
     }
 }
@@ -60,55 +65,65 @@
 impl CounterClient {
     pub fn open(
         address: SocketAddr,
-        space: Option<Rc<str>>,
+        namespace: Option<Rc<str>>,
         timeout: Micros,
         clock: Clock,
         messages: Messages,
     ) -> CounterClient {
         let (queue, calls) = mpsc::unbounded_channel();
-        let shared = Rc::new(Shared { clock, space, timeout, messages, held: Cell::new(0) });
+        let shared = Rc::new(Shared { clock, namespace, timeout, messages, open_calls: Cell::new(0) });
         tasks::spawn(run(address, shared.clone(), calls));
         CounterClient { queue, shared }
     }
 
-    /// Makes a call, and tells by then whether it may have been written; none if it can't be made.
-    pub fn call(&self, id: u64, at: Micros, name: u64, amount: f64, life: Micros) -> Option<Rc<Cell<bool>>> {
-        if self.shared.held.get() >= MOST_CALLS {
+    /// Queues a call. Returns a flag that is set once the call may have been written to the connection; `None` if there are
+    /// too many unanswered calls.
+    pub fn call(
+        &self,
+        id: u64,
+        created_at: Micros,
+        name: u64,
+        amount: f64,
+        ttl: Micros,
+    ) -> Option<Rc<Cell<bool>>> {
+        if self.shared.open_calls.get() >= MAX_CALLS {
             return None;
         }
         let written = Rc::new(Cell::new(false));
-        self.queue.send(Call { id, at, name, amount, life, written: written.clone() }).ok()?;
-        self.shared.held.set(self.shared.held.get() + 1);
+        self.queue.send(Call { id, created_at, name, amount, ttl, written: written.clone() }).ok()?;
+        self.shared.open_calls.set(self.shared.open_calls.get() + 1);
         Some(written)
     }
 }
 
+/// Connects while there are calls, and fails the calls that arrive while no connection can be opened.
 async fn run(address: SocketAddr, shared: Rc<Shared>, mut queue: mpsc::UnboundedReceiver<Call>) {
     let mut batch = Vec::new();
-    let mut pause = FIRST_PAUSE;
+    let mut pause = MIN_RECONNECT_PAUSE;
     loop {
-        if batch.is_empty() && queue.recv_many(&mut batch, BATCH).await == 0 {
+        if batch.is_empty() && queue.recv_many(&mut batch, MAX_BATCH).await == 0 {
             return;
         }
-        let connected = timeout(CONNECT, TcpStream::connect(address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let connected = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         match connected.and_then(|stream| stream.set_nodelay(true).map(|()| stream)) {
-            // However it ends, the next one is opened at once: each takes a call along, so this can't spin.
+            // When this connection ends, the next one is opened without a pause. This cannot become a busy loop, as at least
+            // one call is written to, or expires on, each connection.
             Ok(stream) => {
-                pause = FIRST_PAUSE;
-                let mut slots = VecDeque::new();
-                let _ = converse(stream, &shared, &mut queue, &mut batch, &mut slots).await;
-                // Written and unanswered: it may have been added, or may yet be.
-                slots.drain(..).for_each(|(id, _)| shared.end(id, Outcome::Timeout, 0.0));
+                pause = MIN_RECONNECT_PAUSE;
+                let mut unanswered = VecDeque::new();
+                let _ = serve_connection(stream, &shared, &mut queue, &mut batch, &mut unanswered).await;
+                // These calls were written: the counter service may have executed them, or may still do so.
+                unanswered.drain(..).for_each(|(id, _)| shared.end(id, Outcome::Timeout, 0.0));
             }
             Err(_) => {
                 batch.drain(..).for_each(|call| shared.end(call.id, Outcome::ConnectFailed, 0.0));
-                let wake = sleep(pause);
-                tokio::pin!(wake);
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                let pause_end = sleep(pause);
+                tokio::pin!(pause_end);
+                pause = (pause * 2).min(MAX_RECONNECT_PAUSE);
                 loop {
                     tokio::select! {
-                        () = &mut wake => break,
+                        () = &mut pause_end => break,
                         call = queue.recv() => match call {
                             Some(call) => shared.end(call.id, Outcome::ConnectFailed, 0.0),
                             None => return,
@@ -120,92 +135,94 @@
     }
 }
 
-/// Speaks on one connection until it breaks or has stood idle when calls come. Calls in `batch` stay there
-/// until they are written; those in `slots` have been, and wait for their answers.
-async fn converse(
+/// Sends calls and reads replies on one connection, until it breaks, or calls arrive after it was idle for too long. Calls
+/// in `batch` have not been written; calls in `unanswered` have been written at the given time and wait for their replies.
+async fn serve_connection(
     mut stream: TcpStream,
     shared: &Shared,
     queue: &mut mpsc::UnboundedReceiver<Call>,
     batch: &mut Vec<Call>,
-    slots: &mut VecDeque<(u64, Micros)>,
+    unanswered: &mut VecDeque<(u64, Micros)>,
 ) -> io::Result<()> {
     let (mut reader, mut writer) = stream.split();
     let (mut input, mut output) = (Vec::with_capacity(1024), Vec::with_capacity(1024));
-    let mut used = shared.clock.now();
-    let mut ends = false;
+    let mut last_used_at = shared.clock.now();
+    let mut is_queue_closed = false;
     loop {
         if !batch.is_empty() {
             let now = shared.clock.now();
-            if slots.is_empty() && now > used + IDLE {
+            if unanswered.is_empty() && now > last_used_at + MAX_IDLE_TIME {
                 return Ok(());
             }
             output.clear();
             for call in batch.drain(..) {
-                if now >= call.at + shared.timeout {
+                if now >= call.created_at + shared.timeout {
                     shared.end(call.id, Outcome::ConnectFailed, 0.0);
                     continue;
                 }
-                encode(&call, shared.space.as_deref(), &mut output);
-                slots.push_back((call.id, now));
+                encode(&call, shared.namespace.as_deref(), &mut output);
+                unanswered.push_back((call.id, now));
                 call.written.set(true);
             }
-            used = now;
-            timeout(STALL, writer.write_all(&output)).await??;
+            last_used_at = now;
+            timeout(STALL_TIMEOUT, writer.write_all(&output)).await??;
         }
-        if ends && slots.is_empty() {
+        if is_queue_closed && unanswered.is_empty() {
             return Ok(());
         }
-        let stalled = slots.front().map(|(_, at)| shared.clock.instant(*at) + STALL);
+        let stalled_at =
+            unanswered.front().map(|(_, written_at)| shared.clock.instant(*written_at) + STALL_TIMEOUT);
         tokio::select! {
             read = reader.read_buf(&mut input) => {
                 if read? == 0 {
                     return Ok(());
                 }
-                let mut at = 0;
-                while let Some((length, outcome, total)) = reply(&input[at..])? {
-                    at += length;
-                    let (id, _) = slots.pop_front().ok_or(io::ErrorKind::InvalidData)?;
+                let mut consumed = 0;
+                while let Some((length, outcome, total)) = decode_reply(&input[consumed..])? {
+                    consumed += length;
+                    let (id, _) = unanswered.pop_front().ok_or(io::ErrorKind::InvalidData)?;
                     shared.end(id, outcome, total);
                 }
-                input.drain(..at);
+                input.drain(..consumed);
             }
-            // No more calls will come: what is out may still be answered.
-            taken = queue.recv_many(batch, BATCH), if !ends => ends = taken == 0,
-            () = until(stalled) => return Err(io::ErrorKind::TimedOut.into()),
+            // When the queue is closed, outstanding replies are still awaited.
+            received = queue.recv_many(batch, MAX_BATCH), if !is_queue_closed => is_queue_closed = received == 0,
+            () = sleep_until(stalled_at) => return Err(io::ErrorKind::TimedOut.into()),
         }
     }
 }
 
-async fn until(at: Option<std::time::Instant>) {
-    match at {
-        Some(at) => tokio::time::sleep_until(at.into()).await,
+/// Sleeps until a time; `None` sleeps forever.
+async fn sleep_until(time: Option<std::time::Instant>) {
+    match time {
+        Some(time) => tokio::time::sleep_until(time.into()).await,
         None => std::future::pending().await,
     }
 }
 
-fn encode(call: &Call, space: Option<&str>, output: &mut Vec<u8>) {
-    let name = match space {
-        Some(space) => format!("{space}:{:016x}", call.name),
+fn encode(call: &Call, namespace: Option<&str>, output: &mut Vec<u8>) {
+    let name = match namespace {
+        Some(namespace) => format!("{namespace}:{:016x}", call.name),
         None => format!("{:016x}", call.name),
     };
-    // The simulator's wire carries amounts as single floats; seven digits are all that totals keep.
+    // Amounts have single precision in the simulator's protocol, and totals keep no more than seven digits.
     let amount = format!("{}", call.amount as f32);
-    let life = format!("{}", (call.life / 1000).max(1));
+    let ttl_ms = format!("{}", (call.ttl / 1000).max(1));
     let _ = write!(
         output,
-        "*4\r\n$6\r\nADDGET\r\n${}\r\n{name}\r\n${}\r\n{amount}\r\n${}\r\n{life}\r\n",
+        "*4\r\n$6\r\nADDGET\r\n${}\r\n{name}\r\n${}\r\n{amount}\r\n${}\r\n{ttl_ms}\r\n",
         name.len(),
         amount.len(),
-        life.len()
+        ttl_ms.len()
     );
 }
 
-/// The first whole answer in `input`, if any: its length, what became of the call, and the total. An error:
-/// nothing legible; the call may have been added, and the connection is of no further use.
-fn reply(input: &[u8]) -> io::Result<Option<(usize, Outcome, f64)>> {
-    let line = |from: usize| {
-        let end = input[from..].windows(2).position(|pair| pair == b"\r\n")?;
-        Some((&input[from..from + end], from + end + 2))
+/// Decodes the first complete reply in `input`, if there is one: its length, the outcome of the call, and the total. Returns
+/// an error if the reply is invalid. The call may then have been executed, and the connection cannot be used any more.
+fn decode_reply(input: &[u8]) -> io::Result<Option<(usize, Outcome, f64)>> {
+    let line = |start: usize| {
+        let end = input[start..].windows(2).position(|pair| pair == b"\r\n")?;
+        Some((&input[start..start + end], start + end + 2))
     };
     let Some((first, next)) = line(0) else {
         return if input.len() > 1024 { Err(io::ErrorKind::InvalidData.into()) } else { Ok(None) };
@@ -215,7 +232,7 @@
         text.parse::<f64>().ok().filter(|value| value.is_finite())
     };
     match first.split_first() {
-        // Only these two say that nothing was added; any other word is noise.
+        // Only these two errors mean that the call was not executed. Any other one counts as an invalid reply.
         Some((b'-', text)) if text.starts_with(b"BUSY") || text.starts_with(b"ERR") => {
             Ok(Some((next, Outcome::Full, 0.0)))
         }
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -1,6 +1,7 @@
-//! The watch on discovery: one call after another, each from the version that the last answer brought.
+//! The client of the discovery service. It polls for the list of targets with one long poll after another, each from the
+//! version of the last list.
 
-use super::poll_schedule::{PollFailure, PollSchedule, WAIT};
+use super::poll_schedule::{PollFailure, PollSchedule, POLL_WAIT};
 use super::{tasks, Message, Messages};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
@@ -14,23 +15,27 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long an answer may take beyond the time for which a call may wait.
-const PATIENCE: Duration = Duration::from_millis(1000);
-/// A refusal that comes later than this was no refusal: the call was taken, and waited in vain.
-const AT_ONCE: Duration = Duration::from_millis(1000);
-const LARGEST_LIST: usize = 4 * 1024 * 1024;
+/// A call times out this long after the end of its wait at discovery.
+const REPLY_MARGIN: Duration = Duration::from_millis(1000);
+/// A call that fails later than this was not rejected: discovery had accepted it and could not serve it in time.
+const MAX_REJECTION_TIME: Duration = Duration::from_millis(1000);
+/// The maximum size of a list (bytes).
+const MAX_LIST_SIZE: usize = 4 * 1024 * 1024;
 
+/// A list of targets, or the targets that have changed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct TargetList {
     pub revision: u64,
+    /// Whether targets that are not in the list have been removed; otherwise the list has only changed targets.
     pub complete: bool,
-    #[serde(deserialize_with = "legible")]
+    #[serde(deserialize_with = "deserialize_valid_members")]
     pub members: Vec<Target>,
-    /// The list as held before a restart; set by the reader of the configuration's list.
+    /// Whether the list is from before the start of this process: from the configuration, or from a state handover.
     #[serde(skip)]
     pub cached: bool,
 }
 
+/// A node of the service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Target {
     pub id: String,
@@ -44,6 +49,7 @@
     pub phase: Phase,
     #[serde(default)]
     pub size: f64,
+    /// The start of the node's process (Unix time in milliseconds).
     #[serde(default)]
     pub up_since_ms: u64,
 }
@@ -56,46 +62,46 @@
     Terminated,
 }
 
-/// One entry that makes no sense must not keep the others' drains from being heeded.
-fn legible<'de, D: Deserializer<'de>>(members: D) -> Result<Vec<Target>, D::Error> {
+/// Deserializes the members, and skips invalid ones: an invalid entry must not prevent updates of the others, such as drains.
+fn deserialize_valid_members<'de, D: Deserializer<'de>>(members: D) -> Result<Vec<Target>, D::Error> {
     let members = Vec::<serde_json::Value>::deserialize(members)?;
-    let legible = |member: serde_json::Value| match Target::deserialize(&member) {
+    let valid_target = |member: serde_json::Value| match Target::deserialize(&member) {
         Ok(target) => Some(target),
         Err(error) => {
-            eprintln!("discovery: an entry is passed over: {error}: {member}");
+            eprintln!("discovery: invalid entry skipped: {error}: {member}");
             None
         }
     };
-    Ok(members.into_iter().filter_map(legible).collect())
+    Ok(members.into_iter().filter_map(valid_target).collect())
 }
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-/// Keeps the watch for as long as the process runs.
-pub async fn watch_targets(mut watch: PollSchedule, address: SocketAddr, messages: Messages) {
+/// Polls discovery until the receiver of the messages is dropped.
+pub async fn watch_targets(mut schedule: PollSchedule, address: SocketAddr, messages: Messages) {
     let mut connection: Option<Sender> = None;
     loop {
-        let (path, called) = (watch.path(), Instant::now());
-        let answer = timeout(WAIT + PATIENCE, call(&mut connection, address, &path)).await;
-        let pause = match answer.unwrap_or_else(|_| Err("no answer".into())) {
+        let (path, called_at) = (schedule.path(), Instant::now());
+        let result = timeout(POLL_WAIT + REPLY_MARGIN, call(&mut connection, address, &path)).await;
+        let pause = match result.unwrap_or_else(|_| Err("no answer".into())) {
             Ok(list) => {
-                if watch.consecutive_failures() > 0 {
+                if schedule.consecutive_failures() > 0 {
                     eprintln!("discovery {address}: answers again");
                 }
-                let (version, news) = (list.revision, list.complete || !list.members.is_empty());
-                if news && messages.send(Message::Targets(list)).is_err() {
+                let (version, has_changes) = (list.revision, list.complete || !list.members.is_empty());
+                if has_changes && messages.send(Message::Targets(list)).is_err() {
                     return;
                 }
-                watch.on_answer(version, news, called.elapsed())
+                schedule.on_answer(version, has_changes, called_at.elapsed())
             }
             Err(error) => {
-                if watch.consecutive_failures() == 0 {
+                if schedule.consecutive_failures() == 0 {
                     eprintln!("discovery {address}: {error}");
                 }
                 connection = None;
-                watch.on_failure(match error.downcast_ref::<Refused>() {
-                    Some(_) if called.elapsed() < AT_ONCE => PollFailure::TurnedAway,
-                    Some(_) => PollFailure::Taken,
+                schedule.on_failure(match error.downcast_ref::<ErrorStatus>() {
+                    Some(_) if called_at.elapsed() < MAX_REJECTION_TIME => PollFailure::Rejected,
+                    Some(_) => PollFailure::TimedOut,
                     None => PollFailure::Lost,
                 })
             }
@@ -106,17 +112,19 @@
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// An answer that is not a list.
+/// A response with a status other than 200.
 #[derive(Debug)]
-struct Refused(StatusCode);
+struct ErrorStatus(StatusCode);
 
-impl std::fmt::Display for Refused {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "answered {}", self.0)
+impl std::fmt::Display for ErrorStatus {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "answered {}", self.0)
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ErrorStatus {}
+
+/// Makes one call, on the open connection if there is one.
 
 async fn call(
     connection: &mut Option<Sender>,
@@ -131,9 +139,9 @@
     let request = Request::get(path).header(HOST, address.to_string()).body(Empty::new())?;
     let response = sender.send_request(request).await?;
     if response.status() != StatusCode::OK {
-        return Err(Refused(response.status()).into());
+        return Err(ErrorStatus(response.status()).into());
     }
-    let body = Limited::new(response.into_body(), LARGEST_LIST).collect().await?.to_bytes();
+    let body = Limited::new(response.into_body(), MAX_LIST_SIZE).collect().await?.to_bytes();
     *connection = Some(sender);
     Ok(serde_json::from_slice(&body)?)
 }
@@ -142,7 +150,7 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // Ends by itself when the sender is dropped or the peer closes.
+    // The task ends when the sender is dropped or the peer closes the connection.
     tasks::spawn(async move { drop(connection.await) });
     Ok(sender)
 }
--- a/crates/ingress/src/migrating_task.rs
+++ b/crates/ingress/src/migrating_task.rs
@@ -1,5 +1,5 @@
-//! A connection's task that moves with its requests: it runs in the set of the pool whose request it carries, so
-//! that reading, parsing and writing for a pool are done in that pool's turns.
+//! The task of a client's connection, which moves between task sets. It runs in the set of the pool whose request it
+//! handles, so that reading, parsing and writing for a pool are charged to that pool.
 
 use crate::connections::ClientConnection;
 use crate::task_scheduler;
@@ -9,19 +9,21 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-pub type Work = Pin<Box<dyn Future<Output = ()>>>;
+/// The future that serves a connection.
+pub type ConnectionFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Polls its work wherever it is, and moves on when the place says so.
+/// Polls the future of a connection in the present task set, and moves it to another set when the connection requests it.
 pub struct MigratingTask {
-    work: Option<Work>,
-    place: Rc<ClientConnection>,
+    future: Option<ConnectionFuture>,
+    connection: Rc<ClientConnection>,
 }
 
-/// Starts a connection's work in a set.
-pub fn spawn(set: &TaskSet, work: Work, place: Rc<ClientConnection>) {
-    if let Some(woken) = task_scheduler::wake_queue() {
-        let task = set.spawn(&woken, MigratingTask { work: Some(work), place: place.clone() });
-        place.set_task(task);
+/// Spawns the task of a connection in a set.
+pub fn spawn(set: &TaskSet, future: ConnectionFuture, connection: Rc<ClientConnection>) {
+    if let Some(wake_queue) = task_scheduler::wake_queue() {
+        let task =
+            set.spawn(&wake_queue, MigratingTask { future: Some(future), connection: connection.clone() });
+        connection.set_task(task);
     }
 }
 
@@ -29,21 +31,22 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        // It may have been told to move while nothing was to do: the new set polls it, with its own waker.
-        if let Some(set) = self.place.take_pending_move() {
-            if let Some(work) = self.work.take() {
-                spawn(&set, work, self.place.clone());
+        // A move may have been requested while the task was idle. The task in the new set polls the future with its own
+        // waker.
+        if let Some(set) = self.connection.take_pending_move() {
+            if let Some(future) = self.future.take() {
+                spawn(&set, future, self.connection.clone());
             }
             return Poll::Ready(());
         }
-        self.place.store_waker(cx.waker());
-        let Some(work) = self.work.as_mut() else { return Poll::Ready(()) };
-        if work.as_mut().poll(cx).is_ready() {
+        self.connection.store_waker(cx.waker());
+        let Some(future) = self.future.as_mut() else { return Poll::Ready(()) };
+        if future.as_mut().poll(cx).is_ready() {
             return Poll::Ready(());
         }
-        if let Some(set) = self.place.take_pending_move() {
-            if let Some(work) = self.work.take() {
-                spawn(&set, work, self.place.clone());
+        if let Some(set) = self.connection.take_pending_move() {
+            if let Some(future) = self.future.take() {
+                spawn(&set, future, self.connection.clone());
             }
             return Poll::Ready(());
         }
--- a/crates/ingress/src/nodes.rs
+++ b/crates/ingress/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Where a pool's nodes come from: the file's own list, or a discovery that is watched.
+//! The source of a pool's nodes: a static list in the settings file, or discovery.
 
 use crate::discovery::{self, Phase, Target, TargetList};
 use crate::poll_schedule::PollSchedule;
@@ -9,7 +9,8 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use violetyoke_config::{self as file, Nodes};
 
-/// Tells the driver of a static list, or has a discovery watched from now on.
+/// Sends the nodes to the pool's driver: a static list once, or the lists of discovery from now on. Replaces the earlier
+/// source.
 pub fn watch_nodes(run: &mut Run, sets: &TaskSets, set: &TaskSet) {
     if let Some(watch) = run.watch.take() {
         watch.abort();
@@ -17,7 +18,7 @@
     match &run.config.nodes {
         Nodes::Discovery(address) => {
             let messages = run.pool.messages();
-            // Many processes may watch one discovery: each draws its own pauses.
+            // A random seed, so that processes that poll the same discovery service have different pauses.
             let watch = PollSchedule::new(None, 1, RandomState::new().build_hasher().finish());
             run.watch = Some(sets.spawn(set, discovery::watch_targets(watch, *address, messages)));
         }
@@ -27,6 +28,7 @@
     }
 }
 
+/// The static list of the settings file; an empty list if the nodes come from discovery.
 pub fn static_target_list(nodes: &Nodes, revision: u64) -> TargetList {
     let Nodes::Static(nodes) = nodes else { return TargetList::default() };
     let target = |node: &file::Node| Target {
--- a/crates/ingress/src/tenant_access.rs
+++ b/crates/ingress/src/tenant_access.rs
@@ -1,4 +1,5 @@
-//! A tenant, as a request meets it. The platform's program has none: all that is a tenant's is behind this.
+//! The interface between the path of a request and the tenants. The single-pool program of the platform has no tenants, so
+//! all of their code is behind this trait.
 
 use crate::request::Rejection;
 use crate::tasks::TaskSet;
@@ -6,24 +7,26 @@
 use std::rc::Rc;
 use violetyoke_shares::Member;
 
-/// What a tenant lets a request have.
+/// The admission of a request by its tenant.
 pub struct TenantAdmission {
     pub plan: u16,
     pub customer_id: u64,
-    /// Its place among the tenant's open requests, held until it is over.
+    /// Counts the request among the tenant's open requests until it is dropped.
     pub open_request: Box<dyn Any>,
 }
 
+/// A tenant to which a request belongs.
 pub trait TenantAccess {
-    /// Its number among those that share the process.
+    /// The tenant's id among the members that share the resources of the process.
     fn member(&self) -> Member;
 
-    /// Where its connections' tasks take their turns.
+    /// The task set in which the tasks of the tenant's connections run; `None` if tasks are not scheduled by member.
     fn task_set(&self) -> Option<Rc<TaskSet>>;
 
-    /// What others are told of an account: two tenants' of one name are two.
+    /// The account name for other services. It contains the tenant's name, as accounts of two tenants may have the same
+    /// name.
     fn qualified_account(&self, name: &str) -> String;
 
-    /// Whether a request of an account may go on to a pool; else 503 where it has no room now.
+    /// Admits a request of an account to a pool. The rejection has status 503 if the tenant drains or has no capacity now.
     fn admit(&self, pool: Member, account: &str) -> Result<TenantAdmission, Rejection>;
 }
