--- a/crates/ingress/src/task_scheduler.rs
+++ b/crates/ingress/src/task_scheduler.rs
@@ -1,6 +1,7 @@
-//! The pools' turns on the core. Each pool's tasks (its driver, its attempts, its clients' connections) are a set
-//! of their own; this polls one task after another, of the set that [`Turns`] names, and charges that set for the
-//! time that it took. One pool's flood then lengthens another's wait by a turn, and not by its queue.
+//! Fair sharing of the processor among pools and tenants. The tasks of each member (a pool's driver, its attempts, its
+//! clients' connections) form a task set. The executor polls one task at a time, of the set that [`FairScheduler`] selects,
+//! and charges the set for the time of the poll. An overloaded pool thus delays the others by one turn, and not by its whole
+//! queue of tasks.
 
 use crate::tasks::{TaskHandle, TaskSet};
 use std::cell::{Cell, RefCell};
@@ -13,44 +14,45 @@
 use std::time::{Duration, Instant};
 use violetyoke_shares::{FairScheduler, Member};
 
-/// What a pool of weight 1 may use in a turn, in microseconds: several polls of a task, so that a turn rarely
-/// leaves a debt.
+/// The time that a member of weight 1 may use in one turn, in microseconds. It is enough for several polls of a task, so
+/// that a turn rarely exceeds it.
 const QUANTUM: u64 = 200;
-/// For how long tasks are polled before the runtime looks at sockets and timers again. Without it they would be
-/// looked at only when all sets are idle, and nobody's deadline would be kept under a flood.
-const SLICE: Duration = Duration::from_micros(500);
+/// The time for which tasks are polled before the runtime checks sockets and timers again. Without this limit, it would
+/// check them only when all sets are idle, and no deadlines would be met in an overload.
+const MAX_POLL_TIME: Duration = Duration::from_micros(500);
 
 thread_local! {
-    /// Whether there are sets. Plain and never written in the platform's program, so that the linker's optimiser
-    /// finds what is for sets only to be dead there: it would be memory held and never used.
-    static ANY: Cell<bool> = const { Cell::new(false) };
-    static WOKEN: RefCell<Option<Arc<WakeQueue>>> = const { RefCell::new(None) };
+    /// Whether there are task sets. The platform's program never sets this flag, so the linker's optimiser removes all code
+    /// and memory for task sets from it.
+    static HAS_TASK_SETS: Cell<bool> = const { Cell::new(false) };
+    static WAKE_QUEUE: RefCell<Option<Arc<WakeQueue>>> = const { RefCell::new(None) };
 }
 
-/// How tasks of this thread's sets tell that they have something to do; none: there are no sets.
+/// The wake queue of this thread's task sets; `None` if there are no task sets.
 pub fn wake_queue() -> Option<Arc<WakeQueue>> {
-    if !ANY.get() {
+    if !HAS_TASK_SETS.get() {
         return None;
     }
-    WOKEN.with_borrow(Clone::clone)
+    WAKE_QUEUE.with_borrow(Clone::clone)
 }
 
-/// Charges a member for what another's task has done for it, in microseconds.
+/// Charges a member for work, in microseconds, that a task of another member has done on its behalf.
 pub fn charge(member: Member, cost: u64) {
-    if let Some(woken) = wake_queue() {
-        woken.charges.lock().unwrap_or_else(PoisonError::into_inner).push((member, cost));
+    if let Some(wake_queue) = wake_queue() {
+        wake_queue.charges.lock().unwrap_or_else(PoisonError::into_inner).push((member, cost));
     }
 }
 
-/// Members whose sets have something to do, and how to wake the whole.
+/// The members with tasks that are ready to be polled, and the waker of the executor.
 #[derive(Default)]
 pub struct WakeQueue {
     state: Mutex<(Vec<Member>, Option<Waker>)>,
-    /// What has been done for members in others' turns, in microseconds.
+    /// Work on behalf of members in the turns of other members, in microseconds.
     charges: Mutex<Vec<(Member, u64)>>,
 }
 
 impl WakeQueue {
+    /// Marks a member as ready, and wakes the executor.
     pub fn wake(&self, member: Member) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if !state.0.contains(&member) {
@@ -62,10 +64,10 @@
     }
 }
 
-/// The sets, for those who add and end them.
+/// Adds, changes and removes task sets. The changes are applied when the executor is polled next.
 #[derive(Default)]
 pub struct TaskSets {
-    woken: Arc<WakeQueue>,
+    wake_queue: Arc<WakeQueue>,
     pending: RefCell<Vec<Change>>,
 }
 
@@ -86,65 +88,71 @@
         self.pending.borrow_mut().push(Change::Weight(member, weight));
     }
 
-    /// Ends a set's turns. Its tasks must have ended.
+    /// Removes a set. Its tasks must have ended.
     pub fn remove(&self, member: Member) {
         self.pending.borrow_mut().push(Change::Remove(member));
     }
 
     pub fn spawn(&self, set: &TaskSet, future: impl Future<Output = ()> + 'static) -> TaskHandle {
-        set.spawn(&self.woken, future)
+        set.spawn(&self.wake_queue, future)
     }
 }
 
-/// Runs all sets until one of their tasks ends the whole.
+/// Polls the tasks of all sets, until a task sets the flag `is_done`.
 pub struct FairExecutor {
     sets: Rc<TaskSets>,
     scheduler: FairScheduler,
-    runs: BTreeMap<Member, Rc<TaskSet>>,
-    over: Rc<Cell<bool>>,
+    sets_by_member: BTreeMap<Member, Rc<TaskSet>>,
+    is_done: Rc<Cell<bool>>,
 }
 
 impl FairExecutor {
-    /// `over` ends it.
-    pub fn new(sets: Rc<TaskSets>, over: Rc<Cell<bool>>) -> FairExecutor {
-        ANY.set(true);
-        WOKEN.set(Some(sets.woken.clone()));
-        FairExecutor { sets, scheduler: FairScheduler::new(QUANTUM), runs: BTreeMap::new(), over }
+    /// Creates an executor for task sets. There is one for each thread.
+    pub fn new(sets: Rc<TaskSets>, is_done: Rc<Cell<bool>>) -> FairExecutor {
+        HAS_TASK_SETS.set(true);
+        WAKE_QUEUE.set(Some(sets.wake_queue.clone()));
+        FairExecutor {
+            sets,
+            scheduler: FairScheduler::new(QUANTUM),
+            sets_by_member: BTreeMap::new(),
+            is_done,
+        }
     }
 
-    fn take_changes(&mut self) {
+    fn apply_changes(&mut self) {
         for change in self.sets.pending.take() {
             match change {
                 Change::Weight(member, weight) => self.scheduler.set_weight(member, weight),
                 Change::Add(weight, set) => {
                     self.scheduler.set_weight(set.member(), weight);
                     self.scheduler.mark_ready(set.member());
-                    self.runs.insert(set.member(), set);
+                    self.sets_by_member.insert(set.member(), set);
                 }
                 Change::Remove(member) => {
                     self.scheduler.remove(member);
-                    self.runs.remove(&member);
+                    self.sets_by_member.remove(&member);
                 }
             }
         }
     }
 
-    fn take_woken(&mut self) {
+    fn mark_woken_ready(&mut self) {
         let woken =
-            std::mem::take(&mut self.sets.woken.state.lock().unwrap_or_else(PoisonError::into_inner).0);
+            std::mem::take(&mut self.sets.wake_queue.state.lock().unwrap_or_else(PoisonError::into_inner).0);
         woken.into_iter().for_each(|member| self.scheduler.mark_ready(member));
     }
 
-    /// Charges members for what was done for them in another's turn; the sum, which is not that one's cost. Were it
-    /// charged twice, a pool that works for a crowd would have its turns too seldom, and all would wait for it.
-    fn take_charges(&mut self) -> u64 {
-        let mut charges = self.sets.woken.charges.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut sum = 0;
+    /// Charges members for work on their behalf in the turn of another member, and returns the sum, which that member is not
+    /// charged for. If it were, a pool that does work for many tenants would get its turns too rarely, and all of the
+    /// tenants would wait for it.
+    fn apply_charges(&mut self) -> u64 {
+        let mut charges = self.sets.wake_queue.charges.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut total = 0;
         for (member, cost) in charges.drain(..) {
             self.scheduler.charge(member, cost);
-            sum += cost;
+            total += cost;
         }
-        sum
+        total
     }
 }
 
@@ -153,30 +161,32 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let this = &mut *self;
-        this.sets.woken.state.lock().unwrap_or_else(PoisonError::into_inner).1 = Some(cx.waker().clone());
-        let slice = Instant::now();
-        let mut began = slice;
+        this.sets.wake_queue.state.lock().unwrap_or_else(PoisonError::into_inner).1 =
+            Some(cx.waker().clone());
+        let poll_started_at = Instant::now();
+        let mut turn_started_at = poll_started_at;
         loop {
-            this.take_changes();
-            this.take_woken();
-            if this.over.get() {
+            this.apply_changes();
+            this.mark_woken_ready();
+            if this.is_done.get() {
                 return Poll::Ready(());
             }
             let Some(member) = this.scheduler.next_turn() else { return Poll::Pending };
-            let Some(set) = this.runs.get(&member) else {
+            let Some(set) = this.sets_by_member.get(&member) else {
                 this.scheduler.remove(member);
                 continue;
             };
-            if began - slice >= SLICE {
+            if turn_started_at - poll_started_at >= MAX_POLL_TIME {
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            let more = set.run_one();
-            let ended = Instant::now();
-            let for_others = this.take_charges();
-            let own = ((ended - began).as_micros() as u64).saturating_sub(for_others);
-            this.scheduler.end_turn(member, own + 1, more);
-            began = ended;
+            let has_more = set.run_one();
+            let turn_ended_at = Instant::now();
+            let charged_to_others = this.apply_charges();
+            let own_cost =
+                ((turn_ended_at - turn_started_at).as_micros() as u64).saturating_sub(charged_to_others);
+            this.scheduler.end_turn(member, own_cost + 1, has_more);
+            turn_started_at = turn_ended_at;
         }
     }
 }
--- a/crates/ingress/src/task_scheduler/tests.rs
+++ b/crates/ingress/src/task_scheduler/tests.rs
@@ -1,22 +1,24 @@
-//! Turns among the task sets of pools.
+//! Fair sharing of the processor among task sets.
 
 use super::*;
 use crate::tasks;
 use std::task::Wake;
 
-struct Noted(Mutex<u32>);
+/// A waker that counts its wake-ups.
+struct CountingWaker(Mutex<u32>);
 
-impl Wake for Noted {
+impl Wake for CountingWaker {
     fn wake(self: Arc<Self>) {
         *self.0.lock().unwrap() += 1;
     }
 }
 
-fn pass(polls: u32) -> impl Future<Output = ()> {
-    let mut left = polls;
+/// A future that is ready after this many polls.
+fn yield_for(polls: u32) -> impl Future<Output = ()> {
+    let mut remaining = polls;
     std::future::poll_fn(move |cx| {
-        left -= 1;
-        if left == 0 {
+        remaining -= 1;
+        if remaining == 0 {
             return Poll::Ready(());
         }
         cx.waker().wake_by_ref();
@@ -25,57 +27,57 @@
 }
 
 #[test]
-fn a_set_with_many_tasks_keeps_another_with_one_waiting_for_a_turn_only() {
-    let (sets, over) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
-    let (flood, calm) = (sets.add(1, 1), sets.add(2, 1));
-    let flooded = Rc::new(Cell::new(0u32));
+fn a_set_with_many_busy_tasks_delays_another_set_by_one_turn_only() {
+    let (sets, is_done) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
+    let (busy_set, idle_set) = (sets.add(1, 1), sets.add(2, 1));
+    let busy_polls = Rc::new(Cell::new(0u32));
     for _ in 0..200 {
-        let flooded = flooded.clone();
-        sets.spawn(&flood, async move {
+        let busy_polls = busy_polls.clone();
+        sets.spawn(&busy_set, async move {
             for _ in 0..1_000 {
-                // A poll that takes a while, as parsing and deciding do.
-                let began = Instant::now();
-                while began.elapsed() < Duration::from_micros(50) {}
-                flooded.set(flooded.get() + 1);
-                pass(2).await;
+                // A poll that takes some time, as parsing and decisions do.
+                let started_at = Instant::now();
+                while started_at.elapsed() < Duration::from_micros(50) {}
+                busy_polls.set(busy_polls.get() + 1);
+                yield_for(2).await;
             }
         });
     }
-    let (ended, seen, at_end) = (over.clone(), flooded.clone(), Rc::new(Cell::new(0)));
-    let noted = at_end.clone();
-    let task = sets.spawn(&calm, async move {
-        // Ten times it has something to do, and so it is ten turns behind at most.
-        pass(10).await;
-        noted.set(seen.get());
-        ended.set(true);
+    let (done, observed_polls, polls_at_end) = (is_done.clone(), busy_polls.clone(), Rc::new(Cell::new(0)));
+    let recorded_polls = polls_at_end.clone();
+    let task = sets.spawn(&idle_set, async move {
+        // Ten polls, each of which waits for at most one turn of the busy set.
+        yield_for(10).await;
+        recorded_polls.set(observed_polls.get());
+        done.set(true);
     });
-    let waker = Waker::from(Arc::new(Noted(Mutex::new(0))));
-    let mut running = FairExecutor::new(sets, over);
-    while Pin::new(&mut running).poll(&mut Context::from_waker(&waker)).is_pending() {}
+    let waker = Waker::from(Arc::new(CountingWaker(Mutex::new(0))));
+    let mut executor = FairExecutor::new(sets, is_done);
+    while Pin::new(&mut executor).poll(&mut Context::from_waker(&waker)).is_pending() {}
     drop(task);
-    // Nine waits for turns of 200 us, of polls of 50 us, and a generous part for a machine that stalls. In one
-    // queue it would have been nine times 200 polls.
-    assert!(at_end.get() < 9 * 100, "{} polls of the flood", at_end.get());
+    // Nine waits for a turn of 200 us, which is four polls of 50 us, with a wide margin for stalls of the machine. With one
+    // queue for all tasks, it would be nine times 200 polls.
+    assert!(polls_at_end.get() < 9 * 100, "{} polls of the busy set", polls_at_end.get());
 }
 
 #[test]
-fn a_task_started_by_a_task_is_its_sets_and_an_aborted_one_is_dropped() {
-    let (sets, over) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
+fn a_task_spawned_by_a_task_belongs_to_its_set_and_an_aborted_one_is_dropped() {
+    let (sets, is_done) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
     let set = sets.add(7, 1);
-    let alive = Rc::new(());
-    let (ended, held) = (over.clone(), alive.clone());
+    let token = Rc::new(());
+    let (done, held_token) = (is_done.clone(), token.clone());
     sets.spawn(&set, async move {
         let inner = tasks::spawn(async move {
             std::future::pending::<()>().await;
-            drop(held);
+            drop(held_token);
         });
-        pass(3).await;
+        yield_for(3).await;
         inner.abort();
-        pass(3).await;
-        ended.set(true);
+        yield_for(3).await;
+        done.set(true);
     });
-    let waker = Waker::from(Arc::new(Noted(Mutex::new(0))));
-    let mut running = FairExecutor::new(sets, over);
-    while Pin::new(&mut running).poll(&mut Context::from_waker(&waker)).is_pending() {}
-    assert_eq!(Rc::strong_count(&alive), 1);
+    let waker = Waker::from(Arc::new(CountingWaker(Mutex::new(0))));
+    let mut executor = FairExecutor::new(sets, is_done);
+    while Pin::new(&mut executor).poll(&mut Context::from_waker(&waker)).is_pending() {}
+    assert_eq!(Rc::strong_count(&token), 1);
 }
--- a/crates/ingress/src/tasks.rs
+++ b/crates/ingress/src/tasks.rs
@@ -38,7 +38,7 @@
         self.member
     }
 
-    /// Starts a task in this set; `woken` is notified whenever the task becomes ready.
+    /// Starts a task in this set; `wake_queue` is notified whenever the task becomes ready.
     pub fn spawn(
         &self,
         wake_queue: &Arc<WakeQueue>,
