--- a/crates/ingress/src/rate_limit_server.rs
+++ b/crates/ingress/src/rate_limit_server.rs
@@ -1,5 +1,5 @@
-//! The gRPC rate limit service: HTTP/2 connections, and each question on its way to its pool's module. What a
-//! question is about and what becomes of several descriptors is decided in `violetyoke-ratelimit`, free of I/O.
+//! The gRPC rate limit service: accepts HTTP/2 connections, and forwards each query to the decision module of its pool.
+//! `violetyoke-ratelimit` decides, without I/O, how descriptors map to pools and how their results are combined.
 
 use crate::pool::{Pool, SharedCapacity};
 use crate::precheck::{PrecheckOutcome, PrecheckPass, PrecheckRequest};
@@ -32,50 +32,53 @@
 use violetyoke_ratelimit_proto as proto;
 use violetyoke_shares::Member;
 
-/// Questions handed over and not yet taken up, at most: more wait in their streams.
-const MOST_WAITING: usize = 1_024;
-/// Streams that a client may reset before they are answered, in a row: a client that opens and resets at full
-/// speed costs more than it asks, and its connection ends (CVE-2023-44487, "rapid reset").
-const MOST_RESETS: usize = 64;
-/// How long a silent connection is kept before it is asked for a sign of life, and how long for that.
-const PING_EVERY: Duration = Duration::from_secs(20);
-const PING_WAIT: Duration = Duration::from_secs(10);
-/// The longest head of a question.
-const LARGEST_HEAD: u32 = 16 * 1024;
-/// How long a client may take to begin with HTTP/2.
-const FIRST_TIME: Duration = Duration::from_millis(2_400);
+/// The maximum number of queries in the channel from the connections. Further queries wait in their streams.
+const MAX_CHANNEL_LENGTH: usize = 1_024;
+/// The maximum number of streams that a client may reset before they are answered. A client that opens and resets streams
+/// at full speed causes more work than it sends, so its connection is closed (CVE-2023-44487, "rapid reset").
+const MAX_RESETS: usize = 64;
+/// The idle time after which a connection is checked with a ping, and the time-out of the ping.
+const PING_INTERVAL: Duration = Duration::from_secs(20);
+const PING_TIMEOUT: Duration = Duration::from_secs(10);
+/// The maximum size of the header fields of a request (bytes).
+const MAX_HEADER_SIZE: u32 = 16 * 1024;
+/// The time within which a new connection must send the HTTP/2 preface.
+const PREFACE_TIMEOUT: Duration = Duration::from_millis(2_400);
 
-/// What questions are answered by; replaced as a whole by a reload.
+/// The configuration of the service; a reload replaces it as a unit.
 pub struct RateLimitConfig {
     pub file: File,
-    /// By the numbers that the mapping has.
+    /// The pools, by their indices in the mapping.
     pub pools: Vec<Rc<Pool>>,
 }
 
-/// The service, as its connections share it.
+/// The service; its connections share it.
 pub struct RateLimitServer {
-    asking: RefCell<Rc<RateLimitConfig>>,
+    config: RefCell<Rc<RateLimitConfig>>,
     clock: Clock,
     descriptors: SharedCapacity,
     member: Member,
-    open: Cell<usize>,
-    freed: Notify,
+    open_connections: Cell<usize>,
+    /// Notified when a connection is closed.
+    connection_closed: Notify,
 }
 
-/// A question on its way from tonic, whose services have to be `Send`, to the pools, which are not.
-type Handed = (Handing, oneshot::Sender<Result<proto::RateLimitResponse, Status>>);
+/// A query with the sender of its response. It is sent from tonic's services, which must be `Send`, to the pools, which are
+/// not.
+type QueuedQuery = (Query, oneshot::Sender<Result<proto::RateLimitResponse, Status>>);
 
-struct Handing {
+struct Query {
     request: proto::RateLimitRequest,
     timeout: Option<Micros>,
 }
 
-struct Service {
-    handed: mpsc::Sender<Handed>,
+/// The tonic service, which sends queries to the channel.
+struct GrpcService {
+    queries: mpsc::Sender<QueuedQuery>,
 }
 
 #[tonic::async_trait]
-impl proto::RateLimitService for Service {
+impl proto::RateLimitService for GrpcService {
     async fn should_rate_limit(
         &self,
         request: Request<proto::RateLimitRequest>,
@@ -85,11 +88,11 @@
             Some(Ok(text)) => Some(violetyoke_ratelimit::grpc_timeout::parse(text).ok_or_else(bad_timeout)?),
             Some(Err(_)) => return Err(bad_timeout()),
         };
-        let (answer, answered) = oneshot::channel();
-        let handing = Handing { request: request.into_inner(), timeout };
-        let handed = self.handed.send((handing, answer)).await;
-        handed.map_err(|_| Status::unavailable("the service ends"))?;
-        answered.await.map_err(|_| Status::unavailable("the service ends"))?.map(Response::new)
+        let (response_sender, response) = oneshot::channel();
+        let query = Query { request: request.into_inner(), timeout };
+        let sent = self.queries.send((query, response_sender)).await;
+        sent.map_err(|_| Status::unavailable("the service ends"))?;
+        response.await.map_err(|_| Status::unavailable("the service ends"))?.map(Response::new)
     }
 }
 
@@ -99,123 +102,126 @@
 
 impl RateLimitServer {
     pub fn new(
-        asking: RateLimitConfig,
+        config: RateLimitConfig,
         clock: Clock,
         descriptors: SharedCapacity,
         member: Member,
     ) -> Rc<RateLimitServer> {
-        let most = asking.file.connections;
-        descriptors.borrow_mut().set_limits(member, 0, most);
+        let max_connections = config.file.connections;
+        descriptors.borrow_mut().set_limits(member, 0, max_connections);
         Rc::new(RateLimitServer {
-            asking: RefCell::new(Rc::new(asking)),
+            config: RefCell::new(Rc::new(config)),
             clock,
             descriptors,
             member,
-            open: Cell::new(0),
-            freed: Notify::new(),
+            open_connections: Cell::new(0),
+            connection_closed: Notify::new(),
         })
     }
 
-    /// Answers by a new file from now on; its listener stays.
-    pub fn update_config(&self, asking: RateLimitConfig) {
-        self.descriptors.borrow_mut().set_limits(self.member, 0, asking.file.connections);
-        *self.asking.borrow_mut() = Rc::new(asking);
+    /// Applies a new configuration to further queries. The listening address does not change.
+    pub fn update_config(&self, config: RateLimitConfig) {
+        self.descriptors.borrow_mut().set_limits(self.member, 0, config.file.connections);
+        *self.config.borrow_mut() = Rc::new(config);
     }
 
     pub fn listen(&self) -> io::Result<TcpListener> {
-        listen(self.asking.borrow().file.listen)
+        listen(self.config.borrow().file.listen)
     }
 
-    /// Accepts until SIGTERM; returns once what was taken has been answered, or `longest` has passed.
+    /// Serves until SIGTERM. Returns once all accepted queries are answered and their connections closed, or after
+    /// `max_drain_time`.
     pub async fn serve(
         self: Rc<RateLimitServer>,
         listener: TcpListener,
         mut terminate: Signal,
-        longest: Duration,
+        max_drain_time: Duration,
     ) -> io::Result<()> {
-        let (handed, mut taken) = mpsc::channel::<Handed>(MOST_WAITING);
-        let questions = self.clone();
+        let (queries, mut query_receiver) = mpsc::channel::<QueuedQuery>(MAX_CHANNEL_LENGTH);
+        let server = self.clone();
         tasks::spawn(async move {
-            while let Some((handing, answer)) = taken.recv().await {
-                let asking = questions.asking.borrow().clone();
-                let clock = questions.clock;
+            while let Some((query, response_sender)) = query_receiver.recv().await {
+                let config = server.config.borrow().clone();
+                let clock = server.clock;
                 tasks::spawn(async move {
-                    let mut answer = answer;
-                    // A question whose client has gone is not asked on, and what is out for it ends.
+                    let mut response_sender = response_sender;
+                    // If the client disconnects, the query is dropped, together with its requests to pools.
                     tokio::select! {
                         biased;
-                        () = answer.closed() => {}
-                        result = answer_one(&asking, clock, handing) => drop(answer.send(result)),
+                        () = response_sender.closed() => {}
+                        result = answer_query(&config, clock, query) => drop(response_sender.send(result)),
                     }
                 });
             }
         });
-        let routes = routes(handed, self.asking.borrow().file.message_bytes)?;
+        let routes = routes(queries, self.config.borrow().file.message_bytes)?;
         let (closing, _) = watch::channel(());
         loop {
-            let has_room = self.descriptors.borrow().available(self.member) > 0;
+            let has_capacity = self.descriptors.borrow().available(self.member) > 0;
             tokio::select! {
-                accepted = listener.accept(), if has_room => match accepted {
+                accepted = listener.accept(), if has_capacity => match accepted {
                     Ok((stream, _)) => self.open(Socket::new(stream), routes.clone(), closing.subscribe()),
                     Err(error) => {
                         eprintln!("accept: {error}");
                         sleep(Duration::from_millis(5)).await;
                     }
                 },
-                () = self.freed.notified(), if !has_room => {}
+                () = self.connection_closed.notified(), if !has_capacity => {}
                 _ = terminate.recv() => break,
             }
         }
         drop(listener);
         closing.send_replace(());
-        let all_ended = async {
-            while self.open.get() > 0 {
-                self.freed.notified().await;
+        let all_closed = async {
+            while self.open_connections.get() > 0 {
+                self.connection_closed.notified().await;
             }
         };
-        let _ = timeout(longest, all_ended).await;
+        let _ = timeout(max_drain_time, all_closed).await;
         Ok(())
     }
 
+    /// Serves a connection in a new task.
+
     fn open(self: &Rc<RateLimitServer>, socket: Socket, routes: Routes, mut closing: watch::Receiver<()>) {
         if !self.descriptors.borrow_mut().try_acquire(self.member, 1) {
             return;
         }
-        self.open.set(self.open.get() + 1);
-        let place = Connected { questions: self.clone() };
-        let streams = self.asking.borrow().file.streams;
+        self.open_connections.set(self.open_connections.get() + 1);
+        let guard = ConnectionGuard { server: self.clone() };
+        let max_streams = self.config.borrow().file.streams;
         tasks::spawn(async move {
-            let _place = place;
+            let _guard = guard;
             let mut builder = http2::Builder::new(LocalExecutor);
             builder
                 .timer(TokioTimer::new())
-                .max_concurrent_streams(streams)
-                .max_pending_accept_reset_streams(MOST_RESETS)
-                .max_local_error_reset_streams(MOST_RESETS)
-                .max_header_list_size(LARGEST_HEAD)
-                .keep_alive_interval(PING_EVERY)
-                .keep_alive_timeout(PING_WAIT);
+                .max_concurrent_streams(max_streams)
+                .max_pending_accept_reset_streams(MAX_RESETS)
+                .max_local_error_reset_streams(MAX_RESETS)
+                .max_header_list_size(MAX_HEADER_SIZE)
+                .keep_alive_interval(PING_INTERVAL)
+                .keep_alive_timeout(PING_TIMEOUT);
             let service = service_fn(move |request| {
                 let mut routes = routes.clone();
                 async move { tonic::codegen::Service::call(&mut routes, request).await }
             });
-            let watched = socket.clone();
+            let read_counter = socket.clone();
             let mut connection = pin!(builder.serve_connection(TokioIo::new(socket), service));
-            let mut first = pin!(sleep(FIRST_TIME));
-            let (mut told, mut begun) = (false, false);
+            let mut preface_timeout = pin!(sleep(PREFACE_TIMEOUT));
+            let (mut is_closing, mut has_preface) = (false, false);
             loop {
                 tokio::select! {
                     biased;
                     _ = connection.as_mut() => break,
-                    () = first.as_mut(), if !begun => {
-                        // One that has not even said what it speaks holds its place for no longer.
-                        begun = watched.bytes_read() >= 24;
-                        if !begun {
+                    () = preface_timeout.as_mut(), if !has_preface => {
+                        // A connection without a complete HTTP/2 preface (24 bytes) is closed.
+                        has_preface = read_counter.bytes_read() >= 24;
+                        if !has_preface {
                             break;
                         }
                     }
-                    change = closing.changed(), if !told => {
-                        told = true;
+                    change = closing.changed(), if !is_closing => {
+                        is_closing = true;
                         if change.is_ok() {
                             connection.as_mut().graceful_shutdown();
                         }
@@ -226,25 +232,26 @@
     }
 }
 
-/// A connection's place, given back when its task ends.
-struct Connected {
-    questions: Rc<RateLimitServer>,
+/// Counts a connection as open until its task ends.
+struct ConnectionGuard {
+    server: Rc<RateLimitServer>,
 }
 
-impl Drop for Connected {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let questions = &self.questions;
-        questions.open.set(questions.open.get() - 1);
-        questions.descriptors.borrow_mut().release(questions.member, 1);
-        questions.freed.notify_one();
+        let server = &self.server;
+        server.open_connections.set(server.open_connections.get() - 1);
+        server.descriptors.borrow_mut().release(server.member, 1);
+        server.connection_closed.notify_one();
     }
 }
 
-fn routes(handed: mpsc::Sender<Handed>, message_bytes: usize) -> io::Result<Routes> {
+/// The rate limit service, with the health and reflection services.
+fn routes(queries: mpsc::Sender<QueuedQuery>, message_bytes: usize) -> io::Result<Routes> {
     let service =
-        proto::RateLimitServiceServer::new(Service { handed }).max_decoding_message_size(message_bytes);
+        proto::RateLimitServiceServer::new(GrpcService { queries }).max_decoding_message_size(message_bytes);
     let (reporter, health) = tonic_health::server::health_reporter();
-    // Nothing ever changes it: while this answers, the service does.
+    // The health status never changes: the service is healthy whenever it can reply.
     drop(reporter);
     let reflection = tonic_reflection::server::Builder::configure()
         .register_encoded_file_descriptor_set(proto::DESCRIPTORS)
@@ -253,52 +260,54 @@
     Ok(Routes::new(service).add_service(health).add_service(reflection).prepare())
 }
 
-/// Answers a question: all of its descriptors, or none.
-async fn answer_one(
-    asking: &RateLimitConfig,
+/// Answers a query: with the results of all descriptors, or with an error, in which case none of them is counted.
+async fn answer_query(
+    config: &RateLimitConfig,
     clock: Clock,
-    handing: Handing,
+    query: Query,
 ) -> Result<proto::RateLimitResponse, Status> {
     let arrived_at = clock.now();
-    let request = &handing.request;
-    let descriptors: Vec<Descriptor> = request.descriptors.iter().map(asked).collect();
-    let limits = RequestLimits { descriptors: asking.file.descriptors, ..RequestLimits::default() };
+    let request = &query.request;
+    let descriptors: Vec<Descriptor> = request.descriptors.iter().map(to_descriptor).collect();
+    let limits = RequestLimits { descriptors: config.file.descriptors, ..RequestLimits::default() };
     let list =
-        quota_queries(&asking.file.mapping, &limits, &request.domain, &descriptors, request.hits_addend)
-            .map_err(|fault| Status::invalid_argument(fault.to_string()))?;
-    let timeout = handing.timeout.unwrap_or(Micros::MAX).min(asking.file.deadline);
-    // All are checked before the first one is asked: what is wrong with one counts nothing for another.
-    let mut ready = Vec::with_capacity(list.len());
-    for (number, question) in list.into_iter().enumerate() {
-        ready.push(match question {
+        quota_queries(&config.file.mapping, &limits, &request.domain, &descriptors, request.hits_addend)
+            .map_err(|error| Status::invalid_argument(error.to_string()))?;
+    let timeout = query.timeout.unwrap_or(Micros::MAX).min(config.file.deadline);
+    // All descriptors are validated before the first one is evaluated, so that an invalid one prevents that others are
+    // counted.
+    let mut valid = Vec::with_capacity(list.len());
+    for (index, quota_query) in list.into_iter().enumerate() {
+        valid.push(match quota_query {
             Err(unknown) => Err(unknown),
-            Ok(question) => Ok(Ready::check(asking, number, question)?),
+            Ok(quota_query) => Ok(ValidQuery::new(config, index, quota_query)?),
         });
     }
-    let asks = ready.into_iter().map(|ready| async move {
-        match ready {
-            Err(UnknownPolicy::Ok) => Answered::known(true),
-            Err(UnknownPolicy::OverLimit) => Answered::known(false),
-            Ok(ready) => ready.ask(arrived_at, timeout).await,
+    let evaluations = valid.into_iter().map(|valid| async move {
+        match valid {
+            Err(UnknownPolicy::Ok) => QueryResult::without_request(true),
+            Err(UnknownPolicy::OverLimit) => QueryResult::without_request(false),
+            Ok(valid) => valid.evaluate(arrived_at, timeout).await,
         }
     });
-    let mut answers = join_all(asks).await;
-    let combined = combine(&answers.iter().map(|answer| answer.let_in).collect::<Vec<_>>());
-    for number in &combined.refunds {
-        answers[*number].give_back();
+    let mut results = join_all(evaluations).await;
+    let combined = combine(&results.iter().map(|result| result.is_admitted).collect::<Vec<_>>());
+    for index in &combined.refunds {
+        results[*index].refund();
     }
-    answers.iter_mut().for_each(Answered::settle);
+    results.iter_mut().for_each(QueryResult::settle);
     let code = |ok| if ok { proto::Code::Ok } else { proto::Code::OverLimit };
-    let headers = answers.iter().find(|answer| answer.let_in == combined.is_ok).and_then(Answered::headers);
+    let headers =
+        results.iter().find(|result| result.is_admitted == combined.is_ok).and_then(QueryResult::headers);
     Ok(proto::RateLimitResponse {
         overall_code: code(combined.is_ok).into(),
-        statuses: answers.iter().map(|answer| answer.status(code(answer.let_in))).collect(),
+        statuses: results.iter().map(|result| result.status(code(result.is_admitted))).collect(),
         response_headers_to_add: headers.unwrap_or_default(),
         ..proto::RateLimitResponse::default()
     })
 }
 
-fn asked(descriptor: &proto::RateLimitDescriptor) -> Descriptor<'_> {
+fn to_descriptor(descriptor: &proto::RateLimitDescriptor) -> Descriptor<'_> {
     Descriptor {
         entries: descriptor.entries.iter().map(|entry| (entry.key.as_str(), entry.value.as_str())).collect(),
         hits: descriptor.hits_addend,
@@ -307,67 +316,72 @@
     }
 }
 
-/// A question that has been checked against its pool.
-struct Ready {
+/// A query that is valid for its pool.
+struct ValidQuery {
     pool: Rc<Pool>,
     class: u16,
     plan: u16,
     customer: u64,
     units: f64,
     gateway_count: f64,
-    named: Option<String>,
+    attempt_name: Option<String>,
     account: String,
 }
 
-impl Ready {
-    fn check(asking: &RateLimitConfig, number: usize, query: QuotaQuery) -> Result<Ready, Status> {
-        let wrong = |what: &str| Status::invalid_argument(format!("descriptors[{number}]: {what}"));
-        let pool = asking.pools.get(query.pool).ok_or_else(|| Status::internal("the pool is gone"))?;
+impl ValidQuery {
+    fn new(config: &RateLimitConfig, index: usize, query: QuotaQuery) -> Result<ValidQuery, Status> {
+        let invalid = |reason: &str| Status::invalid_argument(format!("descriptors[{index}]: {reason}"));
+        let pool = config.pools.get(query.pool).ok_or_else(|| Status::internal("the pool is gone"))?;
         let rules = pool.rules();
         let plan = match &query.plan {
-            Some(name) => rules.plan(name).ok_or_else(|| wrong("no such plan"))?,
+            Some(name) => rules.plan(name).ok_or_else(|| invalid("no such plan"))?,
             None => {
-                rules.default_plan().ok_or_else(|| wrong("names no plan, and the pool has no default"))?
+                rules.default_plan().ok_or_else(|| invalid("names no plan, and the pool has no default"))?
             }
         };
         if query.units > rules.max_units() {
-            return Err(wrong("hits_addend: more units than one request may have"));
+            return Err(invalid("hits_addend: more units than one request may have"));
         }
         let customer =
-            customer_id(&query.account).ok_or_else(|| wrong("the account is empty or too long"))?;
+            customer_id(&query.account).ok_or_else(|| invalid("the account is empty or too long"))?;
         let class = rules.query_class().ok_or_else(|| Status::internal("the pool takes no questions"))?;
-        let (units, gateway_count, named) = (query.units, rules.ingress_count(), query.attempt_name);
+        let (units, gateway_count, attempt_name) = (query.units, rules.ingress_count(), query.attempt_name);
         let (pool, account) = (pool.clone(), query.account);
-        Ok(Ready { pool, class, plan, customer, units, gateway_count, named, account })
+        Ok(ValidQuery { pool, class, plan, customer, units, gateway_count, attempt_name, account })
     }
 
-    async fn ask(self, arrived_at: Micros, timeout: Micros) -> Answered {
+    /// Runs the prechecks of the pool, then requests admission by the decision module.
+    async fn evaluate(self, arrived_at: Micros, timeout: Micros) -> QueryResult {
         let mut pass = None;
-        if let Some(precheck) = self.pool.precheck(self.named.is_some(), || self.plan) {
-            let about = PrecheckRequest {
+        if let Some(precheck) = self.pool.precheck(self.attempt_name.is_some(), || self.plan) {
+            let request = PrecheckRequest {
                 source: Source::Query,
                 customer: self.customer,
                 units: self.units,
-                attempt_name: self.named,
+                attempt_name: self.attempt_name,
                 account: self.account,
                 plan: self.pool.rules().plans[usize::from(self.plan)].clone(),
                 class: None,
                 arrived_at,
                 timeout,
             };
-            match precheck.run(about).await {
-                PrecheckOutcome::Pass(passed) if passed.already_counted => return Answered::known(true),
+            match precheck.run(request).await {
+                PrecheckOutcome::Pass(passed) if passed.already_counted => {
+                    return QueryResult::without_request(true)
+                }
                 PrecheckOutcome::Pass(passed) => pass = Some(passed),
                 PrecheckOutcome::OverLimit { retry_after } | PrecheckOutcome::Unavailable { retry_after } => {
-                    let mut refused = Answered::known(false);
-                    refused.retry_after = retry_after;
-                    return refused;
+                    let mut rejected = QueryResult::without_request(false);
+                    rejected.retry_after = retry_after;
+                    return rejected;
                 }
             }
         }
-        let Some(_entry) = self.pool.open_request() else { return Answered::known(false) };
+        let Some(_open_request) = self.pool.open_request() else {
+            return QueryResult::without_request(false);
+        };
         let id = self.pool.next_request_id();
-        let (reply, answered) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         let sent = self.pool.send(Message::Request(ClientRequest {
             id,
             arrived_at,
@@ -384,74 +398,84 @@
             charged_member: None,
             reply,
         }));
-        // Dropped here, its stream has been reset: what was asked ends with it.
-        let mut asked = Answered::known(false);
-        (asked.pool, asked.id, asked.open, asked.pass) = (Some(self.pool.clone()), id, sent, pass);
-        let reply = answered.await.unwrap_or(Reply { answer: ClientAnswer::Failed, quota: None });
-        (asked.let_in, asked.standing) = (matches!(reply.answer, ClientAnswer::Admitted), reply.quota);
-        asked.open = asked.let_in;
+        // If this future is dropped while it waits, the stream was reset, and dropping the result ends the request.
+        let mut result = QueryResult::without_request(false);
+        (result.pool, result.id, result.is_open, result.pass) = (Some(self.pool.clone()), id, sent, pass);
+        let reply = reply_receiver.await.unwrap_or(Reply { answer: ClientAnswer::Failed, quota: None });
+        (result.is_admitted, result.quota) = (matches!(reply.answer, ClientAnswer::Admitted), reply.quota);
+        result.is_open = result.is_admitted;
         if let ClientAnswer::Refused { retry_after } = reply.answer {
-            asked.retry_after = retry_after;
+            result.retry_after = retry_after;
         }
-        if let Some(pass) = asked.pass.as_mut().filter(|_| !asked.let_in) {
+        if let Some(pass) = result.pass.as_mut().filter(|_| !result.is_admitted) {
             pass.finish(false);
         }
-        asked
+        result
     }
 }
 
-/// What came of one descriptor.
-struct Answered {
-    let_in: bool,
-    standing: Option<QuotaState>,
+/// The result of one descriptor.
+struct QueryResult {
+    is_admitted: bool,
+    quota: Option<QuotaState>,
     retry_after: Micros,
+    /// The pool of the request; `None` if no request was sent to a decision module.
     pool: Option<Rc<Pool>>,
     id: u32,
-    /// The module holds it open.
-    open: bool,
+    /// Whether the request is still open in the decision module.
+    is_open: bool,
     pass: Option<PrecheckPass>,
 }
 
-impl Answered {
-    fn known(let_in: bool) -> Answered {
-        Answered { let_in, standing: None, retry_after: 0, pool: None, id: 0, open: false, pass: None }
+impl QueryResult {
+    /// A result for which no request was sent to a decision module.
+    fn without_request(is_admitted: bool) -> QueryResult {
+        QueryResult {
+            is_admitted,
+            quota: None,
+            retry_after: 0,
+            pool: None,
+            id: 0,
+            is_open: false,
+            pass: None,
+        }
     }
 
-    /// Another descriptor is over: this one's units are taken back.
-    fn give_back(&mut self) {
-        if let Some(pool) = self.pool.as_ref().filter(|_| self.open) {
+    /// Refunds the units of this descriptor, because another one is over its limit.
+    fn refund(&mut self) {
+        if let Some(pool) = self.pool.as_ref().filter(|_| self.is_open) {
             pool.send(Message::Withdrawn(self.id));
             if let Some(pass) = &mut self.pass {
                 pass.finish(false);
                 if let Some(claim) = pass.claim {
-                    // Its try stands as if nobody had decided it.
+                    // Resets the claim of the attempt to undecided.
                     pool.send(Message::AddToClaim { claim, amount: -claim::ADMITTED, reply: None });
                 }
             }
-            self.open = false;
+            self.is_open = false;
         }
     }
 
-    /// It stays counted.
+    /// Ends the request in the decision module. Its units stay counted.
     fn settle(&mut self) {
-        if let Some(pool) = self.pool.as_ref().filter(|_| self.open) {
+        if let Some(pool) = self.pool.as_ref().filter(|_| self.is_open) {
             pool.send(Message::Abandoned(self.id));
-            self.open = false;
+            self.is_open = false;
         }
     }
 
     fn status(&self, code: proto::Code) -> proto::DescriptorStatus {
-        let limit = self.standing.map(|standing| proto::RateLimit {
+        let limit = self.quota.map(|quota| proto::RateLimit {
             name: String::new(),
-            requests_per_unit: standing.rate.floor().clamp(0.0, f64::from(u32::MAX)) as u32,
+            requests_per_unit: quota.rate.floor().clamp(0.0, f64::from(u32::MAX)) as u32,
             unit: proto::Unit::Second.into(),
         });
-        let reset = self.standing.map(|standing| standing.reset_after.max(self.retry_after));
+        let reset = self.quota.map(|quota| quota.reset_after.max(self.retry_after));
         let reset = reset.or((self.retry_after > 0).then_some(self.retry_after));
         proto::DescriptorStatus {
             code: code.into(),
             current_limit: limit,
-            limit_remaining: self.standing.map_or(0, |standing| standing.remaining.floor() as u32),
+            limit_remaining: self.quota.map_or(0, |quota| quota.remaining.floor() as u32),
             duration_until_reset: reset.map(|micros| prost_types::Duration {
                 seconds: (micros / 1_000_000) as i64,
                 nanos: (micros % 1_000_000 * 1_000) as i32,
@@ -460,10 +484,10 @@
         }
     }
 
-    /// The fields that tell of the quota, where the pool has them switched on.
+    /// The quota header fields, if they are enabled for the pool and the state of the quota is known.
     fn headers(&self) -> Option<Vec<proto::HeaderValue>> {
         let mut headers = hyper::HeaderMap::new();
-        quota_headers::write(&mut headers, self.pool.as_ref()?.quota_headers.get(), &self.standing?);
+        quota_headers::write(&mut headers, self.pool.as_ref()?.quota_headers.get(), &self.quota?);
         let value =
             |(name, value): (&hyper::header::HeaderName, &hyper::header::HeaderValue)| proto::HeaderValue {
                 key: name.to_string(),
@@ -474,9 +498,9 @@
     }
 }
 
-impl Drop for Answered {
+impl Drop for QueryResult {
     fn drop(&mut self) {
-        // Whoever asked has gone: nobody knows whether it went on, so what was let in stays counted.
+        // The caller has disconnected and may or may not have executed its request, so admitted units stay counted.
         self.settle();
     }
 }
