--- a/crates/config/src/consult.rs
+++ b/crates/config/src/consult.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use violetyoke_ratelimit::breaker::BreakerSettings;
-use violetyoke_ratelimit::consult::{LimiterSettings, OnSilence};
+use violetyoke_ratelimit::external_limiter::{FallbackPolicy, LimiterSettings};
 
 /// The external rate limit server of a pool, checked.
 #[derive(Clone, Debug, PartialEq)]
@@ -77,15 +77,15 @@
     };
     let breaker = section.section("breaker");
     let settings = LimiterSettings {
-        budget: time("budget_ms", 50.0, 1.0),
-        budget_share: section.number("budget_part", 0.25, 0.01..=0.5),
+        max_query_time: time("budget_ms", 50.0, 1.0),
+        max_time_fraction: section.number("budget_part", 0.25, 0.01..=0.5),
         max_in_flight: section.integer("most_open", 64, 1..=10_000) as usize,
         late_reply_time: time("late_ms", 1_000.0, 0.0),
-        credit_time: time("credit_ms", 1_000.0, 0.0),
-        on_silence: section.choice(
+        credit_ttl: time("credit_ms", 1_000.0, 0.0),
+        fallback_policy: section.choice(
             "when_silent",
-            OnSilence::Reject,
-            &[("own_quota", OnSilence::OwnQuota), ("refuse", OnSilence::Reject)],
+            FallbackPolicy::Reject,
+            &[("own_quota", FallbackPolicy::OwnQuota), ("refuse", FallbackPolicy::Reject)],
         ),
         max_retry_after,
         breaker: read_breaker(&breaker),
--- a/crates/ingress/src/external_limiter.rs
+++ b/crates/ingress/src/external_limiter.rs
@@ -1,4 +1,4 @@
-//! The client of an external rate limit server, on one HTTP/2 connection. `violetyoke-ratelimit::consult` decides, without
+//! The client of an external rate limit server, on one HTTP/2 connection. `violetyoke-ratelimit::external_limiter` decides, without
 //! I/O, whether a query is sent, and how time-outs and late replies are handled.
 
 use crate::pool::SharedCapacity;
@@ -19,7 +19,7 @@
 use tonic::Request;
 use violetyoke_config::Consult;
 use violetyoke_decision::interface::Micros;
-use violetyoke_ratelimit::consult::{Decision, ExternalLimiter, Reply, Start};
+use violetyoke_ratelimit::external_limiter::{Decision, ExternalLimiter, Reply, Start};
 use violetyoke_ratelimit_proto as proto;
 use violetyoke_ratelimit_proto::{never_processed, Channel};
 use violetyoke_shares::Member;
@@ -306,7 +306,7 @@
         let now = self.client.clock.now();
         let mut limiter = self.client.limiter.borrow_mut();
         if self.is_waiting {
-            limiter.on_caller_gone(now, self.id);
+            limiter.on_caller_cancelled(now, self.id);
         } else {
             // The outcome is unknown, so the request counts as admitted. This has no effect if the outcome was reported.
             limiter.on_request_end(now, self.id, true);
--- a/crates/ingress/src/precheck.rs
+++ b/crates/ingress/src/precheck.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use violetyoke_decision::interface::Micros;
 use violetyoke_ratelimit::claim::{self, ClaimState, Source};
-use violetyoke_ratelimit::consult::Decision;
+use violetyoke_ratelimit::external_limiter::Decision;
 
 /// The properties of a request or rate limit query that the checks depend on.
 pub struct PrecheckRequest {
--- a/crates/ratelimit/src/consult/limiter.rs
+++ b/crates/ratelimit/src/external_limiter/limiter.rs
@@ -76,28 +76,29 @@
             return Start::Credited { id: self.add_query(key, 0, QueryState::Counted, Some(expiry)) };
         }
         let left = deadline.saturating_sub(now);
-        let time = self.settings.budget.min((left as f64 * self.settings.budget_share) as Micros);
+        let time =
+            self.settings.max_query_time.min((left as f64 * self.settings.max_time_fraction) as Micros);
         if self.in_flight >= self.settings.max_in_flight || time < MIN_QUERY_TIME {
             self.counters.unasked += 1;
-            return Start::NoQuery(self.settings.decision_on_silence(0));
+            return Start::NoQuery(self.settings.fallback_decision(0));
         }
         match self.breaker.acquire(now) {
             Permit::Granted { epoch } => {
-                let id = self.add_query(key, epoch, QueryState::Asked, None);
+                let id = self.add_query(key, epoch, QueryState::AwaitingReply, None);
                 self.in_flight += 1;
                 self.counters.asked += 1;
                 Start::Query { id, until: now + time }
             }
             Permit::Denied { retry_after } => {
                 self.counters.unasked += 1;
-                Start::NoQuery(self.settings.decision_on_silence(retry_after))
+                Start::NoQuery(self.settings.fallback_decision(retry_after))
             }
         }
     }
 
     /// Whether a query that the server has not processed is sent again: not twice, and only while the request still waits.
     pub fn may_retry(&self, now: Micros, id: u64, until: Micros, attempts: u32) -> bool {
-        let is_waiting = self.queries.get(&id).is_some_and(|query| query.state == QueryState::Asked);
+        let is_waiting = self.queries.get(&id).is_some_and(|query| query.state == QueryState::AwaitingReply);
         is_waiting && attempts < MAX_ATTEMPTS && now < until
     }
 
@@ -112,7 +113,7 @@
                 self.on_late_reply(now, &query, reply);
                 None
             }
-            QueryState::Asked => {
+            QueryState::AwaitingReply => {
                 let epoch = query.breaker_epoch;
                 if reply == Reply::Ok {
                     // Kept until it is known what became of the request.
@@ -148,7 +149,7 @@
     fn on_connection_broke(&mut self, now: Micros, connection: u64, epoch: u64) -> Decision {
         if !self.broken_connections.insert((connection, epoch)) {
             self.counters.silent += 1;
-            return self.settings.decision_on_silence(0);
+            return self.settings.fallback_decision(0);
         }
         if self.broken_connections.len() > MAX_BROKEN_CONNECTIONS {
             self.broken_connections.pop_first();
@@ -167,7 +168,7 @@
     }
 
     /// The caller went away before the reply: its request is not admitted.
-    pub fn on_caller_gone(&mut self, now: Micros, id: u64) {
+    pub fn on_caller_cancelled(&mut self, now: Micros, id: u64) {
         if let Some(epoch) = self.abandon(id) {
             self.breaker.on_abandoned(now, epoch);
             self.on_request_end(now, id, false);
@@ -176,7 +177,7 @@
 
     /// Stops waiting for a reply. Returns the breaker's epoch of the query, unless nobody waited.
     fn abandon(&mut self, id: u64) -> Option<u64> {
-        let query = self.queries.get_mut(&id).filter(|query| query.state == QueryState::Asked)?;
+        let query = self.queries.get_mut(&id).filter(|query| query.state == QueryState::AwaitingReply)?;
         query.state = QueryState::Abandoned;
         Some(query.breaker_epoch)
     }
@@ -227,12 +228,12 @@
         if self.breaker.on_failure(now, epoch) {
             self.counters.opened += 1;
         }
-        self.settings.decision_on_silence(0)
+        self.settings.fallback_decision(0)
     }
 
     fn add_credit(&mut self, now: Micros, key: u64) {
         self.counters.credited += 1;
-        self.credits.add(now, key, now + self.settings.credit_time);
+        self.credits.add(now, key, now + self.settings.credit_ttl);
     }
 
     fn add_query(
--- a/crates/ratelimit/src/consult/mod.rs
+++ b/crates/ratelimit/src/external_limiter/mod.rs
@@ -21,4 +21,4 @@
 
 pub use limiter::ExternalLimiter;
 pub use protocol::{Counters, Decision, Reply, Start, Usage};
-pub use settings::{LimiterSettings, OnSilence};
+pub use settings::{FallbackPolicy, LimiterSettings};
--- a/crates/ratelimit/src/consult/query.rs
+++ b/crates/ratelimit/src/external_limiter/query.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueryState {
     /// Its reply is waited for.
-    Asked,
+    AwaitingReply,
     /// The reply was OK and in time, or a credit was used.
     Counted,
     /// Nobody waits for the reply any more.
--- a/crates/ratelimit/src/lib.rs
+++ b/crates/ratelimit/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`quota_queries`] turns the descriptors of a request into queries about quotas, by a [`Mapping`]; [`combine`] makes one
 //!   result of theirs.
 //! - [`claim`] finds out whether an attempt has been counted before.
-//! - [`consult`] decides what the replies of an external rate limit server mean, in time or late; a [`breaker`] suspends
+//! - [`external_limiter`] decides what the replies of an external rate limit server mean, in time or late; a [`breaker`] suspends
 //!   queries to one that fails.
 //!
 //! The quotas themselves are kept by the decision module, and messages are sent by the ingress. Times are microseconds.
@@ -29,7 +29,7 @@
 
 pub mod breaker;
 pub mod claim;
-pub mod consult;
+pub mod external_limiter;
 pub mod grpc_timeout;
 mod mapping;
 mod query;
--- a/crates/ratelimit/tests/consult/main.rs
+++ b/crates/ratelimit/tests/external_limiter/main.rs
@@ -6,11 +6,13 @@
 mod support;
 
 use support::{query, settings, MS};
-use violetyoke_ratelimit::consult::{Decision, ExternalLimiter, OnSilence, Reply, Start, Usage};
+use violetyoke_ratelimit::external_limiter::{
+    Decision, ExternalLimiter, FallbackPolicy, Reply, Start, Usage,
+};
 
 #[test]
 fn time_for_a_reply_is_a_share_of_the_requests_remaining_time() {
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::OwnQuota), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::OwnQuota), 1);
     assert_eq!(limiter.start(0, 2_000 * MS, 1), Start::Query { id: 1, until: 100 * MS });
     assert_eq!(limiter.start(0, 200 * MS, 1), Start::Query { id: 2, until: 50 * MS });
     // A request with 3 ms left is not held up for it, and takes no place.
@@ -20,7 +22,7 @@
 
 #[test]
 fn replies_in_time_decide() {
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::Reject), 1);
     let (first, _) = query(&mut limiter, 0, 1);
     assert_eq!(limiter.on_reply(10, first, Reply::Ok), Some(Decision::Proceed));
     limiter.on_request_end(20, first, true);
@@ -36,7 +38,7 @@
 #[test]
 fn late_ok_becomes_a_credit_if_its_request_was_rejected() {
     // Refused as the answer was late: what was counted for it serves the next request about the same.
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::Reject), 1);
     let (number, until) = query(&mut limiter, 0, 7);
     assert_eq!(limiter.on_timeout(until, number), Some(Decision::Reject { retry_after: 0 }));
     // Whoever drops it says that it may have been let in; it has been refused before that.
@@ -55,7 +57,7 @@
     assert!(matches!(limiter.start(until + 2, until + 2_000 * MS, 7), Start::Query { .. }));
     assert_eq!((limiter.counters().late_unused, limiter.counters().credits_used), (1, 1));
     // Let in by the pool's own quota: it has used what was counted, and nothing is over.
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::OwnQuota), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::OwnQuota), 1);
     let (number, until) = query(&mut limiter, 0, 7);
     assert_eq!(limiter.on_timeout(until, number), Some(Decision::Proceed));
     limiter.on_request_end(until, number, true);
@@ -68,7 +70,7 @@
 
 #[test]
 fn late_over_limit_changes_nothing_and_is_counted() {
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::OwnQuota), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::OwnQuota), 1);
     let (number, until) = query(&mut limiter, 0, 7);
     assert_eq!(limiter.on_timeout(until, number), Some(Decision::Proceed));
     limiter.on_request_end(until, number, true);
@@ -81,7 +83,7 @@
 
 #[test]
 fn credit_of_a_request_rejected_by_its_own_quota_expires() {
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::Reject), 1);
     let (number, _) = query(&mut limiter, 0, 7);
     assert_eq!(limiter.on_reply(1, number, Reply::Ok), Some(Decision::Proceed));
     limiter.on_request_end(2, number, false);
@@ -92,7 +94,7 @@
 
 #[test]
 fn unprocessed_query_is_retried_once_while_its_request_waits() {
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::Reject), 1);
     let (number, until) = query(&mut limiter, 0, 7);
     assert!(limiter.may_retry(until - 1, number, until, 1));
     assert!(!limiter.may_retry(until - 1, number, until, 2) && !limiter.may_retry(until, number, until, 1));
@@ -100,16 +102,16 @@
     limiter.on_timeout(10, number);
     assert!(!limiter.may_retry(11, number, until, 1));
     let (number, until) = query(&mut limiter, 20, 7);
-    limiter.on_caller_gone(21, number);
+    limiter.on_caller_cancelled(21, number);
     assert!(!limiter.may_retry(22, number, until, 1));
 }
 
 #[test]
 fn slots_are_held_until_the_end_of_a_query_is_known() {
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::Reject), 1);
     let numbers: Vec<u64> = (0..4).map(|about| query(&mut limiter, 0, about).0).collect();
     assert_eq!(limiter.start(0, 2_000 * MS, 9), Start::NoQuery(Decision::Reject { retry_after: 0 }));
-    limiter.on_caller_gone(1, numbers[0]);
+    limiter.on_caller_cancelled(1, numbers[0]);
     assert_eq!(limiter.usage().in_flight, 4);
     limiter.on_reply_lost(numbers[0]);
     assert_eq!(limiter.on_reply(2, numbers[0], Reply::Ok), None);
@@ -119,7 +121,7 @@
 
 #[test]
 fn broken_connection_is_one_failure_for_all_its_queries() {
-    let mut limiter = ExternalLimiter::new(settings(OnSilence::Reject), 1);
+    let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::Reject), 1);
     let broke = |connection| Reply::ConnectionBroke { connection };
     // Two of them go at once, and their questions end in any order.
     let numbers: Vec<_> = (0..4).map(|about| query(&mut limiter, 0, about).0).collect();
@@ -139,7 +141,7 @@
 
 #[test]
 fn open_breaker_is_handled_like_silence() {
-    for (silence, refuses) in [(OnSilence::OwnQuota, false), (OnSilence::Reject, true)] {
+    for (silence, refuses) in [(FallbackPolicy::OwnQuota, false), (FallbackPolicy::Reject, true)] {
         let mut limiter = ExternalLimiter::new(settings(silence), 1);
         for _ in 0..3 {
             let (number, _) = query(&mut limiter, 0, 1);
--- a/crates/ratelimit/tests/consult/properties.rs
+++ b/crates/ratelimit/tests/external_limiter/properties.rs
@@ -3,7 +3,7 @@
 use crate::support::{settings, MS};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use violetyoke_ratelimit::consult::{ExternalLimiter, OnSilence, Reply, Start, Usage};
+use violetyoke_ratelimit::external_limiter::{ExternalLimiter, FallbackPolicy, Reply, Start, Usage};
 
 /// One thing that happens to the limiter's state; the number chooses among the questions that it can happen to.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// nothing, each question gives at most one word, and once all have ended nothing is held.
     #[test]
     fn no_credit_is_used_twice_and_no_query_leaks(steps in steps(), refuse in any::<bool>()) {
-        let silence = if refuse { OnSilence::Reject } else { OnSilence::OwnQuota };
+        let silence = if refuse { FallbackPolicy::Reject } else { FallbackPolicy::OwnQuota };
         let settings = settings(silence);
         let mut limiter = ExternalLimiter::new(settings, 3);
         let mut now = 0;
@@ -50,7 +50,7 @@
             match step {
                 Step::Ask(about) => match limiter.start(now, now + 1_000 * MS, about) {
                     Start::Query { id: number, until } => {
-                        prop_assert!(until > now && until <= now + settings.budget);
+                        prop_assert!(until > now && until <= now + settings.max_query_time);
                         questions.insert(number, (about, false, true));
                     }
                     Start::Credited { id: number } => {
@@ -79,7 +79,7 @@
                     *word |= given.is_some();
                 },
                 Step::Leave(which) => if let Some(number) = pick(which) {
-                    limiter.on_caller_gone(now, number);
+                    limiter.on_caller_cancelled(now, number);
                     if let Some((_, word, _)) = questions.get_mut(&number) {
                         *word = true;
                     }
@@ -108,7 +108,7 @@
         }
         let Usage { in_flight, queries, .. } = limiter.usage();
         prop_assert_eq!((in_flight, queries), (0, 0));
-        now += 2 * settings.credit_time;
+        now += 2 * settings.credit_ttl;
         limiter.start(now, now, 0);
         prop_assert_eq!(limiter.usage().credits, 0);
     }
@@ -116,7 +116,7 @@
     /// Where each request's end is told once, credits used are at most the OKs whose request was not let in.
     #[test]
     fn each_ok_serves_one_request(ends in prop::collection::vec((0..2u64, any::<bool>()), 1..100)) {
-        let mut limiter = ExternalLimiter::new(settings(OnSilence::OwnQuota), 9);
+        let mut limiter = ExternalLimiter::new(settings(FallbackPolicy::OwnQuota), 9);
         let (mut passed, mut ok) = (0u64, 0u64);
         for (now, (about, let_in)) in ends.into_iter().enumerate() {
             let now = now as u64;
--- a/crates/ratelimit/tests/consult/support.rs
+++ b/crates/ratelimit/tests/external_limiter/support.rs
@@ -1,18 +1,18 @@
 //! Settings, and queries that have to be sent.
 
 use violetyoke_ratelimit::breaker::BreakerSettings;
-use violetyoke_ratelimit::consult::{ExternalLimiter, LimiterSettings, OnSilence, Start};
+use violetyoke_ratelimit::external_limiter::{ExternalLimiter, FallbackPolicy, LimiterSettings, Start};
 
 pub(crate) const MS: u64 = 1_000;
 
-pub(crate) fn settings(on_silence: OnSilence) -> LimiterSettings {
+pub(crate) fn settings(fallback_policy: FallbackPolicy) -> LimiterSettings {
     LimiterSettings {
-        budget: 100 * MS,
-        budget_share: 0.25,
+        max_query_time: 100 * MS,
+        max_time_fraction: 0.25,
         max_in_flight: 4,
         late_reply_time: 1_000 * MS,
-        credit_time: 1_000 * MS,
-        on_silence,
+        credit_ttl: 1_000 * MS,
+        fallback_policy,
         max_retry_after: 5_000 * MS,
         breaker: BreakerSettings { failures: 3, pause: 1_000 * MS, max_pause: 8_000 * MS },
     }
