--- a/crates/ratelimit/src/breaker.rs
+++ b/crates/ratelimit/src/breaker.rs
@@ -1,17 +1,17 @@
-//! A circuit breaker: after a number of failures in a row calls are suspended for a while, then one trial call finds out
-//! whether the other side has recovered (M. Nygard, Release It!, 2007, "Circuit Breaker").
+//! A circuit breaker: after several consecutive failures, calls are suspended for a time. Then a single trial call finds out
+//! whether the server has recovered (M. Nygard, Release It!, 2007, "Circuit Breaker").
 
-/// Microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
 /// When a breaker opens, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BreakerSettings {
-    /// Failures in a row that open it, at least 1.
+    /// The number of consecutive failures that opens the breaker, at least 1.
     pub failures: u32,
-    /// For how long it is open at first; each trial that fails doubles it.
+    /// How long the breaker stays open at first. Each failed trial doubles the time.
     pub pause: Micros,
-    /// For how long it is open at most.
+    /// The maximum time for which it stays open.
     pub max_pause: Micros,
 }
 
@@ -19,14 +19,14 @@
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// Make it, and report its result.
+    /// The call may be made, and its result must be reported.
     Granted {
-        /// To be given back with the result.
+        /// The epoch to report the result with.
         epoch: u64,
     },
-    /// Don't.
+    /// The call must not be made.
     Denied {
-        /// Time after which it may be granted.
+        /// The time after which a call may be granted.
         retry_after: Micros,
     },
 }
@@ -39,32 +39,32 @@
     Open {
         until: Micros,
     },
-    /// One call is in flight, and no other is granted until its result is known.
+    /// One trial call is in flight. No other call is granted until its result is known.
     Trial {
-        started: Micros,
+        started_at: Micros,
     },
 }
 
-/// The state between calls. The result of a call that began before a change of state is ignored after it: results bring
-/// back the epoch in which their call was granted.
+/// A circuit breaker. Each change of state starts a new epoch, and results of calls that were granted in an earlier epoch
+/// are ignored.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     settings: BreakerSettings,
     state: State,
     epoch: u64,
-    /// Pauses since it was closed.
+    /// The number of pauses since the breaker was last closed.
     pauses: u32,
-    random: u64,
+    rng_state: u64,
 }
 
 impl Breaker {
-    /// A closed breaker. `seed` has to differ among ingresses, so that their pauses end apart and their trials don't come at
-    /// once.
+    /// Creates a closed breaker. `seed` must differ among ingresses, so that their pauses end at different times and their
+    /// trials do not coincide.
     pub fn new(settings: BreakerSettings, seed: u64) -> Breaker {
-        Breaker { settings, state: State::Closed { failures: 0 }, epoch: 0, pauses: 0, random: seed }
+        Breaker { settings, state: State::Closed { failures: 0 }, epoch: 0, pauses: 0, rng_state: seed }
     }
 
-    /// Other settings from now on; a pause that has begun keeps its end.
+    /// Applies new settings. The end of a pause that has started does not change.
     pub fn update_settings(&mut self, settings: BreakerSettings) {
         self.settings = settings;
     }
@@ -74,18 +74,18 @@
         matches!(self.state, State::Closed { .. })
     }
 
-    /// Asks for a call.
+    /// Requests a permit for a call.
     pub fn acquire(&mut self, now: Micros) -> Permit {
         match self.state {
             State::Closed { .. } => Permit::Granted { epoch: self.epoch },
             State::Open { until } if now < until => Permit::Denied { retry_after: until - now },
             State::Open { .. } => {
-                self.enter(State::Trial { started: now });
+                self.enter(State::Trial { started_at: now });
                 Permit::Granted { epoch: self.epoch }
             }
-            // When the trial ends is not known; a pause after its start is an estimate.
-            State::Trial { started } => {
-                Permit::Denied { retry_after: (started + self.settings.pause).saturating_sub(now) }
+            // The end of the trial is unknown, so one pause after its start is returned as an estimate.
+            State::Trial { started_at } => {
+                Permit::Denied { retry_after: (started_at + self.settings.pause).saturating_sub(now) }
             }
         }
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A call failed. Returns whether that has opened the breaker.
+    /// A call failed. Returns whether this has opened the breaker.
     pub fn on_failure(&mut self, now: Micros, epoch: u64) -> bool {
         if epoch != self.epoch {
             return false;
@@ -115,14 +115,14 @@
         let pause = self.settings.pause.saturating_mul(1 << self.pauses.min(20));
         let pause = pause.min(self.settings.max_pause);
         self.pauses += 1;
-        // Between 80% and all of it.
+        // Jitter: between 80% and 100% of the pause.
         let permille = 800 + self.next_random() % 201;
         self.enter(State::Open { until: now + pause * permille / 1_000 });
         true
     }
 
-    /// A call ended without a result: its caller went away. If that was the trial, the next call is one. Without this, no
-    /// call would be granted any more.
+    /// A call ended without a result, because its caller was cancelled. If it was the trial, the next call becomes the trial;
+    /// otherwise no call would ever be granted again.
     pub fn on_abandoned(&mut self, now: Micros, epoch: u64) {
         if epoch == self.epoch && matches!(self.state, State::Trial { .. }) {
             self.enter(State::Open { until: now });
@@ -136,8 +136,8 @@
 
     /// SplitMix64 (Steele, Lea, Flood, OOPSLA 2014).
     fn next_random(&mut self) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.rng_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
--- a/crates/ratelimit/src/claim.rs
+++ b/crates/ratelimit/src/claim.rs
@@ -1,49 +1,48 @@
-//! Claims: an attempt is counted once, though several ingresses may be asked about it, and by several ways.
+//! Claims of named attempts, which ensure that an attempt is counted once even if several ingresses receive queries about it
+//! or the request itself. The first ingress that claims the attempt counts it, and the others adopt the outcome.
 //!
-//! An attempt that has a name may be asked about through several ingresses; the first to claim it counts it, and the
-//! others adopt the outcome.
+//! A claim is one counter at the pool's counter service. Its name is made of the account, the units and the attempt's name,
+//! so claims of different accounts have different counters. Each ingress that receives the attempt adds the increment of its
+//! [`Source`] and learns from the total what came before. The ingress that counts the attempt adds [`ADMITTED`] or
+//! [`REJECTED`] once the decision is made. From the lowest digit on, the total consists of the number of queries (two
+//! digits), the number of requests (two digits), and the outcome. This fits in the seven digits in which totals are exact.
 //!
-//! A claim is one number on the pool's counting service, under a name made of the account, the units and the attempt's
-//! name: claims of different accounts never meet. Whoever meets the attempt adds its [`Source`] and sees by the total who
-//! came before; the one that counted it adds [`ADMITTED`] or [`REJECTED`] when that is decided. From the lowest digits on,
-//! the number holds how many queries came (two digits), how many requests (two), and what was decided; all of it fits into
-//! the seven digits that totals are exact in.
+//! Clients choose the names of attempts, so a name must not admit more than was counted. A counted attempt therefore passes
+//! uncounted as one request at most, and as a few queries, which may be repeated by networks. Further requests and queries
+//! with the same name are counted like new attempts.
 //!
-//! A name is only what a client states, and must not let more through than was counted. So a counted attempt passes
-//! uncounted as one request at most, and as a few queries, which networks repeat; whatever comes more often under one name
-//! is counted like an attempt of its own.
+//! If the state of a claim is unknown, the limit is enforced. In each of these cases, the attempt counts as new, and may be
+//! counted twice:
 //!
-//! What is not known is decided so that the limit holds:
-//!
-//! - the claim's reply is lost or late: the attempt counts as new, and may be counted twice;
-//! - an earlier claim has no outcome (its ingress died, or has not decided yet): the same;
-//! - the outcome's call is lost: later claims find none, and the same;
-//! - the number has expired: the same.
+//! - the reply to the claim is lost or late;
+//! - an earlier claim has no outcome, as its ingress has died or has not decided yet;
+//! - the call that reports the outcome is lost;
+//! - the counter has expired.
 //!
 //! So an attempt is never admitted uncounted by its own claim, and is counted at most once more for each loss. An attempt
-//! costs two calls to the counting service.
+//! costs two calls to the counter service.
 
-/// How an ingress meets an attempt.
+/// How an ingress receives an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A query about it, which forwards nothing.
+    /// A query about the attempt; nothing is forwarded.
     Query,
-    /// A request, which is forwarded to a node.
+    /// The request itself, which is forwarded to a node.
     Request,
 }
 
-/// What is added when an attempt was admitted.
+/// The increment that records that an attempt was admitted.
 pub const ADMITTED: f64 = 10_000.0;
-/// What is added when an attempt was rejected.
+/// The increment that records that an attempt was rejected.
 pub const REJECTED: f64 = 1_000_000.0;
-/// What is added for a request; a query adds one.
+/// The increment for a request; that for a query is 1.
 const REQUEST: f64 = 100.0;
-/// Queries about one attempt that adopt its outcome.
+/// The maximum number of queries about one attempt that adopt its outcome.
 const MAX_QUERIES: f64 = 4.0;
-/// Requests of one attempt beside which queries adopt its outcome.
+/// The maximum number of requests of one attempt up to which queries adopt its outcome.
 const MAX_REQUESTS: f64 = 2.0;
 
-/// What to add for a claim.
+/// The increment for a claim.
 pub fn increment(source: Source) -> f64 {
     match source {
         Source::Query => 1.0,
@@ -51,18 +50,18 @@
     }
 }
 
-/// What a claim's total says of the attempt.
+/// The state of an attempt, according to the total of its claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimState {
-    /// The claimant has to count it, and to report the outcome.
+    /// The claimant must count the attempt, and report the outcome.
     Fresh,
-    /// It was admitted and counted: it passes without being counted again.
+    /// The attempt was admitted and counted: it passes without being counted again.
     Counted,
-    /// It was rejected: it gets the same response, and nothing is counted.
+    /// The attempt was rejected: it is rejected again, and not counted.
     Rejected,
 }
 
-/// Decodes the total that a claim came back with; `None`: no reply, or none in time.
+/// Decodes the total of a claim; `None` if there was no reply in time.
 pub fn decode(source: Source, total: Option<f64>) -> ClaimState {
     let Some(total) = total.filter(|total| total.fract() == 0.0 && (increment(source)..1e7).contains(total))
     else {
@@ -73,7 +72,7 @@
     let requests = (total % ADMITTED / REQUEST).floor();
     let queries = total % REQUEST;
     let may_pass = match source {
-        // This one is the first request that comes.
+        // The total includes the request itself, so it is the first one.
         Source::Request => requests == 1.0,
         Source::Query => (1.0..=MAX_QUERIES).contains(&queries) && requests <= MAX_REQUESTS,
     };
@@ -84,22 +83,23 @@
     }
 }
 
-/// What the decision module made of a request or a query.
+/// The decision module's verdict on a request or a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is admitted: it is forwarded for the first time, or its query is answered.
+    /// It is admitted: the request is forwarded for the first time, or the query is answered.
     Admitted,
     /// It is rejected.
     Rejected {
-        /// Whether an attempt of it was forwarded before.
+        /// Whether the request was forwarded to a node before.
         was_forwarded: bool,
-        /// Microseconds after which its quota has room; 0: the quota is not the reason.
+        /// The time after which the quota admits the request (microseconds); 0 if the quota is not the reason.
         retry_after: u64,
     },
 }
 
-/// Whether others that claim the attempt have to adopt that it was admitted or rejected; `None`: it stays fresh for them. A
-/// request that is rejected for lack of a node says nothing of its quota, and one that was forwarded has been admitted.
+/// The outcome that later claims of the attempt must adopt: whether it was admitted. `None` if there is none to report, and
+/// the attempt stays fresh for them. A request that is rejected because no node is available has no outcome with regard to
+/// the quota, and for a request that was forwarded before, the admission has been reported.
 pub fn outcome_to_report(verdict: Verdict) -> Option<bool> {
     match verdict {
         Verdict::Admitted => Some(true),
@@ -108,7 +108,7 @@
     }
 }
 
-/// What to add when an attempt that was [`ClaimState::Fresh`] has been decided.
+/// The increment that reports the outcome of an attempt that was [`ClaimState::Fresh`].
 pub fn outcome(is_admitted: bool) -> f64 {
     if is_admitted {
         ADMITTED
--- a/crates/ratelimit/src/external_limiter/limiter.rs
+++ b/crates/ratelimit/src/external_limiter/limiter.rs
@@ -1,4 +1,4 @@
-//! The state of the queries to one external server.
+//! The state of all queries to one external server.
 
 use super::credits::Credits;
 use super::protocol::{Counters, Decision, Reply, Start, Usage};
@@ -7,29 +7,29 @@
 use crate::breaker::{Breaker, Micros, Permit};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// With less time a query is not worth sending.
+/// No query is sent if its time-out would be shorter than this.
 const MIN_QUERY_TIME: Micros = 1_000;
-/// Times that one query is sent at most.
+/// The maximum number of times that one query is sent.
 const MAX_ATTEMPTS: u32 = 2;
-/// Broken connections that are remembered: queries are in flight on the last few only.
+/// The maximum number of broken connections that are remembered. Queries are in flight on the last few connections only.
 const MAX_BROKEN_CONNECTIONS: usize = 8;
 
-/// One external server, as one pool sees it.
+/// The queries of one pool to its external rate limit server.
 pub struct ExternalLimiter {
     settings: LimiterSettings,
     breaker: Breaker,
     queries: BTreeMap<u64, Query>,
-    /// Queries whose reply may still come, each of which has a slot.
+    /// The number of queries whose reply may still arrive. Each one occupies a slot.
     in_flight: usize,
     next_id: u64,
-    /// Connections that broke lately, with the breaker's epoch then: one break is one failure.
+    /// Connections that broke recently, each with the breaker's epoch of the query, so that a break counts as one failure.
     broken_connections: BTreeSet<(u64, u64)>,
     credits: Credits,
     counters: Counters,
 }
 
 impl ExternalLimiter {
-    /// A limiter that has asked nothing. `seed`: of the breaker's random pauses.
+    /// Creates a limiter without queries. `seed` is the seed of the breaker's jitter.
     pub fn new(settings: LimiterSettings, seed: u64) -> ExternalLimiter {
         ExternalLimiter {
             settings,
@@ -43,42 +43,41 @@
         }
     }
 
-    /// Other settings from now on. Queries in flight keep the times that they were given.
+    /// Applies new settings. The time-outs of queries in flight do not change.
     pub fn update_settings(&mut self, settings: LimiterSettings) {
         self.settings = settings;
         self.breaker.update_settings(settings.breaker);
     }
 
-    /// How long after its time-out a late reply is waited for.
+    /// How long after its time-out a late reply is still expected.
     pub fn late_reply_time(&self) -> Micros {
         self.settings.late_reply_time
     }
 
-    /// Whether queries are suspended, but for a trial.
+    /// Whether queries other than trials are suspended.
     pub fn is_breaker_open(&self) -> bool {
         !self.breaker.is_closed()
     }
 
-    /// How often what happened.
+    /// Counts of events since the limiter was created.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// What is kept at the moment.
+    /// The present size of the state.
     pub fn usage(&self) -> Usage {
         Usage { in_flight: self.in_flight, queries: self.queries.len(), credits: self.credits.len() }
     }
 
-    /// A request is to be asked about. `key` stands for all that the query says but the attempt's name.
+    /// Starts the check of a request. `key` is a hash of the contents of its query, except the name of the attempt.
     pub fn start(&mut self, now: Micros, deadline: Micros, key: u64) -> Start {
         self.credits.expire(now);
         if let Some(expiry) = self.credits.take(key) {
             return Start::Credited { id: self.add_query(key, 0, QueryState::Counted, Some(expiry)) };
         }
-        let left = deadline.saturating_sub(now);
-        let time =
-            self.settings.max_query_time.min((left as f64 * self.settings.max_time_fraction) as Micros);
-        if self.in_flight >= self.settings.max_in_flight || time < MIN_QUERY_TIME {
+        let left = deadline.saturating_sub(now) as f64;
+        let query_time = self.settings.max_query_time.min((left * self.settings.max_time_fraction) as Micros);
+        if self.in_flight >= self.settings.max_in_flight || query_time < MIN_QUERY_TIME {
             self.counters.unasked += 1;
             return Start::NoQuery(self.settings.fallback_decision(0));
         }
@@ -87,7 +86,7 @@
                 let id = self.add_query(key, epoch, QueryState::AwaitingReply, None);
                 self.in_flight += 1;
                 self.counters.asked += 1;
-                Start::Query { id, until: now + time }
+                Start::Query { id, until: now + query_time }
             }
             Permit::Denied { retry_after } => {
                 self.counters.unasked += 1;
@@ -96,13 +95,13 @@
         }
     }
 
-    /// Whether a query that the server has not processed is sent again: not twice, and only while the request still waits.
+    /// Whether a query that the server has not processed may be sent again while its request waits for the reply.
     pub fn may_retry(&self, now: Micros, id: u64, until: Micros, attempts: u32) -> bool {
         let is_waiting = self.queries.get(&id).is_some_and(|query| query.state == QueryState::AwaitingReply);
         is_waiting && attempts < MAX_ATTEMPTS && now < until
     }
 
-    /// A query has ended. `None`: nobody waits for the reply any more, and it has been accounted for.
+    /// Handles the result of a query. Returns `None` if the request no longer waits for it.
     pub fn on_reply(&mut self, now: Micros, id: u64, reply: Reply) -> Option<Decision> {
         let query = self.queries.get_mut(&id)?;
         match query.state {
@@ -116,7 +115,7 @@
             QueryState::AwaitingReply => {
                 let epoch = query.breaker_epoch;
                 if reply == Reply::Ok {
-                    // Kept until it is known what became of the request.
+                    // Kept until the end of the request is reported.
                     query.state = QueryState::Counted;
                 } else {
                     self.queries.remove(&id);
@@ -144,8 +143,8 @@
         }
     }
 
-    /// A break is one failure, however many queries it ends. The epoch belongs to its identity: a trial has an epoch of
-    /// its own, and its failure counts whatever broke before it.
+    /// Counts the break of a connection as one failure, however many queries it ends. A trial has an epoch of its own, so its
+    /// failure counts even if an older query has reported the break of the same connection.
     fn on_connection_broke(&mut self, now: Micros, connection: u64, epoch: u64) -> Decision {
         if !self.broken_connections.insert((connection, epoch)) {
             self.counters.silent += 1;
@@ -157,7 +156,7 @@
         self.on_failure(now, epoch)
     }
 
-    /// The time for a reply is up. `None`: it has come.
+    /// The time-out of a query has passed. Returns `None` if its result has been handled before.
     pub fn on_timeout(&mut self, now: Micros, id: u64) -> Option<Decision> {
         let epoch = self.abandon(id)?;
         let decision = self.on_failure(now, epoch);
@@ -167,7 +166,7 @@
         Some(decision)
     }
 
-    /// The caller went away before the reply: its request is not admitted.
+    /// The caller was cancelled while it waited for the reply, so its request is not admitted.
     pub fn on_caller_cancelled(&mut self, now: Micros, id: u64) {
         if let Some(epoch) = self.abandon(id) {
             self.breaker.on_abandoned(now, epoch);
@@ -175,14 +174,14 @@
         }
     }
 
-    /// Stops waiting for a reply. Returns the breaker's epoch of the query, unless nobody waited.
+    /// Stops waiting for a reply. Returns the breaker's epoch of the query, or `None` if the request did not wait.
     fn abandon(&mut self, id: u64) -> Option<u64> {
         let query = self.queries.get_mut(&id).filter(|query| query.state == QueryState::AwaitingReply)?;
         query.state = QueryState::Abandoned;
         Some(query.breaker_epoch)
     }
 
-    /// What became of a request that got [`Decision::Proceed`] or a credit. The first call counts.
+    /// Records whether a request with [`Decision::Proceed`] or a credit was admitted in the end. Later calls have no effect.
     pub fn on_request_end(&mut self, now: Micros, id: u64, is_admitted: bool) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         query.is_admitted.get_or_insert(is_admitted);
@@ -194,13 +193,13 @@
         match (is_admitted, credit_expiry) {
             (true, Some(_)) => self.counters.credits_used += 1,
             (true, None) => {}
-            // Counted as a credit when it became one. It keeps its expiry.
+            // The credit is available again, with its original expiry. It has been counted before.
             (false, Some(expiry)) => self.credits.add(now, key, expiry),
             (false, None) => self.add_credit(now, key),
         }
     }
 
-    /// A late reply is not waited for any longer.
+    /// A late reply is no longer expected.
     pub fn on_reply_lost(&mut self, id: u64) {
         if self.queries.get(&id).is_some_and(|query| query.state != QueryState::Counted) {
             self.queries.remove(&id);
@@ -210,7 +209,7 @@
     }
 
     fn on_late_reply(&mut self, now: Micros, query: &Query, reply: Reply) {
-        // A request whose end is not known yet went on by its own quota: it counts as admitted.
+        // A request whose end is not known yet has continued by the pool's own quota, and counts as admitted.
         let is_admitted = query.is_admitted.unwrap_or(true);
         match reply {
             Reply::Ok if is_admitted => self.counters.late_ok += 1,
--- a/crates/ratelimit/src/external_limiter/mod.rs
+++ b/crates/ratelimit/src/external_limiter/mod.rs
@@ -1,17 +1,17 @@
-//! Asking an external rate limit server before a request is admitted: whether to ask at all, until when its reply
-//! counts, what its silence means, and what is made of a reply that comes too late.
+//! Queries to an external rate limit server before a request is admitted: whether a query is sent, the time-out of its
+//! reply, the decision without a reply, and the handling of late replies.
 //!
-//! A query goes through these states. Its slot is free again once its reply has come or is no longer waited for:
+//! A query has these states. It occupies a slot until its reply arrives or is no longer expected:
 //!
 //! ```text
-//! Asked --reply in time--> Counted --end of the request--> removed
-//!   |--time-out, or caller gone--> Abandoned --late reply, or late_reply_time has passed--> removed
+//! AwaitingReply --reply in time--> Counted --end of the request--> removed
+//!   |--time-out, or caller cancelled--> Abandoned --late reply, or late_reply_time has passed--> removed
 //! ```
 //!
-//! An external server that replies OK has counted. Where the request was then not admitted (rejected by the pool's own
-//! quota, rejected as the reply was late, its client gone before that), its units become a credit: the next request with
-//! the same descriptor uses them in place of a query. So external counts are used once at most, and the loss is bounded:
-//! the credits that nobody uses in time, and the replies that never come, one query's units each.
+//! When the external server replies OK, it has counted the units of the query. If the request is not admitted in the end
+//! (rejected by the pool's own quota, rejected because the reply was late, or its client disconnected), the units become a
+//! credit, which the next request with the same descriptor uses instead of a query. So counted units are used once at most.
+//! Units are lost only if a credit expires or a reply never arrives; each such loss is the units of one query.
 
 mod credits;
 mod limiter;
--- a/crates/ratelimit/src/external_limiter/protocol.rs
+++ b/crates/ratelimit/src/external_limiter/protocol.rs
@@ -1,23 +1,23 @@
-//! What goes into the limiter and comes out of it.
+//! The types that are passed to the limiter and returned by it.
 
 use crate::breaker::Micros;
 
-/// What to do about a request.
+/// How to start the check of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Its units have been counted by the external server already, for a request that was not admitted.
+    /// A credit is used: the external server has already counted the units, for a request that was not admitted.
     Credited {
-        /// Identifies it until the request's end.
+        /// Identifies the use of the credit until the end of the request.
         id: u64,
     },
-    /// Send a query.
+    /// A query must be sent.
     Query {
-        /// Identifies it until the request's end.
+        /// Identifies the query until the end of the request.
         id: u64,
-        /// When to stop waiting for the reply.
+        /// The time-out of the reply.
         until: Micros,
     },
-    /// Send none: there is no time or no slot for it, or the breaker is open.
+    /// No query is sent: there is no time or no slot for one, or the breaker is open.
     NoQuery(Decision),
 }
 
@@ -26,73 +26,74 @@
 pub enum Decision {
     /// The pool's own quota decides.
     Proceed,
-    /// Over the external limit.
+    /// The request is over the external limit.
     OverLimit {
-        /// Time to wait; 0: none is known.
+        /// The time after which the client may retry; 0 if it is unknown.
         retry_after: Micros,
     },
-    /// The external server is silent, and [`OnSilence::Reject`](super::OnSilence::Reject) is set.
+    /// There is no reply, and the policy is [`FallbackPolicy::Reject`](super::FallbackPolicy::Reject).
     Reject {
-        /// Time to wait; 0: none is known.
+        /// The time after which the client may retry; 0 if it is unknown.
         retry_after: Micros,
     },
 }
 
-/// What came of a query.
+/// The result of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Within the limit, and counted.
     Ok,
     /// Over the limit, and not counted.
     OverLimit {
-        /// Time until the limit has room again, where the server gives one.
+        /// The time until the limit is reset, if the server gives it.
         reset: Option<Micros>,
     },
     /// No usable reply: an error, no connection, or an unknown code.
     Failed,
-    /// The connection broke, for this query and all others on it.
+    /// The connection broke, which ends all queries on it.
     ConnectionBroke {
-        /// Number of the connection.
+        /// The number of the connection.
         connection: u64,
     },
 }
 
-/// How often what happened; a request may be in several.
+/// Counts of events; a request may be counted in several. The names of the fields are written to the log of the ingress and
+/// must not change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Queries sent.
+    /// Queries that were sent.
     pub asked: u64,
-    /// Replies in time: within the limit.
+    /// Replies in time that were within the limit.
     pub ok: u64,
-    /// Replies in time: over the limit.
+    /// Replies in time that were over the limit.
     pub over: u64,
-    /// Queries that ended without a reply in time.
+    /// Queries without a usable reply in time.
     pub silent: u64,
-    /// Requests without a query: no slot, no time, or an open breaker.
+    /// Requests without a query, because there was no slot or no time, or the breaker was open.
     pub unasked: u64,
-    /// Late replies within the limit, for a request that was admitted meanwhile.
+    /// Late replies within the limit, for requests that were admitted without them.
     pub late_ok: u64,
-    /// Late replies within the limit, for a request that was not admitted.
+    /// Late replies within the limit, for requests that were not admitted.
     pub late_unused: u64,
-    /// Late replies over the limit, for a request that was admitted meanwhile.
+    /// Late replies over the limit, for requests that were admitted without them.
     pub late_over_let_in: u64,
-    /// Replies that never came: their units may have been counted.
+    /// Replies that never arrived; their units may have been counted.
     pub lost: u64,
     /// Requests whose units became a credit.
     pub credited: u64,
-    /// Credits that another request used.
+    /// Credits that were used by other requests.
     pub credits_used: u64,
-    /// Times that the breaker opened.
+    /// The number of times that the breaker opened.
     pub opened: u64,
 }
 
-/// What a limiter keeps at the moment.
+/// The present size of a limiter's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Queries that have a slot.
+    /// Queries that occupy a slot.
     pub in_flight: usize,
-    /// Queries whose request's end is not known.
+    /// Queries of requests whose end has not been reported.
     pub queries: usize,
-    /// Credits.
+    /// Unused credits.
     pub credits: usize,
 }
--- a/crates/ratelimit/src/external_limiter/settings.rs
+++ b/crates/ratelimit/src/external_limiter/settings.rs
@@ -1,9 +1,9 @@
-//! How an external server is asked.
+//! The settings of an external limiter.
 
 use super::protocol::Decision;
 use crate::breaker::{BreakerSettings, Micros};
 
-/// What silence means, as the configuration states it.
+/// The decision on a request without a reply of the external server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FallbackPolicy {
     /// The pool's own quota decides alone.
@@ -12,29 +12,30 @@
     Reject,
 }
 
-/// How an external server is asked.
+/// The settings of an external limiter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimiterSettings {
-    /// How long a reply is waited for at most.
+    /// The maximum time-out of a query.
     pub max_query_time: Micros,
-    /// The share of the request's remaining time that a reply is waited for at most.
+    /// The maximum time-out of a query, as a fraction of the remaining time of its request.
     pub max_time_fraction: f64,
-    /// Queries in flight at most, with those whose late reply may still come.
+    /// The maximum number of queries in flight, including those whose late reply may still arrive.
     pub max_in_flight: usize,
-    /// How long after its time-out a late reply is waited for, to be accounted for.
+    /// How long after its time-out a late reply is still expected.
     pub late_reply_time: Micros,
     /// How long a credit may be used.
     pub credit_ttl: Micros,
-    /// What silence means.
+    /// The decision on requests without a reply.
     pub fallback_policy: FallbackPolicy,
-    /// Longest time that a rejected client is asked to wait; 0: none is given.
+    /// The maximum `retry_after` of rejected requests; with 0, no time is given.
     pub max_retry_after: Micros,
-    /// When queries are suspended after failures.
+    /// When failures suspend queries.
     pub breaker: BreakerSettings,
 }
 
 impl LimiterSettings {
-    /// What silence means for a request; `retry_after`: after how long another query may be sent, 0 if that isn't known.
+    /// The decision on a request without a reply. `retry_after` is the time after which another query may be sent; 0 if it
+    /// is unknown.
     pub(super) fn fallback_decision(&self, retry_after: Micros) -> Decision {
         match self.fallback_policy {
             FallbackPolicy::OwnQuota => Decision::Proceed,
--- a/crates/ratelimit/src/grpc_timeout.rs
+++ b/crates/ratelimit/src/grpc_timeout.rs
@@ -1,6 +1,6 @@
 //! The header `grpc-timeout`: up to eight digits and a unit (gRPC over HTTP/2, "Requests").
 
-/// The time-out in microseconds, at least 1; `None` if the text is no time-out.
+/// Parses a time-out. Returns microseconds, at least 1; `None` if the text is invalid.
 pub fn parse(text: &str) -> Option<u64> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/crates/ratelimit/src/lib.rs
+++ b/crates/ratelimit/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decisions about rate limit requests, without I/O and without a clock.
+//! Decisions about rate limit requests. The crate does no I/O and reads no clock; times are in microseconds.
 //!
-//! - [`quota_queries`] turns the descriptors of a request into queries about quotas, by a [`Mapping`]; [`combine`] makes one
-//!   result of theirs.
-//! - [`claim`] finds out whether an attempt has been counted before.
-//! - [`external_limiter`] decides what the replies of an external rate limit server mean, in time or late; a [`breaker`] suspends
-//!   queries to one that fails.
+//! - [`quota_queries`] maps the descriptors of a request to quota queries, according to a [`Mapping`]; [`combine`] combines
+//!   their results.
+//! - [`claim`] determines whether an attempt has been counted before.
+//! - [`external_limiter`] handles queries to an external rate limit server, whose replies may be late or lost; a [`breaker`]
+//!   suspends queries to a failing server.
 //!
-//! The quotas themselves are kept by the decision module, and messages are sent by the ingress. Times are microseconds.
+//! The decision module keeps the quotas, and the ingress sends the messages.
 //!
 //! ```
 //! use std::collections::BTreeMap;
--- a/crates/ratelimit/src/mapping.rs
+++ b/crates/ratelimit/src/mapping.rs
@@ -1,10 +1,10 @@
-//! What descriptors stand for. A descriptor is a list of keys and values; a rule says which of them it must have, and
-//! which of them are the account, the plan and the attempt's name.
+//! The mapping of descriptors to quotas. A descriptor is a list of keys and values. A rule defines which of them a descriptor
+//! must have, and which keys contain the account, the plan and the name of the attempt.
 
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The result for what is unknown, as the configuration states it: never a guess.
+/// The result for unknown domains and descriptors, as configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownPolicy {
     /// Within the limit.
@@ -13,39 +13,41 @@
     OverLimit,
 }
 
-/// Which descriptors are about which pool, and how they are read.
+/// Maps matching descriptors to the quotas of a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DescriptorRule {
-    /// Index of the pool whose quotas they are about.
+    /// The index of the pool.
     pub pool: usize,
-    /// Keys that must be there with these values.
+    /// Keys and values that a matching descriptor must have.
     pub when: BTreeMap<String, String>,
-    /// The key whose value is the account. It must be there.
+    /// The key whose value is the account. A matching descriptor must have it.
     pub account_key: String,
     /// The key whose value is the plan.
     pub plan_key: Option<String>,
-    /// The plan where that key is not there.
+    /// The plan of descriptors without the plan key.
     pub default_plan: Option<String>,
-    /// The key whose value names the attempt, so that it is counted once wherever it is asked about.
+    /// The key whose value is the name of the attempt, so that the attempt is counted once even if several ingresses receive
+    /// it.
     pub attempt_key: Option<String>,
 }
 
 impl DescriptorRule {
-    /// Number of keys that a descriptor must have.
+    /// The number of keys that a matching descriptor must have.
     fn specificity(&self) -> usize {
         self.when.len() + 1
     }
 
     fn matches(&self, entries: &[(&str, &str)]) -> bool {
         let value = |key: &str| entries.iter().find(|(name, _)| *name == key).map(|(_, value)| *value);
-        self.when.iter().all(|(key, wanted)| value(key) == Some(wanted)) && value(&self.account_key).is_some()
+        self.when.iter().all(|(key, required)| value(key) == Some(required))
+            && value(&self.account_key).is_some()
     }
 }
 
 /// The rules of one domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Domain {
-    /// In any order: the most specific one applies.
+    /// The rules, in any order: the most specific matching one applies.
     pub rules: Vec<DescriptorRule>,
     /// The result for a descriptor that no rule matches.
     pub unknown_descriptor: UnknownPolicy,
@@ -58,23 +60,23 @@
     unknown_domain: UnknownPolicy,
 }
 
-/// Two rules of a domain that need the same keys and values: neither is more specific.
+/// Two rules of a domain that require the same keys and values, so that neither is more specific.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("descriptors {first} and {second} of domain {domain:?} need the same keys and values")]
 pub struct DuplicateRules {
-    /// Name of the domain.
+    /// The name of the domain.
     pub domain: String,
-    /// Index of the earlier rule.
+    /// The index of the earlier rule.
     pub first: usize,
-    /// Index of the later rule.
+    /// The index of the later rule.
     pub second: usize,
 }
 
 impl Mapping {
-    /// The mapping by these domains.
+    /// Creates a mapping with these domains.
     ///
     /// # Errors
-    /// Names all pairs of rules of which neither is more specific.
+    /// Returns all pairs of rules of which neither is more specific.
     pub fn new(
         domains: BTreeMap<String, Domain>,
         unknown_domain: UnknownPolicy,
@@ -82,9 +84,9 @@
         let mut duplicates = Vec::new();
         for (name, domain) in &domains {
             for (second, rule) in domain.rules.iter().enumerate() {
-                let same =
+                let is_duplicate =
                     |other: &DescriptorRule| other.when == rule.when && other.account_key == rule.account_key;
-                if let Some(first) = domain.rules[..second].iter().position(same) {
+                if let Some(first) = domain.rules[..second].iter().position(is_duplicate) {
                     duplicates.push(DuplicateRules { domain: name.clone(), first, second });
                 }
             }
@@ -104,18 +106,18 @@
     /// The rules of a domain.
     ///
     /// # Errors
-    /// The result for an unknown domain.
+    /// Returns the configured result if the domain is unknown.
     pub fn domain(&self, name: &str) -> Result<&Domain, UnknownPolicy> {
         self.domains.get(name).ok_or(self.unknown_domain)
     }
 }
 
 impl Domain {
-    /// The rule for a descriptor: of those that match it the one that needs the most keys, and of several of them the first
-    /// by keys and values, so that their order in the file doesn't matter.
+    /// The rule for a descriptor: the matching rule that requires the most keys. Among several, the first one by keys and
+    /// values applies, so that the order of the rules in the settings file has no effect.
     ///
     /// # Errors
-    /// The result for a descriptor that no rule matches.
+    /// Returns the configured result if no rule matches.
     pub fn rule(&self, entries: &[(&str, &str)]) -> Result<&DescriptorRule, UnknownPolicy> {
         let matching = self.rules.iter().filter(|rule| rule.matches(entries));
         let best = matching.max_by(|a, b| {
--- a/crates/ratelimit/src/query.rs
+++ b/crates/ratelimit/src/query.rs
@@ -1,16 +1,16 @@
-//! The descriptors of a rate limit request as queries about quotas, and their results combined to one.
+//! Validates the descriptors of a rate limit request, maps them to quota queries, and combines the results.
 
 use crate::mapping::{DescriptorRule, Mapping, UnknownPolicy};
 use thiserror::Error;
 
-/// What one request may have at most.
+/// The maximum sizes of the parts of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Descriptors.
+    /// The number of descriptors.
     pub descriptors: usize,
-    /// Entries of a descriptor.
+    /// The number of entries of a descriptor.
     pub entries: usize,
-    /// Bytes of a key, of a value and of a domain.
+    /// The length of a key, of a value and of the domain (bytes).
     pub text_bytes: usize,
 }
 
@@ -20,41 +20,41 @@
     }
 }
 
-/// One descriptor, as it came.
+/// One descriptor of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Descriptor<'a> {
     /// Keys and values.
     pub entries: Vec<(&'a str, &'a str)>,
-    /// Its own units, where it has some.
+    /// The units of this descriptor, which override those of the request.
     pub hits: Option<u64>,
-    /// It asks for units to be taken back.
+    /// Whether the units are to be refunded, which is not supported.
     pub is_negative: bool,
-    /// It has a limit of its own.
+    /// Whether the descriptor overrides the limit, which is not supported.
     pub has_limit: bool,
 }
 
-/// What to ask a pool's decision module.
+/// A query to a pool's decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaQuery {
-    /// Index of the pool.
+    /// The index of the pool.
     pub pool: usize,
-    /// Name of the account.
+    /// The name of the account.
     pub account: String,
-    /// Name of the plan, where one is stated.
+    /// The name of the plan, from the descriptor or the default of the rule.
     pub plan: Option<String>,
-    /// Units to count; 0 only reads the quota.
+    /// The units to count; 0 only reads the quota.
     pub units: f64,
-    /// Name of the attempt, where it has one: it is counted once wherever it is asked about.
+    /// The name of the attempt. A named attempt is counted once even if several ingresses receive it.
     pub attempt_name: Option<String>,
 }
 
-/// Why a request is not valid. Nothing has been counted.
+/// Why a request is invalid. Nothing has been counted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidRequest {
-    /// The field, with dots and brackets.
+    /// The path of the field, with dots and brackets.
     pub field: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub reason: &'static str,
 }
 
@@ -62,13 +62,13 @@
     Err(InvalidRequest { field: field.into(), reason })
 }
 
-/// The query of each descriptor, or the result that the configuration states for what is unknown.
+/// Returns the quota query of each descriptor, or the configured result for an unknown domain or descriptor.
 ///
-/// `hits` is the request's own number of units, where 0 stands for 1. The units of a descriptor precede it; there 0 is 0,
-/// and only reads the quota.
+/// `hits` is the number of units of the request, where 0 means 1. The units of a descriptor override it; there, 0 means no
+/// units, and the query only reads the quota.
 ///
 /// # Errors
-/// If the request is not valid, or has more of something than `limits`.
+/// If the request is invalid or exceeds `limits`.
 pub fn quota_queries(
     mapping: &Mapping,
     limits: &RequestLimits,
@@ -96,7 +96,7 @@
     };
     QuotaQuery {
         pool: rule.pool,
-        // A rule matches only where the account is there.
+        // Never empty by default: a rule matches only descriptors with the account key.
         account: value(&rule.account_key).unwrap_or_default(),
         plan: rule.plan_key.as_deref().and_then(value).or_else(|| rule.default_plan.clone()),
         units,
@@ -147,7 +147,7 @@
         if value.len() > limits.text_bytes {
             return invalid(field("value"), "is too long");
         }
-        // With a key twice it would be unclear which value counts, and the caller could choose.
+        // With a repeated key, it would be ambiguous which value counts.
         if entries[..j].iter().any(|(other, _)| other == key) {
             return invalid(field("key"), "stands there twice");
         }
@@ -174,11 +174,12 @@
 pub struct Combined {
     /// Whether all descriptors are within their limits.
     pub is_ok: bool,
-    /// Indices of the descriptors whose units have to be refunded, as another one was over its limit: all or nothing.
+    /// The indices of the descriptors whose units must be refunded, because another descriptor is over its limit: the units
+    /// of all descriptors are counted, or none.
     pub refunds: Vec<usize>,
 }
 
-/// Combines the results of all descriptors: for each, whether it is within its limit.
+/// Combines the results of all descriptors. `within_limits` has, for each one, whether it is within its limit.
 pub fn combine(within_limits: &[bool]) -> Combined {
     let is_ok = within_limits.iter().all(|within| *within);
     let refunds = within_limits.iter().enumerate().filter(|(_, within)| **within && !is_ok);
--- a/crates/ratelimit/tests/claims.rs
+++ b/crates/ratelimit/tests/claims.rs
@@ -1,5 +1,5 @@
-//! Claims over generated orders of events: an attempt is never admitted uncounted, and counted more than once only for
-//! what was lost.
+//! Claims, also in generated orders of events: an attempt is never admitted without being counted, and is counted more than
+//! once only after losses.
 
 use proptest::prelude::*;
 use violetyoke_ratelimit::claim::{
@@ -8,20 +8,20 @@
 use Source::{Query, Request};
 
 #[test]
-fn first_claim_counts_and_later_ones_adopt_its_outcome() {
+fn first_claim_is_counted_and_later_ones_adopt_its_outcome() {
     for first in [Query, Request] {
         assert_eq!(decode(first, Some(increment(first))), ClaimState::Fresh);
         assert_eq!(
             decode(Query, Some(increment(first) + outcome(true) + increment(Query))),
             ClaimState::Counted
         );
-        for again in [Query, Request] {
+        for second in [Query, Request] {
             assert_eq!(
-                decode(again, Some(increment(first) + outcome(false) + increment(again))),
+                decode(second, Some(increment(first) + outcome(false) + increment(second))),
                 ClaimState::Rejected
             );
-            // The first has not decided yet, or died.
-            assert_eq!(decode(again, Some(increment(first) + increment(again))), ClaimState::Fresh);
+            // The first claimant has not decided yet, or has died.
+            assert_eq!(decode(second, Some(increment(first) + increment(second))), ClaimState::Fresh);
         }
     }
     assert_eq!(
@@ -32,19 +32,19 @@
 }
 
 #[test]
-fn one_name_admits_one_request_and_a_few_queries_uncounted() {
-    let (mut number, mut uncounted) = (increment(Query) + outcome(true), 0);
+fn one_name_admits_at_most_one_request_and_a_few_queries_uncounted() {
+    let (mut total, mut uncounted) = (increment(Query) + outcome(true), 0);
     for _ in 0..50 {
-        number += increment(Request);
-        uncounted += u32::from(decode(Request, Some(number)) == ClaimState::Counted);
+        total += increment(Request);
+        uncounted += u32::from(decode(Request, Some(total)) == ClaimState::Counted);
     }
     assert_eq!(uncounted, 1);
-    let (mut number, mut uncounted) = (increment(Request) + outcome(true), 0);
+    let (mut total, mut uncounted) = (increment(Request) + outcome(true), 0);
     for _ in 0..5_000 {
-        number += increment(Query);
-        uncounted += u32::from(decode(Query, Some(number)) == ClaimState::Counted);
+        total += increment(Query);
+        uncounted += u32::from(decode(Query, Some(total)) == ClaimState::Counted);
     }
-    // Four while the digits are as they should be, and four once they have run over.
+    // Four at first, and four more after the digits of the queries have overflowed.
     assert!(uncounted <= 8, "{uncounted}");
 }
 
@@ -57,76 +57,82 @@
     }
 }
 
-/// One that claims the attempt: whether its claim's answer is lost, whether its outcome's call is lost, and after how
-/// many other steps it decides.
+/// An ingress that claims the attempt.
 #[derive(Clone, Debug)]
 struct Claimant {
-    asks: bool,
+    is_query: bool,
+    /// The reply to its claim is lost.
     claim_lost: bool,
+    /// The call that reports its outcome is lost.
     outcome_lost: bool,
+    /// The number of other claims before it decides.
     decides_after: usize,
-    has_room: bool,
+    /// Its decision, if it has to decide.
+    admits: bool,
+    /// It dies before it decides.
     dies: bool,
 }
 
 fn claimants() -> impl Strategy<Value = Claimant> {
     (any::<bool>(), any::<bool>(), any::<bool>(), 0usize..4, any::<bool>(), prop::bool::weighted(0.2))
-        .prop_map(|(asks, claim_lost, outcome_lost, decides_after, has_room, dies)| Claimant {
-            asks,
+        .prop_map(|(is_query, claim_lost, outcome_lost, decides_after, admits, dies)| Claimant {
+            is_query,
             claim_lost,
             outcome_lost,
             decides_after,
-            has_room,
+            admits,
             dies,
         })
 }
 
 proptest! {
     #[test]
-    fn attempt_is_counted_once_but_for_losses(all in prop::collection::vec(claimants(), 1..12)) {
-        let (mut number, mut counted, mut let_in) = (0.0, 0u32, 0u32);
+    fn attempt_is_counted_once_more_for_each_loss_at_most(claimants in prop::collection::vec(claimants(), 1..12)) {
+        let (mut total, mut counted, mut admitted) = (0.0, 0u32, 0u32);
         let mut requests_uncounted = 0;
         let mut losses = 0u32;
-        // Who has claimed and not decided: when it does, and what.
-        let mut open: Vec<(usize, Claimant)> = Vec::new();
-        for (step, one) in all.iter().enumerate() {
-            let due: Vec<Claimant> = open.iter().filter(|(at, _)| *at <= step).map(|(_, one)| one.clone()).collect();
-            open.retain(|(at, _)| *at > step);
-            for one in due {
-                if one.dies {
+        // The claimants that have not decided yet, with the step in which they do.
+        let mut undecided: Vec<(usize, Claimant)> = Vec::new();
+        for (step, claimant) in claimants.iter().enumerate() {
+            let due: Vec<Claimant> = undecided.iter().filter(|(due, _)| *due <= step).map(|(_, claimant)| claimant.clone()).collect();
+            undecided.retain(|(due, _)| *due > step);
+            for claimant in due {
+                if claimant.dies {
                     continue;
                 }
-                if one.has_room {
+                if claimant.admits {
                     counted += 1;
-                    let_in += 1;
+                    admitted += 1;
                 }
-                if !one.outcome_lost {
-                    number += outcome(one.has_room);
+                if !claimant.outcome_lost {
+                    total += outcome(claimant.admits);
                 }
             }
-            let source = if one.asks { Query } else { Request };
-            number += increment(source);
-            losses += u32::from(one.claim_lost) + u32::from(one.outcome_lost) + u32::from(one.dies) + u32::from(one.decides_after > 0);
-            match decode(source, (!one.claim_lost).then_some(number)) {
-                ClaimState::Fresh => open.push((step + 1 + one.decides_after, one.clone())),
-                // Passes uncounted, as it stands counted already.
+            let source = if claimant.is_query { Query } else { Request };
+            total += increment(source);
+            losses += u32::from(claimant.claim_lost) + u32::from(claimant.outcome_lost) + u32::from(claimant.dies) + u32::from(claimant.decides_after > 0);
+            match decode(source, (!claimant.claim_lost).then_some(total)) {
+                ClaimState::Fresh => undecided.push((step + 1 + claimant.decides_after, claimant.clone())),
+                // Passes uncounted, as it has been counted before.
                 ClaimState::Counted => {
                     prop_assert!(counted > 0);
-                    requests_uncounted += u32::from(!one.asks);
+                    requests_uncounted += u32::from(!claimant.is_query);
                 }
                 ClaimState::Rejected => {}
             }
         }
-        // Whoever let it in itself counted it.
-        prop_assert_eq!(counted, let_in);
-        // Without a loss, and each decided before the next comes, it is counted once at most.
-        let (asked, requests) = all.iter().fold((0, 0), |(a, r), one| (a + u32::from(one.asks), r + u32::from(!one.asks)));
-        if losses == 0 && asked <= 4 && requests <= 1 {
+        // Each admission by a decision was counted.
+        prop_assert_eq!(counted, admitted);
+        // Without losses, and with each decision before the next claim, the attempt is counted once at most.
+        let (queries, requests) = claimants.iter().fold((0, 0), |(queries, requests), claimant| {
+            (queries + u32::from(claimant.is_query), requests + u32::from(!claimant.is_query))
+        });
+        if losses == 0 && queries <= 4 && requests <= 1 {
             prop_assert!(counted <= 1, "{}", counted);
         }
         prop_assert!(requests_uncounted <= 1, "{}", requests_uncounted);
-        // Each further count has a loss, a death or an undecided claim to account for it, or comes too often.
-        prop_assert!(counted <= 1 + losses + requests + asked.saturating_sub(4), "{} for {}", counted, losses);
+        // Each further count is due to a loss, a death or an undecided claim, or to too many claims with the same name.
+        prop_assert!(counted <= 1 + losses + requests + queries.saturating_sub(4), "{} for {}", counted, losses);
     }
 }
 
--- a/crates/ratelimit/tests/external_limiter/support.rs
+++ b/crates/ratelimit/tests/external_limiter/support.rs
@@ -1,4 +1,4 @@
-//! Settings, and queries that have to be sent.
+//! Settings of the tests, and a helper that starts queries.
 
 use violetyoke_ratelimit::breaker::BreakerSettings;
 use violetyoke_ratelimit::external_limiter::{ExternalLimiter, FallbackPolicy, LimiterSettings, Start};
@@ -18,9 +18,10 @@
     }
 }
 
-pub(crate) fn query(limiter: &mut ExternalLimiter, now: u64, about: u64) -> (u64, u64) {
-    match limiter.start(now, now + 2_000 * MS, about) {
-        Start::Query { id: number, until } => (number, until),
+/// Starts a query with this key, and returns its id and its time-out.
+pub(crate) fn query(limiter: &mut ExternalLimiter, now: u64, key: u64) -> (u64, u64) {
+    match limiter.start(now, now + 2_000 * MS, key) {
+        Start::Query { id, until } => (id, until),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/ratelimit/tests/queries.rs
+++ b/crates/ratelimit/tests/queries.rs
@@ -1,4 +1,4 @@
-//! Descriptors of a request: what they are about, which are valid, and how their results are combined.
+//! Descriptors of a request: their mapping to quota queries, their validation, and the combination of their results.
 
 #![cfg(test)]
 
@@ -34,14 +34,15 @@
     Descriptor { entries: entries.to_vec(), ..Descriptor::default() }
 }
 
-fn one(descriptor: Descriptor<'_>, hits: u32) -> Result<Result<QuotaQuery, UnknownPolicy>, String> {
+fn single_query(descriptor: Descriptor<'_>, hits: u32) -> Result<Result<QuotaQuery, UnknownPolicy>, String> {
     let list = quota_queries(&mapping(), &RequestLimits::default(), "rooms", &[descriptor], hits);
-    list.map(|mut list| list.remove(0)).map_err(|fault| fault.to_string())
+    list.map(|mut list| list.remove(0)).map_err(|error| error.to_string())
 }
 
 #[test]
 fn most_specific_rule_applies_and_order_of_keys_does_not_matter() {
-    let pool = |entries: &[(&str, &str)]| one(descriptor(entries), 0).unwrap().map(|query| query.pool);
+    let pool =
+        |entries: &[(&str, &str)]| single_query(descriptor(entries), 0).unwrap().map(|query| query.pool);
     assert_eq!(pool(&[("account", "h")]), Ok(0));
     assert_eq!(pool(&[("service", "booking"), ("account", "h")]), Ok(1));
     assert_eq!(pool(&[("zone", "a"), ("account", "h"), ("service", "booking")]), Ok(2));
@@ -54,28 +55,30 @@
 }
 
 #[test]
-fn query_is_filled_from_the_descriptor() {
-    let full = one(descriptor(&[("account", "h"), ("tier", "gold"), ("try", "t1")]), 3).unwrap().unwrap();
+fn query_has_the_values_of_the_descriptor_or_the_defaults() {
+    let full =
+        single_query(descriptor(&[("account", "h"), ("tier", "gold"), ("try", "t1")]), 3).unwrap().unwrap();
     assert_eq!(
         (full.account.as_str(), full.plan.as_deref(), full.attempt_name.as_deref()),
         ("h", Some("gold"), Some("t1"))
     );
     assert_eq!(full.units, 3.0);
-    let bare = one(descriptor(&[("account", "h")]), 0).unwrap().unwrap();
-    assert_eq!((bare.plan.as_deref(), bare.attempt_name, bare.units), (Some("basic"), None, 1.0));
-    let own = one(Descriptor { hits: Some(0), ..descriptor(&[("account", "h")]) }, 5).unwrap().unwrap();
-    assert_eq!(own.units, 0.0);
+    let minimal = single_query(descriptor(&[("account", "h")]), 0).unwrap().unwrap();
+    assert_eq!((minimal.plan.as_deref(), minimal.attempt_name, minimal.units), (Some("basic"), None, 1.0));
+    let without_units =
+        single_query(Descriptor { hits: Some(0), ..descriptor(&[("account", "h")]) }, 5).unwrap().unwrap();
+    assert_eq!(without_units.units, 0.0);
 }
 
 #[test]
-fn invalid_request_is_rejected_by_field() {
-    let long = "x".repeat(257);
-    let many: Vec<(&str, &str)> = vec![("a", "b"); 33];
+fn invalid_request_is_rejected_with_the_name_of_the_field() {
+    let too_long = "x".repeat(257);
+    let too_many: Vec<(&str, &str)> = vec![("a", "b"); 33];
     let cases = [
         (descriptor(&[]), "descriptors[0].entries: there are none"),
-        (descriptor(&many), "descriptors[0].entries: there are too many"),
+        (descriptor(&too_many), "descriptors[0].entries: there are too many"),
         (descriptor(&[("", "x")]), "descriptors[0].entries[0].key: is empty or too long"),
-        (descriptor(&[("account", &long)]), "descriptors[0].entries[0].value: is too long"),
+        (descriptor(&[("account", &too_long)]), "descriptors[0].entries[0].value: is too long"),
         (
             descriptor(&[("account", "a"), ("account", "b")]),
             "descriptors[0].entries[1].key: stands there twice",
@@ -93,18 +96,18 @@
             "descriptors[0].hits_addend: is too large",
         ),
     ];
-    for (descriptor, why) in cases {
-        assert_eq!(one(descriptor, 1).unwrap_err(), why);
+    for (descriptor, expected) in cases {
+        assert_eq!(single_query(descriptor, 1).unwrap_err(), expected);
     }
-    let ask = |domain: &str, number: usize| {
+    let queries = |domain: &str, number: usize| {
         let list = vec![descriptor(&[("account", "h")]); number];
-        quota_queries(&mapping(), &RequestLimits::default(), domain, &list, 1).map_err(|fault| fault.field)
+        quota_queries(&mapping(), &RequestLimits::default(), domain, &list, 1).map_err(|error| error.field)
     };
-    assert_eq!(ask("", 1).unwrap_err(), "domain");
-    assert_eq!(ask(&long, 1).unwrap_err(), "domain");
-    assert_eq!(ask("rooms", 0).unwrap_err(), "descriptors");
-    assert_eq!(ask("rooms", 10_000).unwrap_err(), "descriptors");
-    assert_eq!(ask("rooms", 64).unwrap().len(), 64);
+    assert_eq!(queries("", 1).unwrap_err(), "domain");
+    assert_eq!(queries(&too_long, 1).unwrap_err(), "domain");
+    assert_eq!(queries("rooms", 0).unwrap_err(), "descriptors");
+    assert_eq!(queries("rooms", 10_000).unwrap_err(), "descriptors");
+    assert_eq!(queries("rooms", 64).unwrap().len(), 64);
 }
 
 #[test]
@@ -143,12 +146,11 @@
 
 proptest! {
     #[test]
-    fn descriptors_are_counted_all_or_none(let_in in prop::collection::vec(any::<bool>(), 1..20)) {
-        let combined = combine(&let_in);
-        prop_assert_eq!(combined.is_ok, !let_in.contains(&false));
-        // What stays counted is all of it, or nothing.
-        let counted = let_in.iter().filter(|within| **within).count() - combined.refunds.len();
-        prop_assert_eq!(counted, if combined.is_ok { let_in.len() } else { 0 });
-        prop_assert!(combined.refunds.iter().all(|number| let_in[*number]));
+    fn all_descriptors_stay_counted_or_none(within_limits in prop::collection::vec(any::<bool>(), 1..20)) {
+        let combined = combine(&within_limits);
+        prop_assert_eq!(combined.is_ok, !within_limits.contains(&false));
+        let counted = within_limits.iter().filter(|within| **within).count() - combined.refunds.len();
+        prop_assert_eq!(counted, if combined.is_ok { within_limits.len() } else { 0 });
+        prop_assert!(combined.refunds.iter().all(|index| within_limits[*index]));
     }
 }
