--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -125,7 +125,6 @@
 impl std::error::Error for ErrorStatus {}
 
 /// Makes one call, on the open connection if there is one.
-
 async fn call(
     connection: &mut Option<Sender>,
     address: SocketAddr,
--- a/crates/ingress/src/rate_limit_server.rs
+++ b/crates/ingress/src/rate_limit_server.rs
@@ -182,7 +182,6 @@
     }
 
     /// Serves a connection in a new task.
-
     fn open(self: &Rc<RateLimitServer>, socket: Socket, routes: Routes, mut closing: watch::Receiver<()>) {
         if !self.descriptors.borrow_mut().try_acquire(self.member, 1) {
             return;
