--- a/crates/ingress/src/nodes.rs
+++ b/crates/ingress/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::{self, Phase, Target, TargetList};
 use crate::poll_schedule::PollSchedule;
-use crate::running::Run;
+use crate::running::RunningPool;
 use crate::task_scheduler::TaskSets;
 use crate::tasks::TaskSet;
 use crate::Message;
@@ -11,7 +11,7 @@
 
 /// Sends the nodes to the pool's driver: a static list once, or the lists of discovery from now on. Replaces the earlier
 /// source.
-pub fn watch_nodes(run: &mut Run, sets: &TaskSets, set: &TaskSet) {
+pub fn watch_nodes(run: &mut RunningPool, sets: &TaskSets, set: &TaskSet) {
     if let Some(watch) = run.watch.take() {
         watch.abort();
     }
