--- a/crates/config/src/control.rs
+++ b/crates/config/src/control.rs
@@ -16,7 +16,7 @@
     pub name: String,
     /// The file in which the last snapshot in force is stored, so that the ingress can start without the control plane;
     /// `None`: it is not stored.
-    pub last_good: Option<PathBuf>,
+    pub snapshot_file: Option<PathBuf>,
     /// Requests in flight of all tenants together.
     pub open_requests: u64,
 }
@@ -27,7 +27,7 @@
             address: section.required_address("address"),
             key_file: section.required_text("key_file").into(),
             name: section.required_text("name"),
-            last_good: section.text("last_good").map(PathBuf::from),
+            snapshot_file: section.text("last_good").map(PathBuf::from),
             open_requests: section.integer("open_requests", 4_096, 1..=1_000_000),
         };
         check_name(section, "name", &control.name);
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -43,7 +43,7 @@
     }
 
     /// One line each, as compilers print them: `FILE:LINE: KEY: REASON`.
-    pub fn of_file(&self, file: &str) -> String {
+    pub fn format_with_file(&self, file: &str) -> String {
         let line =
             |ConfigError { line, key, reason }: &ConfigError| format!("{file}:{line}: {key}: {reason}\n");
         self.iter().map(line).collect()
--- a/crates/config/src/consult.rs
+++ b/crates/config/src/external_limiter.rs
@@ -8,13 +8,13 @@
 
 /// The external rate limit server of a pool, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Consult {
+pub struct ExternalLimiterConfig {
     /// Its address.
     pub address: SocketAddr,
     /// The domain of its queries.
     pub domain: String,
     /// Entries that every descriptor has.
-    pub with: BTreeMap<String, String>,
+    pub fixed_entries: BTreeMap<String, String>,
     /// Key of the account in a descriptor.
     pub account_key: String,
     /// Key of the plan; `None`: it is not in descriptors.
@@ -22,7 +22,7 @@
     /// Key of the class; `None`: it is not in descriptors.
     pub class_key: Option<String>,
     /// Key of the attempt's name; `None`: it is not in descriptors.
-    pub try_key: Option<String>,
+    pub attempt_key: Option<String>,
     /// Plans whose requests are asked about; empty: all.
     pub plans: Vec<String>,
     /// How it is asked.
@@ -31,35 +31,36 @@
 
 const MS: f64 = 1_000.0;
 
-impl Consult {
+impl ExternalLimiterConfig {
     /// Reads the table of an external server. `plans`: the pool's. `max_retry_after`: the longest time that its clients are
     /// asked to wait, in microseconds.
-    pub(crate) fn read(section: &Section<'_>, plans: &[&str], max_retry_after: u64) -> Consult {
+    pub(crate) fn read(section: &Section<'_>, plans: &[&str], max_retry_after: u64) -> ExternalLimiterConfig {
         if !section.has("when_silent") {
             section.error("when_silent", "is missing");
         }
-        let consult = Consult {
+        let config = ExternalLimiterConfig {
             address: section.required_address("address"),
             domain: section.required_text("domain"),
-            with: section.text_map("with"),
+            fixed_entries: section.text_map("with"),
             account_key: section.text("account_key").unwrap_or_else(|| "account".into()),
             plan_key: section.text("plan_key"),
             class_key: section.text("class_key"),
-            try_key: section.text("try_key"),
+            attempt_key: section.text("try_key"),
             plans: section.text_list("plans"),
             settings: read_settings(section, max_retry_after),
         };
-        for plan in consult.plans.iter().filter(|plan| !plans.contains(&plan.as_str())) {
+        for plan in config.plans.iter().filter(|plan| !plans.contains(&plan.as_str())) {
             section.error("plans", format!("{plan:?} is not a plan of the pool"));
         }
-        consult.check_keys(section);
-        consult
+        config.check_keys(section);
+        config
     }
 
     /// The keys of a descriptor must be different, and none may be empty.
     fn check_keys(&self, section: &Section<'_>) {
-        let optional = [&self.plan_key, &self.class_key, &self.try_key];
-        let mut keys: Vec<&String> = optional.into_iter().flatten().chain(self.with.keys()).collect();
+        let optional = [&self.plan_key, &self.class_key, &self.attempt_key];
+        let mut keys: Vec<&String> =
+            optional.into_iter().flatten().chain(self.fixed_entries.keys()).collect();
         keys.push(&self.account_key);
         keys.sort();
         if let Some(pair) = keys.windows(2).find(|pair| pair[0] == pair[1]) {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -17,10 +17,9 @@
 //! ```
 
 mod class;
-mod consult;
 mod control;
-mod duties;
 mod error;
+mod external_limiter;
 mod names;
 mod nodes;
 mod plan;
@@ -30,17 +29,18 @@
 mod route;
 mod section;
 mod service;
+mod singleton_roles;
 
 pub use class::Class;
-pub use consult::Consult;
 pub use control::Control;
-pub use duties::Duties;
 pub use error::{ConfigError, Errors};
+pub use external_limiter::ExternalLimiterConfig;
 pub use names::reject_duplicates;
 pub use nodes::{Node, Nodes};
 pub use plan::read_plan;
-pub use pool::{Fields, Pool};
+pub use pool::{Pool, QuotaHeaders};
 pub use ratelimit::RateLimit;
 pub use route::Route;
 pub use section::{read, Section};
 pub use service::{parse, Service};
+pub use singleton_roles::SingletonRoles;
--- a/crates/config/src/pool.rs
+++ b/crates/config/src/pool.rs
@@ -1,7 +1,7 @@
 //! One pool: its nodes, classes, plans and limits.
 
 use crate::class::Class;
-use crate::consult::Consult;
+use crate::external_limiter::ExternalLimiterConfig;
 use crate::names::{check_name, reject_duplicates};
 use crate::nodes::{read_nodes, Nodes};
 use crate::plan::read_plan;
@@ -44,16 +44,16 @@
     /// Bytes of bodies that are reserved for it.
     pub buffered_bytes: u64,
     /// The fields of responses that state the quota.
-    pub fields: Fields,
+    pub quota_headers: QuotaHeaders,
     /// The external rate limit server that is asked first, where there is one.
-    pub consult: Option<Consult>,
+    pub external_limiter: Option<ExternalLimiterConfig>,
     /// All that does not follow from classes and plans.
     settings: Settings,
 }
 
 /// Which fields of responses state the client's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fields {
+pub struct QuotaHeaders {
     /// `RateLimit-Policy` and `RateLimit` (draft-ietf-httpapi-ratelimit-headers-10).
     pub draft: bool,
     /// `X-RateLimit-Limit`, `-Remaining` and `-Reset`, as many services have them.
@@ -80,11 +80,11 @@
         let plan_names: Vec<&str> = plans.iter().map(|(name, _)| name.as_str()).collect();
         let limits = section.section("limits");
         let settings = read_settings(section, ingresses, index);
-        let consult = section.has("consult").then(|| {
+        let external_limiter = section.has("consult").then(|| {
             let table = section.section("consult");
-            let consult = Consult::read(&table, &plan_names, settings.limits.max_retry_after);
+            let config = ExternalLimiterConfig::read(&table, &plan_names, settings.limits.max_retry_after);
             table.finish();
-            consult
+            config
         });
         let pool = Pool {
             quota,
@@ -97,8 +97,8 @@
             open_requests: limits.integer("open_requests", 1_000, 1..=1_000_000) as u32,
             descriptors: limits.integer("descriptors", 64, 4..=1_000_000),
             buffered_bytes: limits.integer("buffered_bytes", 1 << 20, 1 << 16..=1 << 40),
-            fields: Fields::read(section),
-            consult,
+            quota_headers: QuotaHeaders::read(section),
+            external_limiter,
             settings,
             name,
             classes,
@@ -109,10 +109,10 @@
     }
 }
 
-impl Fields {
-    fn read(section: &Section<'_>) -> Fields {
-        let fields = section.choices("limit_fields", &[("draft", true), ("legacy", false)]);
-        Fields { draft: fields.contains(&true), legacy: fields.contains(&false) }
+impl QuotaHeaders {
+    fn read(section: &Section<'_>) -> QuotaHeaders {
+        let formats = section.choices("limit_fields", &[("draft", true), ("legacy", false)]);
+        QuotaHeaders { draft: formats.contains(&true), legacy: formats.contains(&false) }
     }
 }
 
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,12 +1,12 @@
 //! The whole file: what all pools share, the pools, and what else an ingress takes part in.
 
 use crate::control::Control;
-use crate::duties::Duties;
 use crate::error::Errors;
 use crate::pool::Pool;
 use crate::ratelimit::RateLimit;
 use crate::route::{read_routes, Route};
 use crate::section::{self, Section};
+use crate::singleton_roles::SingletonRoles;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
     /// Bytes of bodies in memory at most.
     pub buffered_bytes: u64,
     /// Whether pools are scheduled by weight; if not, all share one queue.
-    pub turns: bool,
+    pub schedules_by_weight: bool,
     /// Whether the file is read again when it has changed, and not only on SIGHUP.
     pub watch_file: bool,
     /// The pools, at least one.
@@ -35,7 +35,7 @@
     /// The control plane that tenants come from, where there are any.
     pub control: Option<Control>,
     /// The singleton roles that this process applies for, where it does.
-    pub duties: Option<Duties>,
+    pub singleton_roles: Option<SingletonRoles>,
 }
 
 /// Reads the text of a file.
@@ -58,12 +58,12 @@
         listen,
         descriptors,
         buffered_bytes,
-        turns: service.choice("turns", true, &[("weighted", true), ("shared", false)]),
+        schedules_by_weight: service.choice("turns", true, &[("weighted", true), ("shared", false)]),
         watch_file: service.flag("watch_file", false),
         routes: read_routes(root, &pools),
         ratelimit: read_ratelimit(root, &pools, listen),
         control: read_control(root),
-        duties: read_duties(root),
+        singleton_roles: read_singleton_roles(root),
         pools,
     };
     service.finish();
@@ -133,14 +133,14 @@
     })
 }
 
-fn read_duties(root: &Section<'_>) -> Option<Duties> {
+fn read_singleton_roles(root: &Section<'_>) -> Option<SingletonRoles> {
     root.has("duties").then(|| {
         let table = root.section("duties");
         if !root.has("control") {
             table.error("take", "needs [control]: leases come from there");
         }
-        let duties = Duties::read(&table);
+        let roles = SingletonRoles::read(&table);
         table.finish();
-        duties
+        roles
     })
 }
--- a/crates/config/src/duties.rs
+++ b/crates/config/src/singleton_roles.rs
@@ -6,22 +6,25 @@
 
 /// Singleton roles that a process applies for at the control plane.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Duties {
+pub struct SingletonRoles {
     /// Names of the roles.
-    pub take: Vec<String>,
+    pub names: Vec<String>,
     /// Address that gets the report of usage.
-    pub sink: SocketAddr,
+    pub report_address: SocketAddr,
 }
 
-impl Duties {
-    pub(crate) fn read(section: &Section<'_>) -> Duties {
+impl SingletonRoles {
+    pub(crate) fn read(section: &Section<'_>) -> SingletonRoles {
         if !section.has("take") {
             section.error("take", "is missing");
         }
-        let duties = Duties { take: section.text_list("take"), sink: section.required_address("sink") };
-        if let Some(name) = duties.take.iter().find(|name| !is_valid_name(name)) {
+        let roles = SingletonRoles {
+            names: section.text_list("take"),
+            report_address: section.required_address("sink"),
+        };
+        if let Some(name) = roles.names.iter().find(|name| !is_valid_name(name)) {
             section.error("take", format!("{name:?} must be 1 to 40 letters, digits, - or _"));
         }
-        duties
+        roles
     }
 }
--- a/crates/config/tests/parsing.rs
+++ b/crates/config/tests/parsing.rs
@@ -60,7 +60,7 @@
 #[test]
 fn valid_file_is_read_with_defaults() {
     let service = parse(GOOD).unwrap();
-    assert_eq!((service.pools.len(), service.routes.len(), service.turns), (2, 2, true));
+    assert_eq!((service.pools.len(), service.routes.len(), service.schedules_by_weight), (2, 2, true));
     let pool = &service.pools[0];
     assert_eq!(
         (pool.weight, pool.quota.as_str(), pool.default_plan.as_deref()),
@@ -71,7 +71,7 @@
     assert_eq!(pool.zones, ["here", "hall-b"]);
     let Nodes::Static(nodes) = &pool.nodes else { panic!("static nodes") };
     assert_eq!((nodes[0].id.as_str(), nodes[1].id.as_str(), nodes[1].size), ("127.0.0.1:9001", "b", 2.0));
-    assert!(pool.fields.draft && pool.fields.legacy);
+    assert!(pool.quota_headers.draft && pool.quota_headers.legacy);
     assert!(matches!(service.pools[1].nodes, Nodes::Discovery(_)));
     assert_eq!(service.routes[1].pool, 1);
     let rules: Vec<_> = service.routes.iter().map(|route| route.rule.clone()).collect();
@@ -148,7 +148,7 @@
     let errors = parse("").unwrap_err();
     let keys: Vec<_> = errors.iter().map(|error| error.key.as_str()).collect();
     assert_eq!(keys, ["pool", "route", "service.listen"]);
-    assert!(errors.of_file("x.toml").starts_with("x.toml:1: pool: "));
+    assert!(errors.format_with_file("x.toml").starts_with("x.toml:1: pool: "));
 }
 
 #[test]
--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use violetyoke_config::Fields;
+use violetyoke_config::QuotaHeaders;
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
 use violetyoke_exchange::{
@@ -195,7 +195,7 @@
     }
 
     fn wants_quota(&self, client: &PendingClient) -> bool {
-        client.forward.is_none() || self.pool.quota_headers.get() != Fields::default()
+        client.forward.is_none() || self.pool.quota_headers.get() != QuotaHeaders::default()
     }
 
     fn respond(
--- a/crates/ingress/src/external_limiter.rs
+++ b/crates/ingress/src/external_limiter.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{oneshot, Mutex};
 use tokio::time::{sleep_until, timeout, timeout_at};
 use tonic::Request;
-use violetyoke_config::Consult;
+use violetyoke_config::ExternalLimiterConfig;
 use violetyoke_decision::interface::Micros;
 use violetyoke_ratelimit::external_limiter::{Decision, ExternalLimiter, Reply, Start};
 use violetyoke_ratelimit_proto as proto;
@@ -32,7 +32,7 @@
 
 /// The client of one pool's external rate limit server.
 pub struct ExternalLimiterClient {
-    config: RefCell<Rc<Consult>>,
+    config: RefCell<Rc<ExternalLimiterConfig>>,
     limiter: RefCell<ExternalLimiter>,
     /// The connection in use, with its gRPC client.
     connection: RefCell<Option<(Channel, Client)>>,
@@ -51,7 +51,7 @@
 
 impl ExternalLimiterClient {
     pub fn new(
-        config: Consult,
+        config: ExternalLimiterConfig,
         clock: Clock,
         descriptors: SharedCapacity,
         member: Member,
@@ -74,11 +74,11 @@
     }
 
     /// Whether a new configuration has the address of this server. The state of the server is then kept.
-    pub fn has_address_of(&self, config: &Consult) -> bool {
+    pub fn has_address_of(&self, config: &ExternalLimiterConfig) -> bool {
         self.config.borrow().address == config.address
     }
 
-    pub fn update_settings(&self, config: Consult) {
+    pub fn update_settings(&self, config: ExternalLimiterConfig) {
         self.limiter.borrow_mut().update_settings(config.settings);
         *self.config.borrow_mut() = Rc::new(config);
     }
@@ -230,12 +230,12 @@
     fn query_message(&self, request: &PrecheckRequest) -> proto::RateLimitRequest {
         let config = self.config.borrow();
         let entry = |key: &str, value: &str| proto::Entry { key: key.to_string(), value: value.to_string() };
-        let mut entries: Vec<_> = config.with.iter().map(|(key, value)| entry(key, value)).collect();
+        let mut entries: Vec<_> = config.fixed_entries.iter().map(|(key, value)| entry(key, value)).collect();
         entries.push(entry(&config.account_key, &request.account));
         let optional_entries = [
             (&config.plan_key, Some(&request.plan)),
             (&config.class_key, request.class.as_ref()),
-            (&config.try_key, request.attempt_name.as_ref()),
+            (&config.attempt_key, request.attempt_name.as_ref()),
         ];
         for (key, value) in optional_entries {
             if let (Some(key), Some(value)) = (key, value) {
--- a/crates/ingress/src/follow.rs
+++ b/crates/ingress/src/follow.rs
@@ -37,7 +37,7 @@
 /// Reads the tenants of the last good snapshot, which an earlier process stored. An invalid file is logged and
 /// ignored.
 pub fn last_good(control: &file::Control) -> TenantDirectory {
-    let Some(path) = &control.last_good else { return TenantDirectory::default() };
+    let Some(path) = &control.snapshot_file else { return TenantDirectory::default() };
     let applied = match fs::read(path) {
         Ok(bytes) => Snapshot::parse(&bytes).and_then(|snapshot| TenantDirectory::default().apply(snapshot)),
         Err(error) if error.kind() == io::ErrorKind::NotFound => return TenantDirectory::default(),
@@ -115,7 +115,7 @@
                 // This may be the last reference, and dropping a large directory takes long.
                 drop(spawn_blocking(move || drop(old)));
                 rejected = None;
-                if let Some(path) = control.last_good.clone() {
+                if let Some(path) = control.snapshot_file.clone() {
                     let stored = spawn_blocking(move || store_last_good(&path, &new)).await;
                     if let Ok(Err(error)) = stored {
                         eprintln!("violetyoke: control.last_good: {error}");
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -14,7 +14,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use violetyoke_config::Fields;
+use violetyoke_config::QuotaHeaders;
 use violetyoke_decision::interface::RequestId;
 use violetyoke_shares::{CapacityPool, Member};
 
@@ -34,7 +34,7 @@
     pub has_backend_list: Cell<bool>,
     open: Cell<u32>,
     max_open_requests: Cell<u32>,
-    pub quota_headers: Cell<Fields>,
+    pub quota_headers: Cell<QuotaHeaders>,
     buffer_capacity: Option<SharedCapacity>,
     /// The task set of the pool and its client connections; `None` where there are no task sets.
     pub set: Option<Rc<TaskSet>>,
--- a/crates/ingress/src/quota_headers.rs
+++ b/crates/ingress/src/quota_headers.rs
@@ -4,7 +4,7 @@
 //! left.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use violetyoke_config::Fields;
+use violetyoke_config::QuotaHeaders;
 use violetyoke_decision::view::QuotaState;
 
 const POLICY: HeaderName = HeaderName::from_static("ratelimit-policy");
@@ -15,7 +15,7 @@
 
 /// Adds the headers that are enabled. The remaining quota is rounded down and times are rounded up, so that a
 /// client that relies on them is not rejected.
-pub fn write(headers: &mut HeaderMap, enabled: Fields, quota_state: &QuotaState) {
+pub fn write(headers: &mut HeaderMap, enabled: QuotaHeaders, quota_state: &QuotaState) {
     let limit = quota_state.burst.floor();
     let remaining = quota_state.remaining.floor();
     let window = (quota_state.burst / quota_state.rate).ceil().max(1.0);
--- a/crates/ingress/src/quota_headers/tests.rs
+++ b/crates/ingress/src/quota_headers/tests.rs
@@ -13,13 +13,13 @@
         all.sort();
         all
     };
-    assert_eq!(headers_for(Fields::default()), [""; 0]);
+    assert_eq!(headers_for(QuotaHeaders::default()), [""; 0]);
     assert_eq!(
-        headers_for(Fields { draft: true, legacy: false }),
+        headers_for(QuotaHeaders { draft: true, legacy: false }),
         ["ratelimit-policy: \"quota\";q=10;w=3", "ratelimit: \"quota\";r=3;t=2"]
     );
     assert_eq!(
-        headers_for(Fields { draft: false, legacy: true }),
+        headers_for(QuotaHeaders { draft: false, legacy: true }),
         ["x-ratelimit-limit: 10", "x-ratelimit-remaining: 3", "x-ratelimit-reset: 2"]
     );
 }
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -63,7 +63,7 @@
         let capacity = |total| Rc::new(RefCell::new(CapacityPool::new(total)));
         let (descriptors, bytes) = (capacity(config.descriptors), capacity(config.buffered_bytes));
         let open_requests = config.control.as_ref().map_or(0, |control| control.open_requests);
-        let scheduled_sets = config.turns.then(|| sets.clone());
+        let scheduled_sets = config.schedules_by_weight.then(|| sets.clone());
         Pools {
             clock: Clock::start(),
             tenants: Tenants::new(open_requests, descriptors.clone(), bytes.clone(), scheduled_sets, usage),
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -36,7 +36,7 @@
 pub fn read(path: &Path) -> Result<file::Service, String> {
     let name = path.display();
     let text = fs::read_to_string(path).map_err(|error| format!("{name}: {error}\n"))?;
-    file::parse(&text).map_err(|errors| errors.of_file(&name.to_string()))
+    file::parse(&text).map_err(|errors| errors.format_with_file(&name.to_string()))
 }
 
 /// Serves until SIGTERM. SIGHUP reloads the file.
@@ -81,7 +81,7 @@
         None => None,
     };
     let weight = config.ratelimit.as_ref().map_or(1, |ratelimit| ratelimit.weight);
-    let (role_settings, control) = (config.duties.clone(), config.control.clone());
+    let (role_settings, control) = (config.singleton_roles.clone(), config.control.clone());
     let (config_sender, config_receiver) = watch_channel::channel(config.clone());
     let (update_sender, updates) = mpsc::channel(1);
     if let Some(control) = config.control.clone() {
@@ -253,7 +253,7 @@
     pools.retire(config, &shared.connections);
     for member in removed {
         shared.connections.unassign(member, &pools.frontend);
-        if config.turns {
+        if config.schedules_by_weight {
             // The tasks of its connections move to the frontend with their next poll, which is soon.
             let sets = pools.sets.clone();
             pools.sets.spawn(&pools.frontend, async move {
--- a/crates/ingress/src/singleton_roles.rs
+++ b/crates/ingress/src/singleton_roles.rs
@@ -14,7 +14,7 @@
 
 /// Starts the thread. On SIGTERM it hands over the roles that it owns, and ends.
 pub fn start(
-    duties: file::Duties,
+    duties: file::SingletonRoles,
     control: file::Control,
     usage: UsageCounters,
 ) -> io::Result<JoinHandle<()>> {
@@ -22,15 +22,15 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let client = ControlClient { address: control.address, key_file: control.key_file };
     let worker: Arc<dyn RoleWorker> =
-        Arc::new(IngressWorker { control: client.clone(), report_sink: duties.sink });
-    let workers: RoleWorkers = duties.take.iter().map(|role| (role.clone(), worker.clone())).collect();
+        Arc::new(IngressWorker { control: client.clone(), report_sink: duties.report_address });
+    let workers: RoleWorkers = duties.names.iter().map(|role| (role.clone(), worker.clone())).collect();
     let work = async move {
         let mut terminate = match signal(SignalKind::terminate()) {
             Ok(terminate) => terminate,
             Err(error) => return tracing::error!(%error, "no duties are taken"),
         };
         let usage_publisher = tokio::spawn(usage::publish(usage, client.clone(), name.clone()));
-        let holder = new_holder(name, duties.take.clone());
+        let holder = new_holder(name, duties.names.clone());
         let shutdown = async move {
             terminate.recv().await;
         };
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -35,7 +35,7 @@
         let member = self.next;
         self.next += 1;
         self.set_limits(config, member, file);
-        let pool_set = config.turns.then(|| self.sets.add(member, file.weight));
+        let pool_set = config.schedules_by_weight.then(|| self.sets.add(member, file.weight));
         let set = pool_set.clone().unwrap_or_else(|| self.frontend.clone());
         let mut indices = ClassPlanIndices::default();
         indices.update(file, hosted);
@@ -50,7 +50,7 @@
             bytes,
             pool_set,
         );
-        pool.quota_headers.set(file.fields);
+        pool.quota_headers.set(file.quota_headers);
         let pool = Rc::new(pool);
         let setup = DriverSetup {
             predecessor_alive: false,
@@ -64,7 +64,7 @@
             peers: None,
             ejections: ManualEjections::default(),
         };
-        let has_own_set = config.turns;
+        let has_own_set = config.schedules_by_weight;
         let (clock, driver_pool) = (self.clock, pool.clone());
         let (descriptors, bytes) = (self.descriptors.clone(), self.bytes.clone());
         let sets = self.sets.clone();
@@ -90,7 +90,7 @@
     /// address is the same.
     fn update_external_limiter(&self, run: &RunningPool, file: &file::Pool) {
         let existing = run.precheck.external_limiter();
-        run.precheck.set_external_limiter(file.consult.clone().map(|consult| match existing {
+        run.precheck.set_external_limiter(file.external_limiter.clone().map(|consult| match existing {
             Some(existing) if existing.has_address_of(&consult) => {
                 existing.update_settings(consult);
                 existing
@@ -118,7 +118,7 @@
         self.sets.set_weight(run.pool.member, file.weight);
         run.indices.update(file, hosted);
         run.pool.update(run.indices.rules(file), file.open_requests);
-        run.pool.quota_headers.set(file.fields);
+        run.pool.quota_headers.set(file.quota_headers);
         let settings = run.indices.settings(file);
         run.pool.send(Message::Reconfigure(Box::new((settings, names(file)))));
         if run.config.counter != file.counter {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -39,7 +39,7 @@
     NotABoolean,
     /// Not one of the strings that this key may have.
     #[error("is not a word known here")]
-    UnknownWord,
+    UnknownValue,
     /// Not a list.
     #[error("is not a list")]
     NotAList,
@@ -54,11 +54,11 @@
     Zero,
     /// The latency target of a class is 0, or later than its deadline.
     #[error("has no aim within its deadline")]
-    NoAimWithinDeadline,
+    NoTargetWithinDeadline,
     /// A rate limit without a burst would reject every request.
     #[error("has a rate and no peak-units")]
     RateWithoutBurst,
     /// A hard rate limit without a burst would reject every request.
     #[error("has a ceiling-rate and no ceiling-burst")]
-    CeilingWithoutBurst,
+    HardLimitWithoutBurst,
 }
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -70,7 +70,7 @@
     {
         let Some(field) = self.descendant(path) else { return Ok(default) };
         let chosen = field.value.as_str().and_then(|text| choices.iter().find(|(name, _)| *name == text));
-        chosen.map(|(_, value)| *value).ok_or_else(|| field.error(Problem::UnknownWord))
+        chosen.map(|(_, value)| *value).ok_or_else(|| field.error(Problem::UnknownValue))
     }
 
     /// The string that this value is.
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -32,7 +32,7 @@
 
 fn check_class(class: &Class) -> Result<(), Problem> {
     if class.latency_target == 0 || class.deadline < class.latency_target {
-        return Err(Problem::NoAimWithinDeadline);
+        return Err(Problem::NoTargetWithinDeadline);
     }
     Ok(())
 }
@@ -42,7 +42,7 @@
         return Err(Problem::RateWithoutBurst);
     }
     if plan.hard_limit_rate > 0.0 && plan.hard_limit_burst <= 0.0 {
-        return Err(Problem::CeilingWithoutBurst);
+        return Err(Problem::HardLimitWithoutBurst);
     }
     Ok(())
 }
--- a/crates/violetyoke/src/lab.rs
+++ b/crates/violetyoke/src/lab.rs
@@ -74,7 +74,7 @@
 fn read(file: &Path) -> Result<(experiment::Experiment, Vec<experiment::Variant>), Failed> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| failed(format!("{name}: {error}")))?;
-    let bad = |errors: violetyoke_config::Errors| (BAD_FILE, errors.of_file(&name));
+    let bad = |errors: violetyoke_config::Errors| (BAD_FILE, errors.format_with_file(&name));
     let read = experiment::parse(&text).map_err(bad)?;
     let variants = experiment::variants(&text, &read).map_err(bad)?;
     Ok((read, variants))
