--- a/crates/settings/src/completeness.rs
+++ b/crates/settings/src/completeness.rs
@@ -1,19 +1,19 @@
-//! Whether a replaced settings object is complete.
+//! Checks that a new settings object is complete.
 //!
-//! A key that is left out has its default, which is not what anybody wrote. So a file that was written in part must not
-//! replace the settings in force: a key that was there has to be there still.
+//! Absent keys have default values, so a file that was written only in part would silently reset settings. A new object
+//! must therefore have all keys that the object in force has.
 
 use serde_json::Value;
 
-/// The path of the first key that `old` has and `new` lacks, if any.
+/// Returns the path of the first key that `old` has and `new` lacks, if there is one.
 ///
-/// A null counts as absent, unless it was null in `old`. Each object of a list must have the keys of the first object
-/// of the old list.
+/// A key whose value is null counts as absent, unless it is null in `old`. Each object in a list must have the keys of the
+/// first object in the old list.
 pub fn missing_key(old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| {
-            let found = new.get(key).filter(|new| old.is_null() || !new.is_null());
-            let Some(new) = found else { return Some(key.clone()) };
+            let present = new.get(key).filter(|new| old.is_null() || !new.is_null());
+            let Some(new) = present else { return Some(key.clone()) };
             missing_key(old, new).map(|rest| format!("{key}.{rest}"))
         }),
         (Value::Object(_), _) => Some("(an object)".to_string()),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,43 +1,43 @@
-//! What can be wrong with settings.
+//! Errors of settings.
 
 use thiserror::Error;
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("settings: {0}")]
     Json(#[source] serde_json::Error),
-    /// The text is JSON, and no object.
+    /// The text is JSON, but not an object.
     #[error("settings: not an object")]
     NotAnObject,
-    /// There must be one class and one plan at least.
+    /// At least one class and one plan are needed.
     #[error("settings: classes and plans are needed")]
     NoClassesOrPlans,
-    /// The value of a key can't be used.
+    /// The value of a key is invalid.
     #[error("settings: {path} {problem}")]
     Key {
-        /// The key, with dots and brackets: `categories[0].aim-us`.
+        /// The path of the key, with dots and brackets: `categories[0].aim-us`.
         path: String,
-        /// What is wrong with its value.
+        /// Why the value is invalid.
         problem: Problem,
     },
 }
 
-/// What is wrong with the value of a key.
+/// Why the value of a key is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Problem {
     /// Not a finite number of 0 or more.
     #[error("is not a number of 0 or more")]
     NotANumber,
-    /// Beyond the range of the type that the decision module has for it.
+    /// Out of the range of the decision module's type.
     #[error("is too large")]
     TooLarge,
     /// Neither `true` nor `false`.
     #[error("is neither true nor false")]
     NotABoolean,
-    /// Not one of the strings that this key may have.
+    /// Not one of the permitted strings.
     #[error("is not a word known here")]
     UnknownValue,
     /// Not a list.
@@ -46,10 +46,10 @@
     /// Not a string.
     #[error("is not a name")]
     NotAName,
-    /// The index of this ingress is beyond their number.
+    /// The index of this ingress is not below the number of ingresses.
     #[error("is not below balancers")]
     IndexOutOfRange,
-    /// No attempt would be allowed.
+    /// A maximum of 0 attempts would permit no requests.
     #[error("is not 1 or more")]
     Zero,
     /// The latency target of a class is 0, or later than its deadline.
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -1,17 +1,17 @@
-//! A value of the settings with the path of its key, so that an error can name the key.
+//! Values of the settings, each with the path of its key, so that errors can name the key.
 
 use crate::error::{Problem, SettingsError};
 use serde_json::Value;
 
-/// A value, and where it stands. Paths given to the methods are relative to it; a key that is absent or null has the
-/// default given.
+/// A value and the path of its key. The paths that are passed to its methods are relative to it. If a key is absent or null,
+/// the methods return the given default.
 pub(crate) struct Field<'a> {
     value: &'a Value,
     path: String,
 }
 
 impl<'a> Field<'a> {
-    /// The settings object itself.
+    /// The settings object.
     pub(crate) fn root(value: &'a Value) -> Field<'a> {
         Field { value, path: String::new() }
     }
@@ -32,7 +32,7 @@
         SettingsError::Key { path: self.path.clone(), problem }
     }
 
-    /// A finite number of 0 or more.
+    /// Reads a finite number of 0 or more.
     pub(crate) fn number(&self, path: &[&str], default: f64) -> Result<f64, SettingsError> {
         let Some(field) = self.descendant(path) else { return Ok(default) };
         match field.value.as_f64() {
@@ -41,12 +41,12 @@
         }
     }
 
-    /// A number of 0 or more, rounded to the nearest integer; one beyond 64 bits is the largest there is.
+    /// Reads a number of 0 or more and rounds it to the nearest integer. Numbers beyond 64 bits become the maximum.
     pub(crate) fn rounded(&self, path: &[&str], default: u64) -> Result<u64, SettingsError> {
         Ok(self.number(path, default as f64)?.round() as u64)
     }
 
-    /// A number of 0 or more, rounded to the nearest integer, that has to be in the range of `T`.
+    /// Reads a number of 0 or more and rounds it to the nearest integer, which must be in the range of `T`.
     pub(crate) fn integer<T: TryFrom<u64>>(&self, path: &[&str], default: u64) -> Result<T, SettingsError> {
         let value = self.rounded(path, default)?;
         T::try_from(value)
@@ -58,7 +58,7 @@
         field.value.as_bool().ok_or_else(|| field.error(Problem::NotABoolean))
     }
 
-    /// The value that `choices` has for the string found.
+    /// Reads a string, and returns the value that `choices` has for it.
     pub(crate) fn one_of<T>(
         &self,
         path: &[&str],
@@ -69,16 +69,16 @@
         T: Copy,
     {
         let Some(field) = self.descendant(path) else { return Ok(default) };
-        let chosen = field.value.as_str().and_then(|text| choices.iter().find(|(name, _)| *name == text));
-        chosen.map(|(_, value)| *value).ok_or_else(|| field.error(Problem::UnknownValue))
+        let choice = field.value.as_str().and_then(|text| choices.iter().find(|(name, _)| *name == text));
+        choice.map(|(_, value)| *value).ok_or_else(|| field.error(Problem::UnknownValue))
     }
 
-    /// The string that this value is.
+    /// Returns this value as a string.
     pub(crate) fn string(&self) -> Result<&'a str, SettingsError> {
         self.value.as_str().ok_or_else(|| self.error(Problem::NotAName))
     }
 
-    /// The items of a list; none if there is no such key.
+    /// The items of a list; empty if the key is absent.
     pub(crate) fn list(&self, key: &str) -> Result<Vec<Field<'a>>, SettingsError> {
         let Some(field) = self.child(key) else {
             return Ok(Vec::new());
--- a/crates/settings/src/indices.rs
+++ b/crates/settings/src/indices.rs
@@ -1,30 +1,31 @@
-//! Indices of classes and plans that stay the same while settings are replaced.
+//! Indices of classes and plans that stay valid when settings are replaced.
 
 use violetyoke_decision::interface::{Class, Plan, Settings};
 
-/// Assigns the indices by which the decision module knows classes and plans.
+/// Assigns the indices that identify classes and plans in the decision module.
 ///
-/// Requests that are open refer to their class by its index. So a class that is dropped or changed keeps its index, and
-/// a changed one gets another under the same name. A plan belongs to its customers: it keeps its index through every
-/// change.
+/// Open requests refer to their class by its index. The index of a class that is removed or changed therefore keeps its old
+/// values, and the changed class gets a new index under the same name. A changed plan keeps its index, as its new values
+/// apply to the present customers at once.
 #[derive(Clone, Debug, Default)]
 pub struct StableIndices {
     classes: Vec<(String, Class)>,
     plans: Vec<(String, Plan)>,
 }
 
-/// Settings that have an entry for every index ever assigned.
+/// Settings with an entry for every index that was ever assigned.
 pub struct IndexedSettings {
-    /// The settings, with former classes and plans among the present ones.
+    /// The settings, including classes and plans that have been removed.
     pub settings: Settings,
-    /// The name of each class, by index; empty for one that new requests can't have.
+    /// The name of each class, by index; empty if new requests cannot have the class.
     pub class_names: Vec<String>,
-    /// The name of each plan, by index; empty for one that new requests can't have.
+    /// The name of each plan, by index; empty if new requests cannot have the plan.
     pub plan_names: Vec<String>,
 }
 
 impl StableIndices {
-    /// Assigns indices to the classes and plans of `settings`, which have these names in this order.
+    /// Assigns indices to the classes and plans of `settings`. `class_names` and `plan_names` are their names, in the same
+    /// order.
     pub fn assign(
         &mut self,
         settings: Settings,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Appends the classes that are new or changed.
+    /// Appends new and changed classes.
     fn add_classes(&mut self, current: &[(String, Class)]) {
         for class in current {
             if !self.classes.contains(class) {
@@ -59,11 +60,11 @@
         }
     }
 
-    /// Replaces the plans that are known by name, and appends the others.
+    /// Replaces plans whose name is known, and appends the others.
     fn update_plans(&mut self, names: &[String], plans: &[Plan]) {
         for (name, plan) in names.iter().zip(plans) {
-            match self.plans.iter_mut().find(|(known, _)| known == name) {
-                Some((_, known)) => *known = plan.clone(),
+            match self.plans.iter_mut().find(|(known_name, _)| known_name == name) {
+                Some((_, known_plan)) => *known_plan = plan.clone(),
                 None => self.plans.push((name.clone(), plan.clone())),
             }
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,15 +1,15 @@
-//! The settings object that the platform gives an ingress.
+//! The settings object that the platform provides to an ingress.
 //!
-//! [`parse_settings`] reads it from JSON into the decision module's [`Settings`], with a default for each absent key.
-//! Times are microseconds. Unknown keys are ignored: the platform may state more than an ingress uses.
+//! [`parse_settings`] parses the JSON object into the decision module's [`Settings`], with a default for each absent key.
+//! Times are in microseconds. Unknown keys are ignored, as the platform may provide settings that an ingress does not use.
 //!
-//! Settings can be replaced while requests are open. [`missing_key`] finds out whether the new object is complete, and
-//! [`StableIndices`] keeps the indices of classes and plans valid for requests in flight. Reading files, and the names
-//! in the object that the decision module doesn't need, belong to the ingress.
+//! Settings can be replaced while requests are open. [`missing_key`] checks that the new object is complete, and
+//! [`StableIndices`] keeps the indices of classes and plans valid for open requests. The ingress itself reads the file, and
+//! the names in the object that the decision module does not need.
 //!
-//! The system with stores and registries has a settings file of its own, which `violetyoke_api::settings` reads. The two
-//! have no key in common: that one names machines, ports and time-outs and is held to a JSON schema, this one is the
-//! platform's and open to unknown keys.
+//! The system with stores and registries has another settings file, which `violetyoke_api::settings` reads. The two have no
+//! keys in common: that file names machines, ports and time-outs and must conform to a JSON schema; this object is defined
+//! by the platform and may have unknown keys.
 //!
 //! ```
 //! use violetyoke_settings::parse_settings;
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,5 +1,4 @@
-//! The sections of the settings object, each read into its type of the decision module. A key and its default stand
-//! in one line.
+//! Parses the sections of the settings object into the types of the decision module.
 
 use crate::error::SettingsError;
 use crate::field::Field;
@@ -10,11 +9,12 @@
     Settings, Weights,
 };
 
-/// Reads the settings of an ingress from a JSON text, and checks that they agree with each other.
+/// Parses the settings of an ingress from a JSON text, and checks that they are consistent. A key that is absent or null has
+/// its default; unknown keys are ignored.
 ///
 /// # Errors
-/// If the text is no JSON object, if the value of a key is of the wrong kind or out of range, or if two values
-/// contradict each other. A key that is absent or null has its default; an unknown one is ignored.
+/// If the text is not a JSON object, if the value of a key has the wrong type or is out of range, or if two values contradict
+/// each other.
 pub fn parse_settings(text: &[u8]) -> Result<Settings, SettingsError> {
     let value: Value = serde_json::from_slice(text).map_err(SettingsError::Json)?;
     if !value.is_object() {
@@ -61,7 +61,7 @@
     Ok(settings)
 }
 
-/// The counting service, if there is one.
+/// The settings of the counter service, if there is one.
 fn counter(root: &Field<'_>) -> Result<Option<Counter>, SettingsError> {
     if !root.flag(&["family-info", "has-counter"], false)? {
         return Ok(None);
@@ -166,8 +166,8 @@
     report.list("fields")?.iter().map(report_field).collect()
 }
 
-/// A figure of a backend's reports. One that is unknown is kept as [`ReportField::Other`], as reports are read by
-/// position.
+/// A field of the backends' reports. Unknown fields become [`ReportField::Other`], as the fields of reports are identified by
+/// their positions.
 fn report_field(field: &Field<'_>) -> Result<ReportField, SettingsError> {
     Ok(match field.string()? {
         "outstanding" => ReportField::Outstanding,
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,32 +1,32 @@
-//! Rules between the values of settings, each of which is good on its own.
+//! Consistency checks between values of settings that are valid on their own.
 
 use crate::error::{Problem, SettingsError};
 use violetyoke_decision::interface::{Class, Plan, Settings};
 
-/// Checks what no single value shows.
+/// Checks that the settings are consistent.
 ///
 /// # Errors
-/// Names the first key that contradicts another.
+/// Returns the first key that contradicts another one.
 pub(crate) fn check_consistency(settings: &Settings) -> Result<(), SettingsError> {
     if settings.classes.is_empty() || settings.plans.is_empty() {
         return Err(SettingsError::NoClassesOrPlans);
     }
     if settings.gateways == 0 || settings.index >= settings.gateways {
-        return Err(key("self-index", Problem::IndexOutOfRange));
+        return Err(key_error("self-index", Problem::IndexOutOfRange));
     }
     if settings.limits.max_attempts == 0 {
-        return Err(key("bounds.attempts-cap", Problem::Zero));
+        return Err(key_error("bounds.attempts-cap", Problem::Zero));
     }
     for (i, class) in settings.classes.iter().enumerate() {
-        check_class(class).map_err(|problem| key(format!("categories[{i}]"), problem))?;
+        check_class(class).map_err(|problem| key_error(format!("categories[{i}]"), problem))?;
     }
     for (i, plan) in settings.plans.iter().enumerate() {
-        check_plan(plan).map_err(|problem| key(format!("tariffs[{i}]"), problem))?;
+        check_plan(plan).map_err(|problem| key_error(format!("tariffs[{i}]"), problem))?;
     }
     Ok(())
 }
 
-fn key(path: impl Into<String>, problem: Problem) -> SettingsError {
+fn key_error(path: impl Into<String>, problem: Problem) -> SettingsError {
     SettingsError::Key { path: path.into(), problem }
 }
 
--- a/crates/settings/tests/parsing.rs
+++ b/crates/settings/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Which settings are accepted, and how they are read.
+//! Which settings are valid, and how they are parsed.
 
 use violetyoke_decision::interface::{Counter, DedupScope, Discovery, Idempotency, ReportField, ReportVia};
 use violetyoke_settings::parse_settings;
@@ -14,19 +14,19 @@
  "tariffs": [{"quota-rate": 1.6, "peak-units": 12.0, "ceiling-rate": 20, "ceiling-burst": 46, "open": 3}]}"#;
 
 #[test]
-fn known_keys_are_read_and_unknown_ones_ignored() {
-    let read = parse_settings(SETTINGS.as_bytes()).unwrap();
-    assert_eq!((read.gateways, read.index, read.zone, read.tick), (3, 2, 1, 4000));
-    let class = &read.classes[0];
+fn known_keys_are_parsed_and_unknown_ones_are_ignored() {
+    let settings = parse_settings(SETTINGS.as_bytes()).unwrap();
+    assert_eq!((settings.gateways, settings.index, settings.zone, settings.tick), (3, 2, 1, 4000));
+    let class = &settings.classes[0];
     assert_eq!(
         (class.idempotency, class.dedup_scope, class.dedup_window),
         (Idempotency::Deduplicated, DedupScope::Zone, 4_000_000)
     );
-    assert_eq!(read.counter, Some(Counter { timeout: 50_000, fee: 0.02 }));
-    assert_eq!((read.plans[0].rate, read.plans[0].max_in_flight), (1.6, 3.0));
-    assert_eq!(read.report_fields, [ReportField::Outstanding, ReportField::Other]);
-    assert_eq!((read.report_via, read.discovery), (ReportVia::Probes, Discovery::Poll));
-    assert!(read.limits.retry_hints && !read.limits.peer_messages);
+    assert_eq!(settings.counter, Some(Counter { timeout: 50_000, fee: 0.02 }));
+    assert_eq!((settings.plans[0].rate, settings.plans[0].max_in_flight), (1.6, 3.0));
+    assert_eq!(settings.report_fields, [ReportField::Outstanding, ReportField::Other]);
+    assert_eq!((settings.report_via, settings.discovery), (ReportVia::Probes, Discovery::Poll));
+    assert!(settings.limits.retry_hints && !settings.limits.peer_messages);
 }
 
 #[test]
--- a/crates/settings/tests/replacement.rs
+++ b/crates/settings/tests/replacement.rs
@@ -29,20 +29,20 @@
 }
 
 #[test]
-fn changed_class_gets_a_new_index_and_open_requests_keep_the_old_one() {
+fn changed_class_gets_a_new_index_and_the_old_index_keeps_the_old_class() {
     let mut indices = StableIndices::default();
     let (read, book) = (class(Idempotency::Idempotent), class(Idempotency::AtMostOnce));
     let first =
         indices.assign(settings(&[read.clone(), book.clone()]), &names(&["read", "book"]), &names(&["p"]));
     assert_eq!(first.class_names, ["read", "book"]);
-    // `book` becomes safe, `read` goes, `look` comes.
+    // `book` becomes idempotent, `read` is removed, and `look` is added.
     let new_names = names(&["book", "look"]);
     let second =
         indices.assign(settings(&[class(Idempotency::Idempotent), read.clone()]), &new_names, &names(&["p"]));
     assert_eq!(second.class_names, ["", "", "book", "look"]);
     assert_eq!(second.settings.classes[1], book);
     assert_eq!(second.settings.classes[2].idempotency, Idempotency::Idempotent);
-    // A class that comes back unchanged has the index that it had.
+    // A class that is added again unchanged gets its old index.
     let third = indices.assign(settings(&[read, book]), &names(&["read", "book"]), &names(&["p"]));
     assert_eq!(third.class_names, ["read", "book", "", ""]);
     assert_eq!(third.settings.classes.len(), 4);
@@ -54,9 +54,9 @@
     let old =
         json!({"bounds": {"attempts-cap": 4}, "categories": [{"name": "a", "aim-us": 5}], "zone": null});
     assert_eq!(missing_key(&old, &old), None);
-    let more = json!({"bounds": {"attempts-cap": 1, "x": 2}, "zone": 3,
+    let extended = json!({"bounds": {"attempts-cap": 1, "x": 2}, "zone": 3,
                       "categories": [{"name": "b", "aim-us": 1}, {"name": "c", "aim-us": 2, "y": 0}]});
-    assert_eq!(missing_key(&old, &more), None);
+    assert_eq!(missing_key(&old, &extended), None);
     for (new, path) in [
         (json!({"bounds": {"attempts-cap": 4}, "zone": null}), "categories"),
         (json!({"bounds": {}, "categories": [], "zone": 1}), "bounds.attempts-cap"),
