--- a/crates/config/src/class.rs
+++ b/crates/config/src/class.rs
@@ -9,14 +9,14 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, unique in its pool.
+    /// The name, which is unique in the pool.
     pub name: String,
-    /// Its targets and rules.
+    /// The settings of the class for the decision module.
     pub class: interface::Class,
 }
 
 impl Class {
-    /// Reads the keys of a class. The table may have others, so it is not finished here.
+    /// Reads the keys of a class. The table may have further keys, so the caller calls [`Section::finish`].
     pub fn read(section: &Section<'_>) -> Class {
         let name = section.required_text("name");
         check_name(section, "name", &name);
@@ -24,7 +24,7 @@
             |key: &'static str, default: f64| (section.number(key, default, 1.0..=600_000.0) * MS) as Micros;
         let latency_target = time("aim_ms", 1_000.0);
         if !section.has("effect") {
-            // A guess here could make a booking run twice.
+            // There is no default: a wrong one could have a booking executed twice.
             section.error("effect", "is missing: safe, keyed or unsafe");
         }
         let class = interface::Class {
--- a/crates/config/src/control.rs
+++ b/crates/config/src/control.rs
@@ -1,23 +1,23 @@
-//! The control plane that an ingress gets its tenants from.
+//! The control plane from which an ingress receives its tenants.
 
 use crate::names::check_name;
 use crate::section::Section;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Where tenants come from, checked.
+/// The validated configuration of the connection to the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Control {
-    /// Address of the control plane.
+    /// The address of the control plane.
     pub address: SocketAddr,
-    /// The file that has this ingress's key.
+    /// The file with the API key of this ingress.
     pub key_file: PathBuf,
     /// The name of this ingress at the control plane.
     pub name: String,
-    /// The file in which the last snapshot in force is stored, so that the ingress can start without the control plane;
-    /// `None`: it is not stored.
+    /// The file that stores the last snapshot that was in force, so that the ingress can start while the control plane is
+    /// unavailable. With `None`, no snapshot is stored.
     pub snapshot_file: Option<PathBuf>,
-    /// Requests in flight of all tenants together.
+    /// The maximum number of open requests of all tenants together.
     pub open_requests: u64,
 }
 
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,26 +1,26 @@
-//! What is wrong with a file, all of it.
+//! Errors of configuration files.
 
 use std::fmt;
 
 /// One error of a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigError {
-    /// Line of the key, counted from 1.
+    /// The line of the key, counted from 1.
     pub line: usize,
-    /// The key in full: `pool[0].plan[1].rate`.
+    /// The full path of the key: `pool[0].plan[1].rate`.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: String,
 }
 
-/// All errors of one file, in the order of their lines.
+/// All errors of one file, ordered by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Errors {
     list: Vec<ConfigError>,
 }
 
 impl Errors {
-    /// Adds an error, unless it is there already.
+    /// Adds an error, unless it has been added before.
     pub(crate) fn add(&mut self, line: usize, key: impl Into<String>, reason: impl Into<String>) {
         let error = ConfigError { line, key: key.into(), reason: reason.into() };
         if !self.list.contains(&error) {
@@ -32,17 +32,17 @@
         self.list.sort();
     }
 
-    /// Whether there is none.
+    /// Whether there are no errors.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Each error.
+    /// Iterates over the errors.
     pub fn iter(&self) -> impl Iterator<Item = &ConfigError> {
         self.list.iter()
     }
 
-    /// One line each, as compilers print them: `FILE:LINE: KEY: REASON`.
+    /// Formats each error in one line, in the format of compilers: `FILE:LINE: KEY: REASON`.
     pub fn format_with_file(&self, file: &str) -> String {
         let line =
             |ConfigError { line, key, reason }: &ConfigError| format!("{file}:{line}: {key}: {reason}\n");
--- a/crates/config/src/external_limiter.rs
+++ b/crates/config/src/external_limiter.rs
@@ -1,4 +1,4 @@
-//! An outside rate limit server that a pool asks before it admits.
+//! The external rate limit server that a pool queries before it admits a request.
 
 use crate::section::Section;
 use std::collections::BTreeMap;
@@ -6,34 +6,34 @@
 use violetyoke_ratelimit::breaker::BreakerSettings;
 use violetyoke_ratelimit::external_limiter::{FallbackPolicy, LimiterSettings};
 
-/// The external rate limit server of a pool, checked.
+/// The validated configuration of a pool's external rate limit server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExternalLimiterConfig {
-    /// Its address.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// The domain of its queries.
+    /// The domain of the queries.
     pub domain: String,
     /// Entries that every descriptor has.
     pub fixed_entries: BTreeMap<String, String>,
-    /// Key of the account in a descriptor.
+    /// The descriptor key of the account.
     pub account_key: String,
-    /// Key of the plan; `None`: it is not in descriptors.
+    /// The descriptor key of the plan; with `None`, descriptors do not contain the plan.
     pub plan_key: Option<String>,
-    /// Key of the class; `None`: it is not in descriptors.
+    /// The descriptor key of the class; with `None`, descriptors do not contain the class.
     pub class_key: Option<String>,
-    /// Key of the attempt's name; `None`: it is not in descriptors.
+    /// The descriptor key of the attempt's name; with `None`, descriptors do not contain it.
     pub attempt_key: Option<String>,
-    /// Plans whose requests are asked about; empty: all.
+    /// The plans whose requests are checked by the server; all plans if the list is empty.
     pub plans: Vec<String>,
-    /// How it is asked.
+    /// Time-outs, limits and the circuit breaker.
     pub settings: LimiterSettings,
 }
 
 const MS: f64 = 1_000.0;
 
 impl ExternalLimiterConfig {
-    /// Reads the table of an external server. `plans`: the pool's. `max_retry_after`: the longest time that its clients are
-    /// asked to wait, in microseconds.
+    /// Reads the table of an external server. `plans` are the plans of the pool; `max_retry_after` is the maximum
+    /// `Retry-After` of its responses, in microseconds.
     pub(crate) fn read(section: &Section<'_>, plans: &[&str], max_retry_after: u64) -> ExternalLimiterConfig {
         if !section.has("when_silent") {
             section.error("when_silent", "is missing");
@@ -56,7 +56,7 @@
         config
     }
 
-    /// The keys of a descriptor must be different, and none may be empty.
+    /// Checks that the keys of a descriptor are distinct and not empty.
     fn check_keys(&self, section: &Section<'_>) {
         let optional = [&self.plan_key, &self.class_key, &self.attempt_key];
         let mut keys: Vec<&String> =
@@ -64,7 +64,7 @@
         keys.push(&self.account_key);
         keys.sort();
         if let Some(pair) = keys.windows(2).find(|pair| pair[0] == pair[1]) {
-            section.error("with", format!("the key {:?} would stand twice in a descriptor", pair[0]));
+            section.error("with", format!("the key {:?} would occur twice in a descriptor", pair[0]));
         }
         if keys.iter().any(|key| key.is_empty()) {
             section.error("account_key", "no key of a descriptor may be empty");
@@ -73,8 +73,8 @@
 }
 
 fn read_settings(section: &Section<'_>, max_retry_after: u64) -> LimiterSettings {
-    let time = |key: &'static str, default: f64, least: f64| {
-        (section.number(key, default, least..=60_000.0) * MS) as u64
+    let time = |key: &'static str, default: f64, minimum: f64| {
+        (section.number(key, default, minimum..=60_000.0) * MS) as u64
     };
     let breaker = section.section("breaker");
     let settings = LimiterSettings {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,14 +1,14 @@
-//! The configuration file of an ingress in service: pools, each with its nodes, classes, plans and limits, and the routes
-//! to them.
+//! The configuration file of an ingress with several pools: the pools, each with its nodes, classes, plans and limits, and
+//! the routes to them.
 //!
-//! The file is TOML. [`parse`] reads and validates all of it: unknown keys are errors, and [`Errors`] has every error with
-//! its line and key, so that an operator can mend them in one go. `docs/operators/configuration.md` lists the keys. The
-//! crate reads no files and decides nothing; the ingress puts a [`Service`] in force.
+//! The file is in TOML. [`parse`] parses and validates the complete file. Unknown keys are errors, and [`Errors`] contains
+//! every error with its line and key, so that operators can correct all of them at once. `docs/operators/configuration.md`
+//! lists the keys. The crate does no I/O; the ingress reads the file and puts the [`Service`] in force.
 //!
-//! Other files of the same form are read by [`read`] and [`Section`].
+//! [`read`] and [`Section`] can also be used for other TOML files.
 //!
-//! Times in the file are milliseconds and end in `_ms`; in [`Service`] they are microseconds, as everywhere in the decision
-//! module.
+//! Times in the file are in milliseconds, with keys that end in `_ms`. In [`Service`] they are in microseconds, as in the
+//! decision module.
 //!
 //! ```
 //! let errors = violetyoke_config::parse("[service]\nlisten = \"here\"\n").unwrap_err();
--- a/crates/config/src/nodes.rs
+++ b/crates/config/src/nodes.rs
@@ -7,34 +7,36 @@
 /// The source of the list of nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Nodes {
-    /// The file.
+    /// The configuration file.
     Static(Vec<Node>),
-    /// An HTTP service at this address, which is watched for changes.
+    /// A discovery service at this address, which is polled for changes over HTTP.
     Discovery(SocketAddr),
 }
 
-/// A node of the file.
+/// A node in the configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its id, unique in its pool.
+    /// The id, which is unique in the pool.
     pub id: String,
-    /// Where it accepts requests.
+    /// The address on which the node accepts requests.
     pub address: SocketAddr,
-    /// Name of its zone.
+    /// The name of its zone.
     pub zone: String,
-    /// Its capacity in relation to the other nodes'.
+    /// Its capacity relative to other nodes.
     pub size: f64,
-    /// It gets no new requests.
+    /// Whether it gets no new requests.
     pub draining: bool,
 }
 
-/// Reads the nodes of a pool. `zone` is the zone of nodes that state none.
+/// Reads the nodes of a pool. `zone` is the default zone of nodes.
 pub(crate) fn read_nodes(section: &Section<'_>, zone: &str) -> Nodes {
     let tables = section.sections("nodes");
     let discovery = section.parsed("discovery", "an address");
     match (section.has("nodes"), section.has("discovery")) {
-        (true, true) => section.error("discovery", "stands beside nodes: one source is allowed"),
-        (false, false) => section.error("nodes", "neither nodes nor discovery is there"),
+        (true, true) => {
+            section.error("discovery", "must not be set together with nodes: only one source is allowed")
+        }
+        (false, false) => section.error("nodes", "either nodes or discovery is needed"),
         _ => {}
     }
     let mut ids = BTreeSet::new();
@@ -42,7 +44,7 @@
     for table in tables {
         let node = read_node(&table, zone);
         if !ids.insert(node.id.clone()) {
-            table.error("id", format!("{:?} stands for another node of this pool too", node.id));
+            table.error("id", format!("{:?} is already the id of another node of this pool", node.id));
         }
         table.finish();
         nodes.push(node);
--- a/crates/config/src/pool.rs
+++ b/crates/config/src/pool.rs
@@ -1,4 +1,4 @@
-//! One pool: its nodes, classes, plans and limits.
+//! The configuration of a pool: its nodes, classes, plans and limits.
 
 use crate::class::Class;
 use crate::external_limiter::ExternalLimiterConfig;
@@ -10,63 +10,63 @@
 use std::net::SocketAddr;
 use violetyoke_decision::interface::{self, Plan, Settings};
 
-/// The zone of an ingress that states none.
+/// The default zone of an ingress.
 const DEFAULT_ZONE: &str = "here";
 
-/// A pool as the file has it, checked.
+/// The validated configuration of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name, unique in the file.
+    /// The name, which is unique in the file.
     pub name: String,
-    /// The name that its quotas are counted under. It must not change while a pool keeps its customers, and no two pools
-    /// have the same.
+    /// The name under which its quotas are counted, which is unique in the file. It must not change while the pool keeps its
+    /// customers.
     pub quota: String,
-    /// Its share of the processor in relation to the other pools'.
+    /// Its share of the processor relative to other pools.
     pub weight: u64,
     /// The source of its nodes.
     pub nodes: Nodes,
-    /// Address of its shared counting service; `None`: requests are counted in this process.
+    /// The address of its counter service; with `None`, requests are counted in this process.
     pub counter: Option<SocketAddr>,
     /// Its classes, at least one.
     pub classes: Vec<Class>,
-    /// Its plans by name, at least one.
+    /// Its plans with their names, at least one.
     pub plans: Vec<(String, Plan)>,
-    /// Names of zones by their index; the first is this ingress's own.
+    /// The names of zones, by index; the first is the zone of this ingress.
     pub zones: Vec<String>,
-    /// Plan of requests that state none.
+    /// The plan of requests without a plan.
     pub default_plan: Option<String>,
-    /// Class of requests that state none.
+    /// The class of requests without a class.
     pub default_class: Option<String>,
-    /// Requests in flight at most.
+    /// The maximum number of open requests.
     pub open_requests: u32,
-    /// File descriptors that are reserved for it.
+    /// The number of file descriptors that are reserved for the pool.
     pub descriptors: u64,
-    /// Bytes of bodies that are reserved for it.
+    /// The memory for request bodies that is reserved for the pool (bytes).
     pub buffered_bytes: u64,
-    /// The fields of responses that state the quota.
+    /// The header fields of responses that contain the state of the quota.
     pub quota_headers: QuotaHeaders,
-    /// The external rate limit server that is asked first, where there is one.
+    /// The external rate limit server that is queried before admission, if there is one.
     pub external_limiter: Option<ExternalLimiterConfig>,
-    /// All that does not follow from classes and plans.
+    /// All settings of the decision module except classes and plans.
     settings: Settings,
 }
 
-/// Which fields of responses state the client's quota.
+/// Which header fields of responses contain the state of the client's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaHeaders {
     /// `RateLimit-Policy` and `RateLimit` (draft-ietf-httpapi-ratelimit-headers-10).
     pub draft: bool,
-    /// `X-RateLimit-Limit`, `-Remaining` and `-Reset`, as many services have them.
+    /// The widespread fields `X-RateLimit-Limit`, `-Remaining` and `-Reset`.
     pub legacy: bool,
 }
 
 impl Pool {
-    /// The settings of the decision module, with these classes and plans.
+    /// The settings for the decision module, with the given classes and plans.
     pub fn settings(&self, classes: Vec<interface::Class>, plans: Vec<Plan>) -> Settings {
         Settings { classes, plans, ..self.settings.clone() }
     }
 
-    /// Reads a pool. `index`: of this ingress among `ingresses`. The caller finishes the table.
+    /// Reads a pool. `index` is the index of this ingress among `ingresses`. The caller calls [`Section::finish`].
     pub(crate) fn read(section: &Section<'_>, ingresses: u16, index: u16) -> Pool {
         let name = section.required_text("name");
         check_name(section, "name", &name);
@@ -142,7 +142,7 @@
     plans
 }
 
-/// A name out of `names`; if the key is not there, the only one of them.
+/// Reads one of `names`. If the key is absent and there is only one name, that name is the default.
 fn read_default(section: &Section<'_>, key: &'static str, names: &[&str]) -> Option<String> {
     let name = section.text(key);
     if name.as_ref().is_some_and(|name| !names.contains(&name.as_str())) {
@@ -154,9 +154,9 @@
     })
 }
 
-/// The own zone, then those of nodes, each once.
-fn zones(own: String, nodes: &Nodes) -> Vec<String> {
-    let mut zones = vec![own];
+/// The distinct zones: the zone of this ingress, then those of the nodes.
+fn zones(own_zone: String, nodes: &Nodes) -> Vec<String> {
+    let mut zones = vec![own_zone];
     if let Nodes::Static(nodes) = nodes {
         for node in nodes.iter().filter(|node| !node.zone.is_empty()) {
             if !zones.contains(&node.zone) {
--- a/crates/config/src/pool_settings.rs
+++ b/crates/config/src/pool_settings.rs
@@ -1,11 +1,11 @@
-//! What the decision module gets to know of a pool, but for classes and plans.
+//! The settings of a pool for the decision module, except classes and plans.
 
 use crate::section::Section;
 use violetyoke_decision::interface::{self, Micros, Settings};
 
 const MS: f64 = 1_000.0;
 
-/// The settings of a pool, without classes and plans. `index`: of this ingress among `ingresses`.
+/// Reads the settings of a pool, without classes and plans. `index` is the index of this ingress among `ingresses`.
 pub(crate) fn read_settings(section: &Section<'_>, ingresses: u16, index: u16) -> Settings {
     let time =
         |key: &'static str, default: f64| (section.number(key, default, 0.0..=86_400_000.0) * MS) as Micros;
--- a/crates/config/src/ratelimit.rs
+++ b/crates/config/src/ratelimit.rs
@@ -1,4 +1,4 @@
-//! The rate limit service: its listener, and what domains and descriptors stand for.
+//! The configuration of the gRPC rate limit service: its listener, and the mapping of domains and descriptors to pools.
 
 use crate::pool::Pool;
 use crate::section::Section;
@@ -6,24 +6,24 @@
 use std::net::SocketAddr;
 use violetyoke_ratelimit::{DescriptorRule, Domain, Mapping, UnknownPolicy};
 
-/// The gRPC rate limit service, checked.
+/// The validated configuration of the gRPC rate limit service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Where queries are accepted.
+    /// The address on which queries are accepted.
     pub listen: SocketAddr,
-    /// Its share of the processor in relation to the pools'.
+    /// Its share of the processor relative to pools.
     pub weight: u64,
-    /// Connections at most.
+    /// The maximum number of connections.
     pub connections: u64,
-    /// Queries in flight on one connection at most.
+    /// The maximum number of queries in flight on one connection.
     pub streams: u32,
-    /// Descriptors of one query at most.
+    /// The maximum number of descriptors in one query.
     pub descriptors: usize,
-    /// Bytes of one message at most.
+    /// The maximum size of a message (bytes).
     pub message_bytes: usize,
-    /// How long a query without `grpc-timeout` may take, in microseconds.
+    /// The maximum and default time-out of a query, in microseconds.
     pub deadline: u64,
-    /// What domains and descriptors stand for.
+    /// The mapping of domains and descriptors to pools.
     pub mapping: Mapping,
 }
 
@@ -31,7 +31,7 @@
     [("ok", UnknownPolicy::Ok), ("over_limit", UnknownPolicy::OverLimit)];
 
 impl RateLimit {
-    /// Reads the table of the rate limit service. The caller finishes it.
+    /// Reads the table of the rate limit service. The caller calls [`Section::finish`].
     pub(crate) fn read(section: &Section<'_>, pools: &[Pool]) -> RateLimit {
         RateLimit {
             listen: section.required_address("listen"),
@@ -55,7 +55,7 @@
     for table in tables {
         let name = table.required_text("name");
         if domains.insert(name.clone(), read_domain(&table, pools)).is_some() {
-            table.error("name", format!("{name:?} is another domain's name too"));
+            table.error("name", format!("{name:?} is already the name of another domain"));
         }
         table.finish();
     }
@@ -81,13 +81,13 @@
 
 fn read_unknown_policy(section: &Section<'_>, key: &'static str) -> UnknownPolicy {
     if !section.has(key) {
-        // Either result may be wrong for somebody: the operator has to state it.
+        // There is no default, as either result may be wrong: the operator must choose.
         section.error(key, "is missing: ok or over_limit");
     }
     section.choice(key, UnknownPolicy::OverLimit, &UNKNOWN)
 }
 
-/// Reads one kind of descriptor; `None`: its pool is not there.
+/// Reads the rule of a kind of descriptors; `None` if its pool does not exist.
 fn read_rule(section: &Section<'_>, pools: &[Pool]) -> Option<DescriptorRule> {
     let name = section.required_text("pool");
     let pool = pools.iter().position(|pool| pool.name == name);
@@ -95,9 +95,9 @@
         section.error("pool", format!("there is no pool {name:?}"));
     }
     let plan = section.text("plan");
-    let known =
+    let has_plan =
         |plan: &String| pool.is_none_or(|pool| pools[pool].plans.iter().any(|(name, _)| name == plan));
-    if plan.as_ref().is_some_and(|plan| !known(plan)) {
+    if plan.as_ref().is_some_and(|plan| !has_plan(plan)) {
         section.error("plan", "is not a plan of the pool");
     }
     let rule = DescriptorRule {
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes to pools.
+//! The routes to pools.
 
 use crate::pool::Pool;
 use crate::section::Section;
@@ -9,22 +9,22 @@
 /// A route to a pool.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// What it matches.
+    /// The requests that the route matches.
     pub rule: TableRoute,
-    /// Index of the pool in [`Service::pools`](crate::Service::pools).
+    /// The index of the pool in [`Service::pools`](crate::Service::pools).
     pub pool: usize,
-    /// Class of requests that state none.
+    /// The class of requests without a class.
     pub default_class: Option<String>,
 }
 
-/// Reads the routes of a file to these pools.
+/// Reads the routes of a file to the given pools.
 pub(crate) fn read_routes(root: &Section<'_>, pools: &[Pool]) -> Vec<Route> {
     let tables = root.sections("route");
     let routes: Vec<Route> = tables.iter().filter_map(|table| read_route(table, pools)).collect();
     if tables.is_empty() && !root.has("control") {
         root.error("route", "at least one is needed");
     }
-    // Indices of routes are those of tables only if all could be read.
+    // Conflicts are reported by index, which identifies the table only if all routes are valid.
     if routes.len() == tables.len() {
         reject_conflicts(&tables, &routes);
     }
@@ -58,10 +58,10 @@
     }
     let class = |key: &'static str| {
         let class = section.text(key);
-        let known = |name: &String| {
+        let has_class = |name: &String| {
             pool.is_none_or(|pool| pools[pool].classes.iter().any(|class| class.name == *name))
         };
-        if class.as_ref().is_some_and(|class| !known(class)) {
+        if class.as_ref().is_some_and(|class| !has_class(class)) {
             section.error(key, "is not a class of the pool");
         }
         class
--- a/crates/config/src/section/lists.rs
+++ b/crates/config/src/section/lists.rs
@@ -1,4 +1,5 @@
-//! Lists and maps of values. One that is missing is empty; an item of another kind is an error and left out.
+//! Reads lists and maps of values. A missing list or map is empty. An item of the wrong type is reported as an error and left
+//! out.
 
 use super::table::Section;
 use std::collections::BTreeMap;
@@ -6,29 +7,29 @@
 use toml::Spanned;
 
 impl Section<'_> {
-    /// A list of strings, each as the value that `choices` has for it.
+    /// Reads a list of strings, and returns the values that `choices` has for them.
     pub fn choices<T: Copy>(&self, key: &'static str, choices: &[(&str, T)]) -> Vec<T> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let DeValue::Array(list) = value.get_ref() else {
             self.error(key, "must be a list");
             return Vec::new();
         };
-        let word = |value: &Spanned<DeValue>| {
+        let choice = |value: &Spanned<DeValue>| {
             let text = match value.get_ref() {
                 DeValue::String(text) => text.to_string(),
                 _ => String::new(),
             };
-            let found = choices.iter().find(|(name, _)| *name == text);
-            if found.is_none() {
+            let choice = choices.iter().find(|(name, _)| *name == text);
+            if choice.is_none() {
                 let names: Vec<_> = choices.iter().map(|(name, _)| *name).collect();
                 self.error(key, format!("{text:?} is none of {}", names.join(", ")));
             }
-            found.map(|(_, value)| *value)
+            choice.map(|(_, value)| *value)
         };
-        list.iter().filter_map(word).collect()
+        list.iter().filter_map(choice).collect()
     }
 
-    /// A list of finite numbers.
+    /// Reads a list of finite numbers.
     pub fn number_list(&self, key: &'static str) -> Vec<f64> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let DeValue::Array(list) = value.get_ref() else {
@@ -49,34 +50,34 @@
         list.iter().filter_map(number).collect()
     }
 
-    /// A list of strings.
+    /// Reads a list of strings.
     pub fn text_list(&self, key: &'static str) -> Vec<String> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let DeValue::Array(list) = value.get_ref() else {
-            self.error(key, "must be a list of texts");
+            self.error(key, "must be a list of strings");
             return Vec::new();
         };
         let text = |value: &Spanned<DeValue>| match value.get_ref() {
             DeValue::String(text) => Some(text.to_string()),
             _ => {
-                self.error(key, "must be a list of texts");
+                self.error(key, "must be a list of strings");
                 None
             }
         };
         list.iter().filter_map(text).collect()
     }
 
-    /// A table of strings under any keys.
+    /// Reads a table with any keys whose values are strings.
     pub fn text_map(&self, key: &'static str) -> BTreeMap<String, String> {
         let Some(value) = self.value(key) else { return BTreeMap::new() };
         let DeValue::Table(table) = value.get_ref() else {
-            self.error(key, "must be a table of texts");
+            self.error(key, "must be a table of strings");
             return BTreeMap::new();
         };
         let text = |(name, value): (&Spanned<DeString<'_>>, &Spanned<DeValue<'_>>)| match value.get_ref() {
             DeValue::String(text) => Some((name.get_ref().to_string(), text.to_string())),
             _ => {
-                self.error(key, "must be a table of texts");
+                self.error(key, "must be a table of strings");
                 None
             }
         };
--- a/crates/config/src/section/mod.rs
+++ b/crates/config/src/section/mod.rs
@@ -1,5 +1,5 @@
-//! One table of the file, read key by key. Errors are collected, so that a file gets all of them in one go; a key that
-//! nobody has read is an error too.
+//! Reads tables of a TOML file key by key. Errors are collected, so that all errors of a file are reported at once. Keys
+//! that were not read are unknown, and reported as errors too.
 
 mod lists;
 mod scalars;
--- a/crates/config/src/section/scalars.rs
+++ b/crates/config/src/section/scalars.rs
@@ -1,5 +1,5 @@
-//! Values that are no lists and no tables. One that is missing, of another kind or out of range is an error; its default is
-//! returned, so that reading goes on to the other errors.
+//! Reads values other than lists and tables. A value that is missing but required, has the wrong type or is out of range is
+//! reported as an error. The default is then returned, so that further errors are found as well.
 
 use super::table::Section;
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 use toml::Spanned;
 
 impl Section<'_> {
-    /// A string.
+    /// Reads a string.
     pub fn text(&self, key: &'static str) -> Option<String> {
         match self.value(key)?.get_ref() {
             DeValue::String(text) => Some(text.to_string()),
             _ => {
-                self.error(key, "must be a text");
+                self.error(key, "must be a string");
                 None
             }
         }
     }
 
-    /// A string that must be there; empty if it isn't.
+    /// Reads a required string; empty if it is missing.
     pub fn required_text(&self, key: &'static str) -> String {
         if !self.has(key) {
             self.error(key, "is missing");
@@ -28,17 +28,17 @@
         self.text(key).unwrap_or_default()
     }
 
-    /// A string that is parsed; `what` says in the error what it has to be.
-    pub fn parsed<T: FromStr>(&self, key: &'static str, what: &str) -> Option<T> {
+    /// Reads a string and parses it. `expected` describes valid values in the error.
+    pub fn parsed<T: FromStr>(&self, key: &'static str, expected: &str) -> Option<T> {
         let text = self.text(key)?;
         let value = text.parse().ok();
         if value.is_none() {
-            self.error(key, format!("{text:?} is not {what}"));
+            self.error(key, format!("{text:?} is not {expected}"));
         }
         value
     }
 
-    /// An address that must be there; one that nobody uses if it isn't.
+    /// Reads a required address; a placeholder if it is missing.
     pub(crate) fn required_address(&self, key: &'static str) -> SocketAddr {
         if !self.has(key) {
             self.error(key, "is missing");
@@ -46,7 +46,7 @@
         self.parsed(key, "an address").unwrap_or(SocketAddr::from(([127, 0, 0, 1], 1)))
     }
 
-    /// True or false; `default` if the key is not there.
+    /// Reads a boolean; `default` if the key is absent.
     pub fn flag(&self, key: &'static str, default: bool) -> bool {
         match self.value(key).map(Spanned::get_ref) {
             None => default,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A finite number in `range`; `default` if the key is not there.
+    /// Reads a finite number in `range`; `default` if the key is absent.
     pub fn number(&self, key: &'static str, default: f64, range: impl RangeBounds<f64>) -> f64 {
         let value = match self.value(key).map(Spanned::get_ref) {
             None => return default,
@@ -74,7 +74,7 @@
         default
     }
 
-    /// An integer of 0 or more in `range`; `default` if the key is not there.
+    /// Reads an integer of 0 or more in `range`; `default` if the key is absent.
     pub fn integer(&self, key: &'static str, default: u64, range: impl RangeBounds<u64>) -> u64 {
         let value = match self.value(key).map(Spanned::get_ref) {
             None => return default,
@@ -91,7 +91,7 @@
         default
     }
 
-    /// The value that `choices` has for the string found; `default` if the key is not there.
+    /// Reads a string, and returns the value that `choices` has for it; `default` if the key is absent.
     pub fn choice<T: Copy>(&self, key: &'static str, default: T, choices: &[(&str, T)]) -> T {
         let Some(text) = self.text(key) else { return default };
         if let Some((_, value)) = choices.iter().find(|(name, _)| *name == text) {
--- a/crates/config/src/section/source.rs
+++ b/crates/config/src/section/source.rs
@@ -1,4 +1,4 @@
-//! The text of a file, and what is wrong with it.
+//! The text of a file, and the errors in it.
 
 use crate::error::Errors;
 use std::cell::RefCell;
@@ -15,7 +15,7 @@
         Rc::new(Source { text, errors: RefCell::default() })
     }
 
-    /// The line of a byte of the text, counted from 1.
+    /// The line that contains the byte at `offset`, counted from 1.
     pub(super) fn line(&self, offset: usize) -> usize {
         1 + self.text.as_bytes()[..offset.min(self.text.len())].iter().filter(|byte| **byte == b'\n').count()
     }
--- a/crates/config/src/section/table.rs
+++ b/crates/config/src/section/table.rs
@@ -1,4 +1,4 @@
-//! A table of the file, and the tables in it.
+//! A table of a file, and the tables in it.
 
 use super::source::Source;
 use crate::error::Errors;
@@ -9,10 +9,10 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Reads the text of a file: `read` gets its root table.
+/// Parses the text of a file. `read` reads the root table.
 ///
 /// # Errors
-/// All that is wrong with the file, in the order of its lines.
+/// Returns all errors of the file, ordered by line.
 pub fn read<T>(text: &str, read: impl FnOnce(&Section<'_>) -> T) -> Result<T, Errors> {
     let source = Source::new(text);
     let (table, syntax) = DeTable::parse_recoverable(text);
@@ -32,14 +32,16 @@
     }
 }
 
-/// A table of a file, and which of its keys were read.
+/// A table of a file.
 pub struct Section<'a> {
     source: Rc<Source<'a>>,
+    /// `None` if the table is missing.
     table: Option<&'a DeTable<'a>>,
-    /// What precedes a key in its full name: empty for the root table, else with a dot at the end.
+    /// The prefix of keys in their full path: empty for the root table, otherwise with a dot at the end.
     prefix: String,
-    /// Where the table begins in the text.
+    /// The position of the table in the text.
     offset: usize,
+    /// The keys that have been read.
     read_keys: RefCell<BTreeSet<&'static str>>,
 }
 
@@ -57,13 +59,13 @@
         Section { source: source.clone(), table, prefix, offset, read_keys: RefCell::default() }
     }
 
-    /// The value of a key, which counts as read from now on.
+    /// The value of a key. Marks the key as read.
     pub(super) fn value(&self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
         self.read_keys.borrow_mut().insert(key);
         self.table?.iter().find(|(name, _)| name.get_ref().as_ref() == key).map(|(_, value)| value)
     }
 
-    /// Reports an error of a key, at the line of the key or else of the table.
+    /// Reports an error at a key, with the line of the key, or that of the table if the key is absent.
     pub fn error(&self, key: &str, reason: impl Display) {
         let entry =
             self.table.and_then(|table| table.iter().find(|(name, _)| name.get_ref().as_ref() == key));
@@ -72,12 +74,12 @@
         self.source.errors.borrow_mut().add(line, format!("{}{key}", self.prefix), reason.to_string());
     }
 
-    /// Whether the key is there.
+    /// Whether the key is present. Marks the key as read.
     pub fn has(&self, key: &'static str) -> bool {
         self.value(key).is_some()
     }
 
-    /// A table in this one; an empty one if it is not there or no table.
+    /// Reads a table in this table. The result is empty if the key is absent or not a table.
     pub fn section(&self, key: &'static str) -> Section<'a> {
         let prefix = format!("{}{key}.", self.prefix);
         match self.value(key) {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// A list of tables, `[[key]]` or inline.
+    /// Reads a list of tables, written as `[[key]]` or inline.
     pub fn sections(&self, key: &'static str) -> Vec<Section<'a>> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let DeValue::Array(list) = value.get_ref() else {
@@ -103,10 +105,10 @@
             return Vec::new();
         };
         let mut sections = Vec::new();
-        for (number, value) in list.iter().enumerate() {
+        for (index, value) in list.iter().enumerate() {
             match value.get_ref() {
                 DeValue::Table(table) => {
-                    let prefix = format!("{}{key}[{number}].", self.prefix);
+                    let prefix = format!("{}{key}[{index}].", self.prefix);
                     sections.push(Section::new(&self.source, Some(table), prefix, value.span().start));
                 }
                 _ => self.error(key, "must be a list of tables"),
@@ -115,7 +117,7 @@
         sections
     }
 
-    /// Reports an error of each key that was not read. To be called when all keys of the table have been read.
+    /// Reports an error at each key that was not read. Must be called after all known keys of the table have been read.
     pub fn finish(self) {
         let read_keys = self.read_keys.borrow();
         for (name, _) in self.table.into_iter().flat_map(|table| table.iter()) {
@@ -130,10 +132,11 @@
     }
 }
 
-/// Whether two keys differ by a letter or two, or in their ends only.
+/// Whether two keys differ in at most two letters, or one of them is a prefix of the other with at least four letters.
 fn are_similar(known: &str, name: &str) -> bool {
     let (known, name) = (known.as_bytes(), name.as_bytes());
-    let front = known.iter().zip(name).take_while(|(a, b)| a == b).count();
-    let back = known.iter().rev().zip(name.iter().rev()).take_while(|(a, b)| a == b).count();
-    front + back + 2 >= known.len().max(name.len()) || (front >= 4 && front == known.len().min(name.len()))
+    let prefix = known.iter().zip(name).take_while(|(a, b)| a == b).count();
+    let suffix = known.iter().rev().zip(name.iter().rev()).take_while(|(a, b)| a == b).count();
+    prefix + suffix + 2 >= known.len().max(name.len())
+        || (prefix >= 4 && prefix == known.len().min(name.len()))
 }
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,4 +1,4 @@
-//! The whole file: what all pools share, the pools, and what else an ingress takes part in.
+//! The complete file: the settings that all pools share, the pools, and the further services of an ingress.
 
 use crate::control::Control;
 use crate::error::Errors;
@@ -10,38 +10,38 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// File descriptors for the listener, connections that are yet to be routed, and files.
-const SPARE_DESCRIPTORS: u64 = 32;
+/// The number of file descriptors for the listener, connections that are not routed yet, and files.
+const UNRESERVED_DESCRIPTORS: u64 = 32;
 
-/// A service as its file has it, checked.
+/// The validated configuration of an ingress.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Where requests are accepted.
+    /// The address on which requests are accepted.
     pub listen: SocketAddr,
-    /// File descriptors of the process at most.
+    /// The maximum number of file descriptors of the process.
     pub descriptors: u64,
-    /// Bytes of bodies in memory at most.
+    /// The maximum memory for request bodies (bytes).
     pub buffered_bytes: u64,
-    /// Whether pools are scheduled by weight; if not, all share one queue.
+    /// Whether pools are scheduled by weight; otherwise all tasks share one queue.
     pub schedules_by_weight: bool,
-    /// Whether the file is read again when it has changed, and not only on SIGHUP.
+    /// Whether the file is reloaded when it changes, and not only on SIGHUP.
     pub watch_file: bool,
     /// The pools, at least one.
     pub pools: Vec<Pool>,
-    /// The routes to them.
+    /// The routes to the pools.
     pub routes: Vec<Route>,
-    /// The gRPC rate limit service, where it is enabled.
+    /// The gRPC rate limit service, if it is enabled.
     pub ratelimit: Option<RateLimit>,
-    /// The control plane that tenants come from, where there are any.
+    /// The control plane from which tenants are received, if there is one.
     pub control: Option<Control>,
-    /// The singleton roles that this process applies for, where it does.
+    /// The singleton roles that this process applies for, if there are any.
     pub singleton_roles: Option<SingletonRoles>,
 }
 
-/// Reads the text of a file.
+/// Parses and validates the text of a file.
 ///
 /// # Errors
-/// All that is wrong with the file.
+/// Returns all errors of the file.
 pub fn parse(text: &str) -> Result<Service, Errors> {
     section::read(text, read_service)
 }
@@ -54,7 +54,7 @@
     let pools = read_pools(root, &service);
     check_descriptors(&service, &pools, descriptors);
     check_buffered_bytes(&service, &pools, buffered_bytes);
-    let read = Service {
+    let config = Service {
         listen,
         descriptors,
         buffered_bytes,
@@ -67,7 +67,7 @@
         pools,
     };
     service.finish();
-    read
+    config
 }
 
 fn read_pools(root: &Section<'_>, service: &Section<'_>) -> Vec<Pool> {
@@ -85,10 +85,10 @@
     let mut quotas = BTreeSet::new();
     for (pool, table) in pools.iter().zip(&tables) {
         if !names.insert(&pool.name) {
-            table.error("name", format!("{:?} is another pool's name too", pool.name));
+            table.error("name", format!("{:?} is already the name of another pool", pool.name));
         } else if !quotas.insert(&pool.quota) {
-            // Two pools with one quota name would spend each other's units.
-            table.error("quota", format!("{:?} is another pool's too", pool.quota));
+            // Two pools with the same quota name would share their counters.
+            table.error("quota", format!("{:?} is already the quota name of another pool", pool.quota));
         }
     }
     tables.into_iter().for_each(Section::finish);
@@ -97,9 +97,10 @@
 
 fn check_descriptors(service: &Section<'_>, pools: &[Pool], descriptors: u64) {
     let reserved: u64 = pools.iter().map(|pool| pool.descriptors).sum();
-    if reserved + SPARE_DESCRIPTORS > descriptors {
-        let reason =
-            format!("{descriptors} is below what pools are guaranteed, {reserved}, and {SPARE_DESCRIPTORS}");
+    if reserved + UNRESERVED_DESCRIPTORS > descriptors {
+        let reason = format!(
+            "{descriptors} is below what pools are guaranteed, {reserved}, and {UNRESERVED_DESCRIPTORS}"
+        );
         service.error("descriptors", reason);
     }
 }
--- a/crates/config/src/singleton_roles.rs
+++ b/crates/config/src/singleton_roles.rs
@@ -1,15 +1,15 @@
-//! Which singleton roles of the ingresses a process applies for.
+//! The singleton roles that a process applies for. The control plane assigns each role to one ingress at a time.
 
 use crate::names::is_valid_name;
 use crate::section::Section;
 use std::net::SocketAddr;
 
-/// Singleton roles that a process applies for at the control plane.
+/// The validated configuration of singleton roles.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SingletonRoles {
-    /// Names of the roles.
+    /// The names of the roles.
     pub names: Vec<String>,
-    /// Address that gets the report of usage.
+    /// The address to which usage reports are sent.
     pub report_address: SocketAddr,
 }
 
--- a/crates/config/tests/parsing.rs
+++ b/crates/config/tests/parsing.rs
@@ -1,8 +1,8 @@
-//! How a file is read, and that every error is reported in one go with its line and key.
+//! The parsing of a configuration file. All errors must be reported at once, each with its line and key.
 
 use violetyoke_config::{parse, Nodes};
 
-const GOOD: &str = r#"[service]
+const VALID: &str = r#"[service]
 listen = "127.0.0.1:8080"
 
 [[pool]]
@@ -46,9 +46,9 @@
 pool = "reservations"
 "#;
 
-/// Line, key and reason of each error of the good file with some of its text replaced.
+/// The line, key and reason of each error in the valid file after the given replacements.
 fn errors(changes: &[(&str, &str)]) -> Vec<String> {
-    let mut text = GOOD.to_string();
+    let mut text = VALID.to_string();
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
         text = text.replacen(from, to, 1);
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn valid_file_is_read_with_defaults() {
-    let service = parse(GOOD).unwrap();
+fn valid_file_is_parsed_with_defaults() {
+    let service = parse(VALID).unwrap();
     assert_eq!((service.pools.len(), service.routes.len(), service.schedules_by_weight), (2, 2, true));
     let pool = &service.pools[0];
     assert_eq!(
@@ -81,7 +81,7 @@
 
 #[test]
 fn all_errors_are_reported_with_line_and_key() {
-    let found = errors(&[
+    let errors = errors(&[
         ("listen = \"127.0.0.1:8080\"", "listen = \"here\"\nzebra = 1"),
         ("weight = 3", "weigth = 3"),
         ("effect = \"safe\"", "effect = \"harmless\""),
@@ -91,7 +91,7 @@
         ("pool = \"reservations\"", "pool = \"bookings\""),
     ]);
     assert_eq!(
-        found,
+        errors,
         [
             "2 service.listen: \"here\" is not an address",
             "3 service.zebra: is not a key known here",
@@ -107,8 +107,8 @@
 
 #[test]
 fn syntax_errors_are_reported_with_their_lines() {
-    let found = errors(&[("weight = 3", "weight = = 3")]);
-    assert!(found.iter().any(|error| error.starts_with("6 syntax: ")), "{found:?}");
+    let errors = errors(&[("weight = 3", "weight = = 3")]);
+    assert!(errors.iter().any(|error| error.starts_with("6 syntax: ")), "{errors:?}");
 }
 
 #[test]
@@ -138,13 +138,13 @@
         ("name = \"avail-read\"", "name = \"avail read\"", "pool[0].class[0].name"),
     ];
     for (from, to, key) in cases {
-        let found = errors(&[(from, to)]);
-        assert!(found.iter().any(|error| error.contains(&format!(" {key}: "))), "{key}: {found:?}");
+        let errors = errors(&[(from, to)]);
+        assert!(errors.iter().any(|error| error.contains(&format!(" {key}: "))), "{key}: {errors:?}");
     }
 }
 
 #[test]
-fn empty_file_reports_all_that_is_missing() {
+fn all_missing_keys_of_an_empty_file_are_reported() {
     let errors = parse("").unwrap_err();
     let keys: Vec<_> = errors.iter().map(|error| error.key.as_str()).collect();
     assert_eq!(keys, ["pool", "route", "service.listen"]);
@@ -152,28 +152,28 @@
 }
 
 #[test]
-fn external_limiter_is_validated_with_its_pool() {
-    let with = |consult: &str| {
+fn external_limiter_is_validated_against_its_pool() {
+    let errors_of = |consult: &str| {
         let table = format!("[pool.consult]\n{consult}\n[[pool.class]]\nname = \"booking-post\"");
         errors(&[("[[pool.class]]\nname = \"booking-post\"", &table)])
     };
-    let good = "address = \"127.0.0.1:8090\"\ndomain = \"rooms\"\nwhen_silent = \"refuse\"";
-    assert_eq!(with(good), Vec::<String>::new());
-    let assert_error = |consult: &str, what: &str| {
-        let errors = with(consult);
-        assert!(errors.len() == 1 && errors[0].contains(what), "{errors:?}");
+    let valid = "address = \"127.0.0.1:8090\"\ndomain = \"rooms\"\nwhen_silent = \"refuse\"";
+    assert_eq!(errors_of(valid), Vec::<String>::new());
+    let assert_error = |consult: &str, expected: &str| {
+        let errors = errors_of(consult);
+        assert!(errors.len() == 1 && errors[0].contains(expected), "{errors:?}");
     };
     assert_error(
-        &good.replace("refuse", "guess"),
+        &valid.replace("refuse", "guess"),
         "pool[1].consult.when_silent: \"guess\" is none of own_quota, refuse",
     );
-    assert_error(&good.replace("when_silent = \"refuse\"", ""), "pool[1].consult.when_silent: is missing");
-    assert_error(&format!("{good}\nplans = [\"gold\"]"), "pool[1].consult.plans: \"gold\" is not a plan");
-    assert_error(&format!("{good}\nplan_key = \"account\""), "the key \"account\" would stand twice");
-    assert_error(&format!("{good}\nbudget_part = 0.9"), "pool[1].consult.budget_part: 0.9 is out of range");
+    assert_error(&valid.replace("when_silent = \"refuse\"", ""), "pool[1].consult.when_silent: is missing");
+    assert_error(&format!("{valid}\nplans = [\"gold\"]"), "pool[1].consult.plans: \"gold\" is not a plan");
+    assert_error(&format!("{valid}\nplan_key = \"account\""), "the key \"account\" would occur twice");
+    assert_error(&format!("{valid}\nbudget_part = 0.9"), "pool[1].consult.budget_part: 0.9 is out of range");
     assert_error(
-        &format!("{good}\nbreaker = {{ pause_ms = 500, longest_pause_ms = 100 }}"),
+        &format!("{valid}\nbreaker = {{ pause_ms = 500, longest_pause_ms = 100 }}"),
         "pool[1].consult.breaker.longest_pause_ms: is below pause_ms",
     );
-    assert_error(&format!("{good}\nbudgets_ms = 5"), "did you mean budget_ms?");
+    assert_error(&format!("{valid}\nbudgets_ms = 5"), "did you mean budget_ms?");
 }
