--- a/crates/ingress/src/class_plan_indices.rs
+++ b/crates/ingress/src/class_plan_indices.rs
@@ -22,9 +22,9 @@
 }
 
 impl ClassPlanIndices {
-    /// Brings the classes and plans up to date with the configuration. A class whose effect, group or repeat
-    /// window has changed gets a new index, so that open requests end by the rules under which they were
-    /// accepted.
+    /// Brings the classes and plans up to date with the configuration. A class whose idempotency, deduplication
+    /// scope or deduplication window has changed gets a new index, so that open requests end by the rules under
+    /// which they were accepted.
     pub fn update(&mut self, config: &file::Pool, tenant_plans: &[(String, Plan)]) {
         for class in &config.classes {
             let is_same = |old: &interface::Class| {
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -29,9 +29,10 @@
 /// The capacity member that connections count against until their first request is matched to a pool.
 pub const UNASSIGNED: Member = 0;
 
+/// All open client connections.
 pub struct ConnectionTable {
     /// The descriptors that all pools of the process share; `None` in a process with a single pool.
-    shared: Option<SharedCapacity>,
+    descriptors: Option<SharedCapacity>,
     /// Open connections by the order in which they were accepted.
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_id: Cell<u64>,
@@ -142,13 +143,13 @@
     }
 
     fn new(
-        shared: Option<SharedCapacity>,
+        descriptors: Option<SharedCapacity>,
         idle_close_threshold: usize,
         max_connections: usize,
     ) -> Rc<ConnectionTable> {
         let connections = RefCell::default();
         Rc::new(ConnectionTable {
-            shared,
+            descriptors,
             connections,
             next_id: Cell::new(0),
             idle_close_threshold,
@@ -158,7 +159,7 @@
     }
 
     fn release_descriptor(&self, connection: &ClientConnection) {
-        if let (Some(capacity), Some(member)) = (&self.shared, connection.member.take()) {
+        if let (Some(capacity), Some(member)) = (&self.descriptors, connection.member.take()) {
             capacity.borrow_mut().release(member, 1);
         }
     }
@@ -189,7 +190,7 @@
         member: Member,
         set: impl FnOnce() -> Option<Rc<TaskSet>>,
     ) -> bool {
-        let Some(capacity) = &self.shared else { return true };
+        let Some(capacity) = &self.descriptors else { return true };
         if connection.member.get() == Some(member) {
             return true;
         }
@@ -204,7 +205,7 @@
 
     /// Returns the connections of a removed pool or tenant to [`UNASSIGNED`] and its task set.
     pub fn unassign(&self, member: Member, unassigned_tasks: &Rc<TaskSet>) {
-        let Some(capacity) = &self.shared else { return };
+        let Some(capacity) = &self.descriptors else { return };
         for connection in
             self.connections.borrow().values().filter(|connection| connection.member.get() == Some(member))
         {
@@ -223,7 +224,7 @@
         self: &Rc<ConnectionTable>,
         socket: Socket,
     ) -> Option<(Rc<ClientConnection>, ConnectionGuard)> {
-        if self.shared.as_ref().is_some_and(|capacity| !self.acquire_descriptor(capacity, UNASSIGNED)) {
+        if self.descriptors.as_ref().is_some_and(|capacity| !self.acquire_descriptor(capacity, UNASSIGNED)) {
             return None;
         }
         let connection = Rc::new(ClientConnection {
@@ -232,7 +233,7 @@
             since: Cell::new(Instant::now()),
             read_at_stage_start: Cell::new(0),
             task: RefCell::default(),
-            member: Cell::new(self.shared.as_ref().map(|_| UNASSIGNED)),
+            member: Cell::new(self.descriptors.as_ref().map(|_| UNASSIGNED)),
             pending_move: RefCell::default(),
             waker: RefCell::default(),
         });
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -80,7 +80,7 @@
             max_idle: 0,
             decision_log: Account::open(&settings, &names.classes, &names.plans),
         };
-        port.counter = counter.map(|link| port.open(link, timeout));
+        port.counter = counter.map(|link| port.open_counter(link, timeout));
         let exchange = Exchange::new(clock.now(), settings, seed, port);
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.update_targets(TargetList { cached: true, complete: true, ..initial_targets });
@@ -148,7 +148,7 @@
             Message::Targets(list) => self.update_targets(list),
             // The previous counter's task ends once its calls are answered or its connection is closed.
             Message::CounterReplaced(link) => {
-                let counter = exchange.port.open(link, exchange.counter_timeout());
+                let counter = exchange.port.open_counter(link, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
                 exchange.gateway_mut().counter_replaced();
             }
--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -70,7 +70,7 @@
 }
 
 impl SocketPort {
-    pub fn open(&self, link: Link, timeout: Micros) -> CounterConnection {
+    pub fn open_counter(&self, link: Link, timeout: Micros) -> CounterConnection {
         match link {
             Link::Remote { address, space } => CounterConnection::Remote(Counter::open(
                 address,
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -80,8 +80,8 @@
 const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
 /// Microseconds of Unix time: the system clock is read once, at the start, and advanced by the monotonic clock.
-/// Counter names contain the start of their window, so all ingresses need the same window boundaries and hence the
-/// same origin.
+/// Counter names contain the start of their window, so all ingresses need the same window boundaries and hence
+/// the same origin.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -158,7 +158,8 @@
 /// Messages to a pool's driver, which handles them in order.
 pub(crate) enum Message {
     Request(ClientRequest),
-    /// The client has disconnected.
+    /// The client has disconnected, or an admitted rate limit query stays counted and needs no further
+    /// tracking.
     Abandoned(RequestId),
     AttemptEnded {
         request: RequestId,
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -21,6 +21,7 @@
 /// A limited resource that is shared by all pools and tenants of the process.
 pub type SharedCapacity = Rc<RefCell<CapacityPool>>;
 
+/// A pool, as shared by the server, the rate limit service and the tasks of its requests.
 pub struct Pool {
     pub name: String,
     /// Identifies the pool among the members that share the process's capacity.
@@ -32,9 +33,11 @@
     open_wire_ids: RefCell<HashSet<HeaderValue>>,
     /// Whether its driver has received a list of backends.
     pub has_backend_list: Cell<bool>,
-    open: Cell<u32>,
+    open_count: Cell<u32>,
     max_open_requests: Cell<u32>,
+    /// Which quota headers its responses carry.
     pub quota_headers: Cell<Fields>,
+    /// The memory for buffered bodies that all pools share; `None` if it is not limited.
     buffer_capacity: Option<SharedCapacity>,
     /// The task set of the pool and its client connections; `None` where there are no task sets.
     pub set: Option<Rc<TaskSet>>,
@@ -65,7 +68,7 @@
             next_id: Cell::new(1),
             open_wire_ids: RefCell::default(),
             has_backend_list: Cell::new(false),
-            open: Cell::new(0),
+            open_count: Cell::new(0),
             max_open_requests: Cell::new(max_open_requests),
             quota_headers: Cell::default(),
             buffer_capacity,
@@ -116,15 +119,15 @@
     /// Counts one more open request until the guard is dropped; `None` at the limit. This also bounds the
     /// driver's inbox, because a request has one message in it at a time.
     pub fn open_request(self: &Rc<Pool>) -> Option<OpenRequest> {
-        if self.open.get() >= self.max_open_requests.get() {
+        if self.open_count.get() >= self.max_open_requests.get() {
             return None;
         }
-        self.open.set(self.open.get() + 1);
+        self.open_count.set(self.open_count.get() + 1);
         Some(OpenRequest { pool: self.clone() })
     }
 
     pub fn open_requests(&self) -> u32 {
-        self.open.get()
+        self.open_count.get()
     }
 
     /// Assigns the id by which the driver knows a request.
@@ -170,7 +173,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.pool.open.set(self.pool.open.get() - 1);
+        self.pool.open_count.set(self.pool.open_count.get() - 1);
         if self.pool.retired.get() {
             self.pool.send(Message::Retire);
         }
@@ -240,7 +243,7 @@
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let frame = self.bytes.take();
         if let (None, Some((rest, _))) = (&frame, &mut self.rest) {
-            return rest.poll_chunk(cx).map(|piece| Some(piece?.map(Frame::data)));
+            return rest.poll_chunk(cx).map(|chunk| Some(chunk?.map(Frame::data)));
         }
         if frame.is_none() {
             self.reservation = None;
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -47,7 +47,7 @@
     /// Names of the classes and plans by index; an entry that the configuration no longer has is empty.
     pub classes: Vec<String>,
     pub plans: Vec<String>,
-    /// Effects and default deadlines of the classes by index.
+    /// Idempotency and default timeouts of the classes by index.
     idempotency: Vec<Idempotency>,
     deadlines: Vec<Micros>,
     /// Most units that one request may have.
@@ -196,7 +196,7 @@
 
 /// Validates a request's head. `class` is the route's class for requests that name none. For a tenant's
 /// request, plan and customer are determined by the tenant and not read from the head.
-pub fn check(
+pub fn validate_head(
     rules: &Rules,
     head: &Parts,
     class: Option<u16>,
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -5,7 +5,7 @@
 use super::pool::{Pool, ResponseBody};
 use super::precheck::{PrecheckOutcome, PrecheckRequest};
 use super::quota_headers;
-use super::request::{account_name, bad_request, check, read_body, Rejection, BODY_TIMED_OUT};
+use super::request::{account_name, bad_request, read_body, validate_head, Rejection, BODY_TIMED_OUT};
 use super::roaming;
 use super::router::{RouteMatch, Router};
 use super::socket::Socket;
@@ -183,7 +183,7 @@
     // Returning closes the connection: no unassigned connection could be closed to make room.
     let Some((client, guard)) = shared.connections.register(socket.clone()) else { return };
     let (connection, unassigned_tasks) = (client.clone(), shared.unassigned_tasks.clone());
-    let work = async move {
+    let connection_task = async move {
         let _guard = guard;
         let must_drain = Cell::new(false);
         let broken = {
@@ -243,8 +243,8 @@
         }
     };
     match unassigned_tasks {
-        Some(unassigned_tasks) => roaming::start(&unassigned_tasks, Box::pin(work), connection),
-        None => connection.set_task(tasks::spawn(work)),
+        Some(unassigned_tasks) => roaming::start(&unassigned_tasks, Box::pin(connection_task), connection),
+        None => connection.set_task(tasks::spawn(connection_task)),
     }
 }
 
@@ -272,7 +272,7 @@
         return Ok(with_connection_close(empty_response(StatusCode::SERVICE_UNAVAILABLE)));
     }
     let rules = pool.rules();
-    let mut terms = check(&rules, &head, class, tenant.is_some())?;
+    let mut terms = validate_head(&rules, &head, class, tenant.is_some())?;
     // Kept until the response is complete: a routing table that is replaced meanwhile does not affect this
     // request.
     let Some(_open_request) = pool.open_request() else {
--- a/crates/ingress/src/streaming.rs
+++ b/crates/ingress/src/streaming.rs
@@ -63,6 +63,7 @@
 /// A request body that is streamed to a backend. Bytes beyond the prefix are not kept, so they can be sent only
 /// once.
 pub struct Upload {
+    /// The prefix that was read before the request was forwarded.
     first: Bytes,
     /// The body's length in bytes, if the client stated it.
     length: Option<u64>,
@@ -73,7 +74,7 @@
     /// Whether bytes beyond the prefix have been forwarded.
     rest_started: Cell<bool>,
     /// When the last byte was forwarded.
-    ended: Cell<Option<Micros>>,
+    ended_at: Cell<Option<Micros>>,
     /// Since when the client has been sending nothing; `None` while bytes arrive.
     client_paused_since: Cell<Option<Instant>>,
     /// Whether the client broke the body off or exceeded the limit.
@@ -89,7 +90,7 @@
             clock,
             started_at: clock.now(),
             rest_started: Cell::new(false),
-            ended: Cell::new(None),
+            ended_at: Cell::new(None),
             client_paused_since: Cell::new(None),
             client_failed: Cell::new(false),
         }
@@ -101,7 +102,7 @@
     }
 
     pub fn ended_at(&self) -> Option<Micros> {
-        self.ended.get()
+        self.ended_at.get()
     }
 
     pub fn client_failed(&self) -> bool {
@@ -124,7 +125,7 @@
             self.client_paused_since.set(None);
             let data = match frame {
                 None => {
-                    self.ended.set(Some(self.clock.now()));
+                    self.ended_at.set(Some(self.clock.now()));
                     return Poll::Ready(None);
                 }
                 Some(Ok(frame)) => frame.into_data(),
@@ -142,7 +143,7 @@
             }
             // hyper does not poll for the end of a body whose length it knows.
             if self.length == Some(*forwarded) {
-                self.ended.set(Some(self.clock.now()));
+                self.ended_at.set(Some(self.clock.now()));
             }
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
@@ -168,7 +169,9 @@
 /// A request body as sent by one attempt.
 pub struct AttemptBody {
     body: RequestBody,
+    /// The buffered body or the prefix, until it has been sent.
     first: Option<Bytes>,
+    /// Bytes sent so far.
     forwarded: u64,
 }
 
