--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -170,7 +170,7 @@
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
             Message::AddToClaim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
-            Message::PeerMessage { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
+            Message::FromPeer { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
         }
     }
 
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -186,7 +186,8 @@
     Targets(TargetList),
     /// The shared counter has a new address.
     CounterReplaced(Link),
-    PeerMessage {
+    /// A message from another ingress, numbered by its position in the list of peers.
+    FromPeer {
         from: u32,
         data: Vec<u8>,
     },
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -54,7 +54,7 @@
             Ok((length, sender)) => {
                 let Some(from) = peers.iter().position(|peer| *peer == sender) else { continue };
                 let data = buffer[..length].to_vec();
-                let _ = messages.send(Message::PeerMessage { from: from as u32, data });
+                let _ = messages.send(Message::FromPeer { from: from as u32, data });
             }
             // An earlier datagram's bounce says nothing about the next one.
             Err(_) => tokio::task::yield_now().await,
