--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -80,7 +80,7 @@
             max_idle: 0,
             decision_log: DecisionLog::open(&settings, &names.classes, &names.plans),
         };
-        port.counter = counter.map(|location| port.open(location, timeout));
+        port.counter = counter.map(|location| port.open_counter(location, timeout));
         let exchange = Exchange::new(clock.now(), settings, seed, port);
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.update_targets(TargetList { cached: true, complete: true, ..initial_targets });
@@ -148,7 +148,7 @@
             Message::Targets(list) => self.update_targets(list),
             // The previous counter's task ends once its calls are answered or its connection is closed.
             Message::CounterReplaced(location) => {
-                let counter = exchange.port.open(location, exchange.counter_timeout());
+                let counter = exchange.port.open_counter(location, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
                 exchange.gateway_mut().counter_replaced();
             }
@@ -172,7 +172,7 @@
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
             Message::AddToClaim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
-            Message::PeerMessage { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
+            Message::FromPeer { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
         }
     }
 
