--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -70,7 +70,7 @@
 }
 
 impl SocketPort {
-    pub fn open(&self, location: CounterLocation, timeout: Micros) -> CounterConnection {
+    pub fn open_counter(&self, location: CounterLocation, timeout: Micros) -> CounterConnection {
         match location {
             CounterLocation::Remote { address, namespace } => CounterConnection::Remote(CounterClient::open(
                 address,
