--- a/crates/config/src/nodes.rs
+++ b/crates/config/src/nodes.rs
@@ -34,7 +34,7 @@
     let discovery = section.parsed("discovery", "an address");
     match (section.has("nodes"), section.has("discovery")) {
         (true, true) => {
-            section.error("discovery", "must not be set together with nodes: only one source is allowed")
+            section.error("discovery", "must not be set together with nodes: only one source is allowed");
         }
         (false, false) => section.error("nodes", "either nodes or discovery is needed"),
         _ => {}
