--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -58,7 +58,7 @@
         let idle = by_backend.get_mut(backend_id)?;
         while let Some(mut candidate) = idle.pop() {
             let is_fresh = now < candidate.expires_at && now - candidate.idle_since < max_idle;
-            if is_fresh && candidate.connection.stream.is_silent() {
+            if is_fresh && candidate.connection.stream.has_no_pending_input() {
                 return Some(candidate.connection);
             }
         }
--- a/crates/transport/src/net.rs
+++ b/crates/transport/src/net.rs
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Whether nothing has been received that is not read yet, neither bytes nor the end of the stream. A byte that has been
-    /// received is lost.
-    pub fn is_silent(&mut self) -> bool {
+    /// Whether neither unread bytes nor the end of the stream have been received. If there are unread bytes, the call
+    /// consumes the first one, so the stream can't be used afterwards.
+    pub fn has_no_pending_input(&mut self) -> bool {
         let mut byte = [0];
         match self {
             Stream::Tcp(stream) => {
