--- a/crates/store/src/consensus/event.rs
+++ b/crates/store/src/consensus/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the engine and what comes out of it.
+//! Inputs and outputs of a replica.
 
 use super::durable::DurableState;
 use std::net::Ipv4Addr;
@@ -7,15 +7,15 @@
 /// Milliseconds of a monotonic clock with an arbitrary origin.
 pub type Millis = u64;
 
-/// Identifies the sender of one command, so that its reply can be routed. Unique in one run of a replica.
+/// Identifies one command, so that its reply can be routed to the sender. Unique in one run of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
-/// Numbers the writes that a replica asks its disk for: 1, 2, 3 and so on in one run of the replica.
+/// The number of a write that a replica requests from its disk: 1, 2, 3 and so on in one run of the replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WriteNumber(pub u64);
 
-/// Another store takes no records of the epoch that this store leads.
+/// Another store rejects the records of the epoch that this store leads, because it has promised a higher one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EpochRejection {
     /// The epoch of the records.
@@ -24,12 +24,12 @@
     pub promised: Epoch,
 }
 
-/// Input of the engine.
+/// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message of another store. Messages may be lost, repeated and reordered.
+    /// A message from another store. Messages may be lost, repeated and reordered.
     Message(Envelope),
-    /// All states that were to be persisted up to and including this write are on the disk.
+    /// All writes up to and including this one are on the disk.
     Persisted(WriteNumber),
     /// Time has passed.
     Tick {
@@ -40,58 +40,58 @@
     Command {
         /// Who gets the reply.
         client: ClientId,
-        /// What to do.
+        /// The command.
         command: Command,
     },
-    /// The process is to end: the store hands over what others depend on. See
+    /// The process is to end: the store hands over its leadership, data and vote. See
     /// [`Replica::is_handover_complete`](super::Replica::is_handover_complete).
     Shutdown,
 }
 
-/// Output of the engine, in the order in which it has to be carried out.
+/// Output of a replica. Effects have to be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message to another store. It may be lost: the engine repeats what matters.
+    /// Send a message to another store. It may be lost: the replica repeats messages that it depends on.
     Send {
         /// The address of the other store.
         to: Ipv4Addr,
         /// The message.
         message: PeerMessage,
     },
-    /// Persist a state, and report [`Event::Persisted`] with the same number once it is synced. A later write replaces
-    /// an earlier one that has not begun.
+    /// Persist a state, and report [`Event::Persisted`] with the same number once it is synced. A later write may
+    /// replace an earlier one that has not started.
     Persist {
         /// The number of this write.
         number: WriteNumber,
-        /// All that has to survive a restart.
+        /// The state that has to survive a restart.
         state: DurableState,
     },
     /// Reply to a command. Each client gets one reply at most.
     Reply {
         /// Who sent the command.
         client: ClientId,
-        /// What became of it.
+        /// The result of the command.
         outcome: Outcome,
     },
     /// The committed state, the role or the contact with the other data replicas has changed: notify the watchers.
     NotifyWatchers,
 }
 
-/// With what a replica starts.
+/// The parameters of a new replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
     /// The address of this store.
     pub ip: Ipv4Addr,
     /// The zone of this store; data replicas are spread over zones.
     pub zone: String,
-    /// Addresses of the stores that are contacted first. On the very first start they are the voters.
+    /// Addresses of the stores that are contacted first. On the first start of the system these stores are the voters.
     pub seeds: Vec<Ipv4Addr>,
-    /// How many machines may be lost at once.
+    /// The number of machines that may be lost at the same time.
     pub fault_tolerance: u32,
-    /// What an earlier run persisted; the default on an empty disk.
+    /// The state that an earlier run persisted; the default if the disk is empty.
     pub durable: DurableState,
-    /// A random number that identifies the disk where it is empty.
+    /// The id for the disk if it is empty: a random number.
     pub new_disk_id: StoreId,
-    /// Whether an empty disk may belong to the very first start of the system.
+    /// Whether an empty disk may mean that the system starts for the first time, rather than that a disk was replaced.
     pub is_bootstrap: bool,
 }
--- a/crates/store/src/consensus/peers.rs
+++ b/crates/store/src/consensus/peers.rs
@@ -1,11 +1,11 @@
-//! What this store knows of the others, and the failure detector.
+//! What this store knows about the other stores, and the failure detector.
 
 use super::event::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use violetyoke_transport::messages::{Epoch, Heartbeat, ReplicaConfig, StoreId, StoreNode};
 
-/// Silence after which a store is suspected to be down.
+/// A store that sends no heartbeat for this time is suspected to be down.
 const SUSPICION_TIMEOUT: Millis = 700;
 
 /// Another store, as its last heartbeat describes it.
@@ -17,19 +17,19 @@
 }
 
 impl Peer {
-    /// Heard of lately, with a healthy disk: it can promise and accept. The detector may be wrong in both directions:
-    /// availability depends on it, safety doesn't.
+    /// Whether the store has sent a heartbeat recently and its disk is healthy, so that it can promise and accept. The
+    /// result may be wrong either way: availability depends on it, safety doesn't.
     pub(super) fn is_alive(&self, now: Millis) -> bool {
         self.heartbeat.disk_healthy && now < self.last_heard + SUSPICION_TIMEOUT
     }
 }
 
-/// All stores but this one that were heard of.
+/// All other stores.
 #[derive(Clone, Debug)]
 pub(super) struct Peers {
     local_ip: Ipv4Addr,
     by_address: BTreeMap<Ipv4Addr, Peer>,
-    /// Addresses of stores, whether they were heard or not.
+    /// Known addresses of stores, including those that have sent no heartbeat.
     addresses: BTreeSet<Ipv4Addr>,
 }
 
@@ -40,7 +40,7 @@
         peers
     }
 
-    /// Addresses at which there may be a store; the own one is left out.
+    /// Adds addresses at which there may be a store, except this store's own.
     pub(super) fn add_addresses(&mut self, addresses: impl IntoIterator<Item = Ipv4Addr>) {
         let local_ip = self.local_ip;
         self.addresses.extend(addresses.into_iter().filter(|ip| *ip != local_ip));
@@ -54,7 +54,7 @@
         self.by_address.insert(node.ip, Peer { node, heartbeat, last_heard: now });
     }
 
-    pub(super) fn at(&self, ip: Ipv4Addr) -> Option<&Peer> {
+    pub(super) fn peer_at(&self, ip: Ipv4Addr) -> Option<&Peer> {
         self.by_address.get(&ip)
     }
 
@@ -62,12 +62,12 @@
         self.by_address.values().filter(move |peer| peer.is_alive(now))
     }
 
-    /// Alive under this very id: an address may have got another disk.
+    /// Whether the store with this id is alive. A store at the same address with another disk doesn't count.
     pub(super) fn is_reachable(&self, id: StoreId, now: Millis) -> bool {
         self.alive(now).any(|peer| peer.node.id == id)
     }
 
-    /// Reachable, and it is to stay: it may become a data replica.
+    /// Whether the store is alive and not leaving, so that it may become a data replica.
     pub(super) fn is_eligible(&self, id: StoreId, now: Millis) -> bool {
         self.alive(now).any(|peer| peer.node.id == id && !peer.heartbeat.is_leaving)
     }
@@ -77,12 +77,10 @@
         self.alive(now).map(|peer| &peer.heartbeat.config).max_by_key(|config| config.epoch)
     }
 
-    /// The replica set of a live leader that is to stay, of that epoch or a newer one.
-    pub(super) fn leader_config(&self, least_epoch: Epoch, now: Millis) -> Option<&ReplicaConfig> {
+    /// The replica set of a live leader that is not leaving, if its epoch is at least `min_epoch`.
+    pub(super) fn leader_config(&self, min_epoch: Epoch, now: Millis) -> Option<&ReplicaConfig> {
         let is_leader = |peer: &&Peer| {
-            peer.heartbeat.is_leader
-                && !peer.heartbeat.is_leaving
-                && peer.heartbeat.config.epoch >= least_epoch
+            peer.heartbeat.is_leader && !peer.heartbeat.is_leaving && peer.heartbeat.config.epoch >= min_epoch
         };
         self.alive(now).find(is_leader).map(|peer| &peer.heartbeat.config)
     }
--- a/crates/store/src/consensus/role.rs
+++ b/crates/store/src/consensus/role.rs
@@ -1,4 +1,4 @@
-//! What a store is doing: following, trying to lead in either phase of Paxos, or leading.
+//! The role of a store: follower, candidate in one of the two phases of Paxos, or leader.
 
 use super::event::{Millis, WriteNumber};
 use std::cmp::Reverse;
@@ -27,22 +27,22 @@
 #[derive(Clone, Debug)]
 pub(super) struct Preparing {
     pub(super) epoch: Epoch,
-    pub(super) since: Millis,
-    /// It began as the leader of the replica set that it still has, which stays installed until the proposal.
+    pub(super) started_at: Millis,
+    /// Whether the candidate was the leader when it started. Its replica set stays installed until it proposes another.
     pub(super) is_reconfiguration: bool,
-    /// The voters that a leader wants to have; `None` where the voters are to stay as they are.
+    /// The voters that a reconfiguration changes to; `None` if the voters stay the same.
     pub(super) new_voters: Option<Vec<StoreNode>>,
-    /// By the id of the voter that gave it.
+    /// The promises received, by the id of the voter; the candidate's own is among them.
     pub(super) promises: BTreeMap<StoreId, Promise>,
 }
 
-/// What a voter had accepted when it promised.
+/// A voter's promise, with what the voter had accepted when it promised.
 #[derive(Clone, Debug)]
 pub(super) struct Promise {
     pub(super) from: StoreNode,
     pub(super) config: ReplicaConfig,
     pub(super) revision: Revision,
-    /// Present where it is newer than the candidate's.
+    /// The accepted state, if it is newer than the candidate's.
     pub(super) state: Option<ControlState>,
 }
 
@@ -52,17 +52,17 @@
     pub(super) config: ReplicaConfig,
     /// The write that makes this store's own acceptance durable.
     pub(super) write: WriteNumber,
-    pub(super) since: Millis,
+    pub(super) started_at: Millis,
     /// Ids of the voters that have accepted.
     pub(super) accepted: BTreeSet<StoreId>,
 }
 
 impl Role {
-    /// Since when a candidate waits in its present phase.
-    pub(super) fn phase_since(&self) -> Option<Millis> {
+    /// When a candidate started its current phase.
+    pub(super) fn phase_started_at(&self) -> Option<Millis> {
         match self {
-            Role::Preparing(preparing) => Some(preparing.since),
-            Role::Proposing(proposing) => Some(proposing.since),
+            Role::Preparing(preparing) => Some(preparing.started_at),
+            Role::Proposing(proposing) => Some(proposing.started_at),
             Role::Follower | Role::Leader => None,
         }
     }
@@ -73,26 +73,27 @@
         self.promises.contains_key(&id)
     }
 
-    /// The newest replica set among the promises; of two of one epoch, the one that is known to be installed.
+    /// The newest replica set among the promises. Of two with the same epoch, the one with fewer lists of previous
+    /// voters: these lists are removed once the replica set is known to be installed.
     pub(super) fn newest_config(&self) -> Option<&ReplicaConfig> {
         let configs = self.promises.values().map(|promise| &promise.config);
         configs.max_by_key(|config| (config.epoch, Reverse(config.previous_voters.len())))
     }
 
-    /// The newest state among the promises and this store's own.
+    /// The newest state among those in the promises and this store's own state.
     pub(super) fn newest_state<'a>(&'a self, own: &'a ControlState) -> &'a ControlState {
         let promised = self.promises.values().filter_map(|promise| promise.state.as_ref());
         promised.chain([own]).max_by_key(|state| state.revision).unwrap_or(own)
     }
 
-    /// Ids of the voters that promised with a state of this revision.
+    /// Ids of the voters whose state had this revision when they promised.
     pub(super) fn ids_with(&self, revision: Revision) -> BTreeSet<StoreId> {
         let with_revision = self.promises.values().filter(|promise| promise.revision == revision);
         with_revision.map(|promise| promise.from.id).collect()
     }
 
-    /// All voters have promised, or the others have had their time.
+    /// Whether all voters have promised, or the time to wait for further promises is over.
     pub(super) fn has_waited_enough(&self, voters: &[StoreNode], now: Millis) -> bool {
-        voters.iter().all(|voter| self.has_promise(voter.id)) || now >= self.since + PROMISE_GRACE
+        voters.iter().all(|voter| self.has_promise(voter.id)) || now >= self.started_at + PROMISE_GRACE
     }
 }
--- a/crates/store/src/consensus/snapshots.rs
+++ b/crates/store/src/consensus/snapshots.rs
@@ -1,10 +1,10 @@
-//! Which states were sent to learners.
+//! The snapshots that the leader has sent to learners.
 
 use super::event::Millis;
 use std::collections::BTreeMap;
 use violetyoke_transport::messages::{Revision, StoreId};
 
-/// A snapshot that a learner has not persisted is sent again after this time.
+/// The leader sends a snapshot again after this time if the learner has not persisted it.
 const SNAPSHOT_RETRY: Millis = 1_000;
 
 #[derive(Clone, Debug)]
@@ -13,12 +13,12 @@
     sent_at: Millis,
 }
 
-/// The last snapshot that was sent to each learner, by the id of its disk.
+/// The last snapshot that was sent to each learner, by the learner's id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SentSnapshots(BTreeMap<StoreId, SentSnapshot>);
 
 impl SentSnapshots {
-    /// A state newer than `persisted`, the newest that the learner reports, was sent to it a short while ago.
+    /// Whether a state newer than `persisted`, the newest one that the learner reports, was sent within the retry time.
     pub(super) fn is_in_flight(&self, learner: StoreId, persisted: Revision, now: Millis) -> bool {
         self.0
             .get(&learner)
--- a/crates/store/src/consensus/state_machine.rs
+++ b/crates/store/src/consensus/state_machine.rs
@@ -2,7 +2,7 @@
 
 use violetyoke_transport::messages::{Acceptance, Command, ControlState, Outcome};
 
-/// What a command did.
+/// The result of applying a command.
 #[derive(Debug)]
 pub(super) struct Applied {
     /// The reply, valid once the state after the command is committed.
@@ -21,7 +21,7 @@
     }
 }
 
-/// Applies one command. Revisions are the caller's matter.
+/// Applies one command. The caller updates the revision of the state.
 pub(super) fn apply(state: &mut ControlState, command: Command) -> Applied {
     match command {
         Command::Read => Applied::unchanged(Outcome::Read(state.clone())),
@@ -31,15 +31,17 @@
     }
 }
 
-/// Invariant: at most one text is ever acknowledged under a version, so that a repeated command is acknowledged again
-/// and a different one under the same version never is.
+/// Replaces the text, if `version` is newer than the version of the state.
+///
+/// Invariant: at most one text is ever acknowledged under a version. A repeated command is acknowledged again, and a
+/// command with another text under the same version never is.
 fn replace(state: &mut ControlState, version: u64, text: String) -> Applied {
     match state.acceptance(version, &text) {
         Acceptance::SameText => return Applied::acknowledged(false),
         Acceptance::OtherText => return Applied::unchanged(Outcome::VersionTaken),
         Acceptance::Unknown => {}
     }
-    // An older version has no effect but to occupy its number.
+    // An older version leaves the text as it is, but no other text can be accepted under its number afterwards.
     let is_remembered = state.accepted.insert(version, &text);
     let is_newer = state.is_newer(version);
     if is_newer {
--- a/crates/store/src/consensus/timers.rs
+++ b/crates/store/src/consensus/timers.rs
@@ -1,4 +1,4 @@
-//! When a store sends its next heartbeat, and when it may next try to change who leads.
+//! When a store sends its next heartbeat, and when it may next start an election or a reconfiguration.
 
 use super::event::Millis;
 
@@ -7,13 +7,13 @@
 /// Times that decide when a heartbeat is due, and when an election or a reconfiguration may begin.
 #[derive(Clone, Debug)]
 pub(super) struct Timers {
-    /// Since when no live leader is known; `None` while there is one, or where this store must not stand.
+    /// Since when no live leader is known; `None` while one is known, or while this store must not become a candidate.
     leaderless_since: Option<Millis>,
-    /// No attempt begins before this.
+    /// No election or reconfiguration starts before this time.
     election_backoff_until: Millis,
-    /// When this store last installed a replica set as its leader, or started.
+    /// When this store last installed a replica set as its leader; its start if it never has.
     installed_at: Millis,
-    /// `None` where the next heartbeat is due at once.
+    /// `None` if the next heartbeat is due at once.
     heartbeat_sent_at: Option<Millis>,
 }
 
@@ -27,17 +27,17 @@
         }
     }
 
-    /// No wait for a leader is under way.
+    /// Stops the wait for a leader.
     pub(super) fn clear_leaderless(&mut self) {
         self.leaderless_since = None;
     }
 
-    /// The wait for a leader begins anew.
+    /// Restarts the wait for a leader.
     pub(super) fn restart_leaderless(&mut self, now: Millis) {
         self.leaderless_since = Some(now);
     }
 
-    /// Since when no live leader is known; from now on where there was one until now.
+    /// Since when no live leader is known. Starts the wait for a leader if none is under way.
     pub(super) fn leaderless_since(&mut self, now: Millis) -> Millis {
         *self.leaderless_since.get_or_insert(now)
     }
@@ -63,7 +63,7 @@
         self.installed_at
     }
 
-    /// The next heartbeat is due at once.
+    /// Makes the next heartbeat due at once.
     pub(super) fn request_heartbeat(&mut self) {
         self.heartbeat_sent_at = None;
     }
