--- a/crates/store/src/consensus/replica/acceptor.rs
+++ b/crates/store/src/consensus/replica/acceptor.rs
@@ -1,5 +1,5 @@
-//! The receivers' side: what a store promises, accepts and writes (the acceptor of Paxos, and the backup of
-//! primary-backup replication). Each reply waits for the disk.
+//! Handlers of the requests of candidates and leaders: promising, accepting and writing, as the acceptor of Paxos and
+//! as the backup of primary-backup replication. Each reply waits for the disk.
 
 use super::{Replica, Role};
 use crate::consensus::role::PHASE_TIMEOUT;
@@ -13,7 +13,7 @@
         self.outbox.send_after_fsync(to.ip, PeerMessage::Refuse { epoch, promised });
     }
 
-    /// Raises the promise; a store that leads or is a candidate under a lower epoch is so no more.
+    /// Raises the promise; a leader or candidate of a lower epoch steps down.
     fn raise_promise(&mut self, epoch: Epoch) {
         self.durable.promised = epoch;
         self.highest_epoch = self.highest_epoch.max(epoch);
@@ -22,14 +22,15 @@
         }
     }
 
-    /// Leaves a candidate the time of a phase: beside a slow disk among the voters, stores that stand at every chance
-    /// would overtake each other for as long as it is slow.
+    /// Delays this store's own candidacy for the length of a phase, so that the present candidate can finish. Without
+    /// the delay, stores would supersede each other's epochs for as long as a voter's disk is slow.
     fn defer_to_candidate(&mut self) {
         self.timers.restart_leaderless(self.now);
         self.timers.extend_backoff(self.now + PHASE_TIMEOUT);
     }
 
-    /// Phase 1 of Paxos: promises to accept nothing below `epoch`, and reports what was accepted.
+    /// Phase 1 of Paxos: promises to accept nothing of an epoch below `epoch`, and reports what this store has
+    /// accepted.
     ///
     /// Invariant: each epoch is promised once, and the promise is on the disk before it is sent.
     pub(super) fn on_prepare(&mut self, from: &StoreNode, epoch: Epoch, newest: Revision) {
@@ -45,10 +46,10 @@
         self.defer_to_candidate();
     }
 
-    /// Phase 2 of Paxos: accepts a replica set, and as a data replica the state with it.
+    /// Phase 2 of Paxos: accepts a replica set and, on a data replica, its initial state.
     ///
-    /// Invariants: nothing below the promise is accepted; the accepted revision never decreases; a data replica accepts
-    /// only with exactly the state that the candidate means.
+    /// Invariants: nothing below the promised epoch is accepted; the accepted revision never decreases; a data replica
+    /// accepts only if it then has exactly the initial state that the candidate proposed.
     pub(super) fn on_accept(&mut self, from: &StoreNode, config: ReplicaConfig, state: Option<InitialState>) {
         let epoch = config.epoch;
         if epoch < self.durable.promised {
@@ -62,7 +63,8 @@
             Some(InitialState::Promised { from, to }) if from == accepted || to == accepted => {
                 self.durable.state.revision = to;
             }
-            // Not the state that is meant: nothing is accepted, and the candidate tries again after its time-out.
+            // This store has another state than the one proposed: it doesn't accept, and the candidate retries after
+            // its time-out.
             Some(InitialState::Promised { .. }) => return,
         }
         if epoch > self.durable.promised || !matches!(self.role, Role::Follower) {
@@ -75,10 +77,10 @@
         self.defer_to_candidate();
     }
 
-    /// Writes a leader's state as its backup.
+    /// As a backup, writes the leader's state.
     ///
-    /// Invariant: only under the very epoch that was accepted, and while no higher one is promised: a leader that was
-    /// superseded gets no acknowledgement.
+    /// Invariant: the epoch is the accepted one and no higher epoch is promised, so that a superseded leader gets no
+    /// acknowledgement.
     pub(super) fn on_write(&mut self, from: &StoreNode, epoch: Epoch, state: ControlState) {
         if !self.is_current_epoch(epoch) {
             return self.refuse(from, epoch);
@@ -91,7 +93,7 @@
         self.outbox.send_after_fsync(from.ip, PeerMessage::Written { epoch, revision });
     }
 
-    /// Confirms to a leader that no higher epoch was promised, so that it may answer a read.
+    /// Confirms to the leader that this store has promised no higher epoch, so that the leader may answer a read.
     pub(super) fn on_confirm(&mut self, from: &StoreNode, epoch: Epoch, nonce: u64) {
         if !self.is_current_epoch(epoch) {
             return self.refuse(from, epoch);
--- a/crates/store/src/consensus/replica/candidate.rs
+++ b/crates/store/src/consensus/replica/candidate.rs
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use violetyoke_transport::messages::{Epoch, PeerMessage, StoreNode};
 
-/// After a failed attempt a store waits this long at least, and up to `MAX_BACKOFF_JITTER` longer.
+/// After a failed attempt, a store waits at least this long before the next one, and up to `MAX_BACKOFF_JITTER` longer.
 const MIN_BACKOFF: Millis = 100;
 const MAX_BACKOFF_JITTER: Millis = 400;
 
 impl Replica {
-    /// Asks all voters to promise a new epoch; a leader may want other voters under it.
+    /// Asks all voters to promise a new epoch. `new_voters` are the voters of a leader's reconfiguration.
     ///
-    /// Invariant: an epoch is prepared by one store once. It is higher than any that this store has promised, and the
-    /// requests leave only when the own promise is on the disk.
+    /// Invariant: a store prepares an epoch at most once. The epoch is higher than any that this store has promised,
+    /// and the requests are sent only when this store's own promise is on the disk.
     pub(super) fn start_prepare(&mut self, new_voters: Option<Vec<StoreNode>>) {
         let epoch = self.highest_epoch.max(self.durable.promised).next();
         self.highest_epoch = epoch;
@@ -30,8 +30,13 @@
         };
         let promises = BTreeMap::from([(own.from.id, own)]);
         let is_reconfiguration = self.is_leader();
-        self.role =
-            Role::Preparing(Preparing { epoch, since: self.now, is_reconfiguration, new_voters, promises });
+        self.role = Role::Preparing(Preparing {
+            epoch,
+            started_at: self.now,
+            is_reconfiguration,
+            new_voters,
+            promises,
+        });
         self.outbox.notify_watchers_now();
         let configs = [&self.durable.config, self.newest_config()];
         let mut voters: BTreeSet<StoreNode> = configs.into_iter().flat_map(all_voters).cloned().collect();
@@ -51,7 +56,8 @@
         }
     }
 
-    /// Another store has promised a higher epoch: what this one does under a lower one can't succeed any more.
+    /// Another store has promised the epoch `promised` and refuses a message of `epoch`. If this store leads or
+    /// prepares `epoch`, it gives the epoch up, which can't succeed any more.
     pub(super) fn on_refuse(&mut self, epoch: Epoch, promised: Epoch) {
         self.highest_epoch = self.highest_epoch.max(promised);
         let own_epoch = match &self.role {
@@ -65,16 +71,16 @@
         }
     }
 
-    /// A candidate's part of a tick.
+    /// Handles a tick as a candidate.
     pub(super) fn continue_candidacy(&mut self) {
-        if self.role.phase_since().is_some_and(|since| self.now > since + PHASE_TIMEOUT) {
+        if self.role.phase_started_at().is_some_and(|started_at| self.now > started_at + PHASE_TIMEOUT) {
             self.abandon_epoch();
         } else {
             self.maybe_propose();
         }
     }
 
-    /// Steps down, and leaves the next attempt to others for a while.
+    /// Steps down, and delays the next attempt so that other stores can try first.
     pub(super) fn abandon_epoch(&mut self) {
         self.step_down();
         let jitter = jitter(self.settings.node.id, self.highest_epoch, MAX_BACKOFF_JITTER);
--- a/crates/store/src/consensus/replica/election.rs
+++ b/crates/store/src/consensus/replica/election.rs
@@ -1,15 +1,15 @@
-//! When a follower stands for leadership: on the very first start, and when no live leader is known.
+//! When a follower becomes a candidate: on the first start of the system, and when no live leader is known.
 
 use super::{Replica, Role};
 use crate::consensus::event::Millis;
 use crate::consensus::quorum::{is_joint_majority, jitter};
 use violetyoke_transport::messages::{Epoch, StoreNode};
 
-/// Each backup leaves the first attempt to those before it.
+/// Each backup starts its attempt this much later than the backup before it in the list of data replicas.
 const BACKUP_DELAY: Millis = 150;
-/// A witness leaves it to the backups.
+/// A witness starts its attempt after this time, so that backups try first.
 const WITNESS_DELAY: Millis = 300;
-/// Stores with the same delay differ by up to this much.
+/// The maximum jitter between stores with the same delay.
 const MAX_JITTER: Millis = 60;
 
 impl Replica {
@@ -17,7 +17,8 @@
         matches!(self.role, Role::Preparing(_) | Role::Proposing(_))
     }
 
-    /// Elections decide about availability alone: any store may prepare an epoch at any time without harm.
+    /// Becomes a candidate if no live leader is known, after a delay by rank. The delay only matters for availability:
+    /// any store may prepare an epoch at any time without violating safety.
     pub(super) fn maybe_start_election(&mut self) {
         if self.newest_config().epoch == Epoch::default() {
             return self.maybe_bootstrap();
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The first seed starts the first epoch, once all seeds are there with empty disks.
+    /// Starts the first epoch, if this store is the first seed and all seeds are reachable with empty disks.
     fn maybe_bootstrap(&mut self) {
         let is_first = self.settings.seeds.first() == Some(&self.settings.node.ip);
         if !self.durable.is_bootstrapping || !is_first || !self.status.is_disk_healthy {
@@ -52,12 +53,12 @@
         }
     }
 
-    /// The seeds, where all of them are reachable and bootstrapping and this store is one of them.
+    /// The seeds, if this store is one of them and all others are reachable and bootstrapping.
     fn bootstrap_voters(&self) -> Option<Vec<StoreNode>> {
         let node = &self.settings.node;
         let mut voters = Vec::new();
         for seed in &self.settings.seeds {
-            match self.peers.at(*seed) {
+            match self.peers.peer_at(*seed) {
                 _ if *seed == node.ip => voters.push(node.clone()),
                 Some(peer) if peer.heartbeat.is_bootstrapping && self.is_reachable(peer.node.id) => {
                     voters.push(peer.node.clone());
--- a/crates/store/src/consensus/replica/heartbeat.rs
+++ b/crates/store/src/consensus/replica/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who can be reached, who leads, which replica set is the newest, and what is committed.
+//! Heartbeats: stores learn which stores are alive, which one leads, the newest replica set and the committed revision.
 
 use super::{Replica, Role};
 use crate::consensus::event::Millis;
@@ -13,8 +13,8 @@
 
     /// Sends a heartbeat to each known address when one is due.
     ///
-    /// Heartbeats don't wait for the disk: receivers conclude nothing binding from a replica set before its leader
-    /// reports that it is installed, which it is only after it was persisted.
+    /// Heartbeats don't wait for the disk: a receiver relies on a replica set only when its leader reports that it is
+    /// installed, and it is installed only after it was persisted.
     pub(super) fn send_due_heartbeats(&mut self) {
         if !self.timers.is_heartbeat_due(self.now) {
             return;
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Whether this store leads, or prepares the epoch after the one that it leads. It says so beside a slow disk, where
-    /// its request for promises waits for its own: a backup that stood meanwhile, under the same epoch, would get no
-    /// promise and leave none for the leader.
+    /// Whether this store leads, or led when it started to prepare the next epoch. With a slow disk, the requests for
+    /// promises wait for the leader's own promise to be written. If the leader did not report itself as the leader
+    /// meanwhile, a backup could prepare the same epoch, and neither would get enough promises.
     fn has_installed_config(&self) -> bool {
         match &self.role {
             Role::Leader => true,
@@ -56,11 +56,12 @@
         self.peers.update(from, heartbeat, self.now);
     }
 
-    /// A leader's heartbeat says that its replica set is installed. A voter that has accepted it drops the voters
-    /// before it; a store that missed it learns it, and thereby whether it is still a voter.
+    /// Handles the replica set in a leader's heartbeat, which is installed. A voter that has accepted it drops the
+    /// previous voters from it. A store that has not accepted it adopts it, and so learns whether it is still a voter.
     ///
-    /// Invariant: the epoch of the accepted replica set and the promise never decrease. A replica set may be learnt
-    /// under a higher promise: once installed it is no vote any more, and a candidate finds it at any majority.
+    /// Invariant: neither the epoch of the accepted replica set nor the promise decreases. A store may adopt a replica
+    /// set below its promise: adopting an installed set is not a vote, and any majority already reports it to a
+    /// candidate.
     fn learn_installed_config(&mut self, config: &ReplicaConfig) {
         let accepted = &self.durable.config;
         if config.epoch == accepted.epoch {
@@ -81,7 +82,8 @@
         self.persist();
     }
 
-    /// The accepted replica set is installed: the voters before it have no say any more.
+    /// Drops the previous voters of the accepted replica set once it is installed: their majorities are not needed any
+    /// more.
     pub(super) fn clear_previous_voters(&mut self) {
         if !self.durable.config.previous_voters.is_empty() {
             self.durable.config.previous_voters.clear();
@@ -89,7 +91,7 @@
         }
     }
 
-    /// A backup learns from its leader that all data replicas have the state that it has itself.
+    /// On a backup: marks the own state as committed once the leader reports its revision as committed.
     fn learn_committed(&mut self, heartbeat: &Heartbeat) {
         let has_same_state = heartbeat.config.epoch == self.durable.config.epoch
             && heartbeat.committed == self.durable.state.revision;
@@ -106,14 +108,14 @@
         newest.filter(|config| config.epoch > self.durable.config.epoch).unwrap_or(&self.durable.config)
     }
 
-    /// The replica set of a live leader that is to stay, where none newer is accepted here.
+    /// The replica set of a live leader that is not leaving, unless this store has accepted a newer one.
     pub(super) fn live_leader_config(&self) -> Option<&ReplicaConfig> {
         self.peers.leader_config(self.durable.config.epoch, self.now)
     }
 
-    /// The time since the store at an address was last heard, or since the replica set was installed where it never was.
+    /// The time since the last heartbeat from an address; without any, the time since the replica set was installed.
     pub(super) fn time_since_heard(&self, ip: Ipv4Addr) -> Millis {
-        let since = self.peers.at(ip).map_or(self.timers.installed_at(), |peer| peer.last_heard);
-        self.now - since
+        let last_contact = self.peers.peer_at(ip).map_or(self.timers.installed_at(), |peer| peer.last_heard);
+        self.now - last_contact
     }
 }
--- a/crates/store/src/consensus/replica/leader.rs
+++ b/crates/store/src/consensus/replica/leader.rs
@@ -1,5 +1,5 @@
-//! Commands at the leader: queued ones are written together (group commit), and each is answered once all data replicas
-//! have the state on their disks, or have confirmed the epoch where nothing had to be written.
+//! Commands at the leader. Queued commands are written together (group commit). Each is answered once all data replicas
+//! have the state on their disks or, if the state is unchanged, have confirmed the epoch.
 
 use super::{Replica, Role};
 use crate::consensus::commands::PreparedReply;
@@ -8,7 +8,7 @@
 use violetyoke_transport::messages::{Command, ControlState, Epoch, PeerMessage, Revision, StoreId};
 
 impl Replica {
-    /// Queues a command; a candidate does too, because it may lead in a moment.
+    /// Queues a command. A candidate does so too, because it may become the leader before the command expires.
     pub(super) fn on_command(&mut self, client: ClientId, command: Command) {
         if !self.is_leader() && !self.is_candidate() {
             return self.reject([client]);
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Writes a state here and sends it to the backups, which may write while this disk does: replies wait for all.
+    /// Writes a state here and sends it to the backups, which write it at the same time. The replies wait for all of
+    /// them.
     fn replicate(&mut self, replies: Vec<PreparedReply>, mut state: ControlState) {
         state.revision.sequence += 1;
         self.durable.state = state;
@@ -59,7 +60,8 @@
         let epoch = self.durable.config.epoch;
         for backup in backups.iter().filter(|backup| !pending.is_written_by(backup.id)) {
             let message = PeerMessage::Write { epoch, state: self.durable.state.clone() };
-            // Needs no fsync here: the leader's own copy counts once `on_persisted` reports it, as a backup's does.
+            // The message needn't wait for the leader's disk: the leader's own copy counts only once `on_persisted`
+            // reports it, and the state is committed only then.
             self.outbox.send_now(backup.ip, message);
         }
     }
@@ -70,7 +72,7 @@
         }
     }
 
-    /// A data replica, perhaps this store, has a state on its disk.
+    /// A data replica (this store or a backup) has a state on its disk.
     ///
     /// Invariant: a state is committed, and its commands are acknowledged, only when all data replicas of the installed
     /// replica set have it on their disks.
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Replies that change nothing are true only while no other store leads: all backups confirm the epoch first.
+    /// Sends replies that change no state once all backups have confirmed the epoch: if another store led meanwhile,
+    /// the replies might be out of date.
     fn confirm_leadership(&mut self, replies: Vec<PreparedReply>) {
         let nonce = self.commands.begin_confirmation(replies, self.now);
         let epoch = self.durable.config.epoch;
@@ -106,10 +109,10 @@
         self.on_confirmed(self.settings.node.id, epoch, nonce);
     }
 
-    /// A data replica has promised no higher epoch.
+    /// A data replica (this store or a backup) confirms that it has promised no higher epoch.
     ///
-    /// Invariant: a read is answered only when all data replicas have confirmed the epoch after the read came. Any newer
-    /// leader needs the promise of one of them.
+    /// Invariant: a read is answered only when all data replicas have confirmed the epoch after the read arrived. Any
+    /// newer leader needs the promise of at least one of them.
     pub(super) fn on_confirmed(&mut self, id: StoreId, epoch: Epoch, nonce: u64) {
         if epoch != self.durable.config.epoch || !self.is_leader() {
             return;
@@ -120,8 +123,8 @@
         }
     }
 
-    /// The next epoch of this leader starts from a state that a voter promised. Replies that wait rest on this store's
-    /// own state: they stay only if no other store has led since.
+    /// Rejects the waiting replies if this leader's next epoch starts from a newer state that a voter reported in its
+    /// promise: another store has led since, and the replies depend on this store's own state.
     pub(super) fn reject_superseded_replies(&mut self, chosen: Revision) {
         if chosen > self.durable.state.revision {
             let replies = self.commands.take_replies();
@@ -129,13 +132,14 @@
         }
     }
 
-    /// The next epoch of this leader is installed: all data replicas have what was pending under the one before.
+    /// Sends the waiting replies once this leader's next epoch is installed: all data replicas then have the state that
+    /// was pending under the previous epoch.
     pub(super) fn reply_to_committed(&mut self) {
         let replies = self.commands.take_replies();
         self.send_replies(replies);
     }
 
-    /// Notifies watchers when contact with the backups is lost or made again.
+    /// Notifies watchers when contact with the backups is lost or restored.
     pub(super) fn notify_contact_change(&mut self) {
         let in_contact = self.is_leader_in_contact();
         if in_contact != self.notified_contact {
--- a/crates/store/src/consensus/replica/learner.rs
+++ b/crates/store/src/consensus/replica/learner.rs
@@ -1,14 +1,14 @@
-//! Learners: stores without a vote that follow the committed state, and may replace a voter.
+//! Learners: stores without a vote that replicate the committed state and may replace a voter.
 
 use super::Replica;
 use crate::consensus::peers::Peer;
 use violetyoke_transport::messages::{ControlState, Epoch, PeerMessage, StoreNode};
 
-/// A learner that lacks no more writes than these has caught up: it gets the rest with the replica set that names it.
+/// A learner that lacks at most this many writes has caught up: it gets the rest with the replica set that includes it.
 const MAX_LEARNER_LAG: u64 = 8;
 
 impl Replica {
-    /// Learners that are alive and stay.
+    /// Learners that are alive and not leaving.
     pub(super) fn learners(&self) -> impl Iterator<Item = &Peer> {
         let voters = &self.durable.config.voters;
         let is_learner = |peer: &&Peer| !voters.contains(&peer.node) && !peer.heartbeat.is_leaving;
@@ -25,7 +25,7 @@
             && persisted.sequence + MAX_LEARNER_LAG >= self.committed.sequence
     }
 
-    /// Sends the committed state to learners that have an older one and nothing newer on its way.
+    /// Sends the committed state to learners that have an older one, unless a newer state is on its way to them.
     pub(super) fn send_snapshots(&mut self) {
         if !self.is_leader() || self.committed != self.durable.state.revision {
             return;
@@ -46,16 +46,17 @@
         }
     }
 
-    /// A learner takes the committed state of the replica set that it knows. So does a witness that has promised no
-    /// higher epoch: the leader takes it for a learner where its address or zone is another by now.
+    /// Accepts the committed state from the leader of the accepted replica set, on a learner. A witness that has
+    /// promised no higher epoch accepts it too: the leader treats a witness as a learner if its address or zone has
+    /// changed.
     ///
     /// Invariants: the accepted revision never decreases, and a data replica changes its state only by `on_accept` and
     /// `on_write`.
     pub(super) fn on_snapshot(&mut self, epoch: Epoch, state: ControlState) {
         let config = &self.durable.config;
-        let is_free = !config.has_voter(self.settings.node.id) || epoch == self.durable.promised;
+        let may_accept = !config.has_voter(self.settings.node.id) || epoch == self.durable.promised;
         let is_newer = state.revision > self.durable.state.revision;
-        if epoch == config.epoch && !self.is_data_replica() && is_free && is_newer {
+        if epoch == config.epoch && !self.is_data_replica() && may_accept && is_newer {
             self.durable.state = state;
             self.persist();
         }
--- a/crates/store/src/consensus/replica/mod.rs
+++ b/crates/store/src/consensus/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The engine itself, and its dispatch of events to the handlers.
+//! The replica, and its dispatch of events to the handlers.
 //!
 //! Each child module adds the handlers of one concern to [`Replica`].
 
@@ -30,7 +30,7 @@
 
 pub(super) use voter_gate::VoterGate;
 
-/// What stays the same while a replica runs.
+/// Parameters that don't change while a replica runs.
 #[derive(Clone, Debug)]
 struct Settings {
     /// This store, as others know it.
@@ -40,7 +40,7 @@
     checks: SafetyChecks,
 }
 
-/// What this store reports of itself.
+/// The status that this store reports in its heartbeats.
 #[derive(Clone, Debug)]
 struct LocalStatus {
     is_disk_healthy: bool,
@@ -50,9 +50,10 @@
     persisted: Revision,
 }
 
-/// A store's part in the replicated register: a state machine without input or output of its own.
+/// One replica of the register: a state machine that does no I/O itself.
 ///
-/// Its clone behaves as it does from then on: it holds neither a clock nor a source of randomness.
+/// It is deterministic, with neither a clock nor a source of randomness: a clone that gets the same events returns the
+/// same effects.
 #[derive(Clone, Debug)]
 pub struct Replica {
     settings: Settings,
@@ -68,20 +69,20 @@
     snapshots: SentSnapshots,
     /// The revision of the newest state that is known to be on the disks of all data replicas.
     committed: Revision,
-    /// The highest epoch heard of.
+    /// The highest epoch known from own promises and from messages.
     highest_epoch: Epoch,
-    /// The voters of the replica set that this store's newest proposal follows, and of those before it that may not be
-    /// installed: a majority of each has promised.
+    /// The voters of the replica set that this store's newest proposal replaces, and of the earlier sets that may not
+    /// be installed: a majority of each list has promised the proposal's epoch.
     base_voters: Vec<Vec<StoreNode>>,
     voter_gate: VoterGate,
-    /// Records of the led epoch that another store has rejected since the last tick.
+    /// Set if another store has rejected records of the led epoch since the last tick.
     rejection: Option<EpochRejection>,
-    /// Whether watchers were last notified that this store leads in contact with the other data replicas.
+    /// The value of [`Replica::is_leader_in_contact`] of which watchers were last notified.
     notified_contact: bool,
 }
 
 impl Replica {
-    /// A replica that starts now, as a follower.
+    /// Creates a replica, which starts as a follower.
     #[must_use]
     pub fn new(options: ReplicaOptions, now: Millis) -> Replica {
         let mut durable = options.durable;
@@ -126,7 +127,7 @@
         replica
     }
 
-    /// Handles one event; the effects are to be carried out in their order. `now` never decreases.
+    /// Handles one event; the caller has to carry out the effects in order. `now` must not decrease.
     #[must_use]
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         self.now = now;
@@ -182,7 +183,7 @@
         }
     }
 
-    /// What is on this store's own disk counts as what is on another's does.
+    /// Counts this store's own completed writes as acceptance and acknowledgement, like the messages of other stores.
     fn on_persisted(&mut self, number: WriteNumber) {
         self.outbox.on_persisted(number);
         if self.outbox.is_all_persisted() {
@@ -200,12 +201,12 @@
         }
     }
 
-    /// Asks for the durable state to be persisted; what is sent `_after_fsync` from now on waits for it.
+    /// Requests that the durable state is persisted; effects added `_after_fsync` from now on wait for it.
     fn persist(&mut self) {
         self.outbox.persist(self.durable.clone());
     }
 
-    /// Stops leading, or trying to. Commands under way get no other reply: their outcome is unknown to this store.
+    /// Stops leading or being a candidate. Commands in progress are rejected: this store doesn't learn their outcome.
     fn step_down(&mut self) {
         self.role = Role::Follower;
         self.timers.restart_leaderless(self.now);
@@ -214,14 +215,14 @@
         self.outbox.notify_watchers_now();
     }
 
-    /// Tells clients to ask another store. This reply rests on nothing that the disk has to hold.
+    /// Replies that this store doesn't lead. The reply doesn't depend on the disk, so it is sent at once.
     fn reject(&mut self, clients: impl IntoIterator<Item = ClientId>) {
         for client in clients {
             self.outbox.reply_now(client, Outcome::NotLeader);
         }
     }
 
-    /// The data replicas of the replica set in force, but for this store.
+    /// The data replicas of the accepted replica set, without this store.
     fn backups(&self) -> Vec<StoreNode> {
         let config = &self.durable.config;
         let others = config.data_replicas.iter().filter(|id| **id != self.settings.node.id);
--- a/crates/store/src/consensus/replica/proposal.rs
+++ b/crates/store/src/consensus/replica/proposal.rs
@@ -1,5 +1,5 @@
-//! The second phase of a candidate: a replica set is chosen from the promises, proposed and installed (phase 2 of
-//! Paxos, and the activation of a configuration in Vertical Paxos).
+//! The second phase of a candidate: it chooses a replica set based on the promises, proposes and installs it (phase 2
+//! of Paxos, and the activation of a configuration in Vertical Paxos).
 
 use super::{Replica, Role};
 use crate::consensus::quorum::{all_voters, data_replica_count, is_joint_majority, is_majority};
@@ -9,30 +9,31 @@
     ControlState, Epoch, InitialState, PeerMessage, ReplicaConfig, Revision, StoreId, StoreNode,
 };
 
-/// A replica set with the state that its data replicas start from.
+/// A replica set to be proposed, with the state that its data replicas start from.
 struct Proposal {
     config: ReplicaConfig,
-    /// The newest state among the promises, under the first revision of the new epoch.
+    /// The newest state among the promises, with the first revision of the new epoch.
     state: ControlState,
-    /// The revision of that state before.
+    /// The revision that this state had in the promises.
     promised_revision: Revision,
-    /// Ids of the voters that have promised with that very state.
+    /// Ids of the voters that reported this revision in their promises.
     has_state: BTreeSet<StoreId>,
-    /// The voters of the replica set that it follows, and of those before it that may not be installed.
+    /// The voters of the replica set that this one replaces, and of the earlier sets that may not be installed.
     base_voters: Vec<Vec<StoreNode>>,
 }
 
 impl Replica {
-    /// Proposes a replica set once enough promises are there.
+    /// Proposes a replica set once enough voters have promised.
     ///
-    /// Invariants: the newest replica set among the promises decides whose majority has to promise; the newest state
-    /// among them is the one that the new epoch starts from. Every acknowledged command is in it, because a majority
-    /// contains a data replica.
+    /// Invariants: a majority of the voters of the newest replica set among the promises has to promise, and the new
+    /// epoch starts from the newest state among the promises. This state contains every acknowledged command, because a
+    /// majority contains a data replica.
     pub(super) fn maybe_propose(&mut self) {
         let Role::Preparing(preparing) = &self.role else { return };
         let Some(base) = self.promised_base(preparing) else { return };
-        // Data replicas have to be voters, or a majority might contain none of them. This is known once a majority has
-        // promised: before that, the replica set here may be older than the one that made this store a voter.
+        // Data replicas have to be voters, or a majority might contain none of them. This can be checked only once a
+        // majority has promised: until then, the replica set accepted here may be older than the one that made this
+        // store a voter.
         if self.settings.checks.data_replicas_vote && !base.has_voter(self.settings.node.id) {
             return self.abandon_epoch();
         }
@@ -41,7 +42,7 @@
         self.propose(proposal);
     }
 
-    /// The replica set that the new one follows, once enough of its voters have promised.
+    /// The replica set that the new one replaces, once enough of its voters have promised.
     fn promised_base(&self, preparing: &Preparing) -> Option<ReplicaConfig> {
         let newest = preparing.newest_config()?;
         let base = if newest.epoch == Epoch::default() { &self.durable.config } else { newest };
@@ -50,9 +51,10 @@
     }
 
     fn choose_proposal(&self, preparing: &Preparing, base: &ReplicaConfig) -> Option<Proposal> {
-        // Only the leader of an installed replica set changes its voters: one change at a time.
-        let is_own = base.epoch == self.durable.config.epoch && base.previous_voters.is_empty();
-        let voters = preparing.new_voters.as_ref().filter(|_| is_own).unwrap_or(&base.voters).clone();
+        // Only the leader of an installed replica set may change its voters, so that there is one change at a time.
+        let can_change_voters = base.epoch == self.durable.config.epoch && base.previous_voters.is_empty();
+        let voters =
+            preparing.new_voters.as_ref().filter(|_| can_change_voters).unwrap_or(&base.voters).clone();
         let data_replicas = self.choose_data_replicas(preparing, base, &voters)?;
         let mut previous_voters = vec![base.voters.clone()];
         previous_voters.extend(base.previous_voters.iter().cloned());
@@ -70,8 +72,9 @@
         })
     }
 
-    /// This store first, then those that stay, in other zones where there are any: more than half of the voters. A voter
-    /// of the replica set before has to have promised; one that is new gets the state with the replica set.
+    /// Chooses more than half of the voters as data replicas: this store, then stores that are not leaving, those in
+    /// other zones first. A voter of the base replica set must have promised; a new voter gets the state with the
+    /// replica set.
     fn choose_data_replicas(
         &self,
         preparing: &Preparing,
@@ -79,11 +82,11 @@
         voters: &[StoreNode],
     ) -> Option<Vec<StoreId>> {
         let local = &self.settings.node;
-        let is_able = |voter: &&StoreNode| {
+        let can_hold_data = |voter: &&StoreNode| {
             let is_ready = preparing.has_promise(voter.id) || !base.has_voter(voter.id);
             voter.id != local.id && is_ready && self.is_reachable(voter.id)
         };
-        let mut others: Vec<&StoreNode> = voters.iter().filter(is_able).collect();
+        let mut others: Vec<&StoreNode> = voters.iter().filter(can_hold_data).collect();
         others.sort_by_key(|voter| (!self.is_eligible(voter.id), voter.zone == local.zone));
         let count = data_replica_count(voters);
         let ids: Vec<StoreId> =
@@ -91,8 +94,8 @@
         (ids.len() == count).then_some(ids)
     }
 
-    /// Accepts a proposal here, and sends it to all that it names. A data replica that has promised with that very state
-    /// gets the new revision alone.
+    /// Accepts a proposal here, and sends it to all voters that it lists. A data replica that reported the same state
+    /// in its promise gets only the new revision.
     fn propose(&mut self, proposal: Proposal) {
         let Proposal { config, state, promised_revision: from, has_state, base_voters } = proposal;
         self.base_voters = base_voters;
@@ -114,13 +117,13 @@
             self.outbox.send_after_fsync(voter.ip, message);
         }
         let accepted = BTreeSet::new();
-        self.role = Role::Proposing(Proposing { config, write, since: self.now, accepted });
+        self.role = Role::Proposing(Proposing { config, write, started_at: self.now, accepted });
     }
 
     /// A voter has accepted the proposal, or this store's own acceptance is on its disk.
     ///
     /// Invariant: a replica set is installed only when a joint majority has accepted it and all its data replicas have
-    /// the state on their disks. One store at most leads under an epoch.
+    /// the state on their disks. At most one store leads under an epoch.
     pub(super) fn on_accepted(&mut self, id: StoreId, epoch: Epoch) {
         let Role::Proposing(proposing) = &mut self.role else { return };
         let config = &proposing.config;
@@ -145,7 +148,7 @@
         self.committed = self.durable.state.revision;
         self.snapshots.clear();
         self.clear_previous_voters();
-        // All stores learn from the heartbeats, which repeat it, that the replica set is installed.
+        // Other stores learn from the leader's heartbeats that the replica set is installed.
         self.request_heartbeat();
         self.reply_to_committed();
         self.outbox.notify_watchers_after_fsync();
--- a/crates/store/src/consensus/replica/rejection.rs
+++ b/crates/store/src/consensus/replica/rejection.rs
@@ -1,8 +1,8 @@
-//! What a leader does when another store rejects the records that are replicated beside the control state.
+//! How a leader handles the rejection of operation records, which are replicated separately from the control state.
 //!
-//! A voter that has promised a higher epoch takes nothing of a lower one. Heartbeats don't tell the leader so: they carry
-//! the replica set that a store has accepted, not its promise. Where the candidate of the higher epoch died, nobody else
-//! ends the lower one, in which no record may reach a majority any more.
+//! A voter that has promised a higher epoch rejects records of a lower one. The leader doesn't learn of the promise
+//! from heartbeats: they carry the replica set that a store has accepted, not its promise. If the candidate of the
+//! higher epoch has died, no other store ends the lower epoch, in which records may not reach a majority any more.
 
 use super::reconfiguration::ATTEMPT_INTERVAL;
 use super::Replica;
@@ -14,8 +14,8 @@
         self.rejection = rejection;
     }
 
-    /// Opens an epoch above the one that was promised. A leader that has heard of a newer replica set, or could not lead
-    /// on, leaves that to others.
+    /// Starts an epoch above the promised one. If a newer replica set is known, or this store's disk is unhealthy or
+    /// the store is leaving, it steps down instead.
     pub(super) fn answer_rejection(&mut self) {
         let Some(EpochRejection { epoch, promised }) = self.rejection.take() else { return };
         if !self.is_leader() || epoch != self.durable.config.epoch || promised <= epoch {
@@ -25,8 +25,8 @@
         if self.timers.is_backing_off(self.now) {
             return;
         }
-        let may_lead_on = self.status.is_disk_healthy && !self.status.is_leaving;
-        if may_lead_on && self.newest_config().epoch == epoch {
+        let can_keep_leading = self.status.is_disk_healthy && !self.status.is_leaving;
+        if can_keep_leading && self.newest_config().epoch == epoch {
             self.timers.set_backoff(self.now + ATTEMPT_INTERVAL);
             self.start_prepare(None);
         } else {
--- a/crates/store/src/consensus/replica/status.rs
+++ b/crates/store/src/consensus/replica/status.rs
@@ -1,4 +1,4 @@
-//! What the owner of a replica may ask of it between events.
+//! Queries and settings of a replica between events.
 
 use super::{Replica, Role};
 use crate::consensus::safety_checks::SafetyChecks;
@@ -37,8 +37,8 @@
         matches!(self.role, Role::Leader)
     }
 
-    /// Whether this store leads and all its backups are alive: only then are registries told to send it commands. A
-    /// leader that is partitioned goes on as one without knowing better, and can answer nothing.
+    /// Whether this store leads and all its backups are alive. Only then does it announce itself to registries as the
+    /// leader: a partitioned leader keeps its role until it hears from others, but can't answer commands.
     #[must_use]
     pub fn is_leader_in_contact(&self) -> bool {
         self.is_leader() && self.backups().iter().all(|backup| self.is_reachable(backup.id))
@@ -56,8 +56,8 @@
         &self.durable.config.voters
     }
 
-    /// The voters of the replica sets that the one led by this store follows: a majority of each list has promised its
-    /// epoch.
+    /// The voters of the replica sets that this store's newest proposal replaces: a majority of each list has promised
+    /// the proposal's epoch.
     #[must_use]
     pub fn base_voters(&self) -> &[Vec<StoreNode>] {
         &self.base_voters
@@ -69,13 +69,13 @@
         self.peers.alive(self.now).map(|peer| peer.node.clone()).collect()
     }
 
-    /// The addresses of all known stores, this one among them.
+    /// The addresses of all known stores, including this one.
     #[must_use]
     pub fn known_stores(&self) -> Vec<Ipv4Addr> {
         self.peers.addresses().iter().copied().chain([self.settings.node.ip]).collect()
     }
 
-    /// Switches safety checks off: for the tests of this crate alone, see [`SafetyChecks`].
+    /// Sets the safety checks. Only for the tests of this crate, see [`SafetyChecks`].
     #[doc(hidden)]
     pub fn set_safety_checks(&mut self, checks: SafetyChecks) {
         self.settings.checks = checks;
