--- a/crates/store/src/operations/appends.rs
+++ b/crates/store/src/operations/appends.rs
@@ -1,15 +1,15 @@
-//! Appends to the log, and what waits for them.
+//! Appends to the log, and the actions that wait for them.
 
 use super::{AppendNumber, Effect, OperationReplica};
 use std::net::Ipv4Addr;
 use violetyoke_transport::messages::{Epoch, OperationMessage, OperationRecord};
 
-/// What follows once an append is on the disk.
+/// An action to take once an append is on the disk.
 #[derive(Clone, Debug)]
 pub(super) enum AfterAppend {
-    /// A message to the leader.
+    /// Send a message to the leader.
     Send { to: Ipv4Addr, message: OperationMessage },
-    /// This store, as the leader, has a batch.
+    /// Count a batch as appended by this store, the leader.
     OwnBatch { epoch: Epoch, batch: u64 },
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl OperationReplica {
-    /// Asks for records to be appended.
+    /// Requests an append of records, and takes the action `then`, if any, once they are on the disk.
     pub(super) fn append(&mut self, records: Vec<OperationRecord>, then: Option<AfterAppend>) {
         self.last_append = AppendNumber(self.last_append.0 + 1);
         self.effects.push(Effect::Append { number: self.last_append, records });
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What follows once all that was to be appended until now is on the disk.
+    /// Takes the action `then` once all appends requested so far are on the disk.
     pub(super) fn after_appends(&mut self, then: AfterAppend) {
         self.awaiting_append.push_back(WaitingForAppend { number: self.last_append, then });
         self.run_after_appends();
--- a/crates/store/src/operations/batches.rs
+++ b/crates/store/src/operations/batches.rs
@@ -9,10 +9,10 @@
     ClaimId, Epoch, OperationKey, OperationMessage, OperationRecord, OperationReply, StoreId,
 };
 
-/// The next batch goes out when the one before is committed, or after this time (ms).
+/// The next batch is sent when the previous one is committed, or at the latest after this time (ms).
 const MAX_BATCH_WAIT: Millis = 50;
 
-/// A reply that is ready but for the commit of its record.
+/// A reply that is sent once its record is committed.
 #[derive(Clone, Debug)]
 pub(super) struct PreparedReply {
     pub(super) client: ClientId,
@@ -24,9 +24,9 @@
 struct Batch {
     number: u64,
     sent_at: Millis,
-    /// Ids of the stores that have it on their disks.
+    /// Ids of the stores that have the batch on their disks.
     appended_by: BTreeSet<StoreId>,
-    /// The operations whose records it has.
+    /// The keys of its records.
     keys: BTreeSet<OperationKey>,
     replies: Vec<PreparedReply>,
 }
@@ -58,12 +58,12 @@
         self.epoch
     }
 
-    /// The newest batch that was sent.
+    /// The number of the newest batch that was sent.
     pub(super) fn last_batch(&self) -> u64 {
         self.last_batch
     }
 
-    /// The id that the next claim gets. One that goes unused is skipped.
+    /// The id for the next claim. An id that is not used is skipped.
     pub(super) fn next_claim(&mut self) -> ClaimId {
         self.last_claim += 1;
         ClaimId { epoch: self.epoch, sequence: self.last_claim }
@@ -74,8 +74,8 @@
         self.queued_replies.push(reply);
     }
 
-    /// Lets a reply wait for the newest batch that has a record of an operation. Returns it where none has that isn't
-    /// committed.
+    /// Makes a reply wait for the newest uncommitted batch that has a record of an operation. Returns the reply if
+    /// there is no such batch.
     pub(super) fn wait_for_record(
         &mut self,
         key: &OperationKey,
@@ -113,17 +113,17 @@
         (self.last_batch, std::mem::take(&mut self.queued_records))
     }
 
-    /// A store has these batches; the replies of those that are committed by it. A batch counts by itself, whatever
-    /// became of those before it.
+    /// Records that a store has these batches, and returns the replies of the batches that are committed by it. Each
+    /// batch is committed independently of the batches before it.
     fn on_appended(
         &mut self,
         id: StoreId,
-        is_included: impl Fn(u64) -> bool,
+        includes_batch: impl Fn(u64) -> bool,
         is_committed: impl Fn(&BTreeSet<StoreId>) -> bool,
     ) -> Vec<PreparedReply> {
         let mut replies = Vec::new();
         self.in_flight.retain_mut(|batch| {
-            if is_included(batch.number) {
+            if includes_batch(batch.number) {
                 batch.appended_by.insert(id);
             }
             let is_committed = is_committed(&batch.appended_by);
@@ -135,7 +135,7 @@
         replies
     }
 
-    /// Ends all batches; who waits for a reply.
+    /// Drops all batches, and returns the clients that wait for a reply.
     pub(super) fn into_clients(self) -> impl Iterator<Item = ClientId> {
         let sent = self.in_flight.into_iter().flat_map(|batch| batch.replies);
         sent.chain(self.queued_replies).map(|prepared| prepared.client)
@@ -143,14 +143,14 @@
 }
 
 impl OperationReplica {
-    /// Sends what is queued, where nothing is in flight.
+    /// Sends the queued records if no batch is in flight or the last one was sent long enough ago.
     pub(super) fn start_next_batch(&mut self) {
         if matches!(&self.role, Role::Active(active) if active.batches.is_next_due(self.now)) {
             self.flush();
         }
     }
 
-    /// Sends what is queued.
+    /// Sends the queued records as a batch.
     pub(super) fn flush(&mut self) {
         let Role::Active(active) = &mut self.role else { return };
         if !active.batches.has_queued() {
@@ -166,7 +166,7 @@
         self.append(records, Some(AfterAppend::OwnBatch { epoch, batch }));
     }
 
-    /// A store, perhaps this one, has a batch on its disk.
+    /// A store (this one or another) has a batch on its disk.
     pub(super) fn on_batch_appended(&mut self, id: StoreId, epoch: Epoch, batch: u64) {
         let Role::Active(active) = &mut self.role else { return };
         if active.batches.epoch() == epoch {
@@ -175,15 +175,17 @@
         }
     }
 
+    /// Records that a store has these batches, and replies to the clients of those that are committed by it.
+    ///
     /// Invariant: a claim is granted only when a majority of the voters of the installed replica set has it on disk.
-    pub(super) fn commit(&mut self, id: StoreId, is_included: impl Fn(u64) -> bool) {
+    pub(super) fn commit(&mut self, id: StoreId, includes_batch: impl Fn(u64) -> bool) {
         let (Role::Active(active), Some(leadership)) = (&mut self.role, &self.view.leadership) else {
             return;
         };
         let voters = &leadership.voters;
         let is_committed =
             |appended_by: &BTreeSet<StoreId>| is_majority(voters, |id| appended_by.contains(&id));
-        let replies = active.batches.on_appended(id, is_included, is_committed);
+        let replies = active.batches.on_appended(id, includes_batch, is_committed);
         for PreparedReply { client, reply } in replies {
             self.effects.push(Effect::Reply { client, reply });
         }
--- a/crates/store/src/operations/event.rs
+++ b/crates/store/src/operations/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the engine and what comes out of it.
+//! Inputs and outputs of an operation replica.
 
 use crate::consensus::ClientId;
 use std::net::Ipv4Addr;
@@ -6,26 +6,27 @@
     Epoch, OperationMessage, OperationRecord, OperationReply, OperationRequest, StoreId, StoreNode,
 };
 
-/// Numbers the appends that the engine asks its log for: 1, 2, 3 and so on in one run of the engine.
+/// The number of an append that a replica requests from its log: 1, 2, 3 and so on in one run of the replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AppendNumber(pub u64);
 
-/// Input of the engine.
+/// Input of an operation replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A proxy's request, passed on by a registry.
+    /// A proxy's request, forwarded by a registry.
     Request {
         /// Who gets the reply.
         client: ClientId,
-        /// What the proxy asks or reports.
+        /// The request.
         request: OperationRequest,
     },
-    /// A message of another store. Messages may be lost, repeated and reordered, but none that was sent to an earlier
-    /// process of this store may arrive: connections end with a process, and what is queued for them does too.
+    /// A message from another store. Messages may be lost, repeated and reordered. A message that was sent to an
+    /// earlier process of this store must not arrive: the connections of a process end with it, and their queued
+    /// messages are dropped.
     Message {
         /// The sender.
         from: StoreNode,
-        /// What it sends.
+        /// The message.
         message: OperationMessage,
     },
     /// All appends up to and including this one are on the disk.
@@ -34,10 +35,10 @@
     Tick,
 }
 
-/// Output of the engine, in the order in which it has to be carried out.
+/// Output of an operation replica. Effects have to be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message to other stores. It may be lost: the engine repeats what matters.
+    /// Send a message to other stores. It may be lost: the replica repeats messages that it depends on.
     Send {
         /// The addresses of the other stores.
         to: Vec<Ipv4Addr>,
@@ -60,7 +61,7 @@
     },
 }
 
-/// What the engine has to know of the consensus core of its store.
+/// The state of the store's consensus core that an operation replica needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConsensusView {
     /// The highest epoch that this store has promised.
@@ -72,17 +73,17 @@
 /// The replica set that this store leads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
-    /// Its epoch.
+    /// The epoch of the replica set.
     pub epoch: Epoch,
     /// The stores that vote.
     pub voters: Vec<StoreNode>,
-    /// The regions of these stores.
+    /// The regions of the voters.
     pub voter_regions: Vec<String>,
-    /// The voters of the replica sets before it, as the promises for the epoch showed them: a majority of each list has
+    /// The voters of the replica sets before it, as reported in the promises for the epoch: a majority of each list has
     /// promised the epoch.
     pub previous_voters: Vec<Vec<StoreNode>>,
     /// The other stores that are alive, with a vote or without.
     pub live_peers: Vec<StoreNode>,
-    /// Learners that the leader would give a vote: it may once they have all records.
+    /// Learners that the leader will give a vote once they have all records.
     pub awaited_learners: Vec<StoreId>,
 }
--- a/crates/store/src/operations/follower.rs
+++ b/crates/store/src/operations/follower.rs
@@ -1,4 +1,5 @@
-//! The receivers' side: what a store takes and tells, of the very epoch alone that it has promised.
+//! Handlers of a leader's messages. A store accepts records, and answers queries, only for the epoch that it has
+//! promised.
 
 use super::appends::AfterAppend;
 use super::{NewestBatch, OperationReplica};
@@ -6,7 +7,7 @@
     BucketContents, BucketDigest, BucketId, Epoch, OperationMessage, OperationRecord, StoreNode,
 };
 
-/// Buckets that are asked for at once: some hundred records.
+/// The maximum number of buckets requested in one message, some hundred records.
 pub(super) const MAX_BUCKETS_PER_MESSAGE: usize = 8;
 
 impl NewestBatch {
@@ -18,17 +19,19 @@
         };
     }
 
-    /// Whether a message that includes the batches until `through` was not overtaken by a later batch: what it lacks was
-    /// not acknowledged by this store since.
-    fn is_included(self, epoch: Epoch, through: u64) -> bool {
+    /// Whether a message that includes all batches up to `through` is no older than the newest batch received. If so,
+    /// this store has acknowledged no record that the message lacks.
+    fn covers_newest(self, epoch: Epoch, through: u64) -> bool {
         epoch != self.epoch || self.batch <= through
     }
 }
 
 impl OperationReplica {
-    /// Invariant: a store that has promised an epoch takes no records of a lower one, so that a leader which was
-    /// superseded gets no majority. That leader is told.
-    fn accepts(&mut self, leader: &StoreNode, epoch: Epoch) -> bool {
+    /// Whether a message of an epoch is accepted. The leader of a lower epoch gets a rejection.
+    ///
+    /// Invariant: a store that has promised an epoch accepts no records of a lower one, so that a superseded leader
+    /// gets no majority.
+    fn accepts_epoch(&mut self, leader: &StoreNode, epoch: Epoch) -> bool {
         let promised = self.view.promised;
         if epoch < promised {
             self.send(leader.ip, OperationMessage::Rejected { epoch, promised });
@@ -43,7 +46,7 @@
         batch: u64,
         records: Vec<OperationRecord>,
     ) {
-        if !self.accepts(from, epoch) {
+        if !self.accepts_epoch(from, epoch) {
             return;
         }
         self.newest_batch.record(epoch, batch);
@@ -55,20 +58,20 @@
     }
 
     pub(super) fn on_read_digests(&mut self, from: &StoreNode, epoch: Epoch) {
-        if self.accepts(from, epoch) {
+        if self.accepts_epoch(from, epoch) {
             let digests = self.table.digests();
             self.send(from.ip, OperationMessage::Digests { epoch, digests });
         }
     }
 
     pub(super) fn on_read_buckets(&mut self, from: &StoreNode, epoch: Epoch, buckets: &[BucketId]) {
-        if self.accepts(from, epoch) {
+        if self.accepts_epoch(from, epoch) {
             let contents = self.contents_of(buckets);
             self.send(from.ip, OperationMessage::Buckets { epoch, contents });
         }
     }
 
-    /// Merges records; those that changed something here.
+    /// Merges records into the table, and returns those that changed it.
     pub(super) fn merge_all(&mut self, records: Vec<OperationRecord>) -> Vec<OperationRecord> {
         let (now, table) = (self.now, &mut self.table);
         records.into_iter().filter(|record| table.merge(now, record.clone())).collect()
@@ -78,7 +81,7 @@
         buckets.iter().map(|bucket| self.table.bucket(self.now, *bucket)).collect()
     }
 
-    /// Asks for what differs; where nothing does, says so once all of it is on the disk.
+    /// Requests the buckets that differ. If none does, confirms this once all records are on the disk.
     pub(super) fn on_offer(
         &mut self,
         from: &StoreNode,
@@ -86,10 +89,10 @@
         through: u64,
         digests: &[BucketDigest],
     ) {
-        if !self.accepts(from, epoch) || !self.newest_batch.is_included(epoch, through) {
+        if !self.accepts_epoch(from, epoch) || !self.newest_batch.covers_newest(epoch, through) {
             return;
         }
-        // The leader has each granted claim: what it lacks is none, or its time is over.
+        // The leader has each granted claim: a record that it lacks has expired or belongs to no granted claim.
         for bucket in self.table.absent_in(digests) {
             self.table.replace_bucket(self.now, BucketContents { bucket, records: Vec::new() });
         }
@@ -109,13 +112,13 @@
         through: u64,
         contents: Vec<BucketContents>,
     ) {
-        if !self.accepts(from, epoch) {
+        if !self.accepts_epoch(from, epoch) {
             return;
         }
-        let may_drop = self.newest_batch.is_included(epoch, through);
+        let may_replace = self.newest_batch.covers_newest(epoch, through);
         let mut changed = Vec::new();
         for bucket in contents {
-            if !may_drop {
+            if !may_replace {
                 changed.extend(self.merge_all(bucket.records));
                 continue;
             }
--- a/crates/store/src/operations/leader.rs
+++ b/crates/store/src/operations/leader.rs
@@ -1,4 +1,4 @@
-//! Proxies' requests at the leader: decided by the table, and answered once their records are committed.
+//! Proxies' requests at the leader: the table decides on them, and they are answered once their records are committed.
 
 use super::batches::PreparedReply;
 use super::{Effect, OperationReplica, Role};
@@ -20,22 +20,23 @@
             }
             OperationRequest::Complete { key, holder } => {
                 let record = self.table.complete(self.now, &key, holder);
-                self.record_end(client, &key, record);
+                self.replicate_outcome(client, &key, record);
             }
             OperationRequest::Abandon { key, holder } => {
                 let record = self.table.abandon(self.now, &key, holder);
-                self.record_end(client, &key, record);
+                self.replicate_outcome(client, &key, record);
             }
             OperationRequest::Release { key, holder } => {
                 let Role::Active(active) = &mut self.role else { return };
                 let next = active.batches.next_claim();
                 let record = self.table.release(self.now, next, &key, holder);
-                self.record_end(client, &key, record);
+                self.replicate_outcome(client, &key, record);
             }
         }
     }
 
-    /// The end of this store's leadership: nobody learns here what becomes of the claims under way.
+    /// Ends this store's leadership. Waiting clients are told that it is unavailable: this store doesn't learn whether
+    /// their records are committed.
     pub(super) fn stop_leading(&mut self) {
         if let Role::Active(active) = std::mem::replace(&mut self.role, Role::Follower) {
             for client in active.batches.into_clients() {
@@ -44,10 +45,10 @@
         }
     }
 
-    /// Another store has promised a higher epoch: records of this one may not reach a majority any more.
+    /// Another store has promised a higher epoch: the records of the led epoch may not reach a majority any more.
     pub(super) fn on_rejected(&mut self, epoch: Epoch, promised: Epoch) {
-        let known = self.rejection.map_or(epoch, |rejection| rejection.promised);
-        if self.led_epoch() == Some(epoch) && promised > known {
+        let known_promise = self.rejection.map_or(epoch, |rejection| rejection.promised);
+        if self.led_epoch() == Some(epoch) && promised > known_promise {
             self.rejection = Some(EpochRejection { epoch, promised });
         }
     }
@@ -69,20 +70,21 @@
         }
     }
 
-    /// The regions of the machines by which responses reach the proxies of repeats: each voter may lead next.
+    /// The regions of the voters, any of which may lead next. Responses reach the proxies of repeated requests by way
+    /// of the machines in these regions.
     fn voter_regions(&self) -> Vec<String> {
         self.view.leadership.as_ref().map(|leadership| leadership.voter_regions.clone()).unwrap_or_default()
     }
 
-    /// Confirms the end of an operation once its record is committed.
-    fn record_end(&mut self, client: ClientId, key: &OperationKey, record: Option<OperationRecord>) {
+    /// Replicates the outcome of an operation, and confirms it once its record is committed.
+    fn replicate_outcome(&mut self, client: ClientId, key: &OperationKey, record: Option<OperationRecord>) {
         match record {
             Some(record) => self.replicate(client, record, OperationReply::Recorded),
             None => self.confirm_repeated(client, key),
         }
     }
 
-    /// Confirms a report that changes nothing, once the record that it found is committed.
+    /// Confirms a report that changes no record, once the existing record is committed.
     fn confirm_repeated(&mut self, client: ClientId, key: &OperationKey) {
         let Role::Active(active) = &mut self.role else { return };
         let prepared = PreparedReply { client, reply: OperationReply::Recorded };
--- a/crates/store/src/operations/mod.rs
+++ b/crates/store/src/operations/mod.rs
@@ -1,22 +1,23 @@
 //! Records of operations, replicated by the leading store.
 //!
-//! [`OperationReplica`] is a pure engine, as [`crate::consensus::Replica`] is: [`Event`]s go in, [`Effect`]s come out. It
-//! has no election of its own, but works under the epochs of the consensus core, which it is shown by
-//! [`OperationReplica::observe`].
+//! [`OperationReplica`] does no I/O, like [`crate::consensus::Replica`]: its owner passes it [`Event`]s and carries out
+//! the [`Effect`]s that it returns. It has no election of its own, but uses the epochs of the consensus core, whose
+//! state it gets by [`OperationReplica::observe`].
 //!
-//! Records are no log in a fixed order but a set of entries that are merged ([`OperationTable::merge`]), so replication
-//! is by quorum:
+//! Records are a set of entries that are merged in any order ([`OperationTable::merge`]), not an ordered log, so they
+//! are replicated by quorum:
 //!
-//! - A claim is granted when a majority of the voters has it on disk. A store takes records of the very epoch alone that
-//!   it has promised.
-//! - A new leader merges what a majority of the voters has, of those of each replica set that its promises showed, before
-//!   it answers anything. Each of them takes nothing of a lower epoch any more, and any two majorities have a store in
-//!   common: so the leader has each claim that was granted.
-//! - A store without a vote gets one only once it has all records, while no claim is granted: so each granted claim is at
-//!   a majority of the voters after the change as well.
+//! - A claim is granted when a majority of the voters has it on disk. A store accepts records only of the epoch
+//!   that it has promised.
+//! - Before a new leader answers any request, it merges the records of a majority of the voters of each replica set
+//!   that was reported in the promises for its epoch. These voters accept no records of a lower epoch any more, and any
+//!   two majorities have a store in common, so the leader then has each claim that was granted.
+//! - A learner gets a vote only when it has all records, and no claim is granted meanwhile. So after the change, too,
+//!   each granted claim is at a majority of the voters.
 //!
-//! Modules: `appends` is what waits for the disk, `leader` answers requests, `batches` replicates, `recovery` is the start of a leader, `peers` brings other
-//! stores up to date, `follower` is the receivers' side.
+//! Modules: `appends` has the actions that wait for the disk, `leader` answers requests, `batches` replicates records,
+//! `recovery` is the start of a leader, `peers` brings other stores up to date, and `follower` handles a leader's
+//! messages.
 
 mod appends;
 mod batches;
@@ -38,32 +39,32 @@
 use violetyoke_idempotency::{Millis, OperationTable, TableOptions};
 use violetyoke_transport::messages::{Epoch, OperationMessage, OperationRecord, StoreId, StoreNode};
 
-/// What a store does with records.
+/// The role of a store in the replication of records.
 #[derive(Clone, Debug)]
 enum Role {
-    /// Takes what a leader sends.
+    /// Accepts the records that a leader sends.
     Follower,
-    /// Leads, and merges what the voters have.
+    /// Leads, and merges the records of the voters.
     Recovering(Recovery),
     /// Leads, and answers requests.
     Active(Active),
 }
 
-/// A leader that has each granted claim.
+/// The state of a leader that has each granted claim.
 #[derive(Clone, Debug)]
 struct Active {
     batches: Batches,
     peers: PeerSync,
 }
 
-/// The newest batch of the newest epoch from which a batch was taken.
+/// The newest batch received from a leader, and its epoch.
 #[derive(Clone, Copy, Debug, Default)]
 struct NewestBatch {
     epoch: Epoch,
     batch: u64,
 }
 
-/// A store's part in the replication of records: a state machine without input or output of its own.
+/// One replica of the records: a state machine that does no I/O itself.
 #[derive(Clone, Debug)]
 pub struct OperationReplica {
     local: StoreNode,
@@ -71,7 +72,6 @@
     now: Millis,
     view: ConsensusView,
     table: OperationTable,
-    /// The newest batch that was taken of a leader.
     newest_batch: NewestBatch,
     role: Role,
     /// The highest promise with which another store has rejected the epoch that this store leads.
@@ -83,7 +83,7 @@
 }
 
 impl OperationReplica {
-    /// A replica that starts with the records that its log holds: each counts as if it had been made now.
+    /// Creates a replica with the records of its log. The age of each record counts from now.
     #[must_use]
     pub fn new(
         local: StoreNode,
@@ -110,25 +110,25 @@
         }
     }
 
-    /// Shows the engine how the consensus core stands. Has to be called after each event of the core, before the next
-    /// event of this engine.
+    /// Updates the replica's view of the consensus core. Has to be called after each event of the core, before the next
+    /// event of this replica.
     #[must_use]
     pub fn observe(&mut self, now: Millis, view: ConsensusView) -> Vec<Effect> {
         self.now = now;
-        let led = self.view.leadership.as_ref().map(|leadership| leadership.epoch);
-        let leads = view.leadership.as_ref().map(|leadership| leadership.epoch);
+        let previous_epoch = self.view.leadership.as_ref().map(|leadership| leadership.epoch);
+        let led_epoch = view.leadership.as_ref().map(|leadership| leadership.epoch);
         self.view = view;
-        if led != leads {
+        if previous_epoch != led_epoch {
             self.rejection = None;
             self.stop_leading();
-            if leads.is_some() {
+            if led_epoch.is_some() {
                 self.start_recovery();
             }
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Handles one event; the effects are to be carried out in their order. `now` never decreases.
+    /// Handles one event; the caller has to carry out the effects in order. `now` must not decrease.
     #[must_use]
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         self.now = now;
@@ -141,7 +141,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Learners that have all records now. While there are any that the core awaits, no claim is granted.
+    /// The awaited learners, if all of them have all records now and no claim is granted; otherwise none.
     #[must_use]
     pub fn complete_learners(&self) -> Vec<StoreId> {
         match &self.role {
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Where another store takes nothing of the epoch that this store leads: the core has to open a higher one.
+    /// Set if another store rejects the records of the epoch that this store leads: the core has to start a higher
+    /// epoch.
     #[must_use]
     pub fn rejection(&self) -> Option<EpochRejection> {
         self.rejection
@@ -162,7 +163,7 @@
         matches!(self.role, Role::Active(_))
     }
 
-    /// The epoch of which this store takes records.
+    /// The epoch that this store has promised: it accepts records only of this epoch.
     #[must_use]
     pub fn promised(&self) -> Epoch {
         self.view.promised
@@ -174,7 +175,7 @@
         self.view.leadership.as_ref().map(|leadership| leadership.epoch)
     }
 
-    /// The records here.
+    /// The records of this store.
     #[must_use]
     pub fn table(&self) -> &OperationTable {
         &self.table
--- a/crates/store/src/operations/peers.rs
+++ b/crates/store/src/operations/peers.rs
@@ -1,39 +1,39 @@
-//! What the leader knows of other stores' records, and how it brings them up to date (anti-entropy): it offers digests, a
-//! store asks for the buckets that differ, and says when it has all.
+//! How the leader brings other stores up to date (anti-entropy): it offers its digests, a store requests the buckets
+//! that differ, and confirms when it has all records.
 
 use super::{Active, ConsensusView, Effect, OperationReplica, Role};
 use std::collections::BTreeMap;
 use violetyoke_idempotency::Millis;
 use violetyoke_transport::messages::{BucketId, Epoch, OperationMessage, StoreId, StoreNode};
 
-/// A store that is not up to date is made another offer after this time (ms).
+/// The leader repeats its offer to a store that is not up to date after this time (ms).
 const OFFER_INTERVAL: Millis = 500;
-/// While the leader waits for learners, they are made an offer as often as this (ms).
+/// The same while claims are refused for learners (ms).
 const SEALED_OFFER_INTERVAL: Millis = 100;
-/// Claims are refused for learners for so long at most (ms).
+/// The maximum time for which claims are refused so that learners can get all records (ms).
 const MAX_SEAL: Millis = 1_000;
-/// Between two such times they are granted for so long at least (ms).
+/// The minimum time for which claims are granted between two such periods (ms).
 const MIN_UNSEALED: Millis = 500;
 
-/// What a store has.
+/// Which records of the leader another store has.
 #[derive(Clone, Copy, Debug, Default)]
-struct Progress {
-    /// It has all that the leader had when it sent this batch; `None` where that is not known.
+struct PeerProgress {
+    /// The store has all records that the leader had when it sent this batch; `None` if no such batch is known.
     complete_through: Option<u64>,
     offered_at: Option<Millis>,
 }
 
-/// Whether claims are refused for a change of voters.
+/// Whether claims are refused so that learners can get all records before a change of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Seal {
     Open { since: Millis },
     Sealed { since: Millis },
 }
 
-/// All other stores, by the ids of their disks.
+/// The progress of all other live stores, by id.
 #[derive(Clone, Debug)]
 pub(super) struct PeerSync {
-    progress: BTreeMap<StoreId, Progress>,
+    progress: BTreeMap<StoreId, PeerProgress>,
     seal: Seal,
 }
 
@@ -48,7 +48,7 @@
         matches!(self.seal, Seal::Sealed { .. })
     }
 
-    /// A store has a batch. One that lacks a batch before it is brought up to date again.
+    /// A store has a batch. If it lacks an earlier batch, its progress is reset, so that it gets an offer again.
     pub(super) fn on_appended(&mut self, id: StoreId, batch: u64) {
         let Some(through) =
             self.progress.get_mut(&id).and_then(|progress| progress.complete_through.as_mut())
@@ -67,7 +67,7 @@
         *complete = (*complete).max(Some(through));
     }
 
-    /// Whether a store is to be made an offer now.
+    /// Whether to send an offer to a store now.
     fn is_offer_due(&self, id: StoreId, last_batch: u64, now: Millis) -> bool {
         let progress = self.progress.get(&id).copied().unwrap_or_default();
         let is_behind = match progress.complete_through {
@@ -82,7 +82,7 @@
         self.progress.entry(id).or_default().offered_at = Some(now);
     }
 
-    /// Forgets stores that are not alive: they may lack what was sent meanwhile.
+    /// Removes stores that are not alive: when they return, they may lack batches that were sent meanwhile.
     fn retain(&mut self, live_peers: &[StoreNode]) {
         self.progress.retain(|id, _| live_peers.iter().any(|peer| peer.id == *id));
     }
@@ -91,21 +91,21 @@
         self.progress.get(&id).is_some_and(|progress| progress.complete_through.is_some())
     }
 
-    /// Claims are refused while learners that are nearly up to date are awaited, within bounds.
+    /// Refuses claims while all awaited learners are known to be nearly up to date, for `MAX_SEAL` at most.
     fn update_seal(&mut self, awaited: &[StoreId], now: Millis) {
-        let is_worthwhile = !awaited.is_empty() && awaited.iter().all(|id| self.is_known_complete(*id));
+        let can_complete = !awaited.is_empty() && awaited.iter().all(|id| self.is_known_complete(*id));
         self.seal = match self.seal {
-            Seal::Open { since } if is_worthwhile && now >= since + MIN_UNSEALED => {
+            Seal::Open { since } if can_complete && now >= since + MIN_UNSEALED => {
                 Seal::Sealed { since: now }
             }
-            Seal::Sealed { since } if !is_worthwhile || now >= since + MAX_SEAL => Seal::Open { since: now },
+            Seal::Sealed { since } if !can_complete || now >= since + MAX_SEAL => Seal::Open { since: now },
             unchanged => unchanged,
         };
     }
 }
 
 impl Active {
-    /// The awaited learners, where each has all records and no claim is granted meanwhile; else none.
+    /// The awaited learners, if all of them have all records and no claim is granted; otherwise none.
     pub(super) fn complete_learners(&self, view: &ConsensusView) -> Vec<StoreId> {
         let Some(leadership) = &view.leadership else { return Vec::new() };
         let last_batch = self.batches.last_batch();
@@ -113,7 +113,8 @@
             let progress = self.peers.progress.get(id);
             progress.is_some_and(|progress| progress.complete_through == Some(last_batch))
         };
-        // A batch that is not committed holds nothing that was granted: this leader won't grant it in the next epoch.
+        // Batches that are not committed don't matter: their claims were not granted, and this leader won't grant them
+        // in the next epoch.
         if self.peers.is_sealed() && leadership.awaited_learners.iter().all(is_complete) {
             leadership.awaited_learners.clone()
         } else {
@@ -123,7 +124,7 @@
 }
 
 impl OperationReplica {
-    /// Makes offers that are due.
+    /// Sends the offers that are due.
     pub(super) fn sync_peers(&mut self) {
         let now = self.now;
         let (Role::Active(active), Some(leadership)) = (&mut self.role, &self.view.leadership) else {
@@ -141,7 +142,8 @@
         if peers.is_empty() {
             return;
         }
-        // The digests include what is queued: a store that got it later than the offer would never have all.
+        // The digests include the queued records, which therefore have to be sent before the offer: otherwise a store
+        // would lack them when it compares the digests.
         self.flush();
         let Role::Active(active) = &mut self.role else { return };
         for peer in peers {
@@ -152,7 +154,7 @@
         self.effects.push(Effect::Send { to: peers.iter().map(|peer| peer.ip).collect(), message });
     }
 
-    /// A store lacks records: it gets some, and another offer.
+    /// A store requests buckets: sends them, and another offer.
     pub(super) fn on_wanted(&mut self, from: &StoreNode, epoch: Epoch, buckets: &[BucketId]) {
         let Role::Active(active) = &self.role else { return };
         if active.batches.epoch() != epoch {
@@ -164,7 +166,7 @@
         self.offer(std::slice::from_ref(from));
     }
 
-    /// A store has all that was offered; this includes all batches until then.
+    /// A store has all records that were offered, and so all batches up to `through`.
     pub(super) fn on_synced(&mut self, id: StoreId, epoch: Epoch, through: u64) {
         let Role::Active(active) = &mut self.role else { return };
         if active.batches.epoch() == epoch {
--- a/crates/store/src/operations/recovery.rs
+++ b/crates/store/src/operations/recovery.rs
@@ -1,4 +1,4 @@
-//! The start of a leader: it merges what the voters have before it answers anything.
+//! The start of a leader: it merges the records of the voters before it answers any request.
 
 use super::batches::Batches;
 use super::follower::MAX_BUCKETS_PER_MESSAGE;
@@ -12,17 +12,17 @@
     BucketContents, BucketDigest, BucketId, Epoch, OperationMessage, StoreId, StoreNode,
 };
 
-/// A question that a voter has not answered is asked again after this time (ms).
-const ASK_AGAIN_AFTER: Millis = 200;
+/// A query that a voter has not answered is sent again after this time (ms).
+const QUERY_RETRY_INTERVAL: Millis = 200;
 
-/// How far a voter's records are merged.
+/// How far the leader has read a voter's records.
 #[derive(Clone, Debug)]
 enum VoterRead {
-    /// It was asked for its digests.
+    /// The voter's digests are requested.
     AwaitingDigests,
-    /// It was asked for the first of these buckets.
+    /// The first of these buckets are requested; all of them are still to be merged.
     AwaitingBuckets(Vec<BucketId>),
-    /// All that it has is merged.
+    /// All records of the voter are merged.
     Done,
 }
 
@@ -30,21 +30,21 @@
 struct Voter {
     ip: Ipv4Addr,
     read: VoterRead,
-    asked_at: Millis,
+    queried_at: Millis,
 }
 
-/// What a new leader has read so far.
+/// The progress of a new leader in reading the voters' records.
 #[derive(Clone, Debug)]
 pub(super) struct Recovery {
     epoch: Epoch,
-    /// The lists of voters of which a majority has to be read.
+    /// The lists of voters. A majority of each has to be read.
     quorums: Vec<Vec<StoreNode>>,
     voters: BTreeMap<StoreId, Voter>,
 }
 
 impl Recovery {
-    /// Invariant: of each list of voters that the promises for this epoch showed, a majority has been merged. One of
-    /// them has any claim that was granted under an earlier epoch.
+    /// Invariant: recovery is complete only once the records of a majority of each list of voters are merged. Each
+    /// claim that was granted under an earlier epoch is among these records.
     fn is_complete(&self, local: StoreId) -> bool {
         let is_read = |id: StoreId| {
             id == local || self.voters.get(&id).is_some_and(|voter| matches!(voter.read, VoterRead::Done))
@@ -54,7 +54,7 @@
 }
 
 impl Voter {
-    fn question(&self, epoch: Epoch) -> Option<OperationMessage> {
+    fn pending_query(&self, epoch: Epoch) -> Option<OperationMessage> {
         match &self.read {
             VoterRead::AwaitingDigests => Some(OperationMessage::ReadDigests { epoch }),
             VoterRead::AwaitingBuckets(buckets) => {
@@ -78,7 +78,7 @@
             quorums.iter().flatten().filter(|voter| voter.id != self.local.id).collect();
         let (read, now) = (|| VoterRead::AwaitingDigests, self.now);
         let voters =
-            others.into_iter().map(|node| (node.id, Voter { ip: node.ip, read: read(), asked_at: now }));
+            others.into_iter().map(|node| (node.id, Voter { ip: node.ip, read: read(), queried_at: now }));
         let voters: BTreeMap<StoreId, Voter> = voters.collect();
         let to: Vec<Ipv4Addr> = voters.values().map(|voter| voter.ip).collect();
         self.effects.push(super::Effect::Send { to, message: OperationMessage::ReadDigests { epoch } });
@@ -86,19 +86,19 @@
         self.finish_recovery();
     }
 
-    /// Asks again where an answer is overdue.
+    /// Repeats queries whose answers are overdue.
     pub(super) fn continue_recovery(&mut self) {
         let Role::Recovering(recovery) = &mut self.role else { return };
-        let mut questions = Vec::new();
+        let mut queries = Vec::new();
         for voter in recovery.voters.values_mut() {
-            if self.now < voter.asked_at + ASK_AGAIN_AFTER {
+            if self.now < voter.queried_at + QUERY_RETRY_INTERVAL {
                 continue;
             }
-            voter.asked_at = self.now;
-            questions.extend(voter.question(recovery.epoch).map(|question| (voter.ip, question)));
+            voter.queried_at = self.now;
+            queries.extend(voter.pending_query(recovery.epoch).map(|query| (voter.ip, query)));
         }
-        for (ip, question) in questions {
-            self.send(ip, question);
+        for (ip, query) in queries {
+            self.send(ip, query);
         }
     }
 
@@ -137,10 +137,10 @@
             voter.read = VoterRead::Done;
             return self.finish_recovery();
         }
-        voter.asked_at = now;
-        let (ip, question) = (voter.ip, voter.question(recovery.epoch));
-        if let Some(question) = question {
-            self.send(ip, question);
+        voter.queried_at = now;
+        let (ip, query) = (voter.ip, voter.pending_query(recovery.epoch));
+        if let Some(query) = query {
+            self.send(ip, query);
         }
     }
 
