--- a/crates/store/tests/commands.rs
+++ b/crates/store/tests/commands.rs
@@ -1,5 +1,5 @@
-//! Commands take effect once: one text under each version, a repeated command is acknowledged again, and nothing is
-//! confirmed without contact with the backups.
+//! Commands take effect at most once: each version has one text, a repeated command is acknowledged again, and a leader
+//! confirms nothing without contact with its backups.
 
 #![cfg(test)]
 
@@ -9,7 +9,7 @@
 use violetyoke_store::consensus::ClientId;
 use violetyoke_transport::messages::{Acceptance, AcceptedVersions, Command, ControlState, Outcome};
 
-/// How long the operators' fault model partitions a control machine.
+/// Duration of a control machine's partition in the operators' fault model.
 const LONG_PARTITION: Millis = 20_000;
 
 fn replace(version: u64, text: &str) -> Command {
@@ -80,25 +80,25 @@
     assert_eq!(
         execute(&mut cluster, replace(5, "other")),
         Some(Outcome::VersionTaken),
-        "also when it is old"
+        "an older version stays taken"
     );
     cluster.isolate(first);
     cluster.run_for(3_000);
     assert_eq!(
         execute(&mut cluster, replace(5, "other")),
         Some(Outcome::VersionTaken),
-        "also by the next leader"
+        "the next leader knows the text of the version"
     );
     assert_eq!(execute(&mut cluster, replace(5, "one")), Some(Outcome::Acknowledged));
     assert_eq!(read(&mut cluster).text, "nine");
 }
 
 #[test]
-fn late_older_version_has_no_effect_but_to_take_its_number() {
+fn late_older_version_takes_its_number_without_replacing_the_text() {
     let mut cluster = Cluster::without_delays();
     let leader = leader(&cluster);
     let newer = cluster.submit(leader, replace(8, "eight"));
-    // Queued behind the newer one.
+    // The older versions are queued behind the newer one.
     let older = cluster.submit(leader, replace(6, "six"));
     let second = cluster.submit(leader, replace(6, "another six"));
     cluster.run_for(500);
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn partitioned_leader_confirms_nothing_for_as_long_as_it_is_partitioned() {
+fn partitioned_leader_confirms_nothing_until_the_partition_ends() {
     let mut cluster = Cluster::without_delays();
     assert_eq!(execute(&mut cluster, replace(4, "four")), Some(Outcome::Acknowledged));
     let partitioned = leader(&cluster);
     cluster.isolate(partitioned);
-    let begins_at = cluster.now;
+    let started_at = cluster.now;
     let mut clients = Vec::new();
-    while cluster.now < begins_at + LONG_PARTITION {
+    while cluster.now < started_at + LONG_PARTITION {
         let versions = [(4, "four"), (4, "other"), (3, "three"), (9, "nine")];
         let commands = versions.map(|(version, text)| replace(version, text));
         for command in commands.into_iter().chain([Command::Read]) {
@@ -124,57 +124,57 @@
         }
         cluster.run_for(500);
         let replica = cluster.machines[partitioned].replica.as_ref().expect("it runs");
-        assert!(!replica.is_leader_in_contact() || cluster.now < begins_at + 1_000);
+        assert!(!replica.is_leader_in_contact() || cluster.now < started_at + 1_000);
     }
     assert_eq!(clients.len(), 200);
     for client in clients {
         let outcome = outcome(&cluster, client);
         assert!(
             matches!(outcome, None | Some(Outcome::NotLeader)),
-            "a partitioned leader replies {outcome:?}"
+            "the partitioned leader replied {outcome:?}"
         );
     }
 }
 
 #[test]
-fn command_that_its_leader_lost_is_not_acknowledged_under_the_next_epoch_of_that_leader() {
+fn uncommitted_command_of_a_deposed_leader_is_not_acknowledged_when_it_leads_again() {
     let mut cluster = Cluster::without_delays();
     assert_eq!(execute(&mut cluster, replace(1, "one")), Some(Outcome::Acknowledged));
     let first = leader(&cluster);
     cluster.isolate(first);
-    // Only on the disk of the partitioned leader.
+    // This command reaches only the disk of the partitioned leader.
     let lost = cluster.submit(first, replace(2, "lost"));
     cluster.run_for(3_000);
     let second = leader(&cluster);
     assert_ne!(second, first);
     assert_eq!(execute(&mut cluster, replace(3, "three")), Some(Outcome::Acknowledged));
-    // The first leader is connected to the third store alone, and leads again with the state of that one.
+    // Connected to the third store only, the first leader is elected again and takes over that store's state.
     let third = 3 - first - second;
     cluster.network.disconnect(second, third);
     cluster.network.connect(first, third);
     cluster.run_for(4_000);
     assert_eq!(leader(&cluster), first);
     assert_eq!(read(&mut cluster).text, "three");
-    assert_ne!(outcome(&cluster, lost), Some(Outcome::Acknowledged), "acknowledged, and no store has it");
+    assert_ne!(outcome(&cluster, lost), Some(Outcome::Acknowledged), "acknowledged but on no store");
     assert_eq!(
         execute(&mut cluster, replace(2, "another")),
         Some(Outcome::Acknowledged),
-        "its version is free"
+        "the version of the lost command is free"
     );
 }
 
 #[test]
-fn commands_that_arrive_together_wait_for_two_syncs_at_most() {
+fn commands_that_arrive_together_wait_for_at_most_two_syncs() {
     let mut cluster = Cluster::without_delays();
     cluster.fixed_sync_time = Some(150);
-    let (leader, begins_at) = (leader(&cluster), cluster.now);
+    let (leader, started_at) = (leader(&cluster), cluster.now);
     let clients: Vec<ClientId> = (1..=8).map(|version| cluster.submit(leader, text_of(version))).collect();
     cluster.run_for(2_000);
     for client in &clients {
         assert_eq!(outcome(&cluster, *client), Some(Outcome::Acknowledged));
     }
     let last = clients.iter().map(|client| received_at(&cluster, *client)).max().expect("replies");
-    assert!(last - begins_at <= 310, "{} ms", last - begins_at);
+    assert!(last - started_at <= 310, "{} ms", last - started_at);
     assert_eq!(read(&mut cluster).version, 8);
 }
 
@@ -182,14 +182,17 @@
 fn no_command_of_a_batch_is_answered_before_the_batch_is_on_all_disks() {
     let mut cluster = Cluster::without_delays();
     cluster.fixed_sync_time = Some(100);
-    let (leader, begins_at) = (leader(&cluster), cluster.now);
+    let (leader, started_at) = (leader(&cluster), cluster.now);
     let first = cluster.submit(leader, replace(1, "one"));
     let batch = [replace(1, "one"), replace(1, "other"), replace(2, "two"), Command::Read]
         .map(|command| cluster.submit(leader, command));
     cluster.run_for(1_000);
-    let after = |client| received_at(&cluster, client) - begins_at;
+    let after = |client| received_at(&cluster, client) - started_at;
     assert!((100..200).contains(&after(first)), "{}", after(first));
-    assert!(batch.iter().all(|client| after(*client) >= 200), "a reply rests on an uncommitted state");
+    assert!(
+        batch.iter().all(|client| after(*client) >= 200),
+        "a reply was sent before its batch was committed"
+    );
     assert_eq!(
         batch.map(|client| outcome(&cluster, client) == Some(Outcome::Acknowledged)),
         [true, false, true, false]
@@ -198,7 +201,7 @@
 }
 
 #[test]
-fn accepted_versions_keep_the_newest() {
+fn accepted_versions_forget_the_oldest_first() {
     let mut accepted = AcceptedVersions::default();
     let last = AcceptedVersions::LIMIT as u64 + 40;
     for version in 1..=last {
@@ -208,12 +211,12 @@
     assert_eq!(accepted.find(41, "text 41"), Acceptance::SameText);
     assert_eq!(accepted.find(41, "another"), Acceptance::OtherText);
     assert_eq!(accepted.find(40, "text 40"), Acceptance::Unknown, "forgotten");
-    assert!(!accepted.insert(40, "text 40"), "too old to be remembered");
+    assert!(!accepted.insert(40, "text 40"), "older than the kept versions");
     assert_eq!(accepted.find(41, "text 41"), Acceptance::SameText);
 }
 
 #[test]
-fn state_without_accepted_versions_knows_its_own_text() {
+fn state_without_accepted_versions_recognizes_its_own_text() {
     let state = ControlState { version: 6, text: "six".into(), ..ControlState::default() };
     assert_eq!(state.acceptance(6, "six"), Acceptance::SameText);
     assert_eq!(state.acceptance(6, "other"), Acceptance::OtherText);
@@ -221,27 +224,27 @@
 }
 
 #[test]
-fn text_under_a_version_that_the_history_has_forgotten_never_takes_effect() {
-    /// Digests of accepted texts that the state keeps.
-    const REMEMBERED: u64 = 256;
+fn text_under_a_forgotten_version_never_takes_effect() {
+    /// Number of accepted texts whose digests the state keeps.
+    const KEPT_DIGESTS: u64 = 256;
     let mut cluster = Cluster::without_delays();
-    for version in 1..=REMEMBERED + 40 {
+    for version in 1..=KEPT_DIGESTS + 40 {
         let client = cluster.submit(leader(&cluster), text_of(version));
         cluster.run_for(60);
         assert_eq!(outcome(&cluster, client), Some(Outcome::Acknowledged), "version {version}");
     }
-    let newest = format!("text {}", REMEMBERED + 40);
-    // Further back than is remembered: acknowledged as any older version is, and without effect.
+    let newest = format!("text {}", KEPT_DIGESTS + 40);
+    // A forgotten version is acknowledged like any older version, without effect.
     assert_eq!(execute(&mut cluster, replace(1, "another")), Some(Outcome::Acknowledged));
     assert_eq!(read(&mut cluster).text, newest);
-    // Within the history the number is taken.
-    assert_eq!(execute(&mut cluster, replace(REMEMBERED, "another")), Some(Outcome::VersionTaken));
-    assert_eq!(execute(&mut cluster, text_of(REMEMBERED)), Some(Outcome::Acknowledged));
-    // The same by the next leader.
+    // A version within the kept history is taken.
+    assert_eq!(execute(&mut cluster, replace(KEPT_DIGESTS, "another")), Some(Outcome::VersionTaken));
+    assert_eq!(execute(&mut cluster, text_of(KEPT_DIGESTS)), Some(Outcome::Acknowledged));
+    // The next leader answers the same.
     let first = leader(&cluster);
     cluster.isolate(first);
     cluster.run_for(3_000);
-    assert_eq!(execute(&mut cluster, replace(REMEMBERED, "another")), Some(Outcome::VersionTaken));
+    assert_eq!(execute(&mut cluster, replace(KEPT_DIGESTS, "another")), Some(Outcome::VersionTaken));
     assert_eq!(execute(&mut cluster, replace(2, "another")), Some(Outcome::Acknowledged));
     assert_eq!(read(&mut cluster).text, newest);
 }
--- a/crates/store/tests/disk_failures.rs
+++ b/crates/store/tests/disk_failures.rs
@@ -1,4 +1,4 @@
-//! What a store's log says of a disk that refuses writes.
+//! The log lines of a store whose disk refuses writes.
 
 #![cfg(test)]
 
@@ -24,6 +24,7 @@
 #[derive(Default)]
 struct FullDisk {
     is_full: Cell<bool>,
+    /// Number of refused writes.
     refused: Cell<usize>,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// A machine with that disk, and without any peer.
+/// A machine with this disk and without peers.
 struct Machine(Rc<FullDisk>);
 
 impl Environment for Machine {
@@ -60,10 +61,11 @@
     }
 }
 
-/// The lines about disk writes, with the field `error`.
+/// Collects the log lines about disk writes, each with its field `error`.
 #[derive(Clone, Default)]
 struct DiskLines(Arc<Mutex<Vec<String>>>);
 
+/// Extracts the field `error` from a log record.
 struct ErrorField(String);
 
 impl Serializer for ErrorField {
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn disk_that_refuses_writes_is_logged_when_that_begins_and_when_it_ends() {
+fn disk_write_failures_are_logged_once_when_they_start_and_once_when_they_end() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let disk = Rc::new(FullDisk::default());
     disk.is_full.set(true);
@@ -111,7 +113,7 @@
         let (lifecycle, _sender) = Lifecycle::new(7);
         tokio::task::spawn_local(violetyoke_store::daemon::run(settings(), lifecycle, log));
         sleep(Duration::from_secs(3)).await;
-        assert!(disk.refused.get() > 10, "it is tried again all the time: {}", disk.refused.get());
+        assert!(disk.refused.get() > 10, "the write is retried: {} refused", disk.refused.get());
         assert_eq!(
             *lines.0.lock().expect("lines"),
             ["disk writes fail a slot can't be written: no storage space"]
--- a/crates/store/tests/fault_tolerance.rs
+++ b/crates/store/tests/fault_tolerance.rs
@@ -1,4 +1,5 @@
-//! Single faults of a leader: nothing acknowledged is lost, no read goes back, and another store takes over.
+//! Single faults of a leader: no acknowledged command is lost, no read returns an older state, and another store
+//! takes over.
 
 #![cfg(test)]
 
@@ -7,7 +8,7 @@
 use simulation::Cluster;
 use violetyoke_transport::messages::Command;
 
-/// Three stores with an acknowledged command.
+/// Three stores that have acknowledged a command.
 fn started(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 1);
     assert!(cluster.replace_until_acknowledged(1, 5_000), "no first acknowledgement by {} ms", cluster.now);
@@ -22,7 +23,7 @@
         assert!(cluster.replace_until_acknowledged(2, 10_000));
         let leader = cluster.leader().expect("a leader");
         cluster.wipe(leader);
-        // The others lose power with it, and come back with their disks.
+        // The others lose power at the same time, for half of the seeds, and keep their disks.
         for n in 0..3 {
             if n != leader && seed % 2 == 0 {
                 cluster.kill(n, true);
@@ -32,7 +33,7 @@
         cluster.restart_all();
         assert!(cluster.read_until_answered(8_000), "seed {seed}: no store answers");
         assert!(cluster.violations.is_empty(), "seed {seed}: {:?}", cluster.violations);
-        // The wiped store is a voter again, so that another may be lost now.
+        // Once the wiped store is a voter again, another store may be lost.
         cluster.run_for(6_000);
         let next_leader = cluster.leader().expect("a leader again");
         cluster.wipe(next_leader);
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn partitioned_leader_acknowledges_nothing_while_majority_goes_on() {
+fn partitioned_leader_acknowledges_nothing_while_the_majority_stays_available() {
     for seed in 0..40 {
         let mut cluster = started(seed);
         cluster.run_for(3_000);
@@ -60,7 +61,7 @@
             cluster.acknowledged_version, acknowledged,
             "seed {seed}: acknowledged by a partitioned leader"
         );
-        assert!(cluster.replace_until_acknowledged(7, 4_000), "seed {seed}: the majority doesn't go on");
+        assert!(cluster.replace_until_acknowledged(7, 4_000), "seed {seed}: the majority is unavailable");
         cluster.submit(leader, Command::Read);
         cluster.run_for(500);
         cluster.network.unblock_all();
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn simulation_finds_losses_by_skipped_syncs() {
+fn simulation_detects_losses_caused_by_skipped_syncs() {
     let mut found = 0;
     for seed in 0..10 {
         let mut cluster = started(seed);
@@ -117,5 +118,5 @@
         assert!(cluster.read_until_answered(8_000));
         found += usize::from(!cluster.violations.is_empty());
     }
-    assert_eq!(found, 10, "the negative control: each loss is found");
+    assert_eq!(found, 10, "negative control: the loss is detected in each run");
 }
--- a/crates/store/tests/golden/main.rs
+++ b/crates/store/tests/golden/main.rs
@@ -1,5 +1,5 @@
-//! A store's slot files, as the builds before wrote them: a store that is upgraded, or rolled back, begins with what it
-//! finds on its disk. The golden files are never edited.
+//! Slot files of earlier builds: an upgraded or rolled back store has to read the files that are on its disk. The
+//! golden files are never edited.
 
 #![cfg(test)]
 
@@ -26,7 +26,7 @@
     GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin").read(name, current)
 }
 
-/// An empty folder that is removed with this value.
+/// An empty folder that is removed when this value is dropped.
 struct DataDir(PathBuf);
 
 impl DataDir {
@@ -59,7 +59,7 @@
     }
 }
 
-/// A state with a value in each field.
+/// A state with a non-default value in each field.
 fn full_state(version: u64) -> DurableState {
     let text = format!("{{\"version\": {version}, \"note\": \"größe\"}}");
     let mut accepted = AcceptedVersions::default();
@@ -84,7 +84,7 @@
 const FIRST_VERSION: u64 = 300;
 const SECOND_VERSION: u64 = 301;
 
-/// Both slots after two writes.
+/// The bytes of both slots after two writes.
 fn written_slots(test: &str) -> (Vec<u8>, Vec<u8>) {
     let folder = DataDir::new(test);
     let (mut slots, found) = SlotStorage::open(&folder.0).expect("an empty folder");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn states_are_written_with_the_bytes_of_earlier_builds() {
+fn states_are_written_in_the_format_of_earlier_builds() {
     let (first, second) = written_slots("written");
 
     assert!(first.starts_with(b"barogr01"));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_state_of_an_earlier_build_is_followed_by_the_next_one() {
+fn next_write_keeps_the_newest_slot_of_an_earlier_build() {
     let folder = DataDir::new("next");
     folder.write("state-0", &golden("state-0", || written_slots("next-first").0));
     folder.write("state-1", &golden("state-1", || written_slots("next-second").1));
@@ -131,7 +131,7 @@
     assert_eq!(second, SlotContents::State { write_number: 2, state: Box::new(full_state(SECOND_VERSION)) });
 }
 
-/// What builds before the history of accepted versions kept.
+/// The durable state of builds that did not record accepted versions.
 #[derive(Serialize)]
 struct OlderDurable {
     id: StoreId,
@@ -141,7 +141,7 @@
     state: OlderControlState,
 }
 
-/// A slot's bytes as such a build wrote them.
+/// The bytes of a slot as such a build wrote them.
 fn older_slot(number: u64, state: &DurableState) -> Vec<u8> {
     let DurableState { id, is_bootstrapping, promised, config, state } = state.clone();
     let state = OlderControlState::of(&state);
--- a/crates/store/tests/linearizability.rs
+++ b/crates/store/tests/linearizability.rs
@@ -1,4 +1,4 @@
-//! The check of histories against a single register: what it accepts, and what it must not accept.
+//! Tests of the linearizability checker: histories that it must accept and histories that it must reject.
 
 #![cfg(test)]
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn concurrent_read_may_return_either_and_later_reads_never_go_back() {
+fn concurrent_read_may_return_either_state_and_later_reads_never_an_older_one() {
     let before = [
         answered(replace(1, "a"), 1, 2, Answer::Acknowledged),
         answered(replace(2, "b"), 3, 10, Answer::Acknowledged),
@@ -60,13 +60,13 @@
         answered(Command::Read, 6, 7, state(2, "b", &[])),
     ];
     assert_eq!(check(&before), Ok(()));
-    let mut back = before.to_vec();
-    back.push(answered(Command::Read, 8, 9, state(1, "a", &[])));
-    assert_eq!(check(&back).expect_err("it goes back").operation, 4);
+    let mut with_older_read = before.to_vec();
+    with_older_read.push(answered(Command::Read, 8, 9, state(1, "a", &[])));
+    assert_eq!(check(&with_older_read).expect_err("the last read returns an older state").operation, 4);
 }
 
 #[test]
-fn unanswered_command_may_take_effect_late_or_never_but_once() {
+fn unanswered_command_takes_effect_at_most_once_possibly_late() {
     let never = [unanswered(replace(1, "a"), 1), answered(Command::Read, 2, 3, state(0, "", &[]))];
     assert_eq!(check(&never), Ok(()));
     let late = [
@@ -78,7 +78,7 @@
     assert_eq!(check(&late), Ok(()));
     let mut twice = late.to_vec();
     twice.push(answered(Command::Read, 8, 9, state(0, "", &["a"])));
-    assert_eq!(check(&twice).expect_err("it took effect twice").operation, 4);
+    assert_eq!(check(&twice).expect_err("the evacuation took effect twice").operation, 4);
 }
 
 #[test]
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn rejection_needs_another_text_under_the_version_and_no_acknowledgement() {
+fn rejection_requires_another_accepted_text_under_the_version() {
     let mut history = vec![
         answered(replace(2, "b"), 1, 2, Answer::Acknowledged),
         answered(replace(2, "another"), 3, 4, Answer::Rejected),
--- a/crates/store/tests/operation_log.rs
+++ b/crates/store/tests/operation_log.rs
@@ -1,4 +1,4 @@
-//! The log of operations in a real folder.
+//! The operation log in a folder of the file system.
 
 #![cfg(test)]
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// A folder that is removed with this value.
+/// A folder that is removed when this value is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -38,9 +38,9 @@
     OperationLog::open(folder, 1 << 20).expect("opened")
 }
 
-/// Guards against records that a restart loses or puts out of order, and against foreign files that are taken for segments.
+/// Guards against records that are lost or reordered by a restart, and against other files being read as segments.
 #[test]
-fn records_are_found_again_in_order_after_restarts() {
+fn records_are_recovered_in_order_after_restarts() {
     let folder = Folder::new("restarts");
     for start in 0..12 {
         let (mut log, found) = open(&folder.0);
@@ -56,9 +56,9 @@
     );
 }
 
-/// Guards against a build that can't read what an earlier one wrote.
+/// Guards against a change of the format that makes entries of earlier builds unreadable.
 #[test]
-fn format_of_an_entry_stays() {
+fn format_of_an_entry_is_unchanged() {
     let entry = encode_entry(&[record(5)]).expect("encoded");
     assert_eq!(&entry[..16], b"operat01\x19\0\0\0\0\0\0\0");
     assert_eq!(&entry[16..24], b"\x21\xc6\xa3\xa3\x5d\x0d\xa2\xe1");
--- a/crates/store/tests/operation_log_writer.rs
+++ b/crates/store/tests/operation_log_writer.rs
@@ -1,4 +1,4 @@
-//! A store with its log of operations, through claims that wait for the disk.
+//! The operation log of a running store, tested with claims that wait for the disk.
 
 #![cfg(test)]
 
@@ -25,10 +25,11 @@
 };
 
 const CLIENT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
-/// Longer than a store alone takes to lead, and than the pauses between attempts.
-const A_WHILE: Duration = Duration::from_secs(3);
+/// Longer than a single store takes to become leader, and than the pauses between write attempts.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// A machine whose log refuses entries while it is full. Its disk forgets the durable state, which no test needs.
+/// A machine whose operation log refuses entries while it is full. Its disk drops the durable state, which no test
+/// needs.
 #[derive(Default)]
 struct Machine {
     entries: RefCell<Vec<Vec<u8>>>,
@@ -37,7 +38,7 @@
     listener: RefCell<Option<UnboundedSender<(DuplexStream, SocketAddr)>>>,
 }
 
-/// What the process in this machine sees of it.
+/// The environment of the process on this machine.
 struct View(Rc<Machine>);
 
 impl Environment for View {
@@ -99,7 +100,7 @@
     Settings::parse(text).expect("settings")
 }
 
-/// A connection to the store, as a registry has it.
+/// A connection to the store like that of a registry.
 struct Client {
     sender: Sender,
     replies: UnboundedReceiver<OperationReply>,
@@ -133,13 +134,13 @@
         self.sender.send(encode(&StoreRequest::Operation { request_id: 1, request }));
     }
 
-    /// The next reply; `None` where there is none for a while.
+    /// The next reply; `None` if there is none within `SETTLING_TIME`.
     async fn reply(&mut self) -> Option<OperationReply> {
-        timeout(A_WHILE, self.replies.recv()).await.ok().flatten()
+        timeout(SETTLING_TIME, self.replies.recv()).await.ok().flatten()
     }
 }
 
-/// Runs a store on a machine for as long as a client needs it.
+/// Runs a store on a machine until the client has finished.
 fn with_store<F: Future<Output = ()>>(machine: &Rc<Machine>, client: impl FnOnce(Client) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     install(Some(Rc::new(View(machine.clone()))));
@@ -147,36 +148,36 @@
         let (lifecycle, _sender) = Lifecycle::new(7);
         let log = slog::Logger::root(slog::Discard, slog::o!());
         spawn_local(violetyoke_store::daemon::run(settings(), lifecycle, log));
-        sleep(A_WHILE).await;
+        sleep(SETTLING_TIME).await;
         client(Client::connect().await).await;
     });
     install(None);
 }
 
-/// Names the region of this store, which alone may keep the response.
+/// A grant with the region of this store, the only one that may keep the response.
 fn granted() -> OperationReply {
     OperationReply::Granted { store_regions: vec!["west".to_owned()] }
 }
 
-/// Guards against a claim that is granted before it is on the disk, and against one that is lost because the disk was full.
+/// Guards against a claim that is granted before it is on disk, and against one that is lost because the disk was full.
 #[test]
-fn claim_is_granted_once_a_full_log_has_taken_it() {
+fn claim_is_granted_only_after_a_full_log_accepts_it() {
     let machine = &Rc::new(Machine::default());
     with_store(machine, |mut client| async move {
         machine.is_full.set(true);
         client.claim("order", 1);
         assert!(!matches!(client.reply().await, Some(OperationReply::Granted { .. })));
-        assert!(machine.refused.get() > 10, "it is tried again all the time: {}", machine.refused.get());
+        assert!(machine.refused.get() > 10, "the append is retried: {} refused", machine.refused.get());
         machine.is_full.set(false);
-        sleep(A_WHILE).await;
+        sleep(SETTLING_TIME).await;
         client.claim("order", 1);
         assert_eq!(client.reply().await, Some(granted()));
     });
 }
 
-/// Guards against a store that has forgotten after a restart what it granted.
+/// Guards against a store that forgets granted claims in a restart.
 #[test]
-fn claim_stands_after_a_restart() {
+fn granted_claim_survives_a_restart() {
     let machine = &Rc::new(Machine::default());
     with_store(machine, |mut client| async move {
         client.claim("order", 1);
--- a/crates/store/tests/operations/faults.rs
+++ b/crates/store/tests/operations/faults.rs
@@ -31,7 +31,7 @@
     disk_losses: DiskLosses,
     restarts: Vec<Restart>,
     partition_ends_at: Millis,
-    deaf_until: Millis,
+    leader_messages_resume_at: Millis,
     run: Run,
     last_epoch: Epoch,
     last_voters: Vec<u64>,
@@ -55,7 +55,7 @@
         disk_losses: DiskLosses::new(STORES + SPARES),
         restarts: Vec::new(),
         partition_ends_at: 0,
-        deaf_until: 0,
+        leader_messages_resume_at: 0,
         run: Run::default(),
         last_epoch: Epoch::default(),
         last_voters: Vec::new(),
@@ -88,7 +88,7 @@
     /// Ends all faults; whether a new claim is granted within the time that a lost machine may take.
     fn recovers(&mut self) -> bool {
         self.cluster.restart_all();
-        self.cluster.network.deaf = None;
+        self.cluster.network.without_leader_messages = None;
         self.cluster.network.unblock_all();
         self.cluster.run_for(MAX_FAULT);
         self.cluster.claim_until_granted("after all faults", CATCH_UP)
@@ -142,9 +142,9 @@
             }
             8 | 9 if self.partition_ends_at <= self.cluster.now => self.partition(span),
             10 => self.lose_all_power(span),
-            11 if may_be_lost && self.deaf_until <= self.cluster.now => {
-                self.cluster.network.deaf = Some(n);
-                self.deaf_until = self.cluster.now + span;
+            11 if may_be_lost && self.leader_messages_resume_at <= self.cluster.now => {
+                self.cluster.network.without_leader_messages = Some(n);
+                self.leader_messages_resume_at = self.cluster.now + span;
                 self.lose(n, span);
             }
             _ => return,
@@ -209,8 +209,8 @@
             }
             restart.at > now
         });
-        if self.deaf_until <= now {
-            cluster.network.deaf = None;
+        if self.leader_messages_resume_at <= now {
+            cluster.network.without_leader_messages = None;
         }
         if self.partition_ends_at <= now {
             cluster.network.unblock_all();
--- a/crates/store/tests/random_faults.rs
+++ b/crates/store/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Minutes of random faults: nothing acknowledged is lost, and a store answers at the end.
+//! Random faults over minutes of virtual time: no acknowledged command is lost, and a store answers at the end.
 
 #![cfg(test)]
 
@@ -7,23 +7,23 @@
 use simulation::{Cluster, Millis};
 use violetyoke_transport::messages::Command;
 
-/// A machine counts as lost for this long after its fault has ended: it has to catch up.
+/// A machine counts as lost for this long after its fault has ended, because it has to catch up.
 const CATCH_UP: Millis = 4_000;
-/// When the last fault begins.
+/// Faults start before this time.
 const FAULTS_END: Millis = 60_000;
 
-/// A machine that is to be started again.
+/// A scheduled restart of a machine.
 struct Restart {
     at: Millis,
     machine: usize,
 }
 
-/// Faults drawn by the seed, with no more machines lost at once than are tolerated.
+/// Random faults that never make more machines unavailable at once than the cluster tolerates.
 struct RandomFaults {
     cluster: Cluster,
     fault_tolerance: usize,
     version: u64,
-    /// Until when each machine counts as lost.
+    /// For each machine, the time until which it counts as lost.
     lost_until: Vec<Millis>,
     restarts: Vec<Restart>,
     partition_ends_at: Millis,
@@ -53,7 +53,7 @@
         cluster
     }
 
-    /// One fault or command, and some time after it.
+    /// Injects one fault or sends one command, then runs the cluster for some time.
     fn step(&mut self) {
         self.end_faults();
         let n = self.cluster.random.below(self.lost_until.len() as u64) as usize;
@@ -120,7 +120,7 @@
         self.restarts.push(Restart { at: self.cluster.now + span, machine: n });
     }
 
-    /// Nothing that a machine sends arrives; every other time it receives nothing either.
+    /// Blocks all messages from a machine, and for half of the spans also those to it.
     fn partition(&mut self, n: usize, span: Millis) {
         self.cluster.block_outbound(n);
         if span.is_multiple_of(2) {
@@ -130,15 +130,15 @@
         self.lose(n, span);
     }
 
-    /// All processes at once; their disks stay. All count as lost until they are back and have caught up, so that the
-    /// next loss waits; it comes seldom enough that others find their time.
+    /// Kills all processes at once; the disks survive. All machines count as lost until they are back and have caught
+    /// up, so that the next loss waits for them. This fault is rare, so that others have time to occur as well.
     fn kill_all(&mut self, span: Millis) {
-        let down = 200 + span / 4;
+        let downtime = 200 + span / 4;
         for n in 0..self.lost_until.len() {
             self.cluster.kill(n, span.is_multiple_of(2));
-            self.restart_after(n, down);
-            let until = self.cluster.now + down + CATCH_UP;
-            self.lost_until[n] = self.lost_until[n].max(until);
+            self.restart_after(n, downtime);
+            let caught_up_at = self.cluster.now + downtime + CATCH_UP;
+            self.lost_until[n] = self.lost_until[n].max(caught_up_at);
         }
     }
 }
@@ -146,14 +146,15 @@
 #[test]
 fn random_faults_lose_no_acknowledged_command_with_three_machines() {
     let (mut acknowledged, mut read) = (0, 0);
-    // A kill of all comes a sixth as often as in 150 runs in which it counted as no loss: as many fall into these.
+    // Killing all machines is a sixth as frequent as when it didn't count as a loss and 150 runs were enough, so six
+    // times as many runs contain the same number of these faults.
     for seed in 0..900 {
         let cluster = RandomFaults::run(seed, 3, 1);
         assert!(cluster.violations.is_empty(), "seed {seed}: {:?}", cluster.violations);
         acknowledged += cluster.acknowledged_count;
         read += cluster.read_count;
     }
-    // The faults left room for something to be lost.
+    // Enough commands succeeded between the faults for a loss to be noticed.
     assert!(acknowledged > 60_000 && read > 18_000, "{acknowledged} acknowledged, {read} read");
 }
 
--- a/crates/store/tests/reconfiguration.rs
+++ b/crates/store/tests/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Reconfiguration: learners take the places of voters that are silent, leave or have lost their disks, early enough for
-//! a second loss; a store that returns or leaves does no harm.
+//! Reconfiguration: learners replace voters that are silent, shut down or have lost their disks, soon enough to
+//! tolerate a second loss. A store that returns or shuts down neither loses commands nor interrupts the service.
 
 #![cfg(test)]
 
@@ -9,10 +9,10 @@
 use violetyoke_store::consensus::{Effect, Event};
 use violetyoke_transport::messages::{PeerMessage, ReplicaConfig};
 
-/// The fourth machine, at an address that nobody knows before it starts.
+/// The fourth machine, whose address the other stores don't know before it starts.
 const NEWCOMER: usize = 3;
 
-/// Three stores that lead and follow, and a fourth machine that has not started yet.
+/// Three stores with an elected leader, and a fourth machine that has not started yet.
 fn started(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(seed, 4, 1);
     cluster.wipe(NEWCOMER);
@@ -23,9 +23,9 @@
 
 /// The replica set that a store reports in its heartbeats.
 fn config_of(cluster: &Cluster, n: usize) -> ReplicaConfig {
-    let mut copy = cluster.machines[n].replica.clone().expect("it runs");
-    copy.request_heartbeat();
-    let effects = copy.handle(cluster.now, Event::Tick { disk_healthy: true });
+    let mut replica = cluster.machines[n].replica.clone().expect("it runs");
+    replica.request_heartbeat();
+    let effects = replica.handle(cluster.now, Event::Tick { disk_healthy: true });
     let heartbeat = effects.into_iter().find_map(|effect| match effect {
         Effect::Send { message: PeerMessage::Heartbeat(heartbeat), .. } => Some(heartbeat),
         _ => None,
@@ -41,19 +41,19 @@
 fn begin_shutdown(cluster: &mut Cluster, n: usize) {
     let now = cluster.now;
     let replica = cluster.machines[n].replica.as_mut().expect("it runs");
-    // Its announcement is lost: the next heartbeat repeats it.
+    // The announcement is dropped here; the next heartbeat repeats it.
     drop(replica.handle(now, Event::Shutdown));
 }
 
-/// Waits until a store may end, and ends it; how long it took.
+/// Waits until a store may exit and kills it. Returns how long that took.
 fn complete_shutdown(cluster: &mut Cluster, n: usize) -> Millis {
-    let begins_at = cluster.now;
+    let started_at = cluster.now;
     while !cluster.machines[n].replica.as_ref().expect("it runs").is_handover_complete() {
         cluster.run_for(10);
-        assert!(cluster.now < begins_at + 4_500, "store {n} can't shut down");
+        assert!(cluster.now < started_at + 4_500, "store {n} doesn't complete its shutdown");
     }
     cluster.kill(n, false);
-    cluster.now - begins_at
+    cluster.now - started_at
 }
 
 #[test]
@@ -61,7 +61,7 @@
     for seed in 0..30 {
         for replaced in 0..3 {
             for lost in (0..4).filter(|n| *n != replaced) {
-                let run = format!("seed {seed}: {replaced} replaced, then {lost} lost");
+                let context = format!("seed {seed}: {replaced} replaced, then {lost} lost");
                 let mut cluster = started(seed);
                 cluster.wipe(replaced);
                 cluster.run_for(500);
@@ -69,30 +69,36 @@
                 cluster.run_for(2_500);
                 assert!(
                     is_voter(&cluster, NEWCOMER) && !is_voter(&cluster, replaced),
-                    "{run}: no place was handed over"
+                    "{context}: {replaced} is still a voter"
+                );
+                assert!(
+                    cluster.replace_until_acknowledged(2, 1_000),
+                    "{context}: no acknowledgement before the loss"
                 );
-                assert!(cluster.replace_until_acknowledged(2, 1_000), "{run}: not acknowledged before");
                 match seed % 2 {
                     0 => cluster.wipe(lost),
                     _ => cluster.kill(lost, true),
                 }
-                assert!(cluster.replace_until_acknowledged(3, 2_000), "{run}: not acknowledged after");
-                assert!(cluster.read_until_answered(1_000), "{run}: not read");
-                assert!(cluster.violations.is_empty(), "{run}: {:?}", cluster.violations);
+                assert!(
+                    cluster.replace_until_acknowledged(3, 2_000),
+                    "{context}: no acknowledgement after the loss"
+                );
+                assert!(cluster.read_until_answered(1_000), "{context}: no read after the loss");
+                assert!(cluster.violations.is_empty(), "{context}: {:?}", cluster.violations);
             }
         }
     }
 }
 
 #[test]
-fn reconfiguration_completes_when_leader_dies_during_it() {
+fn reconfiguration_completes_when_its_leader_is_killed() {
     for seed in 0..100 {
         let mut cluster = started(seed);
         let lost = (seed % 3) as usize;
         cluster.wipe(lost);
         cluster.run_for(500);
         cluster.restart(NEWCOMER);
-        // Somewhere in the changes of data replicas and voters, or shortly before or after them.
+        // Before, during or after the changes of data replicas and voters, depending on the seed.
         let moment = cluster.now + 200 + 13 * seed;
         cluster.run_until(moment);
         let Some(leader) = cluster.leader() else { continue };
@@ -120,17 +126,17 @@
         let leader = cluster.leader().expect("a leader");
         let before = config_of(&cluster, leader);
         assert!(!is_voter(&cluster, partitioned), "seed {seed}");
-        // Backups are heard before the leader.
+        // The partitioned store is connected to the backups before it is connected to the leader.
         cluster.network.unblock_others(leader);
         cluster.run_for(600);
         cluster.network.unblock_all();
         cluster.run_for(1_500);
         assert_eq!(cluster.leader(), Some(leader), "seed {seed}");
-        assert_eq!(config_of(&cluster, leader), before, "seed {seed}: the epoch is another");
+        assert_eq!(config_of(&cluster, leader), before, "seed {seed}: the configuration changed");
         assert_eq!(
             config_of(&cluster, partitioned),
             before,
-            "seed {seed}: it doesn't know the configuration"
+            "seed {seed}: store {partitioned} has another configuration"
         );
         assert!(cluster.read_until_answered(1_000), "seed {seed}");
         assert!(cluster.violations.is_empty(), "seed {seed}: {:?}", cluster.violations);
@@ -138,7 +144,7 @@
 }
 
 #[test]
-fn voter_that_missed_a_reconfiguration_learns_that_it_is_installed() {
+fn voter_that_missed_a_reconfiguration_catches_up_with_it() {
     for seed in 0..40 {
         let mut cluster = started(seed);
         let leader = cluster.leader().expect("a leader");
@@ -148,7 +154,7 @@
         cluster.restart(NEWCOMER);
         let moment = cluster.now + 1_300 + 5 * seed;
         cluster.run_until(moment);
-        // What the leader sends to the third voter is lost from somewhere in the change on.
+        // From some moment of the reconfiguration on, messages from the leader to the third voter are lost.
         cluster.network.block(leader, witness);
         cluster.run_for(300);
         cluster.network.unblock_all();
@@ -169,16 +175,16 @@
         for leaving in 0..3 {
             let mut cluster = started(seed);
             assert!(cluster.replace_until_acknowledged(2, 1_000));
-            // The newcomer of a planned replacement starts first; it is a learner, caught up or not.
+            // In a planned replacement the newcomer starts first; it is a learner that may not have caught up yet.
             cluster.restart(NEWCOMER);
             cluster.run_for(100 + 100 * (seed % 10));
             begin_shutdown(&mut cluster, leaving);
             longest = longest.max(complete_shutdown(&mut cluster, leaving));
             assert!(
                 is_voter(&cluster, NEWCOMER) && !is_voter(&cluster, leaving),
-                "seed {seed}: {leaving} shuts down"
+                "seed {seed}: {leaving} was not replaced by the newcomer"
             );
-            // Another is lost right after it.
+            // Another store is lost right after the shutdown.
             let lost = (leaving + 1 + (seed % 2) as usize) % 3;
             cluster.wipe(lost);
             assert!(cluster.replace_until_acknowledged(3, 2_000), "seed {seed}: {leaving} left, {lost} lost");
--- a/crates/store/tests/recovery.rs
+++ b/crates/store/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! A store comes back after hundreds of changes, restarted, wiped or thawed: it leads with the newest acknowledged state
-//! or not at all, and has caught up in time to be one of the last two that have it.
+//! A store returns after hundreds of changes, after a restart, a wipe or a freeze. If it leads, it has the newest
+//! acknowledged state, and it catches up soon enough for another store to be lost.
 
 #![cfg(test)]
 
@@ -7,7 +7,7 @@
 
 use simulation::{Cluster, Millis};
 
-/// Time in which a store that is back has to count again: the least `catch-up-s` of all sites.
+/// Time in which a returned store has to catch up: the smallest `catch-up-s` of all sites.
 const CATCH_UP: Millis = 4_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,43 +20,44 @@
 
 const FAULTS: [Fault; 4] = [Fault::Restart, Fault::PowerLoss, Fault::Wipe, Fault::Freeze];
 
-/// The leader of the newest epoch that a running process knows has what was acknowledged.
-fn check_leader(cluster: &Cluster, run: &str) {
+/// Asserts that the leader of the newest epoch known to a running process has the newest acknowledged version.
+fn check_leader(cluster: &Cluster, context: &str) {
     let running = cluster.machines.iter().filter(|machine| machine.frozen_until <= cluster.now);
     let replicas: Vec<_> = running.filter_map(|machine| machine.replica.as_ref()).collect();
     let newest = replicas.iter().map(|replica| replica.epoch()).max().unwrap_or_default();
     let leaders = replicas.iter().filter(|replica| replica.is_leader() && replica.epoch() == newest);
     for state in leaders.filter_map(|replica| replica.committed_state()) {
-        let (has, acknowledged) = (state.version, cluster.acknowledged_version);
-        assert!(has >= acknowledged, "{run}: leads with {has} of {acknowledged}");
+        let (committed, acknowledged) = (state.version, cluster.acknowledged_version);
+        assert!(committed >= acknowledged, "{context}: the leader has version {committed} of {acknowledged}");
     }
 }
 
-fn changes(cluster: &mut Cluster, from: u64, count: u64, run: &str) {
-    for version in from..from + count {
+/// Replaces the configuration `count` times, starting with `first_version`.
+fn replace_repeatedly(cluster: &mut Cluster, first_version: u64, count: u64, context: &str) {
+    for version in first_version..first_version + count {
         assert!(
             cluster.replace_until_acknowledged(version, 6_000),
-            "{run}: no acknowledgement of {version} by {} ms",
+            "{context}: no acknowledgement of {version} by {} ms",
             cluster.now
         );
-        check_leader(cluster, run);
+        check_leader(cluster, context);
     }
 }
 
-/// Some hundred changes, with a fault of one store during most of them.
-fn hundreds_of_changes(cluster: &mut Cluster, store: usize, fault: Fault, run: &str) {
-    changes(cluster, 2, 20, run);
+/// Replaces the configuration 270 times, 250 of them during a fault of one store.
+fn replace_during_fault(cluster: &mut Cluster, store: usize, fault: Fault, context: &str) {
+    replace_repeatedly(cluster, 2, 20, context);
     match fault {
         Fault::Restart => cluster.kill(store, false),
         Fault::PowerLoss => cluster.kill(store, true),
         Fault::Wipe => cluster.wipe(store),
         Fault::Freeze => cluster.freeze(store, 40_000),
     }
-    changes(cluster, 22, 250, run);
+    replace_repeatedly(cluster, 22, 250, context);
     match fault {
         Fault::Freeze => {
-            let thawed = cluster.machines[store].frozen_until.max(cluster.now) + 1;
-            cluster.run_until(thawed);
+            let thawed_at = cluster.machines[store].frozen_until.max(cluster.now) + 1;
+            cluster.run_until(thawed_at);
         }
         _ => cluster.restart(store),
     }
@@ -67,19 +68,19 @@
     for (seed, fault) in (0..24).zip(FAULTS.into_iter().cycle()) {
         let mut cluster = Cluster::new(seed, 3, 1);
         let store = (seed / 4) as usize % 3;
-        let run = format!("seed {seed}, store {store}, {fault:?}");
-        assert!(cluster.replace_until_acknowledged(1, 5_000), "{run}: no start");
+        let context = format!("seed {seed}, store {store}, {fault:?}");
+        assert!(cluster.replace_until_acknowledged(1, 5_000), "{context}: no start");
         cluster.run_for(2_500);
-        hundreds_of_changes(&mut cluster, store, fault, &run);
-        // More changes while it catches up.
-        changes(&mut cluster, 272, 10, &run);
+        replace_during_fault(&mut cluster, store, fault, &context);
+        // More changes while the store catches up.
+        replace_repeatedly(&mut cluster, 272, 10, &context);
         cluster.run_for(CATCH_UP);
         let lost = (0..3).filter(|n| *n != store).nth(seed as usize % 2).expect("two others");
         cluster.wipe(lost);
-        assert!(cluster.read_until_answered(8_000), "{run}: no store answers without {lost}");
-        check_leader(&cluster, &run);
-        changes(&mut cluster, 300, 5, &run);
-        assert!(cluster.violations.is_empty(), "{run}: {:?}", cluster.violations);
+        assert!(cluster.read_until_answered(8_000), "{context}: no store answers without {lost}");
+        check_leader(&cluster, &context);
+        replace_repeatedly(&mut cluster, 300, 5, &context);
+        assert!(cluster.violations.is_empty(), "{context}: {:?}", cluster.violations);
     }
 }
 
@@ -88,22 +89,22 @@
     for (seed, fault) in (100..124).zip(FAULTS.into_iter().cycle()) {
         let mut cluster = Cluster::new(seed, 3, 1);
         let store = (seed / 4) as usize % 3;
-        let run = format!("seed {seed}, store {store}, {fault:?}");
-        assert!(cluster.replace_until_acknowledged(1, 5_000), "{run}: no start");
+        let context = format!("seed {seed}, store {store}, {fault:?}");
+        assert!(cluster.replace_until_acknowledged(1, 5_000), "{context}: no start");
         cluster.run_for(2_500);
-        hundreds_of_changes(&mut cluster, store, fault, &run);
+        replace_during_fault(&mut cluster, store, fault, &context);
         let acknowledged = cluster.acknowledged_version;
-        // All lose power at the moment in which it is back: before, within and after its first exchange.
+        // All processes die before, during or after the first messages of the returned store, depending on the seed.
         cluster.run_for(seed * 13 % 900);
         (0..3).for_each(|n| cluster.kill(n, seed % 2 == 0));
-        // It comes first, and alone it has no majority.
+        // The store starts first and has no majority by itself.
         cluster.restart(store);
         cluster.run_for(1_500);
-        assert_eq!(cluster.leader(), None, "{run}: one of three stores leads");
+        assert_eq!(cluster.leader(), None, "{context}: one of three stores leads");
         cluster.restart_all();
-        assert!(cluster.read_until_answered(10_000), "{run}: no store answers");
-        check_leader(&cluster, &run);
-        assert!(cluster.acknowledged_version >= acknowledged, "{run}");
-        assert!(cluster.violations.is_empty(), "{run}: {:?}", cluster.violations);
+        assert!(cluster.read_until_answered(10_000), "{context}: no store answers");
+        check_leader(&cluster, &context);
+        assert!(cluster.acknowledged_version >= acknowledged, "{context}");
+        assert!(cluster.violations.is_empty(), "{context}: {:?}", cluster.violations);
     }
 }
--- a/crates/store/tests/safety_checks.rs
+++ b/crates/store/tests/safety_checks.rs
@@ -1,4 +1,4 @@
-//! What each safety check of reconfiguration is for: the same runs with and without it.
+//! The same runs with and without each safety check of reconfiguration, to show what the check prevents.
 
 #![cfg(test)]
 
@@ -17,8 +17,9 @@
     }
 }
 
-/// A voter is partitioned until a learner has its place, and returns where it doesn't hear the leader. After the next
-/// acknowledged command one disk is lost while all others lose power. Returns the violations that clients saw.
+/// A voter is partitioned until a learner has replaced it, and returns without a connection to the leader. After the
+/// next acknowledged command one disk is lost while all other machines lose power. Returns the violations that
+/// clients saw.
 fn returned_then_wiped(seed: u64, checks: SafetyChecks) -> Vec<String> {
     let mut cluster = Cluster::new(seed, 4, 1);
     assert!(cluster.replace_until_acknowledged(1, 5_000), "seed {seed}");
@@ -35,14 +36,14 @@
     cluster.network.unblock_all();
     let until = cluster.now + 5_000;
     while cluster.now < until && cluster.acknowledged_version < 2 {
-        // The command goes to the leader alone.
+        // The command goes only to the leader.
         if let Some(leader) = cluster.leader() {
             cluster.submit_replace(leader, 2);
         }
         cluster.run_for(50);
     }
     assert_eq!(cluster.acknowledged_version, 2, "seed {seed}");
-    // A disk other than that of the returned store.
+    // Not the disk of the returned store.
     let wiped = (returned + 1 + (seed / 3 % 3) as usize) % 4;
     cluster.wipe(wiped);
     (0..4).for_each(|n| cluster.kill(n, true));
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn without_check_that_data_replicas_vote_acknowledged_command_is_lost() {
+fn without_check_that_data_replicas_are_voters_an_acknowledged_command_is_lost() {
     let without = SafetyChecks { data_replicas_vote: false, ..SafetyChecks::default() };
     let mut found = 0;
     for seed in 0..90 {
@@ -69,10 +70,10 @@
     assert!(found > 0);
 }
 
-/// Joint majorities and the data replicas keep what is acknowledged, whatever a new voter has: that learners catch up
-/// first is for availability alone.
+/// Joint majorities and the data replicas preserve acknowledged commands whatever state a new voter has. The check that
+/// learners catch up first only serves availability.
 #[test]
-fn without_check_that_learners_catch_up_nothing_acknowledged_is_lost() {
+fn without_check_that_learners_catch_up_no_acknowledged_command_is_lost() {
     let without = SafetyChecks { learners_catch_up: false, ..SafetyChecks::default() };
     for seed in 0..60 {
         let mut cluster = Cluster::new(seed, 4, 1);
--- a/crates/store/tests/simulation/claims.rs
+++ b/crates/store/tests/simulation/claims.rs
@@ -4,18 +4,18 @@
 use violetyoke_store::consensus::ClientId;
 use violetyoke_transport::messages::{ClaimHolder, OperationKey, OperationReply, OperationRequest};
 
-/// A claim without a grant is sent again after this time.
+/// Interval between repeated claims.
 const RETRY_INTERVAL: Millis = 100;
-/// The holder's time that each claim states.
+/// Holder time-out stated in each claim, in ms.
 const HOLDER_TIMEOUT: u32 = 2_000;
 
 impl Cluster {
-    /// Claims an operation at all stores, again and again, until one grants it; whether one did in time.
+    /// Sends a claim to all stores repeatedly until one grants it. Returns whether that happened within the time-out.
     #[must_use]
-    pub fn claim_until_granted(&mut self, key: &str, within: Millis) -> bool {
-        let until = self.now + within;
+    pub fn claim_until_granted(&mut self, key: &str, timeout: Millis) -> bool {
+        let deadline = self.now + timeout;
         let mut sent: Vec<ClientId> = Vec::new();
-        while self.now < until {
+        while self.now < deadline {
             for n in 0..self.machines.len() {
                 sent.push(self.request(n, claim(key)));
             }
--- a/crates/store/tests/simulation/clients.rs
+++ b/crates/store/tests/simulation/clients.rs
@@ -1,30 +1,30 @@
-//! Commands of clients and their replies, and what must hold of them.
+//! Commands of clients, their replies, and the checks on replies and on states that stores show.
 
 use super::{Cluster, Millis};
 use violetyoke_store::consensus::{ClientId, Event};
 use violetyoke_transport::messages::{Command, ControlState, Outcome};
 
-/// A command without a reply.
+/// A command that has no reply yet.
 #[derive(Clone, Debug)]
 pub struct OpenCommand {
     command: Command,
-    /// The newest version that had been acknowledged when it was sent.
+    /// The newest acknowledged version at the time of sending.
     acknowledged_before: u64,
     sent_at: Millis,
 }
 
-/// A reply as its client got it.
+/// A reply as received by the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     pub outcome: Outcome,
     pub received_at: Millis,
 }
 
-/// A command that waits longer than this waits for an epoch, or its store is down.
-const IN_FLIGHT: Millis = 300;
+/// An older command without a reply doesn't count as in flight: its leader waits for a new epoch, or its store is down.
+const MAX_IN_FLIGHT_AGE: Millis = 300;
 
 impl Cluster {
-    /// A new client sends a command to a store.
+    /// Sends a command to a store as a new client, whose id is returned.
     pub fn submit(&mut self, n: usize, command: Command) -> ClientId {
         let client = self.next_client();
         if let Command::Replace { version, text } = &command {
@@ -49,33 +49,35 @@
         self.last_client
     }
 
-    /// What a client got, if it got a reply.
+    /// The reply that a client has received, if any.
     pub fn reply_to(&self, client: ClientId) -> Option<&Reply> {
         self.replies.get(&client)
     }
 
-    /// A change was sent a short while ago and has no reply.
+    /// Whether a command other than a read was sent within the last `MAX_IN_FLIGHT_AGE` and has no reply.
     pub fn has_command_in_flight(&self) -> bool {
-        let is_in_flight =
-            |open: &OpenCommand| self.now <= open.sent_at + IN_FLIGHT && open.command != Command::Read;
+        let is_in_flight = |open: &OpenCommand| {
+            self.now <= open.sent_at + MAX_IN_FLIGHT_AGE && open.command != Command::Read
+        };
         self.open_commands.values().rev().take(20).any(is_in_flight)
     }
 
-    /// The newest replica set has other voters than the one before it, and is not known to be installed.
+    /// Whether the newest replica set changes the voters and is not yet known to be installed.
     pub fn is_reconfiguring(&self) -> bool {
         !self.newest_config.previous_voters.is_empty()
     }
 
-    /// A state that anybody sees must have been sent by an operator.
-    pub(super) fn check_was_sent(&mut self, state: &ControlState, how: &str) {
+    /// Records a violation if no operator has sent this state; `source` says how the state became visible.
+    pub(super) fn check_was_sent(&mut self, state: &ControlState, source: &str) {
         let was_sent = self.sent_texts.get(&state.version).is_some_and(|texts| texts.contains(&state.text));
         if state.version > 0 && !was_sent {
-            self.violations.push(format!("{how}: version {} is not what was sent under it", state.version));
+            self.violations
+                .push(format!("{source}: version {} has a text that no operator has sent", state.version));
         }
     }
 
     pub(super) fn on_reply(&mut self, client: ClientId, outcome: Outcome) {
-        let open = self.open_commands.remove(&client).expect("each command gets one reply at most");
+        let open = self.open_commands.remove(&client).expect("a command gets at most one reply");
         if outcome == Outcome::Acknowledged {
             self.last_acknowledged_at = Some(self.now);
         }
@@ -94,7 +96,7 @@
         self.replies.insert(client, Reply { outcome, received_at: self.now });
     }
 
-    /// No read goes back behind what was acknowledged before it was sent.
+    /// Records a violation if a read returns an older version than was acknowledged before the read was sent.
     fn on_read(&mut self, open: &OpenCommand, state: &ControlState) {
         self.read_count += 1;
         self.check_was_sent(state, "read");
--- a/crates/store/tests/simulation/disk.rs
+++ b/crates/store/tests/simulation/disk.rs
@@ -1,10 +1,10 @@
-//! A machine's disk: two slots as the store writes them, and the writes that are not synced yet.
+//! A simulated disk: two slots in the store's format, and writes that are not synced yet.
 
 use super::Millis;
 use violetyoke_store::consensus::{DurableState, WriteNumber};
 use violetyoke_store::disk::{decode_slot, SlotCursor};
 
-/// A disk that takes longer for one write is not healthy.
+/// A disk is unhealthy while a write takes longer than this.
 const WRITE_TIMEOUT: Millis = 600;
 
 /// A write that a store has requested and the disk has not synced.
@@ -14,14 +14,14 @@
     requested_at: Millis,
 }
 
-/// What becomes of the slot that is being written when a process dies.
+/// How much of the write in flight is on the disk after the process has died.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TornWrite {
-    /// Nothing of it was written.
+    /// Nothing was written.
     Nothing,
-    /// The first half was written.
+    /// Only the first half was written.
     Half,
-    /// All of it was written.
+    /// Everything was written.
     All,
 }
 
@@ -29,13 +29,13 @@
 pub struct Disk {
     slots: [Vec<u8>; 2],
     cursor: SlotCursor,
-    /// In the order of their requests.
+    /// In request order.
     pending: Vec<PendingWrite>,
-    /// The number of the one that is being written.
+    /// The number of the write that the disk carries out now.
     in_flight: Option<WriteNumber>,
-    /// Nothing is synced before this.
+    /// No write is synced before this time.
     pub stalled_until: Millis,
-    /// How many times as long as usual a sync takes.
+    /// Factor on the duration of each sync; 1 on a disk of normal speed.
     pub slowness: u64,
 }
 
@@ -66,17 +66,17 @@
         self.pending.push(PendingWrite { number, state, requested_at: now });
     }
 
-    /// Begins to write the newest pending state, whose number is returned, if the disk is free and there is one.
+    /// Starts to write the newest pending state if the disk is idle. Returns the number of the write that was started.
     pub fn begin_write(&mut self) -> Option<WriteNumber> {
         if self.in_flight.is_some() {
             return None;
         }
-        // A later state contains all that an earlier one does.
+        // Each state is complete, so a newer one makes earlier pending writes unnecessary.
         self.in_flight = self.pending.last().map(|write| write.number);
         self.in_flight
     }
 
-    /// A write is synced; whether it was still awaited.
+    /// Completes a write and all that were requested before it. Returns false if the write is not pending any more.
     pub fn complete(&mut self, number: WriteNumber) -> bool {
         let Some(index) = self.pending.iter().position(|write| write.number == number) else { return false };
         let Some(written) = self.pending.drain(..=index).next_back() else { return false };
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Forgets all pending writes, as a disk does that skips its syncs.
+    /// Drops all pending writes: simulates a disk that skips its syncs.
     pub fn skip_writes(&mut self) {
         self.pending.clear();
         self.in_flight = None;
@@ -96,12 +96,12 @@
         !self.pending.is_empty()
     }
 
-    /// Whether the disk completes its writes in time, as the daemon judges it.
+    /// Whether the oldest pending write is within the time-out, by the rule of the daemon.
     pub fn is_healthy(&self, now: Millis) -> bool {
         self.pending.first().is_none_or(|oldest| now < oldest.requested_at + WRITE_TIMEOUT)
     }
 
-    /// The process dies, and pending writes with it, but for what was written of the one in flight.
+    /// The process dies: pending writes are lost, except for the part of the write in flight that `torn` says.
     pub fn lose_pending_writes(&mut self, torn: TornWrite) {
         let in_flight = self.in_flight.take();
         if let Some(write) = self.pending.iter().find(|write| Some(write.number) == in_flight) {
--- a/crates/store/tests/simulation/events.rs
+++ b/crates/store/tests/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What is scheduled: events with their times, taken in order.
+//! The queue of simulated events, ordered by time.
 
 use super::Millis;
 use std::cmp::{Ordering, Reverse};
@@ -7,24 +7,24 @@
 use violetyoke_store::operations::AppendNumber;
 use violetyoke_transport::messages::{Envelope, OperationMessage, StoreNode};
 
-/// Something that happens at a time.
+/// A simulated event.
 #[derive(Clone, Debug)]
 pub enum Scheduled {
     /// A message arrives at a machine.
     Deliver { to: usize, envelope: Box<Envelope> },
-    /// A message about operations arrives at a machine.
+    /// A message between operation replicas arrives at a machine.
     DeliverOperation { to: usize, from: Box<StoreNode>, message: Box<OperationMessage> },
-    /// The log of operations has synced its appends, which a process of this incarnation requested.
+    /// The operation log has synced an append that a process of this incarnation requested.
     Appended { to: usize, incarnation: u64, number: AppendNumber },
-    /// A store looks at its clock.
+    /// The periodic tick of a store.
     Tick { to: usize },
-    /// A disk has synced a write, which a process of this incarnation requested.
+    /// A disk has synced a write that a process of this incarnation requested.
     Synced { to: usize, incarnation: u64, number: WriteNumber },
-    /// A disk reports a write as synced and has skipped it.
+    /// A disk reports a write as synced although it has dropped the write.
     SyncSkipped { to: usize, incarnation: u64, number: WriteNumber },
-    /// An operator sends a command, or looks for its outcome.
+    /// An operator sends its next command or polls for a reply.
     OperatorTurn { operator: usize },
-    /// All connections of a machine end: its links are blocked in both directions.
+    /// All connections of a machine close: its links are blocked in both directions.
     DropConnections { machine: usize },
     /// A fault ends.
     EndFault { to: usize, fault: Fault },
@@ -41,9 +41,9 @@
     SlowLinks,
     /// The disk of the machine is slow.
     SlowDisk,
-    /// Messages of one kind are lost everywhere.
+    /// Messages of one kind are lost on all links.
     MessageLoss,
-    /// Replies to operators are lost everywhere.
+    /// Replies to all operators are lost.
     ReplyLoss,
 }
 
@@ -79,7 +79,7 @@
     pub scheduled: Scheduled,
 }
 
-/// Events in order of their times; those of one time in the order in which they were scheduled.
+/// Events ordered by time; events of the same time stay in the order in which they were scheduled.
 #[derive(Default)]
 pub struct EventQueue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -92,7 +92,7 @@
         self.heap.push(Reverse(Entry { at, number: self.count, scheduled }));
     }
 
-    /// The next event that is due by then.
+    /// Takes the next event that is due at `until` or earlier.
     pub fn pop_due(&mut self, until: Millis) -> Option<Due> {
         if self.heap.peek()?.0.at > until {
             return None;
--- a/crates/store/tests/simulation/history.rs
+++ b/crates/store/tests/simulation/history.rs
@@ -1,31 +1,32 @@
-//! What clients sent and what they were answered, in the order in which it happened: the records of the operators' side.
+//! The history of client commands and their answers, in the order of occurrence. It is recorded by the clients, so it
+//! doesn't depend on the state of any store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use violetyoke_store::consensus::ClientId;
 use violetyoke_transport::messages::{Command, ControlState, Outcome};
 
-/// A clear answer.
+/// An answer that settles whether the command took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     Acknowledged,
     Read(ControlState),
-    /// Another text was accepted under the version.
+    /// Another text had been accepted under the version.
     Rejected,
 }
 
-/// An answer and when it came.
+/// An answer and the time of its arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Returned {
     pub at: u64,
     pub answer: Answer,
 }
 
-/// One sending of a command to one store. Times are positions in the history.
+/// One command sent to one store; a retry is another operation. Times are positions in the history.
 #[derive(Clone, Debug)]
 pub struct Operation {
     pub command: Command,
     pub invoked_at: u64,
-    /// `None` where there is no clear answer: the command may take effect at any later time, or never.
+    /// `None` if there is no clear answer: the command may take effect at any later time, or never.
     pub returned: Option<Returned>,
 }
 
@@ -72,14 +73,17 @@
         ambiguous
     }
 
-    /// Versions under which the same text was acknowledged to one sending and rejected to another.
+    /// Versions for which one request with a text was acknowledged and another with the same text was rejected.
     pub fn rejected_though_acknowledged(&self) -> Vec<u64> {
         let acknowledged: BTreeSet<(u64, &str)> = self.replaced(&Answer::Acknowledged).collect();
         let rejected = self.replaced(&Answer::Rejected);
-        rejected.filter(|sent| acknowledged.contains(sent)).map(|(version, _)| version).collect()
+        rejected
+            .filter(|replacement| acknowledged.contains(replacement))
+            .map(|(version, _)| version)
+            .collect()
     }
 
-    /// Version and text of each replacement that got this answer.
+    /// Version and text of each replacement with this answer.
     fn replaced<'a>(&'a self, wanted: &'a Answer) -> impl Iterator<Item = (u64, &'a str)> {
         self.operations.iter().filter_map(move |operation| match (&operation.command, &operation.returned) {
             (Command::Replace { version, text }, Some(returned)) if returned.answer == *wanted => {
--- a/crates/store/tests/simulation/linearizability.rs
+++ b/crates/store/tests/simulation/linearizability.rs
@@ -1,30 +1,31 @@
-//! Is a history of commands and reads one that a single register could have given? Each operation must take effect at one
-//! moment between its call and its answer; one without a clear answer at any moment after its call, or never.
+//! Checks that a history of commands and reads is linearizable for a single register: each operation takes effect at
+//! one moment between its call and its answer; one without a clear answer takes effect at any moment after its call,
+//! or never.
 //!
-//! The search follows the history and, at each answer, orders as many of the open operations before it as are needed
-//! (Wing and Gong, "Testing and Verifying Concurrent Objects", 1993, with the just-in-time linearization of Lowe,
-//! "Testing for Linearizability", 2017). Versions only grow, so what is left to do of unclear replacements follows from
-//! the register's state.
+//! The search follows the history and, at each answer, orders as many open operations before it as necessary (Wing
+//! and Gong, "Testing and Verifying Concurrent Objects", 1993, with the just-in-time linearization of Lowe, "Testing
+//! for Linearizability", 2017). Versions only grow, so the register's state determines which replacements without a
+//! clear answer can still take effect.
 
 use super::history::{Operation, Returned};
 use super::register_model::{Evacuation, Register};
 use std::collections::{BTreeMap, BTreeSet};
 use violetyoke_transport::messages::Command;
 
-/// How many of each evacuation.
+/// The number of operations for each evacuation.
 type Evacuations<'a> = BTreeMap<Evacuation<'a>, usize>;
 
-/// One way in which the history may have gone so far.
+/// One possible linearization of the history up to the current position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Branch<'a> {
     register: Register<'a>,
     /// Operations that have taken effect and are not answered yet.
     applied: BTreeSet<usize>,
-    /// How many of the evacuations without a clear answer have taken effect.
+    /// Evacuations without a clear answer that have taken effect.
     applied_unclear: Evacuations<'a>,
 }
 
-/// The answer that no order of operations explains.
+/// The first answer that no order of operations explains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotLinearizable {
     pub operation: usize,
@@ -41,14 +42,14 @@
 #[derive(Default)]
 struct Checker<'a> {
     operations: &'a [Operation],
-    /// Operations that are called, not answered yet, and will be.
+    /// Operations that have been called and whose answer comes later in the history.
     open: BTreeSet<usize>,
     unclear_replacements: Vec<UnclearReplacement<'a>>,
     unclear_evacuations: Evacuations<'a>,
     branches: BTreeSet<Branch<'a>>,
 }
 
-/// A position of the history.
+/// A call or an answer in the history.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     at: u64,
@@ -56,7 +57,7 @@
     is_answer: bool,
 }
 
-/// Checks a history that begins with an empty register.
+/// Checks a history that starts with an empty register.
 pub fn check(operations: &[Operation]) -> Result<(), NotLinearizable> {
     let mut positions = Vec::new();
     for (operation, Operation { invoked_at, returned, .. }) in operations.iter().enumerate() {
@@ -99,11 +100,11 @@
         }
     }
 
-    /// Keeps the branches in which that operation can have taken effect by now; whether there is one.
+    /// Keeps the branches in which the operation can have taken effect before its answer. Returns whether any is left.
     fn answer(&mut self, number: usize) -> bool {
         let branches = std::mem::take(&mut self.branches);
         let mut visited: BTreeSet<Branch<'a>> =
-            branches.into_iter().map(|branch| self.with_idle(branch)).collect();
+            branches.into_iter().map(|branch| self.with_no_ops_applied(branch)).collect();
         let mut queue: Vec<Branch<'a>> = visited.iter().cloned().collect();
         let mut remaining = BTreeSet::new();
         while let Some(mut branch) = queue.pop() {
@@ -112,7 +113,7 @@
                 continue;
             }
             for next in self.successors(&branch) {
-                let next = self.with_idle(next);
+                let next = self.with_no_ops_applied(next);
                 if visited.insert(next.clone()) {
                     queue.push(next);
                 }
@@ -125,8 +126,8 @@
         !self.branches.is_empty()
     }
 
-    /// Lets each open operation take effect that changes nothing in this state: it never will with more use.
-    fn with_idle(&self, mut branch: Branch<'a>) -> Branch<'a> {
+    /// Applies each open operation that doesn't change the register: applying it later allows no other history.
+    fn with_no_ops_applied(&self, mut branch: Branch<'a>) -> Branch<'a> {
         for number in &self.open {
             let is_evacuation = matches!(self.operations[*number].command, Command::Evacuate { .. });
             let changes_nothing =
@@ -143,7 +144,7 @@
         register.apply(&operation.command, &operation.returned.as_ref()?.answer)
     }
 
-    /// The branch with one operation more.
+    /// The branches that follow when one more operation takes effect.
     fn successors(&self, branch: &Branch<'a>) -> Vec<Branch<'a>> {
         let mut next = self.successors_by_open(branch);
         for replacement in &self.unclear_replacements {
@@ -164,12 +165,12 @@
         next
     }
 
-    /// The branch with one more of the operations that will be answered.
+    /// The branches that follow when one more of the open operations takes effect.
     fn successors_by_open(&self, branch: &Branch<'a>) -> Vec<Branch<'a>> {
         let mut next = Vec::new();
         let mut commands: Vec<&Command> = Vec::new();
         let mut open: Vec<usize> = self.open.difference(&branch.applied).copied().collect();
-        // Of equal commands the one that is answered first goes first.
+        // Among equal commands, only the one that is answered first is tried.
         open.sort_by_key(|number| self.operations[*number].returned.as_ref().map(|returned| returned.at));
         for number in open {
             let command = &self.operations[number].command;
@@ -185,8 +186,8 @@
         next
     }
 
-    /// Leaves out each branch that another can follow in all that it does: in the same state, with no evacuation more
-    /// that has taken effect without a clear answer, and with no read less.
+    /// Drops each branch that another branch dominates: the other has the same state, has used up no more evacuations
+    /// without a clear answer, and has applied at least the same reads.
     fn without_dominated(&self, branches: BTreeSet<Branch<'a>>) -> BTreeSet<Branch<'a>> {
         let is_evacuation =
             |number: &&usize| matches!(self.operations[**number].command, Command::Evacuate { .. });
@@ -204,9 +205,9 @@
 }
 
 fn dominates(one: &Branch<'_>, other: &Branch<'_>) -> bool {
-    is_no_more(&one.applied_unclear, &other.applied_unclear) && one.applied.is_superset(&other.applied)
+    has_no_more(&one.applied_unclear, &other.applied_unclear) && one.applied.is_superset(&other.applied)
 }
 
-fn is_no_more(one: &Evacuations<'_>, other: &Evacuations<'_>) -> bool {
+fn has_no_more(one: &Evacuations<'_>, other: &Evacuations<'_>) -> bool {
     one.iter().all(|(evacuation, count)| other.get(evacuation).is_some_and(|more| more >= count))
 }
--- a/crates/store/tests/simulation/machine.rs
+++ b/crates/store/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A machine: its process while it runs, and its disk; and what happens to machines.
+//! A machine with its process and disks, and the faults of machines.
 
 use super::disk::{Disk, TornWrite};
 use super::events::Scheduled;
@@ -17,20 +17,21 @@
     /// `None` while the process is down.
     pub replica: Option<Replica>,
     pub disk: Disk,
-    /// The process does nothing before this.
+    /// The process handles no event before this time.
     pub frozen_until: Millis,
-    /// What reached the process while it was frozen.
+    /// Events that arrived while the process was frozen.
     pub(super) deferred_events: Vec<Event>,
-    /// The engine of operations, where the cluster has any.
+    /// `None` while the process is down, or where the cluster doesn't replicate operations.
     pub operations: Option<OperationReplica>,
     pub operation_log: OperationLog,
+    /// Operation events that arrived while the process was frozen.
     pub(super) deferred_operations: Vec<operations::Event>,
-    /// Counts the processes of this machine.
+    /// The number of processes that have started on this machine.
     pub incarnation: u64,
     pub started_at: Millis,
-    /// When it was told to shut down (SIGTERM).
+    /// When the process received SIGTERM.
     pub shutdown_at: Option<Millis>,
-    /// It is gone for good.
+    /// The machine never comes back.
     pub is_removed: bool,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The process dies. When the machine loses its power too, the slot that is being written may be torn.
+    /// Ends the process. If the machine loses power as well, the slot that is being written may be torn.
     fn kill(&mut self, loses_power: bool, draw: u64) {
         self.replica = None;
         self.deferred_events.clear();
@@ -65,7 +66,7 @@
         self.disk.lose_pending_writes(match (draw, loses_power) {
             (0, _) => TornWrite::Nothing,
             (1, true) => TornWrite::Half,
-            // Bytes that a process has written stay when only the process dies.
+            // Written bytes survive when only the process dies.
             _ => TornWrite::All,
         });
     }
@@ -76,7 +77,7 @@
 }
 
 impl Cluster {
-    /// The machines of the very first start; the first three are the seeds.
+    /// Starts the first machines of the cluster; the first three are the seeds.
     pub(super) fn start_all(&mut self, count: usize) {
         let seeds: Vec<_> = (0..count.min(3)).map(address).collect();
         for n in 0..count {
@@ -107,7 +108,7 @@
         self.start_operations(n);
     }
 
-    /// A store requests a write.
+    /// Handles a store's request to persist a state.
     pub(super) fn persist(&mut self, n: usize, number: WriteNumber, state: DurableState) {
         if state.config.epoch >= self.newest_config.epoch {
             self.newest_config = state.config.clone();
@@ -123,7 +124,7 @@
         }
     }
 
-    /// A disk that is free takes the newest pending write.
+    /// Starts the newest pending write if the disk is idle.
     fn begin_write(&mut self, n: usize) {
         let machine = &mut self.machines[n];
         let (incarnation, slowness) = (machine.incarnation, machine.disk.slowness);
@@ -154,20 +155,20 @@
         }
     }
 
-    /// Kills a process, or cuts the power of its machine.
+    /// Kills the process, or cuts the power of the machine.
     pub fn kill(&mut self, n: usize, loses_power: bool) {
         let draw = self.random.below(3);
         self.machines[n].kill(loses_power, draw);
     }
 
-    /// A machine loses its power and all that is on its disk.
+    /// Cuts the power of a machine and erases its disk.
     pub fn wipe(&mut self, n: usize) {
         self.kill(n, true);
         self.machines[n].disk.wipe();
         self.machines[n].operation_log.wipe();
     }
 
-    /// Starts the process of a machine that is down and not removed.
+    /// Starts the process of a machine unless it runs or the machine was removed.
     pub fn restart(&mut self, n: usize) {
         if self.machines[n].replica.is_none() && !self.machines[n].is_removed {
             self.start(n, false);
@@ -182,18 +183,18 @@
         self.machines[n].replica.is_some()
     }
 
-    /// Stops a process for a while; what reaches it meanwhile is handled at its end.
+    /// Freezes a process for some time; events that arrive meanwhile are handled after it.
     pub fn freeze(&mut self, n: usize, span: Millis) {
         self.machines[n].frozen_until = self.now + span;
     }
 
-    /// SIGTERM: the process ends once others have taken over, or after a while, and does not come back.
+    /// Sends SIGTERM: the process ends once others have taken over or after `HANDOVER_TIMEOUT`, and is not restarted.
     pub fn shut_down(&mut self, n: usize) {
         self.machines[n].shutdown_at = Some(self.now);
         self.handle(n, Event::Shutdown);
     }
 
-    /// Adds an empty machine at a new address; its index.
+    /// Adds an empty machine at a new address and returns its index.
     pub fn add_machine(&mut self) -> usize {
         let n = self.machines.len();
         let present = self.machines.iter().filter(|machine| !machine.is_removed);
--- a/crates/store/tests/simulation/mod.rs
+++ b/crates/store/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! Stores in virtual time, seeded: links with delays and partitions, disks that stall, tear and vanish, processes that are
-//! killed, frozen and come back. Its rules are taken from what clients were answered, never from a store's own belief.
+//! A deterministic simulation of stores in virtual time, driven by a seed: links with delays and partitions, disks
+//! that stall, tear writes and are lost, and processes that are killed, frozen and restarted. Invariants are checked
+//! against the answers that clients received, never against the state of a store.
 
 #![allow(dead_code, unreachable_pub, reason = "each file of tests uses its own part")]
 
@@ -31,13 +32,13 @@
 
 pub type Millis = u64;
 
-/// After a SIGTERM the daemon waits this long for others to take over, and then ends.
+/// How long the daemon waits after SIGTERM for others to take over before it exits.
 const HANDOVER_TIMEOUT: Millis = 4_500;
-/// The shortest time between two ticks of a store, and by how much it varies.
+/// The shortest interval between two ticks of a store, and the random time that is added.
 const MIN_TICK_INTERVAL: Millis = 45;
 const TICK_JITTER: Millis = 10;
 
-/// Machines with a store each, and the clients that use them.
+/// Machines that run one store each, and their clients.
 pub struct Cluster {
     pub now: Millis,
     pub random: Random,
@@ -48,28 +49,28 @@
     last_client: ClientId,
     open_commands: BTreeMap<ClientId, OpenCommand>,
     pub history: History,
-    /// Replies that clients have got and nobody has taken.
+    /// Replies that clients have received and that the test has not taken out.
     pub replies: BTreeMap<ClientId, Reply>,
-    /// This many of a hundred replies to clients are lost.
+    /// Percentage of replies to clients that are lost.
     pub reply_loss_percent: u64,
-    /// Operators whose turn it is, for whoever runs them.
+    /// Operators whose scheduled turn has come; the runner of the schedule takes them out.
     pub due_operators: Vec<usize>,
-    /// The newest version that was acknowledged to anybody.
+    /// The newest version that was acknowledged to any client.
     pub acknowledged_version: u64,
     pub acknowledged_count: u64,
     pub last_acknowledged_at: Option<Millis>,
     pub read_count: u64,
-    /// What was sent under each version.
+    /// The texts that were sent under each version.
     sent_texts: BTreeMap<u64, Vec<String>>,
-    /// Rules that were violated, in the order in which that was seen.
+    /// Violated invariants, in the order of detection.
     pub violations: Vec<String>,
     /// The newest replica set that any store has asked its disk to persist.
     pub newest_config: ReplicaConfig,
-    /// Each sync takes exactly this long, instead of a drawn time.
+    /// The duration of each sync, instead of a random one.
     pub fixed_sync_time: Option<Millis>,
-    /// Disks report writes as synced that they have skipped: the negative control.
+    /// Disks report writes as synced that they have dropped (negative control).
     pub disks_skip_syncs: bool,
-    /// Present where the stores replicate operations.
+    /// Present if the stores replicate operations.
     pub operations: Option<Operations>,
 }
 
@@ -112,7 +113,7 @@
         cluster
     }
 
-    /// Three stores without delays on their links, whose syncs take 1 ms each, and with an installed replica set.
+    /// Three stores with an installed replica set, without link delays and with syncs of 1 ms.
     pub fn without_delays() -> Cluster {
         let mut cluster = Cluster::new(0, 3, 1);
         cluster.network = Network::without_delay();
@@ -159,13 +160,13 @@
     fn on_tick(&mut self, n: usize) {
         let now = self.now;
         let disk_healthy = self.machines[n].disk.is_healthy(now);
-        self.show_operations(n);
+        self.update_consensus(n);
         self.handle(n, Event::Tick { disk_healthy });
         self.handle_operations(n, violetyoke_store::operations::Event::Tick);
         let machine = &self.machines[n];
         let is_handover_complete = machine.replica.as_ref().is_none_or(Replica::is_handover_complete);
-        let may_end = |since: Millis| now > since + HANDOVER_TIMEOUT || is_handover_complete;
-        if now >= machine.frozen_until && machine.shutdown_at.is_some_and(may_end) {
+        let may_exit = |since: Millis| now > since + HANDOVER_TIMEOUT || is_handover_complete;
+        if now >= machine.frozen_until && machine.shutdown_at.is_some_and(may_exit) {
             self.kill(n, false);
             self.machines[n].is_removed = true;
         }
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Hands an event to a store, or keeps it while the store is frozen.
+    /// Passes an event to a store, or defers it while the store is frozen.
     pub(super) fn handle(&mut self, n: usize, event: Event) {
         let now = self.now;
         let machine = &mut self.machines[n];
@@ -204,7 +205,7 @@
             for effect in replica.handle(now, event) {
                 self.carry_out(n, effect);
             }
-            self.observe_core(n);
+            self.observe_consensus(n);
         }
     }
 
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Sends a message; it is lost where the receiver is down or its link is blocked.
+    /// Sends a message, which is lost if the receiver is down or the link is blocked.
     fn send(&mut self, from: usize, to: Ipv4Addr, message: PeerMessage) {
         let Some(to) = self.machines.iter().position(|machine| machine.ip == to) else { return };
         let Some(replica) = &self.machines[from].replica else { return };
--- a/crates/store/tests/simulation/network.rs
+++ b/crates/store/tests/simulation/network.rs
@@ -1,14 +1,14 @@
-//! Links between machines: delays, blocked and slow links, and loss of messages of one kind.
+//! Links between machines: delays, blocked and slow links, and message loss by kind.
 
 use super::random::Random;
 use super::{Cluster, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 use violetyoke_transport::messages::{Envelope, PeerMessage};
 
-/// Messages take less than this, unless a link is slow.
+/// Upper bound (exclusive) on the delay of a message on a link that is not slow.
 const MAX_DELAY: Millis = 4;
 
-/// Links of a slow machine.
+/// Delay and rate of the links of a slow machine.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowLinks {
     pub delay: Millis,
@@ -18,12 +18,12 @@
 /// Loss of messages on all links.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageLoss {
-    /// The name of the messages' variant.
+    /// The variant name of the affected messages.
     pub kind: &'static str,
     pub percent: u64,
 }
 
-/// The direction from a machine to another.
+/// One direction between two machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
     pub from: usize,
@@ -36,16 +36,16 @@
     }
 }
 
-/// All links.
+/// The links between all machines.
 pub struct Network {
     blocked: BTreeSet<Link>,
     slow: BTreeMap<usize, SlowLinks>,
-    /// Until when each slow link is busy with earlier messages.
+    /// When each slow link has transmitted all earlier messages.
     busy_until: BTreeMap<Link, Millis>,
     pub loss: Option<MessageLoss>,
-    /// A machine that hears of no other leader, nor of one that would lead: it goes on as what it was.
-    pub deaf: Option<usize>,
-    /// Messages take less than this; 1: they arrive at once.
+    /// A machine that receives no message of other leaders and candidates, so that it keeps its role.
+    pub without_leader_messages: Option<usize>,
+    /// Upper bound (exclusive) on the delay of a message; with 1, messages arrive at once.
     max_delay: Millis,
 }
 
@@ -55,8 +55,8 @@
     text.chars().take_while(char::is_ascii_alphanumeric).collect()
 }
 
-/// All but the heartbeats of followers.
-fn tells_of_another_leader(message: &PeerMessage) -> bool {
+/// Whether a message may reveal another leader or candidate: every message except a follower's heartbeat.
+fn may_reveal_leader(message: &PeerMessage) -> bool {
     !matches!(message, PeerMessage::Heartbeat(heartbeat) if !heartbeat.is_leader)
 }
 
@@ -67,12 +67,12 @@
             slow: BTreeMap::new(),
             busy_until: BTreeMap::new(),
             loss: None,
-            deaf: None,
+            without_leader_messages: None,
             max_delay: MAX_DELAY,
         }
     }
 
-    /// Messages arrive at once.
+    /// A network whose messages arrive at once.
     pub(super) fn without_delay() -> Network {
         Network { max_delay: 1, ..Network::new() }
     }
@@ -90,7 +90,7 @@
         self.blocked.retain(|link| !link.touches(machine));
     }
 
-    /// Unblocks all links but those of a machine.
+    /// Unblocks all links except those of a machine.
     pub fn unblock_others(&mut self, machine: usize) {
         self.blocked.retain(|link| link.touches(machine));
     }
@@ -110,7 +110,7 @@
         self.blocked.retain(|link| !(link.touches(one) && link.touches(other)));
     }
 
-    /// Both directions are open.
+    /// Whether both directions are open.
     pub fn is_connected(&self, one: usize, other: usize) -> bool {
         let is_open = |from, to| !self.blocked.contains(&Link { from, to });
         one == other || (is_open(one, other) && is_open(other, one))
@@ -125,12 +125,12 @@
         self.busy_until.retain(|link, _| !link.touches(machine));
     }
 
-    /// No link is slow and no message is lost.
+    /// Whether no link is slow and no messages are lost. Blocked links are not considered.
     pub fn is_healthy(&self) -> bool {
         self.slow.is_empty() && self.loss.is_none()
     }
 
-    /// When a message that is sent now arrives; `None` where it is lost.
+    /// The arrival time of a message that is sent now; `None` if the message is lost.
     pub(super) fn arrival(
         &mut self,
         now: Millis,
@@ -138,8 +138,9 @@
         envelope: &Envelope,
         random: &mut Random,
     ) -> Option<Millis> {
-        let is_unheard = self.deaf == Some(link.to) && tells_of_another_leader(&envelope.message);
-        if self.blocked.contains(&link) || is_unheard {
+        let is_withheld =
+            self.without_leader_messages == Some(link.to) && may_reveal_leader(&envelope.message);
+        if self.blocked.contains(&link) || is_withheld {
             return None;
         }
         if let Some(loss) = self.loss {
@@ -152,29 +153,29 @@
             return Some(now + random.below(self.max_delay));
         };
         let size = rmp_serde::to_vec(envelope).map_or(0, |bytes| bytes.len() as u64);
-        let begins = self.busy_until.get(&link).copied().unwrap_or(0).max(now);
-        let ends = begins + size / bytes_per_ms.max(1);
-        self.busy_until.insert(link, ends);
-        Some(ends + delay + random.below(self.max_delay))
+        let transmission_start = self.busy_until.get(&link).copied().unwrap_or(0).max(now);
+        let transmission_end = transmission_start + size / bytes_per_ms.max(1);
+        self.busy_until.insert(link, transmission_end);
+        Some(transmission_end + delay + random.below(self.max_delay))
     }
 }
 
 impl Cluster {
-    /// Nothing that a machine sends arrives.
+    /// Blocks all messages from a machine.
     pub fn block_outbound(&mut self, n: usize) {
         for other in 0..self.machines.len() {
             self.network.block(n, other);
         }
     }
 
-    /// Nothing arrives at a machine.
+    /// Blocks all messages to a machine.
     pub fn block_inbound(&mut self, n: usize) {
         for other in 0..self.machines.len() {
             self.network.block(other, n);
         }
     }
 
-    /// A machine is partitioned from all others.
+    /// Partitions a machine from all others.
     pub fn isolate(&mut self, n: usize) {
         self.block_outbound(n);
         self.block_inbound(n);
--- a/crates/store/tests/simulation/operation_log.rs
+++ b/crates/store/tests/simulation/operation_log.rs
@@ -1,15 +1,15 @@
-//! A machine's log of operations: what is synced, and the appends that are not.
+//! A simulated operation log: synced records and pending appends.
 
 use violetyoke_store::operations::AppendNumber;
 use violetyoke_transport::messages::OperationRecord;
 
-/// An append that is not synced.
+/// An append that is not synced yet.
 pub(super) struct PendingAppend {
     pub(super) number: AppendNumber,
     pub(super) records: Vec<OperationRecord>,
 }
 
-/// A machine's log of operations.
+/// The operation log of a machine.
 #[derive(Default)]
 pub struct OperationLog {
     pub(super) synced: Vec<OperationRecord>,
@@ -22,7 +22,7 @@
         *self = OperationLog::default();
     }
 
-    /// The process dies: of what is not synced, the first `kept` appends are on the disk.
+    /// The process dies: the first `kept` pending appends are on the disk, the others are lost.
     pub(super) fn lose_pending(&mut self, kept: u64) {
         for append in self.pending.drain(..).take(kept as usize) {
             self.synced.extend(append.records);
--- a/crates/store/tests/simulation/operations.rs
+++ b/crates/store/tests/simulation/operations.rs
@@ -1,4 +1,5 @@
-//! The engines of operations beside those of the control state: their messages, their logs, and the proxies that claim.
+//! The replication of operations, which runs beside the consensus replica of each store: messages, logs and the
+//! requests of proxies.
 
 use super::events::Scheduled;
 use super::network::Link;
@@ -14,24 +15,25 @@
 use violetyoke_transport::messages::{OperationMessage, OperationReply, OperationRequest};
 
 const MAX_RECORD_BYTES: usize = 64 << 20;
-/// One of so many messages arrives out of order.
-const REORDERED: u64 = 50;
+/// One in this many messages may overtake earlier ones.
+const REORDER_ONE_IN: u64 = 50;
 
-/// What a cluster whose stores replicate operations has besides.
+/// Additional state of a cluster whose stores replicate operations.
 pub struct Operations {
-    /// How long operations are remembered.
+    /// How long records of operations are kept.
     pub window: Millis,
-    /// Replies that proxies have got.
+    /// Replies that proxies have received.
     pub replies: BTreeMap<ClientId, OperationReply>,
-    /// A negative control: a leader answers without having read a majority, by being shown no other voters.
+    /// Negative control: a leader answers before it has read a majority, because it sees itself as the only previous
+    /// voter.
     pub leaders_skip_recovery: bool,
-    /// A negative control: learners get votes without the records.
+    /// Negative control: learners become voters before they have all records.
     pub learners_skip_records: bool,
-    /// A negative control: a store takes records of epochs below the one that it has promised.
+    /// Negative control: a store accepts records of epochs below the one that it has promised.
     pub stores_skip_epochs: bool,
-    /// So many of a hundred offers are lost: stores that missed records get them late or never.
+    /// Percentage of offers that are lost, so that stores receive missed records late or never.
     pub offer_loss_percent: u64,
-    /// How many times as long as usual the logs take to sync.
+    /// Factor on the sync duration of the logs; 1 is the normal speed.
     pub log_slowness: u64,
     last_arrival: BTreeMap<Link, Millis>,
 }
@@ -67,8 +69,8 @@
         machine.operations = Some(engine);
     }
 
-    /// Before a tick of the core.
-    pub(super) fn show_operations(&mut self, n: usize) {
+    /// Passes the state of the operation replica to the consensus replica, before each of its ticks.
+    pub(super) fn update_consensus(&mut self, n: usize) {
         let Some(operations) = &self.operations else { return };
         let machine = &mut self.machines[n];
         let (Some(replica), Some(engine)) = (&mut machine.replica, &machine.operations) else { return };
@@ -78,8 +80,8 @@
         }
     }
 
-    /// After an event of the core.
-    pub(super) fn observe_core(&mut self, n: usize) {
+    /// Passes the state of the consensus replica to the operation replica, after each event of the former.
+    pub(super) fn observe_consensus(&mut self, n: usize) {
         let Some(operations) = &self.operations else { return };
         let machine = &mut self.machines[n];
         let (Some(replica), Some(engine)) = (&machine.replica, &mut machine.operations) else { return };
@@ -105,7 +107,11 @@
         events.push(event);
         for event in events {
             let Some(engine) = &mut self.machines[n].operations else { return };
-            let event = forged(event, self.operations.as_ref().is_some_and(|o| o.stores_skip_epochs), engine);
+            let event = with_forged_epoch(
+                event,
+                self.operations.as_ref().is_some_and(|o| o.stores_skip_epochs),
+                engine,
+            );
             let effects = engine.handle(self.now, event);
             self.carry_out_operations(n, effects);
         }
@@ -125,7 +131,7 @@
                     if let Some(operations) = &mut self.operations {
                         assert!(
                             operations.replies.insert(client, reply).is_none(),
-                            "one reply for each request"
+                            "a request gets at most one reply"
                         );
                     }
                 }
@@ -148,7 +154,7 @@
             return;
         }
         let mut at = self.now + self.random.below(4);
-        let is_reordered = self.random.one_in(REORDERED);
+        let is_reordered = self.random.one_in(REORDER_ONE_IN);
         if let Some(operations) = self.operations.as_mut().filter(|_| !is_reordered) {
             let last = operations.last_arrival.entry(link).or_default();
             at = at.max(*last);
@@ -190,12 +196,12 @@
         client
     }
 
-    /// What a proxy got, if it got a reply.
+    /// Takes out the reply that a proxy has received, if any.
     pub fn take_operation_reply(&mut self, client: ClientId) -> Option<OperationReply> {
         self.operations.as_mut()?.replies.remove(&client)
     }
 
-    /// The machine whose engine answers requests under the highest epoch.
+    /// The machine whose operation replica is active; the one with the highest epoch if there are several.
     pub fn active_store(&self) -> Option<usize> {
         let is_active =
             |n: &usize| self.machines[*n].operations.as_ref().is_some_and(OperationReplica::is_active);
@@ -216,9 +222,9 @@
     ConsensusView { promised: replica.promised(), leadership }
 }
 
-/// Where stores skip the check of epochs, a batch claims to be of the epoch that its receiver has promised, and the
-/// receiver's answer to be of the batch's.
-fn forged(event: Event, is_forged: bool, engine: &OperationReplica) -> Event {
+/// Disables the epoch check if `is_forged`: a batch gets the epoch that its receiver has promised, and the receiver's
+/// answer gets the epoch of the leader, so that both pass the check.
+fn with_forged_epoch(event: Event, is_forged: bool, engine: &OperationReplica) -> Event {
     match event {
         Event::Message { from, message: OperationMessage::Append { batch, records, .. } } if is_forged => {
             let epoch = engine.promised();
--- a/crates/store/tests/simulation/operators.rs
+++ b/crates/store/tests/simulation/operators.rs
@@ -1,10 +1,10 @@
-//! What an operator does: sends a configuration until it is acknowledged, reads it back, looks who leads.
+//! Actions of an operator: send a configuration until it is acknowledged, read it back, find the leader.
 
 use super::{Cluster, Millis};
 use violetyoke_store::consensus::{ClientId, Replica};
 use violetyoke_transport::messages::{Command, Epoch};
 
-/// How often an operator who insists sends to all stores.
+/// Interval at which an operator repeats a command to all stores.
 const RETRY_INTERVAL: Millis = 100;
 
 /// The configuration that tests send under a version.
@@ -17,11 +17,12 @@
         self.submit(n, replace(version))
     }
 
-    /// Sends a configuration to all stores, again and again, until one acknowledges it; whether one did in time.
+    /// Sends a configuration to all stores repeatedly until one acknowledges it. Returns whether that happened within
+    /// the time-out.
     #[must_use]
-    pub fn replace_until_acknowledged(&mut self, version: u64, within: Millis) -> bool {
-        let until = self.now + within;
-        while self.now < until && self.acknowledged_version < version {
+    pub fn replace_until_acknowledged(&mut self, version: u64, timeout: Millis) -> bool {
+        let deadline = self.now + timeout;
+        while self.now < deadline && self.acknowledged_version < version {
             for n in 0..self.machines.len() {
                 self.submit_replace(n, version);
             }
@@ -30,12 +31,12 @@
         self.acknowledged_version >= version
     }
 
-    /// Reads at all stores, again and again, until one answers; whether one did in time.
+    /// Reads from all stores repeatedly until one answers. Returns whether that happened within the time-out.
     #[must_use]
-    pub fn read_until_answered(&mut self, within: Millis) -> bool {
-        let until = self.now + within;
+    pub fn read_until_answered(&mut self, timeout: Millis) -> bool {
+        let deadline = self.now + timeout;
         let read_count = self.read_count;
-        while self.now < until && self.read_count == read_count {
+        while self.now < deadline && self.read_count == read_count {
             for n in 0..self.machines.len() {
                 self.submit(n, Command::Read);
             }
@@ -44,7 +45,7 @@
         self.read_count > read_count
     }
 
-    /// The machine whose store leads under the highest epoch.
+    /// The machine whose store leads; the one with the highest epoch if there are several.
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |n: &usize| self.machines[*n].replica.as_ref().is_some_and(Replica::is_leader);
         let epoch = |n: &usize| self.machines[*n].replica.as_ref().map_or(Epoch::default(), Replica::epoch);
--- a/crates/store/tests/simulation/random.rs
+++ b/crates/store/tests/simulation/random.rs
@@ -1,12 +1,12 @@
-//! Pseudo-random numbers: the same for the same seed, on every build (SplitMix64). Seeds of schedules that once broke a
-//! rule are kept, so the sequence must not change.
+//! Pseudo-random numbers (SplitMix64), identical for the same seed on every build. The sequence must not change: tests
+//! keep the seeds of schedules that once violated an invariant.
 
-/// A generator.
+/// A generator; the field is its state.
 #[derive(Clone, Debug)]
 pub struct Random(pub u64);
 
 impl Random {
-    /// A number in `0..bound`; 0 where `bound` is 0.
+    /// A number in `0..bound`; 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.0;
@@ -15,7 +15,7 @@
         (x ^ (x >> 31)) % bound.max(1)
     }
 
-    /// True once in so many draws.
+    /// True with a probability of 1 in `times`.
     pub fn one_in(&mut self, times: u64) -> bool {
         self.below(times) == 0
     }
--- a/crates/store/tests/simulation/register_model.rs
+++ b/crates/store/tests/simulation/register_model.rs
@@ -1,10 +1,10 @@
-//! The sequential register that the stores must look like: a configuration under its version, and the evacuated zones.
+//! The sequential specification of the stores: a register with a versioned configuration and the evacuated zones.
 
 use super::history::Answer;
 use std::collections::BTreeSet;
 use violetyoke_transport::messages::{Command, ControlState};
 
-/// The state of the register; texts are borrowed from the history.
+/// The state of the register. Texts are borrowed from the history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Register<'a> {
     pub version: u64,
@@ -12,28 +12,28 @@
     evacuated: BTreeSet<&'a str>,
 }
 
-/// A change of one zone.
+/// An evacuation command for one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Evacuation<'a> {
     pub zone: &'a str,
-    /// Whether the zone is to be emptied.
+    /// Whether the zone is evacuated, or put into use again.
     pub empty: bool,
 }
 
 impl<'a> Register<'a> {
-    /// The register after a command that got this answer; `None` if it can't have got it in this state.
+    /// The register after a command with this answer; `None` if the command can't get this answer in this state.
     pub fn apply(&self, command: &'a Command, answer: &Answer) -> Option<Register<'a>> {
         match (command, answer) {
             (Command::Replace { version, text }, Answer::Acknowledged) if *version > self.version => {
                 Some(self.replaced(*version, text))
             }
-            // The version in force is acknowledged for its own text alone.
+            // The current version is acknowledged only for its own text.
             (Command::Replace { version, text }, Answer::Acknowledged) => {
                 (*version < self.version || *text == self.text).then(|| self.clone())
             }
             (Command::Replace { version, text }, Answer::Rejected) => {
-                let is_in_force = *version == self.version && *text == self.text;
-                (*version <= self.version && !is_in_force).then(|| self.clone())
+                let is_current = *version == self.version && *text == self.text;
+                (*version <= self.version && !is_current).then(|| self.clone())
             }
             (Command::Evacuate { zone, empty }, Answer::Acknowledged) => {
                 Some(self.evacuated(Evacuation { zone, empty: *empty }))
--- a/crates/store/tests/slots.rs
+++ b/crates/store/tests/slots.rs
@@ -1,4 +1,4 @@
-//! The two slots of a folder through torn, missing and damaged files.
+//! Recovery of the state from two slot files that may be torn, missing or damaged.
 
 #![cfg(test)]
 
@@ -15,7 +15,7 @@
     encode_slot(write_number, state).expect("a state can be encoded")
 }
 
-/// A folder that is removed with this value.
+/// A folder that is removed when this value is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -23,7 +23,7 @@
         Folder(std::env::temp_dir().join(format!("store-slots-{}-{test}", std::process::id())))
     }
 
-    /// The newest state, as a process that starts now finds it.
+    /// The newest state that a starting process finds.
     fn recover(&self) -> Option<DurableState> {
         SlotStorage::open(&self.0).expect("opened").1
     }
@@ -50,23 +50,23 @@
 }
 
 #[test]
-fn write_that_is_torn_or_damaged_at_any_byte_leaves_the_state_before() {
+fn write_torn_or_damaged_at_any_byte_leaves_the_previous_state() {
     let folder = Folder::new("torn");
     let (mut storage, _) = SlotStorage::open(&folder.0).expect("an empty folder");
     storage.write(&state(1)).expect("written");
     storage.write(&state(2)).expect("written");
-    // The slot of state 1 is the one that is written next.
+    // The slot with state 1 is written next.
     let next_slot = folder.0.join("state-0");
     let bytes = slot(3, &state(3));
     for end in 0..bytes.len() {
         std::fs::write(&next_slot, &bytes[..end]).expect("torn");
         assert_eq!(folder.recover(), Some(state(2)), "torn at {end}");
     }
-    for at in 0..bytes.len() {
+    for offset in 0..bytes.len() {
         let mut damaged = bytes.clone();
-        damaged[at] ^= 0x20;
+        damaged[offset] ^= 0x20;
         std::fs::write(&next_slot, &damaged).expect("damaged");
-        assert_eq!(folder.recover(), Some(state(2)), "damaged at {at}");
+        assert_eq!(folder.recover(), Some(state(2)), "damaged at {offset}");
     }
 }
 
@@ -78,13 +78,13 @@
     let longer = [slot(9, &state(4)), vec![1, 2, 3]].concat();
     assert!(
         matches!(decode_slot(&longer), SlotContents::State { write_number: 9, .. }),
-        "bytes that an earlier, longer state left behind are ignored"
+        "trailing bytes of an earlier, longer state are ignored"
     );
     let missing = inspect_slot(Path::new("/nowhere/state-0")).expect("inspected");
     assert_eq!(missing, SlotContents::Missing);
 }
 
-/// A state that can't be encoded.
+/// A value whose encoding always fails.
 struct Unencodable;
 
 impl serde::Serialize for Unencodable {
--- a/crates/store/tests/takeover.rs
+++ b/crates/store/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! How long no store acknowledges a command after the leader is lost, over many losses. Printed by
+//! Measures how long no store acknowledges commands after the loss of the leader, over many losses. Printed by
 //! `cargo test -p violetyoke-store --test takeover -- --nocapture`.
 
 #![cfg(test)]
@@ -7,12 +7,16 @@
 
 use simulation::{Cluster, Millis};
 
-/// What is lost with the leader.
+/// What happens to the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
+    /// The process and the power of its machine.
     Process,
+    /// The power and the disk.
     Disk,
+    /// All links.
     Links,
+    /// The process is frozen.
     Frozen,
 }
 
@@ -48,7 +52,7 @@
             times.sort_unstable();
             let (p50, p99) = (times[25], times[49]);
             println!(
-                "{machines} stores, {loss:?} lost, 50 losses: p50 {p50} ms, p99 {p99} ms without a store"
+                "{machines} stores, {loss:?} lost, 50 losses: p50 {p50} ms, p99 {p99} ms without an acknowledgement"
             );
             assert!(p99 <= 2_000, "{machines} stores, {loss:?}: {p99} ms");
         }
