--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,14 +1,14 @@
-//! The configuration file of an ingress in service: pools, each with its nodes, classes, plans and limits, and the routes
-//! to them.
+//! The configuration file of an ingress with several pools: the pools, each with its nodes, classes, plans and limits, and
+//! the routes to them.
 //!
-//! The file is TOML. [`parse`] reads and validates all of it: unknown keys are errors, and [`Errors`] has every error with
-//! its line and key, so that an operator can mend them in one go. `docs/operators/configuration.md` lists the keys. The
-//! crate reads no files and decides nothing; the ingress puts a [`Service`] in force.
+//! The file is in TOML. [`parse`] parses and validates the complete file. Unknown keys are errors, and [`Errors`] contains
+//! every error with its line and key, so that operators can correct all of them at once. `docs/operators/configuration.md`
+//! lists the keys. The crate does no I/O; the ingress reads the file and puts the [`Service`] in force.
 //!
-//! Other files of the same form are read by [`read`] and [`Section`].
+//! [`read`] and [`Section`] can also be used for other TOML files.
 //!
-//! Times in the file are milliseconds and end in `_ms`; in [`Service`] they are microseconds, as everywhere in the decision
-//! module.
+//! Times in the file are in milliseconds, with keys that end in `_ms`. In [`Service`] they are in microseconds, as in the
+//! decision module.
 //!
 //! ```
 //! let errors = violetyoke_config::parse("[service]\nlisten = \"here\"\n").unwrap_err();
@@ -17,10 +17,9 @@
 //! ```
 
 mod class;
-mod consult;
 mod control;
-mod duties;
 mod error;
+mod external_limiter;
 mod names;
 mod nodes;
 mod plan;
@@ -30,17 +29,18 @@
 mod route;
 mod section;
 mod service;
+mod singleton_roles;
 
 pub use class::Class;
-pub use consult::Consult;
 pub use control::Control;
-pub use duties::Duties;
 pub use error::{ConfigError, Errors};
+pub use external_limiter::ExternalLimiterConfig;
 pub use names::reject_duplicates;
 pub use nodes::{Node, Nodes};
 pub use plan::read_plan;
-pub use pool::{Fields, Pool};
+pub use pool::{Pool, QuotaHeaders};
 pub use ratelimit::RateLimit;
 pub use route::Route;
 pub use section::{read, Section};
 pub use service::{parse, Service};
+pub use singleton_roles::SingletonRoles;
--- a/crates/ingress/src/driver.rs
+++ b/crates/ingress/src/driver.rs
@@ -8,9 +8,9 @@
 use super::embedded_counter::CounterLocation;
 use super::exchange_port::{PendingClient, SocketPort};
 use super::handover_state::HandoverState;
-use super::peers::Peers;
+use super::peers::PeerSocket;
 use super::pool::Pool;
-use super::sets;
+use super::task_scheduler;
 use super::{ClientAnswer, ClientRequest, Clock, Message, Messages};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
     /// The last known list of backends.
     pub initial_targets: TargetList,
     pub counter: Option<CounterLocation>,
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSocket>,
     /// Backends that operators have ejected.
     pub ejections: ManualEjections,
     /// Whether this process takes over from one that is still running.
@@ -80,7 +80,7 @@
             max_idle: 0,
             decision_log: DecisionLog::open(&settings, &names.classes, &names.plans),
         };
-        port.counter = counter.map(|location| port.open(location, timeout));
+        port.counter = counter.map(|location| port.open_counter(location, timeout));
         let exchange = Exchange::new(clock.now(), settings, seed, port);
         let mut driver = Driver { clock, exchange, names, pool, retiring: false, ejections, budget };
         driver.update_targets(TargetList { cached: true, complete: true, ..initial_targets });
@@ -118,7 +118,7 @@
                 self.handle_message(now, message);
                 self.exchange.process_events(now);
                 if let Some((member, started_at)) = charged_member {
-                    sets::charge(member, started_at.elapsed().as_micros() as u64);
+                    task_scheduler::charge(member, started_at.elapsed().as_micros() as u64);
                 }
             }
             if self.retiring && self.pool.open_requests() == 0 && self.exchange.is_idle() {
@@ -148,7 +148,7 @@
             Message::Targets(list) => self.update_targets(list),
             // The previous counter's task ends once its calls are answered or its connection is closed.
             Message::CounterReplaced(location) => {
-                let counter = exchange.port.open(location, exchange.counter_timeout());
+                let counter = exchange.port.open_counter(location, exchange.counter_timeout());
                 exchange.port.counter = Some(counter);
                 exchange.gateway_mut().counter_replaced();
             }
@@ -172,7 +172,7 @@
             Message::Retire => self.retiring = true,
             Message::Withdrawn(request) => exchange.enqueue(Event::Withdrawn { request }),
             Message::AddToClaim { claim, amount, reply } => exchange.add_to_claim(now, claim, amount, reply),
-            Message::PeerMessage { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
+            Message::FromPeer { from, data } => exchange.enqueue(Event::PeerMessage { from, data }),
         }
     }
 
--- a/crates/violetyoke/src/lab.rs
+++ b/crates/violetyoke/src/lab.rs
@@ -76,7 +76,7 @@
 fn read(file: &Path) -> Result<(experiment::Experiment, Vec<experiment::Variant>), Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| failure(format!("{name}: {error}")))?;
-    let invalid_file = |errors: violetyoke_config::Errors| (INVALID_FILE, errors.of_file(&name));
+    let invalid_file = |errors: violetyoke_config::Errors| (INVALID_FILE, errors.format_with_file(&name));
     let read = experiment::parse(&text).map_err(invalid_file)?;
     let variants = experiment::variants(&text, &read).map_err(invalid_file)?;
     Ok((read, variants))
--- a/crates/violetyoke/tests/consult.rs
+++ b/crates/violetyoke/tests/consult.rs
@@ -339,7 +339,7 @@
     let b = Service::start(&text.replace("INDEX", "1"));
     let wait_for_outcome = |amount: f64, times: usize| {
         until("the outcome is recorded", || {
-            counter.calls().iter().filter(|(_, told)| *told == amount).count() == times
+            counter.calls().iter().filter(|(_, added)| *added == amount).count() == times
         });
     };
     assert_eq!(status_of_attempt(&a, "h", "t1"), 200);
