--- a/crates/store/src/disk/folder.rs
+++ b/crates/store/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! The slots of a folder in the file system.
+//! The slot files in a folder of the file system.
 
 use super::slot::{decode_slot, SlotContents};
 use super::storage::{SlotFiles, SlotStorage};
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// File names of both slots.
+/// The file names of the slots.
 const SLOT_NAMES: [&str; 2] = ["state-0", "state-1"];
 
 /// A folder with the files of both slots.
@@ -43,7 +43,7 @@
 }
 
 impl SlotStorage<SlotFolder> {
-    /// Opens a folder, which is created where it does not exist; returns the newest state in it, if there is one.
+    /// Opens a folder, creating it if it doesn't exist; returns the newest state in it, if there is one.
     ///
     /// # Errors
     ///
@@ -54,7 +54,7 @@
     }
 }
 
-/// What both slots of a folder contain; nothing is created, written or synced.
+/// Reads the contents of both slots of a folder, without creating, writing or syncing anything.
 ///
 /// # Errors
 ///
@@ -64,7 +64,7 @@
     Ok([inspect_slot(&folder.join(first))?, inspect_slot(&folder.join(second))?])
 }
 
-/// What the file of one slot contains.
+/// Reads the contents of one slot's file.
 ///
 /// # Errors
 ///
--- a/crates/store/src/disk/mod.rs
+++ b/crates/store/src/disk/mod.rs
@@ -1,14 +1,15 @@
-//! What a store keeps on disk: its durable state, and the records of operations.
+//! A store's data on disk: its durable state, and the records of operations.
 //!
-//! The durable state is in two slots, each with a full state, its write number and a checksum.
+//! The durable state is in two slots, each of which contains a complete state, its write number and a checksum.
 //!
-//! The slot with the older state is the one that is written next, and it is synced before the write counts: a torn write
-//! damages nothing but itself. What is found at a start is synced before it counts too: a process that died before its
-//! sync leaves bytes that the next loss of power may remove. A log was weighed against this (docs/design/system.md): the
-//! state is small, and the tail of a log has to be trusted after a loss of power.
+//! Each write replaces the slot with the older state and is synced before it is reported as complete, so a torn write
+//! leaves the newer state intact. At a start, the slots are synced before their states are used: a process that died
+//! before its sync may have left bytes that the next loss of power removes. Slots are used rather than a log
+//! (docs/design/system.md) because the state is small, and after a loss of power the tail of a log would have to be
+//! trusted.
 //!
-//! [`SlotStorage`] reads and writes the slots of a folder; `slot` has their format. Records are many, small and needed for
-//! a bounded time: [`operation_log`] has them.
+//! [`SlotStorage`] reads and writes the slots of a folder; `slot` has their format. Operation records are many, small
+//! and needed for a bounded time, so they are in a log instead: [`operation_log`].
 
 mod folder;
 pub mod operation_log;
--- a/crates/store/src/disk/operation_log/entry.rs
+++ b/crates/store/src/disk/operation_log/entry.rs
@@ -1,7 +1,7 @@
 //! The format of an entry of the log.
 //!
-//! An entry is a header of 24 bytes and a batch of records as MessagePack. The header is the magic, then two little-endian
-//! integers of 64 bits: the length of the batch in bytes, and its checksum (SipHash-1-3 with a zero key).
+//! An entry is a header of 24 bytes and a batch of records as MessagePack. The header is the magic, then two
+//! little-endian integers of 64 bits: the length of the batch in bytes, and its checksum (SipHash-1-3 with a zero key).
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
@@ -13,7 +13,7 @@
 const LENGTH_OFFSET: usize = 8;
 const CHECKSUM_OFFSET: usize = 16;
 
-/// Records that can't be encoded. Nothing is written of them.
+/// Records can't be encoded. Nothing is written.
 #[derive(Debug, thiserror::Error)]
 #[error("records of operations can't be encoded")]
 pub struct EncodeEntryError(#[from] rmp_serde::encode::Error);
@@ -33,12 +33,12 @@
     Ok(entry)
 }
 
-/// The records of the entries of a segment, up to the first one that is not complete.
+/// Decodes the records of a segment's entries, up to the first entry that is not complete.
 #[must_use]
 pub fn decode_entries(mut segment: &[u8]) -> Vec<OperationRecord> {
     let mut records = Vec::new();
     while let Some((batch, rest)) = split_entry(segment) {
-        // A batch that another build wrote may be sound and yet unknown here; it counts as damaged.
+        // A batch that another build wrote may be valid but not decodable by this build: it counts as damaged too.
         let Ok(decoded) = rmp_serde::from_slice::<Vec<OperationRecord>>(batch) else { break };
         records.extend(decoded);
         segment = rest;
@@ -46,7 +46,7 @@
     records
 }
 
-/// The batch of the first entry, and what follows it; `None` where that entry is not complete.
+/// The batch of the first entry, and the bytes after it; `None` if the first entry is not complete.
 fn split_entry(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     if !bytes.starts_with(ENTRY_MAGIC) {
         return None;
@@ -57,7 +57,7 @@
     (checksum(batch) == stored_checksum).then_some((batch, rest))
 }
 
-/// An integer of the header; `None` where the bytes end before it.
+/// An integer of the header; `None` if the bytes end before it.
 fn header_field(bytes: &[u8], offset: usize) -> Option<u64> {
     let field = bytes.get(offset..)?.first_chunk()?;
     Some(u64::from_le_bytes(*field))
--- a/crates/store/src/disk/operation_log/folder.rs
+++ b/crates/store/src/disk/operation_log/folder.rs
@@ -1,14 +1,14 @@
-//! The segments of a log as files of a folder.
+//! The segments of a log as files in a folder.
 
 use super::files::{LogFiles, SegmentNumber};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A file name is this, and the segment's number.
+/// The name of a segment's file is this prefix and the segment's number.
 const NAME_PREFIX: &str = "operations-";
 
-/// A folder, in which there may be other files too.
+/// A folder with the segment files of a log. Other files in it are ignored.
 #[derive(Debug)]
 pub struct LogFolder {
     folder: PathBuf,
@@ -17,7 +17,7 @@
 }
 
 impl LogFolder {
-    /// A folder that exists.
+    /// Uses a folder, which must exist.
     #[must_use]
     pub fn new(folder: &Path) -> LogFolder {
         LogFolder { folder: folder.to_owned(), newest: None }
@@ -28,7 +28,7 @@
     }
 }
 
-/// The number in the name of a segment's file.
+/// Parses the number in the name of a segment's file; `None` for other files.
 fn parse_name(name: &str) -> Option<SegmentNumber> {
     name.strip_prefix(NAME_PREFIX)?.parse().ok().map(SegmentNumber)
 }
--- a/crates/store/src/disk/operation_log/log.rs
+++ b/crates/store/src/disk/operation_log/log.rs
@@ -1,4 +1,4 @@
-//! The log over its files.
+//! The log: recovery, appends and the removal of expired segments.
 
 use super::entry::{decode_entries, encode_entry, EncodeEntryError};
 use super::files::{LogFiles, SegmentNumber};
@@ -9,16 +9,16 @@
 use std::time::{Duration, Instant};
 use violetyoke_transport::messages::OperationRecord;
 
-/// Why records were not appended. All that were appended before are still there.
+/// Why records were not appended. Records that were appended before are still in the log.
 #[derive(Debug, thiserror::Error)]
 pub enum AppendError {
-    /// They can't be encoded; no file was touched.
+    /// The records can't be encoded; no file was changed.
     #[error(transparent)]
     Encode(#[from] EncodeEntryError),
-    /// They would exceed the size of the log; no file was touched. There is space again once a segment has expired.
+    /// The records would exceed the maximum size of the log; no file was changed. Expiry of a segment frees space.
     #[error("the log of operations is full")]
     Full,
-    /// The disk refused them. They may be appended again.
+    /// The file system returned an error. The append may be repeated.
     #[error("records of operations can't be written")]
     Io(#[from] io::Error),
 }
@@ -33,7 +33,7 @@
 }
 
 impl OperationLog<LogFolder> {
-    /// Opens the log in a folder, which is created where it does not exist; returns the records in it, oldest first.
+    /// Opens the log in a folder, creating it if it doesn't exist; returns the records in it, oldest first.
     ///
     /// # Errors
     ///
@@ -58,9 +58,9 @@
         for &number in &numbers {
             let bytes = files.read(number)?;
             files.sync(number)?;
-            let found = decode_entries(&bytes);
-            segments.add_found(number, bytes.len() as u64, &found);
-            records.extend(found);
+            let segment_records = decode_entries(&bytes);
+            segments.add_existing(number, bytes.len() as u64, &segment_records);
+            records.extend(segment_records);
         }
         if !numbers.is_empty() {
             files.sync_directory()?;
@@ -72,16 +72,16 @@
     ///
     /// # Errors
     ///
-    /// If they can't be encoded, the log is full or the disk refuses them.
+    /// If the records can't be encoded, the log is full, or the file system returns an error.
     pub fn append(&mut self, records: &[OperationRecord]) -> Result<(), AppendError> {
         self.append_at(self.opened_at.elapsed(), records)
     }
 
-    /// Appends records, at a time that is measured from when the log was opened.
+    /// Appends records. `now` is the time since the log was opened.
     ///
     /// # Errors
     ///
-    /// As with [`OperationLog::append`].
+    /// See [`OperationLog::append`].
     pub fn append_at(&mut self, now: Duration, records: &[OperationRecord]) -> Result<(), AppendError> {
         if records.is_empty() {
             return Ok(());
@@ -97,11 +97,11 @@
             self.segments.close();
             return Err(error.into());
         }
-        self.segments.keep_for(number, now, records);
+        self.segments.extend_expiry(number, now, records);
         Ok(())
     }
 
-    /// The segment for the next entry: a new one, whose directory entry is synced, where none is open.
+    /// The segment for the next entry. If none is writable, a new one is created and its directory entry synced.
     fn writable_segment(&mut self, now: Duration) -> io::Result<SegmentNumber> {
         if let Some(number) = self.segments.writable(now) {
             return Ok(number);
@@ -113,22 +113,22 @@
         Ok(number)
     }
 
-    /// Removes the segments in which no record is needed any more.
+    /// Removes the segments whose records have all expired.
     pub fn remove_expired(&mut self) {
         self.remove_expired_at(self.opened_at.elapsed());
     }
 
     fn remove_expired_at(&mut self, now: Duration) {
         for number in self.segments.expired(now) {
-            // A file that can't be removed still takes space, and is tried again with the next entry.
-            if is_gone(&self.files.remove(number)) {
+            // A file that can't be removed still counts towards the size of the log; the next append retries.
+            if is_removed(&self.files.remove(number)) {
                 self.segments.remove(number);
             }
         }
     }
 }
 
-/// A file was removed, or was never created.
-fn is_gone(removal: &io::Result<()>) -> bool {
+/// Whether a file was removed, or didn't exist.
+fn is_removed(removal: &io::Result<()>) -> bool {
     removal.as_ref().err().is_none_or(|error| error.kind() == io::ErrorKind::NotFound)
 }
--- a/crates/store/src/disk/slot.rs
+++ b/crates/store/src/disk/slot.rs
@@ -2,7 +2,7 @@
 //!
 //! A slot is a header of 32 bytes and the state as MessagePack. The header is the magic, then three little-endian
 //! integers of 64 bits: the write number, the length of the state in bytes, and the checksum (SipHash-1-3 with a zero
-//! key, over the write number and the state). Bytes behind the state are ignored.
+//! key, over the write number and the state). Bytes after the state are ignored.
 
 use crate::consensus::DurableState;
 use serde::Serialize;
@@ -16,7 +16,7 @@
 const LENGTH_OFFSET: usize = 16;
 const CHECKSUM_OFFSET: usize = 24;
 
-/// What a slot contains.
+/// The contents of a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotContents {
     /// The slot has no file.
@@ -25,14 +25,14 @@
     Corrupt,
     /// A state that was written completely.
     State {
-        /// Counts the writes to both slots together; the higher number is the newer state.
+        /// The number of the write, counted over both slots: the state with the higher number is newer.
         write_number: u64,
         /// The state.
         state: Box<DurableState>,
     },
 }
 
-/// A state that can't be encoded. Nothing is written of it.
+/// A state can't be encoded. Nothing is written.
 #[derive(Debug, thiserror::Error)]
 #[error("a state can't be encoded for its slot")]
 pub struct EncodeError(#[from] rmp_serde::encode::Error);
@@ -67,7 +67,7 @@
     if checksum(write_number, payload) != stored_checksum {
         return None;
     }
-    // A state that another build wrote may be sound and yet unknown here; it counts as corrupt, like a damaged one.
+    // A state that another build wrote may be valid but not decodable by this build: it counts as corrupt too.
     let state = rmp_serde::from_slice(payload).ok()?;
     Some(SlotContents::State { write_number, state: Box::new(state) })
 }
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 ///
-/// If the state can't be encoded: there are no bytes then, rather than those of an empty state.
+/// If the state can't be encoded. It is never replaced by an empty state.
 pub fn encode_slot<S: Serialize>(write_number: u64, state: &S) -> Result<Vec<u8>, EncodeError> {
     let payload = rmp_serde::to_vec(state)?;
     let mut slot = Vec::with_capacity(HEADER_LENGTH + payload.len());
@@ -96,7 +96,7 @@
 }
 
 impl SlotCursor {
-    /// The cursor after both slots were read, and the newer of their states.
+    /// Creates the cursor from the contents of both slots, and returns the newer of their states.
     #[must_use]
     pub fn recover(contents: [SlotContents; 2]) -> (SlotCursor, Option<DurableState>) {
         let mut newest: Option<(SlotCursor, DurableState)> = None;
@@ -118,7 +118,7 @@
         self.slot
     }
 
-    /// The bytes of the next write.
+    /// Encodes the bytes of the next write.
     ///
     /// # Errors
     ///
@@ -127,7 +127,7 @@
         encode_slot(self.last_write + 1, state)
     }
 
-    /// Moves on after a write that is complete and synced.
+    /// Advances to the other slot, after a write is complete and synced.
     pub fn advance(&mut self) {
         *self = SlotCursor { last_write: self.last_write + 1, slot: 1 - self.slot };
     }
--- a/crates/store/src/disk/storage.rs
+++ b/crates/store/src/disk/storage.rs
@@ -1,12 +1,12 @@
-//! Two slots, read and written in turn.
+//! Durable storage of a state in two slots, which are written alternately.
 
 use super::slot::{decode_slot, EncodeError, SlotContents, SlotCursor};
 use crate::consensus::DurableState;
 use std::io;
 
-/// The files of both slots. Slots are numbered 0 and 1.
+/// The files of the two slots, which are numbered 0 and 1.
 pub trait SlotFiles {
-    /// The bytes of a slot; `None` where it has no file.
+    /// Reads the bytes of a slot; `None` if it has no file.
     ///
     /// # Errors
     ///
@@ -17,10 +17,10 @@
     ///
     /// # Errors
     ///
-    /// If they are not written or not synced; the slot may then contain any part of them.
+    /// If the bytes are not written or not synced; the slot may then contain any part of them.
     fn write(&mut self, slot: usize, bytes: &[u8]) -> io::Result<()>;
 
-    /// Syncs a slot as it is, so that a loss of power does not remove what was read from it.
+    /// Syncs a slot without writing to it, so that a loss of power doesn't remove what was read from it.
     ///
     /// # Errors
     ///
@@ -35,13 +35,13 @@
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// Why a state was not written. The state before it is still there.
+/// Why a state was not written. The previous state is still in the other slot.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// It can't be encoded; no file was touched.
+    /// The state can't be encoded; no file was changed.
     #[error(transparent)]
     Encode(#[from] EncodeError),
-    /// The disk refused it. The write may be repeated.
+    /// The file system returned an error. The write may be repeated.
     #[error("a slot can't be written")]
     Io(#[from] io::Error),
 }
@@ -51,12 +51,12 @@
 pub struct SlotStorage<F> {
     files: F,
     cursor: SlotCursor,
-    /// The directory entries of both files are synced.
+    /// Whether the directory entries of both files are synced.
     directory_synced: bool,
 }
 
 impl<F: SlotFiles> SlotStorage<F> {
-    /// Syncs and reads both slots; returns the newest state that is complete, if there is one.
+    /// Syncs and reads both slots; returns the newest complete state, if there is one.
     ///
     /// # Errors
     ///
@@ -81,7 +81,8 @@
     ///
     /// # Errors
     ///
-    /// If the state can't be encoded or the disk refuses it; the state before it is still there.
+    /// If the state can't be encoded, or the file system returns an error; the previous state is still in the other
+    /// slot.
     pub fn write(&mut self, state: &DurableState) -> Result<(), WriteError> {
         let bytes = self.cursor.encode(state)?;
         self.files.write(self.cursor.slot(), &bytes)?;
