--- a/crates/store/src/daemon/connections.rs
+++ b/crates/store/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that others have opened to this store: registries that watch it and send it commands, and other stores.
+//! Connections opened to this store: by registries, which watch it and send it commands, and by other stores.
 
 use crate::consensus::ClientId;
 use bytes::Bytes;
@@ -7,21 +7,21 @@
 use violetyoke_transport::connection::{ConnectionId, Sender};
 use violetyoke_transport::messages::{Revision, StoreReply};
 
-/// A registry that wants to be sent what is new.
+/// A registry that subscribes to the status and the committed state of this store.
 pub(super) struct Watcher {
     pub(super) registry: Ipv4Addr,
-    /// The newest state that it has, or that was sent to it.
-    pub(super) known: Revision,
-    /// The status that was last sent to it.
+    /// The revision of the newest state that the registry has, or that was sent to it.
+    pub(super) known_revision: Revision,
+    /// The status that was last sent to the registry.
     pub(super) last_status: Option<StoreReply>,
 }
 
 struct Connection {
     sender: Sender,
-    /// The store whose last message came on this connection.
+    /// The store whose last message arrived on this connection.
     peer: Option<Ipv4Addr>,
     watcher: Option<Watcher>,
-    /// Request ids of the commands that are not answered yet.
+    /// Request ids of the commands and operation requests that are not answered yet.
     open_requests: BTreeMap<ClientId, u64>,
 }
 
@@ -31,7 +31,7 @@
     pub(super) watcher: &'a mut Watcher,
 }
 
-/// All accepted connections that stand.
+/// All open accepted connections.
 #[derive(Default)]
 pub(super) struct AcceptedConnections {
     by_id: BTreeMap<ConnectionId, Connection>,
@@ -44,12 +44,12 @@
         self.by_id.insert(id, connection);
     }
 
-    /// A connection has ended: replies to its open requests are dropped, and their senders repeat them.
+    /// Removes a connection that has ended. Replies to its open requests are dropped; the senders repeat the requests.
     pub(super) fn close(&mut self, id: ConnectionId) {
         self.by_id.remove(&id);
     }
 
-    /// A message of another store came on a connection, by which it can be reached from now on.
+    /// Records that a message of another store arrived on a connection; messages to that store may use it from now on.
     pub(super) fn set_peer(&mut self, id: ConnectionId, peer: Ipv4Addr) {
         if self.by_id.get(&id).is_none_or(|connection| connection.peer == Some(peer)) {
             return;
@@ -68,15 +68,15 @@
         self.by_id.values().find(is_to_peer).map(|connection| &connection.sender)
     }
 
-    /// A registry watches this store by a connection, and has the state of a revision.
-    pub(super) fn watch(&mut self, id: ConnectionId, registry: Ipv4Addr, known: Revision) {
+    /// Registers a registry as the watcher on a connection; it has the state of revision `known_revision`.
+    pub(super) fn watch(&mut self, id: ConnectionId, registry: Ipv4Addr, known_revision: Revision) {
         if let Some(connection) = self.by_id.get_mut(&id) {
             let last_status = connection.watcher.take().and_then(|watcher| watcher.last_status);
-            connection.watcher = Some(Watcher { registry, known, last_status });
+            connection.watcher = Some(Watcher { registry, known_revision, last_status });
         }
     }
 
-    /// Addresses of the registries that watch this store, in order, each once.
+    /// Addresses of the registries that watch this store, sorted and without duplicates.
     pub(super) fn registries(&self) -> Vec<Ipv4Addr> {
         let watchers = self.by_id.values().filter_map(|connection| connection.watcher.as_ref());
         let registries: BTreeSet<Ipv4Addr> = watchers.map(|watcher| watcher.registry).collect();
@@ -90,7 +90,7 @@
         })
     }
 
-    /// A new client for a request that came on a connection.
+    /// Creates a client for a request that arrived on a connection.
     pub(super) fn open_request(&mut self, id: ConnectionId, request_id: u64) -> ClientId {
         self.last_client = ClientId(self.last_client.0 + 1);
         if let Some(connection) = self.by_id.get_mut(&id) {
@@ -99,7 +99,7 @@
         self.last_client
     }
 
-    /// Replies to a client, if its connection still stands. `encode` makes the reply to the request with an id.
+    /// Replies to a client, if its connection is still open. `encode` encodes the reply, given the id of the request.
     pub(super) fn reply(&mut self, client: ClientId, encode: impl FnOnce(u64) -> Bytes) {
         for connection in self.by_id.values_mut() {
             if let Some(request_id) = connection.open_requests.remove(&client) {
--- a/crates/store/src/daemon/disk_writer.rs
+++ b/crates/store/src/daemon/disk_writer.rs
@@ -1,5 +1,5 @@
-//! Writes the durable state apart from all else, in order, and each state until it is written. A real disk has a thread
-//! of its own, an emulated one a task.
+//! Writes the durable state in a worker of its own (a thread for a real disk, a task for an emulated one), in order,
+//! and repeats failed writes until they succeed.
 
 use super::input::{Input, InputSender};
 use super::pending_writes::PendingWrites;
@@ -19,9 +19,9 @@
     state: DurableState,
 }
 
-/// Takes writes for the disk, and watches how long they take.
+/// Passes writes to the worker, and measures how long they take.
 ///
-/// Once the event loop has ended, a worker thread ends after its present write, and a worker task ends at once.
+/// Once the event loop has ended, a worker thread ends after its current write, and a worker task ends at once.
 pub(super) struct DiskWriter {
     requests: RequestSender<Request>,
     pending: PendingWrites<WriteNumber>,
@@ -29,7 +29,7 @@
 }
 
 impl DiskWriter {
-    /// Starts the worker. It reports each write that is on the disk as [`Input::Persisted`].
+    /// Starts the worker, which reports completed writes as [`Input::Persisted`].
     pub(super) fn start(storage: Storage, inputs: InputSender) -> DiskWriter {
         let mut worker = JoinSet::new();
         let requests = match storage {
@@ -47,18 +47,18 @@
         DiskWriter { requests, pending: PendingWrites::default(), _worker: worker }
     }
 
-    /// Requests a write. It replaces an earlier one that has not begun.
+    /// Requests a write. It replaces earlier writes that have not started.
     pub(super) fn write(&mut self, number: WriteNumber, state: DurableState) {
         self.pending.begin(number);
         self.requests.send(Request { number, state });
     }
 
-    /// All writes up to this one are on the disk. Returns whether it is the first one after a failure.
+    /// Records that all writes up to this one are on the disk. Returns whether it is the first success after a failure.
     pub(super) fn on_persisted(&mut self, number: WriteNumber) -> bool {
         self.pending.finish(number)
     }
 
-    /// The disk has refused a write. Returns whether it is the first failure after a success.
+    /// Records that a write has failed. Returns whether it is the first failure after a success.
     pub(super) fn on_write_failed(&mut self) -> bool {
         self.pending.fail()
     }
@@ -69,8 +69,8 @@
     }
 }
 
-/// The newest request that is queued: its state contains all that an earlier one does.
-fn newest(mut request: Request, mut next: impl FnMut() -> Option<Request>) -> Request {
+/// The newest queued request. Its state includes the changes of the earlier ones, which needn't be written.
+fn latest_queued(mut request: Request, mut next: impl FnMut() -> Option<Request>) -> Request {
     while let Some(newer) = next() {
         request = newer;
     }
@@ -79,8 +79,8 @@
 
 fn write_to_folder(mut storage: SlotStorage<SlotFolder>, requests: &Receiver<Request>, inputs: &InputSender) {
     while let Ok(request) = requests.recv() {
-        let Request { number, state } = newest(request, || requests.try_recv().ok());
-        // Why a write fails makes no difference to the replica: meanwhile the disk counts as unhealthy.
+        let Request { number, state } = latest_queued(request, || requests.try_recv().ok());
+        // The replica doesn't get the reason of a failure, only that the disk doesn't complete its writes in time.
         while let Err(error) = storage.write(&state) {
             inputs.send(Input::WriteFailed(error));
             std::thread::sleep(RETRY_DELAY);
@@ -99,7 +99,7 @@
     inputs: InputSender,
 ) {
     while let Some(request) = requests.recv().await {
-        let Request { number, state } = newest(request, || requests.try_recv().ok());
+        let Request { number, state } = latest_queued(request, || requests.try_recv().ok());
         while let Err(error) = write_slot(&*disk, cursor, &state).await {
             inputs.send(Input::WriteFailed(error));
             tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/store/src/daemon/encoder.rs
+++ b/crates/store/src/daemon/encoder.rs
@@ -1,5 +1,4 @@
-//! Messages with a full state are encoded once for all who get the same: compressing a megabyte takes tens of
-//! milliseconds.
+//! Encodes a message with a full state once for all receivers: compressing a megabyte takes tens of milliseconds.
 
 use bytes::Bytes;
 use violetyoke_transport::codec::encode_deflated;
@@ -7,19 +6,19 @@
     ControlState, Envelope, PeerMessage, Revision, StoreNode, StoreReply, StoreRequest,
 };
 
-/// Messages between stores are cached from this length on (bytes).
+/// The minimum encoded length of a message between stores that is cached (bytes).
 const CACHE_FROM: usize = 1 << 10;
 
 /// Caches the last message of each kind that carries a state.
 #[derive(Debug, Default)]
 pub(super) struct Encoder {
     peer_message: Option<(PeerMessage, Bytes)>,
-    /// By its revision, which belongs to one state for good.
+    /// The last committed state sent, by its revision: a revision always identifies the same state.
     state_reply: Option<(Revision, Bytes)>,
 }
 
 impl Encoder {
-    /// The bytes of a message to another store; `from` is always this store.
+    /// Encodes a message to another store; `from` is always this store.
     pub(super) fn encode_envelope(&mut self, from: &StoreNode, message: PeerMessage) -> Bytes {
         if let Some((_, bytes)) = self.peer_message.as_ref().filter(|(cached, _)| *cached == message) {
             return bytes.clone();
@@ -32,12 +31,13 @@
         bytes
     }
 
-    /// Drops the cached message to other stores. The effects of one event are where the same state goes to several.
+    /// Drops the cached message to other stores. Only the effects of the same event send the same state to several
+    /// stores.
     pub(super) fn clear_peer_message(&mut self) {
         self.peer_message = None;
     }
 
-    /// The bytes that send a state to a registry.
+    /// Encodes a committed state for registries.
     pub(super) fn encode_state(&mut self, state: &ControlState) -> Bytes {
         if let Some((_, bytes)) =
             self.state_reply.as_ref().filter(|(revision, _)| *revision == state.revision)
--- a/crates/store/src/daemon/event_loop.rs
+++ b/crates/store/src/daemon/event_loop.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the replica: it takes inputs in turn, and carries out the effects.
+//! The task that owns the replicas: it handles inputs one by one, and carries out the effects.
 
 use super::disk_writer::DiskWriter;
 use super::encoder::Encoder;
@@ -22,12 +22,12 @@
 use violetyoke_transport::peers::PeerConnections;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// On a shutdown, the hand-over may take `grace-s` but for this: the rest is for the process to end.
+/// On a shutdown, the handover may take `grace-s` less this time, which is reserved for the process to end.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(1_500);
 
-/// What was last logged of a store's part.
+/// The epoch and role of the store, as last logged.
 #[derive(Default, PartialEq)]
-struct Standing {
+struct LeadershipStatus {
     epoch: Epoch,
     is_leader: bool,
 }
@@ -41,9 +41,9 @@
     publisher: Publisher,
     encoder: Encoder,
     log: Logger,
-    logged: Standing,
+    logged: LeadershipStatus,
     handover_timeout: Duration,
-    /// When the process got its shutdown request.
+    /// When the process received its shutdown request.
     shutdown_at: Option<Instant>,
 }
 
@@ -69,7 +69,7 @@
             publisher: Publisher::default(),
             encoder: Encoder::default(),
             log,
-            logged: Standing::default(),
+            logged: LeadershipStatus::default(),
             handover_timeout: grace.saturating_sub(SHUTDOWN_RESERVE),
             shutdown_at: None,
         }
@@ -111,7 +111,7 @@
         let local_ip = self.replica.node().ip;
         self.links.peers.connect_to(self.replica.known_stores().into_iter().filter(|ip| *ip != local_ip));
         let disk_healthy = self.disk_writer.is_healthy() && self.operations.is_disk_healthy();
-        self.operations.show_to(&mut self.replica);
+        self.operations.update_core(&mut self.replica);
         self.step(Event::Tick { disk_healthy });
         self.step_operations(operations::Event::Tick);
     }
@@ -148,10 +148,10 @@
             connection::Event::Disconnected => self.links.peers.disconnected(ip),
             connection::Event::Message(message) => match decode(&message) {
                 Ok(StoreRequest::Envelope(envelope)) => self.step(Event::Message(envelope)),
-                // Other requests belong on connections that their senders have opened.
                 Ok(StoreRequest::Replication { from, message }) => {
                     self.step_operations(operations::Event::Message { from, message });
                 }
+                // Requests of registries arrive only on connections that the registries have opened.
                 Ok(
                     StoreRequest::Watch { .. }
                     | StoreRequest::Execute { .. }
@@ -179,7 +179,7 @@
     fn on_request(&mut self, id: ConnectionId, request: StoreRequest) {
         match request {
             StoreRequest::Envelope(envelope) => {
-                // This connection may stand before the one that this store opens to the other.
+                // This connection may be open earlier than the one that this store opens to the sender.
                 self.links.accepted.set_peer(id, envelope.from.ip);
                 self.step(Event::Message(envelope));
             }
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Hands an event to the replica and carries out its effects, in their order.
+    /// Passes an event to the consensus replica and carries out its effects, in order.
     fn step(&mut self, event: Event) {
         let now = self.now();
         for effect in self.replica.handle(now, event) {
@@ -219,31 +219,31 @@
         self.operations.observe(now, &self.replica, &mut self.links);
     }
 
-    /// Milliseconds of the clock by which both replicas were created.
+    /// The time of both replicas (ms): the time since the start, plus `STARTED_AT`.
     fn now(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64 + STARTED_AT
     }
 
-    /// Hands an event to the engine of operations.
+    /// Passes an event to the operation replica.
     fn step_operations(&mut self, event: operations::Event) {
         let now = self.now();
         self.operations.step(now, event, self.replica.node(), &mut self.links);
     }
 
-    /// Sends a message to another store, by either side's connection. It is dropped where there is none: the replica
-    /// repeats what matters.
+    /// Sends a message to another store, on a connection that either side opened. The message is dropped if there is
+    /// none: the replica repeats messages that it depends on.
     fn send(&mut self, to: Ipv4Addr, message: PeerMessage) {
         if let Some(sender) = self.links.sender_to(to) {
-            // The replica takes messages in any order: small ones don't wait behind a state.
+            // Replicas accept messages in any order, so small ones needn't wait until a large state is sent.
             sender.send_urgent(self.encoder.encode_envelope(self.replica.node(), message));
         }
     }
 
     fn publish(&mut self) {
-        let standing = Standing { epoch: self.replica.epoch(), is_leader: self.replica.is_leader() };
-        if standing != self.logged {
-            info!(self.log, "leadership"; "epoch" => standing.epoch, "leader" => standing.is_leader);
-            self.logged = standing;
+        let status = LeadershipStatus { epoch: self.replica.epoch(), is_leader: self.replica.is_leader() };
+        if status != self.logged {
+            info!(self.log, "leadership"; "epoch" => status.epoch, "leader" => status.is_leader);
+            self.logged = status;
         }
         self.publisher.publish(&self.replica, &mut self.links.accepted, &mut self.encoder);
     }
--- a/crates/store/src/daemon/links.rs
+++ b/crates/store/src/daemon/links.rs
@@ -7,9 +7,9 @@
 
 /// All connections of a store.
 pub(super) struct Links {
-    /// Those that this store opens to other stores.
+    /// The connections that this store opens to other stores.
     pub(super) peers: PeerConnections,
-    /// Those that registries and other stores have opened.
+    /// The connections that registries and other stores have opened.
     pub(super) accepted: AcceptedConnections,
 }
 
@@ -18,7 +18,7 @@
         Links { peers, accepted: AcceptedConnections::default() }
     }
 
-    /// The sender to another store, by either side's connection.
+    /// The sender to another store, on a connection that either side opened.
     pub(super) fn sender_to(&self, store: Ipv4Addr) -> Option<&Sender> {
         self.peers.sender(store).or_else(|| self.accepted.sender_to_peer(store))
     }
--- a/crates/store/src/daemon/mod.rs
+++ b/crates/store/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The store as a process: connections, the clock and the disk round the consensus core.
+//! The store process: it connects the replicas with the network, the clock and the disk.
 
 mod connections;
 mod disk_writer;
@@ -32,26 +32,26 @@
 
 const PROGRAM: &str = "store";
 
-/// Runs the program until it ends; `arguments` are those after its name.
+/// Runs the program until it ends; `arguments` are the command-line arguments after the program name.
 pub fn program(arguments: lexopt::Parser) -> std::process::ExitCode {
     let about = "The store of configuration: one process on each core machine.";
     violetyoke_transport::daemon::run(PROGRAM, about, arguments, run)
 }
 
-/// Runs a store until it gets a shutdown request and has handed over what others depend on.
+/// Runs a store until it has received a shutdown request and completed the handover to other stores.
 ///
-/// All tasks that it spawns end with it.
+/// All tasks that the function spawns end when it returns.
 ///
 /// # Errors
 ///
-/// If the folder of its state can't be opened or its port can't be bound.
+/// If the data folder can't be opened or the port can't be bound.
 pub async fn run(settings: Settings, lifecycle: Lifecycle, log: Logger) -> Result<(), Report<StartError>> {
     let (storage, durable) = open_storage(&settings)?;
     let address = (settings.local.ip, settings.internal_port(Process::Store)).into();
     let listener = bind(PROGRAM, Some(address), "network.internal-ports")?;
     info!(log, "started"; "epoch" => durable.config.epoch, "version" => durable.state.version);
-    // Unbounded, because connections report by callbacks that can't wait. The loop below does nothing that blocks, and
-    // what a connection reads is bounded by the speed of its link.
+    // Unbounded, because the connections' callbacks, which send the inputs, can't wait. The event loop never blocks,
+    // and the rate of a connection's inputs is bounded by the speed of its link.
     let (inputs, queue) = unbounded_channel();
     let inputs = InputSender(inputs);
     let mut tasks = JoinSet::new();
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-/// Opens the folder of the state, and reads what an earlier run left there.
+/// Opens the storage of the durable state, and reads the state of an earlier run.
 fn open_storage(settings: &Settings) -> Result<(Storage, DurableState), Report<StartError>> {
     let folder = data_folder(settings);
     let (storage, durable) = Storage::open(&folder)
@@ -75,7 +75,7 @@
     Ok((storage, durable.unwrap_or_default()))
 }
 
-/// Opens the log of operations, and reads what an earlier run left there.
+/// Opens the log of operations, and reads the records of an earlier run.
 fn open_operations(
     settings: &Settings,
     replica: &Replica,
--- a/crates/store/src/daemon/operation_log_writer.rs
+++ b/crates/store/src/daemon/operation_log_writer.rs
@@ -1,5 +1,6 @@
-//! Appends records of operations to their log apart from all else, in order, and each until it is there. Requests that
-//! arrive during an append share the next one, so that a slow disk costs time rather than throughput.
+//! Appends records of operations to their log in a worker of its own, in order, and repeats failed appends until they
+//! succeed. Requests that arrive during an append share the next one, so that a slow disk increases latency but doesn't
+//! reduce throughput.
 
 use super::input::{Input, InputSender};
 use super::pending_writes::PendingWrites;
@@ -16,7 +17,7 @@
 use violetyoke_transport::environment::{self, AppendLog};
 use violetyoke_transport::messages::OperationRecord;
 
-/// An entry that has so many records takes no further request.
+/// Requests are added to an entry until it has at least this many records.
 const MAX_SHARED_RECORDS: usize = 1_024;
 /// How often expired segments are removed while nothing is appended.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(15);
@@ -27,7 +28,8 @@
     records: Vec<OperationRecord>,
 }
 
-/// Takes appends for the log, and watches how long they take. The worker ends as that of the durable state does.
+/// Passes appends to the worker, and measures how long they take. The worker ends in the same way as that of
+/// [`DiskWriter`](super::disk_writer::DiskWriter).
 pub(super) struct OperationLogWriter {
     requests: RequestSender<Request>,
     pending: PendingWrites<AppendNumber>,
@@ -35,9 +37,9 @@
 }
 
 impl OperationLogWriter {
-    /// Opens the log of a folder and starts the worker; returns the records that an earlier run left there.
+    /// Opens the log in a folder and starts the worker; returns the records of earlier runs.
     ///
-    /// The worker reports the appends that are on the disk as [`Input::OperationsAppended`].
+    /// The worker reports completed appends as [`Input::OperationsAppended`].
     pub(super) fn open(
         folder: &Path,
         max_bytes: u64,
@@ -59,18 +61,19 @@
         Ok((OperationLogWriter { requests, pending: PendingWrites::default(), _worker: worker }, records))
     }
 
-    /// Requests an append. Numbers ascend.
+    /// Requests an append. Each number must be higher than the one before.
     pub(super) fn append(&mut self, number: AppendNumber, records: Vec<OperationRecord>) {
         self.pending.begin(number);
         self.requests.send(Request { number, records });
     }
 
-    /// All appends up to this one are on the disk. Returns whether it is the first one after a failure.
+    /// Records that all appends up to this one are on the disk. Returns whether it is the first success after a
+    /// failure.
     pub(super) fn on_appended(&mut self, number: AppendNumber) -> bool {
         self.pending.finish(number)
     }
 
-    /// The disk has refused an append. Returns whether it is the first failure after a success.
+    /// Records that an append has failed. Returns whether it is the first failure after a success.
     pub(super) fn on_append_failed(&mut self) -> bool {
         self.pending.fail()
     }
@@ -81,8 +84,8 @@
     }
 }
 
-/// A request that includes those which are queued behind it.
-fn shared(mut request: Request, mut next: impl FnMut() -> Option<Request>) -> Request {
+/// Combines a request with the queued requests after it.
+fn coalesce(mut request: Request, mut next: impl FnMut() -> Option<Request>) -> Request {
     while request.records.len() < MAX_SHARED_RECORDS {
         let Some(mut later) = next() else { break };
         request.records.append(&mut later.records);
@@ -94,7 +97,7 @@
 fn append_to_folder(mut log: OperationLog, requests: &Receiver<Request>, inputs: &InputSender) {
     while !inputs.is_closed() {
         let request = match requests.recv_timeout(CLEANUP_INTERVAL) {
-            Ok(request) => shared(request, || requests.try_recv().ok()),
+            Ok(request) => coalesce(request, || requests.try_recv().ok()),
             Err(RecvTimeoutError::Timeout) => {
                 log.remove_expired();
                 continue;
@@ -118,7 +121,7 @@
     inputs: InputSender,
 ) {
     while let Some(request) = requests.recv().await {
-        let request = shared(request, || requests.try_recv().ok());
+        let request = coalesce(request, || requests.try_recv().ok());
         while let Err(error) = append_entry(&*log, &request.records).await {
             inputs.send(Input::OperationAppendFailed(error));
             tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/store/src/daemon/operations.rs
+++ b/crates/store/src/daemon/operations.rs
@@ -1,4 +1,4 @@
-//! Drives the engine of operations: shows it the consensus core, and carries out its effects.
+//! Runs the operation replica: updates its view of the consensus core, and carries out its effects.
 
 use super::links::Links;
 use super::operation_log_writer::OperationLogWriter;
@@ -15,15 +15,15 @@
     OperationMessage, OperationRecord, StoreNode, StoreReply, StoreRequest,
 };
 
-/// The most that records may take in memory (bytes): less than half of the smallest core machine that is planned for.
+/// The maximum memory for records (bytes): less than half of that of the smallest supported core machine.
 const MAX_RECORD_BYTES: usize = 112 << 20;
-/// The most that the log of records may take on disk (bytes).
+/// The maximum size of the log of records on disk (bytes).
 pub(super) const MAX_LOG_BYTES: u64 = 160 << 20;
 
-/// The time at which a store starts, by its own clock (ms).
+/// The time that the replicas' clock shows when the store starts (ms).
 pub(super) const STARTED_AT: u64 = 1;
 
-/// The engine of operations and its log.
+/// The operation replica and its log.
 pub(super) struct Operations {
     replica: OperationReplica,
     records: OperationLogWriter,
@@ -51,25 +51,25 @@
         self.records.is_healthy()
     }
 
-    /// Before a tick of the consensus core: shows it what it has to know of the records.
-    pub(super) fn show_to(&self, core: &mut Replica) {
+    /// Reports complete learners and rejections to the consensus core. Has to be called before each of its ticks.
+    pub(super) fn update_core(&self, core: &mut Replica) {
         core.set_complete_learners(self.replica.complete_learners());
         core.set_rejection(self.replica.rejection());
     }
 
-    /// After an event of the consensus core.
+    /// Updates the replica's view of the consensus core. Has to be called after each event of the core.
     pub(super) fn observe(&mut self, now: u64, core: &Replica, links: &mut Links) {
-        let effects = self.replica.observe(now, self.view_of(core));
+        let effects = self.replica.observe(now, self.consensus_view(core));
         self.carry_out(effects, core.node(), links);
     }
 
-    /// Hands an event to the engine.
+    /// Passes an event to the replica.
     pub(super) fn step(&mut self, now: u64, event: Event, local: &StoreNode, links: &mut Links) {
         let effects = self.replica.handle(now, event);
         self.carry_out(effects, local, links);
     }
 
-    /// All appends up to this one are on the disk.
+    /// Records that all appends up to this one are on the disk; returns the event for the replica.
     pub(super) fn on_appended(&mut self, number: AppendNumber) -> Event {
         if self.records.on_appended(number) {
             info!(self.log, "appends to the log of operations succeed again");
@@ -77,7 +77,7 @@
         Event::Appended(number)
     }
 
-    /// The disk has refused an append, which is made again.
+    /// Records that an append has failed. The log repeats it.
     pub(super) fn on_append_failed(&mut self, error: &AppendError) {
         if self.records.on_append_failed() {
             warn!(self.log, "appends to the log of operations fail"; "error" => #error);
@@ -96,8 +96,8 @@
         }
     }
 
-    /// What the engine has to know of the core.
-    fn view_of(&self, core: &Replica) -> ConsensusView {
+    /// The state of the consensus core that the replica needs.
+    fn consensus_view(&self, core: &Replica) -> ConsensusView {
         let leadership = core.is_leader().then(|| Leadership {
             epoch: core.epoch(),
             voters: core.voters().to_vec(),
@@ -109,7 +109,7 @@
         ConsensusView { promised: core.promised(), leadership }
     }
 
-    /// The regions of these stores; an empty name, which is nobody's home, for one in a zone that the settings lack.
+    /// The regions of these stores. The region of a zone that the settings lack is the empty name, which matches none.
     fn regions_of(&self, stores: &[StoreNode]) -> Vec<String> {
         let region = |store: &StoreNode| self.regions.get(&store.zone).cloned().unwrap_or_default();
         let regions: BTreeSet<String> = stores.iter().map(region).collect();
@@ -117,7 +117,7 @@
     }
 }
 
-/// Sends a message to other stores; in order, as a store compares an offer with what came before it.
+/// Sends a message to other stores. Messages stay in order, because a store compares an offer with earlier batches.
 fn send(to: &[Ipv4Addr], local: &StoreNode, message: OperationMessage, links: &Links) {
     if to.is_empty() {
         return;
--- a/crates/store/src/daemon/publisher.rs
+++ b/crates/store/src/daemon/publisher.rs
@@ -1,4 +1,4 @@
-//! What registries are sent without asking: the status of this store, and the newest committed state.
+//! Publishes the status of this store and the newest committed state to the registries that watch it.
 
 use super::connections::{AcceptedConnections, WatcherLink};
 use super::encoder::Encoder;
@@ -7,15 +7,15 @@
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{Epoch, Revision, ShardOwners, StoreReply};
 
-/// Sends updates to watchers, and appoints the registries that own the quota shards while this store leads.
+/// Sends updates to watchers and, while this store leads, assigns the quota shards to registries.
 #[derive(Default)]
 pub(super) struct Publisher {
     shard_owners: ShardOwners,
 }
 
 impl Publisher {
-    /// Sends each watcher the status of this store where it has changed, and the committed state where it has an older
-    /// one.
+    /// Sends each watcher the status of this store if it has changed, and the committed state if the watcher has an
+    /// older one.
     pub(super) fn publish(
         &mut self,
         replica: &Replica,
@@ -28,8 +28,10 @@
                 sender.send(encode(&status));
                 watcher.last_status = Some(status.clone());
             }
-            if let Some(state) = replica.committed_state().filter(|state| state.revision > watcher.known) {
-                watcher.known = state.revision;
+            if let Some(state) =
+                replica.committed_state().filter(|state| state.revision > watcher.known_revision)
+            {
+                watcher.known_revision = state.revision;
                 sender.send(encoder.encode_state(state));
             }
         }
@@ -37,7 +39,7 @@
 
     fn status(&mut self, replica: &Replica, connections: &AcceptedConnections) -> StoreReply {
         let shard_owners = if replica.is_leader() {
-            self.appoint(replica.epoch(), connections.registries());
+            self.assign_shards(replica.epoch(), connections.registries());
             self.shard_owners.clone()
         } else {
             ShardOwners::default()
@@ -50,9 +52,9 @@
         }
     }
 
-    /// Appoints the connected registries. Each change of them gets a higher fencing token, within an epoch by its
-    /// sequence, so that what earlier owners send is recognized as stale.
-    fn appoint(&mut self, epoch: Epoch, registries: Vec<Ipv4Addr>) {
+    /// Makes the connected registries the owners of the shards. Each change of the owners gets a higher fencing token
+    /// (a higher sequence within the same epoch), so that messages of earlier owners are recognized as stale.
+    fn assign_shards(&mut self, epoch: Epoch, registries: Vec<Ipv4Addr>) {
         let last = self.shard_owners.fencing_token;
         if registries == self.shard_owners.registries && last.epoch == epoch {
             return;
--- a/crates/store/src/daemon/storage.rs
+++ b/crates/store/src/daemon/storage.rs
@@ -1,4 +1,4 @@
-//! Where the durable state is: a folder, or the disk of an emulated environment.
+//! The storage of the durable state: a folder, or the disk of an emulated environment.
 
 use crate::consensus::DurableState;
 use crate::disk::{decode_slot, SlotCursor, SlotFolder, SlotStorage};
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,15 +1,15 @@
 //! The store of configuration: a replicated register of the control state, one process on each core machine.
 //!
 //! Operators' commands reach the leader through the registries; once a command is acknowledged, its effect survives the
-//! loss of as many machines as the settings tolerate. The store knows nothing of what a configuration means, and proxies
-//! never talk to it: registries pass on what it commits.
+//! loss of as many machines as the settings tolerate. The store doesn't interpret configurations. Proxies don't connect
+//! to it: registries distribute the committed state to them.
 //!
-//! - [`consensus`] decides, apart from sockets, clocks and disks: [`consensus::Replica`] turns events into effects.
-//! - [`operations`] replicates records of keyed requests under the epochs of that core.
-//! - [`disk`] keeps what a replica must not forget: [`disk::SlotStorage`].
-//! - [`daemon`] is the process round both: [`daemon::run`].
+//! - [`consensus`] is the consensus core, which does no I/O: [`consensus::Replica`] turns events into effects.
+//! - [`operations`] replicates the records of requests with idempotency keys, under the epochs of the consensus core.
+//! - [`disk`] stores the durable state of a replica ([`disk::SlotStorage`]) and the operation records.
+//! - [`daemon`] is the process: it connects these parts with the network, the clock and the disk ([`daemon::run`]).
 //!
-//! A single voter leads as soon as its disk has what it sends itself:
+//! A single voter becomes the leader as soon as its writes are on its disk:
 //!
 //! ```
 //! use violetyoke_store::consensus::{DurableState, Effect, Event, Replica, ReplicaOptions};
