--- a/crates/store/src/consensus/commands.rs
+++ b/crates/store/src/consensus/commands.rs
@@ -41,6 +41,7 @@
 #[derive(Clone, Debug)]
 struct Confirmation {
     replies: Vec<PreparedReply>,
+    /// Ids of the data replicas that have confirmed.
     confirmed: BTreeSet<StoreId>,
     started_at: Millis,
 }
@@ -48,10 +49,13 @@
 /// The commands that are not answered yet, by stage.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CommandsInFlight {
+    /// Commands that are not applied yet.
     queued: VecDeque<QueuedCommand>,
+    /// The write that the data replicas have not all acknowledged yet.
     pending: Option<PendingWrite>,
     /// Confirmations under way, by nonce.
     confirming: BTreeMap<u64, Confirmation>,
+    /// The nonce of the newest confirmation.
     last_nonce: u64,
 }
 
--- a/crates/store/src/consensus/mod.rs
+++ b/crates/store/src/consensus/mod.rs
@@ -17,7 +17,7 @@
 //! - A voter is identified by its disk, not by its machine: a store that restarts with an empty disk is a learner,
 //!   which the leader can make a voter.
 //!
-//! The modules here contain the parts of the state, each with the methods that need no other part; `replica` has the
+//! These modules contain the parts of the state, each with the methods that need no other part; `replica` has the
 //! event handlers, one module for each concern.
 
 mod commands;
--- a/crates/store/src/consensus/replica/election.rs
+++ b/crates/store/src/consensus/replica/election.rs
@@ -28,7 +28,7 @@
         let id = self.settings.node.id;
         let is_voter = config.has_voter(id);
         let rank = config.data_replicas.iter().skip(1).position(|replica| *replica == id);
-        let hears_majority = is_joint_majority(config, |id| self.is_local(id) || self.is_reachable(id));
+        let reaches_majority = is_joint_majority(config, |id| self.is_local(id) || self.is_reachable(id));
         if !is_voter || self.status.is_leaving || self.live_leader_config().is_some() {
             return self.timers.clear_leaderless();
         }
@@ -36,7 +36,7 @@
         let delay = rank.map_or(WITNESS_DELAY, |rank| rank as Millis * BACKUP_DELAY);
         let wait = delay + jitter(id, self.highest_epoch, MAX_JITTER);
         let is_due = self.now >= leaderless_since + wait && !self.timers.is_backing_off(self.now);
-        if self.status.is_disk_healthy && hears_majority && is_due {
+        if self.status.is_disk_healthy && reaches_majority && is_due {
             self.start_prepare(None);
         }
     }
--- a/crates/store/src/consensus/replica/heartbeat.rs
+++ b/crates/store/src/consensus/replica/heartbeat.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// On a backup: marks the own state as committed once the leader reports its revision as committed.
+    /// On a backup: marks this store's state as committed once the leader reports that revision as committed.
     fn learn_committed(&mut self, heartbeat: &Heartbeat) {
         let has_same_state = heartbeat.config.epoch == self.durable.config.epoch
             && heartbeat.committed == self.durable.state.revision;
--- a/crates/store/src/consensus/replica/leader.rs
+++ b/crates/store/src/consensus/replica/leader.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Writes a state here and sends it to the backups, which write it at the same time. The replies wait for all of
-    /// them.
+    /// Writes a state to this store's disk and sends it to the backups, which write it at the same time. The replies
+    /// wait for all of them.
     fn replicate(&mut self, replies: Vec<PreparedReply>, mut state: ControlState) {
         state.revision.sequence += 1;
         self.durable.state = state;
--- a/crates/store/src/consensus/replica/mod.rs
+++ b/crates/store/src/consensus/replica/mod.rs
@@ -69,7 +69,7 @@
     snapshots: SentSnapshots,
     /// The revision of the newest state that is known to be on the disks of all data replicas.
     committed: Revision,
-    /// The highest epoch known from own promises and from messages.
+    /// The highest epoch that this store has promised or seen in a message.
     highest_epoch: Epoch,
     /// The voters of the replica set that this store's newest proposal replaces, and of the earlier sets that may not
     /// be installed: a majority of each list has promised the proposal's epoch.
--- a/crates/store/src/consensus/replica/proposal.rs
+++ b/crates/store/src/consensus/replica/proposal.rs
@@ -32,7 +32,7 @@
         let Role::Preparing(preparing) = &self.role else { return };
         let Some(base) = self.promised_base(preparing) else { return };
         // Data replicas have to be voters, or a majority might contain none of them. This can be checked only once a
-        // majority has promised: until then, the replica set accepted here may be older than the one that made this
+        // majority has promised: until then, the accepted replica set may be older than the one that made this
         // store a voter.
         if self.settings.checks.data_replicas_vote && !base.has_voter(self.settings.node.id) {
             return self.abandon_epoch();
@@ -94,8 +94,8 @@
         (ids.len() == count).then_some(ids)
     }
 
-    /// Accepts a proposal here, and sends it to all voters that it lists. A data replica that reported the same state
-    /// in its promise gets only the new revision.
+    /// Accepts a proposal on this store, and sends it to all voters that it lists. A data replica that reported the
+    /// same state in its promise gets only the new revision.
     fn propose(&mut self, proposal: Proposal) {
         let Proposal { config, state, promised_revision: from, has_state, base_voters } = proposal;
         self.base_voters = base_voters;
--- a/crates/store/src/consensus/replica/reconfiguration.rs
+++ b/crates/store/src/consensus/replica/reconfiguration.rs
@@ -74,8 +74,8 @@
             voters.iter().position(is_same).map(|index| (index, *learner))
         });
         let is_replaceable = |voter: &StoreNode| {
-            let is_silent = || self.time_since_heard(voter.ip) > REPLACE_AFTER;
-            !self.is_local(voter.id) && (is_silent() || self.is_known_to_leave(voter.id))
+            let is_unresponsive = || self.time_since_heard(voter.ip) > REPLACE_AFTER;
+            !self.is_local(voter.id) && (is_unresponsive() || self.is_known_to_leave(voter.id))
         };
         same_store.or_else(|| Some((voters.iter().position(is_replaceable)?, *ready.first()?)))
     }
@@ -92,21 +92,21 @@
             candidates.count() >= data_replica_count(voters)
         };
         let backups = self.backups();
-        let is_one_down = backups.iter().any(|backup| !self.is_reachable(backup.id));
-        let is_one_leaving = backups.iter().any(|backup| !self.is_eligible(backup.id));
-        is_one_down && has_enough(&|id| self.is_reachable(id))
-            || is_one_leaving && has_enough(&|id| self.is_eligible(id))
+        let is_any_down = backups.iter().any(|backup| !self.is_reachable(backup.id));
+        let is_any_leaving = backups.iter().any(|backup| !self.is_eligible(backup.id));
+        is_any_down && has_enough(&|id| self.is_reachable(id))
+            || is_any_leaving && has_enough(&|id| self.is_eligible(id))
     }
 
     /// Whether all data replicas are in one zone although an eligible voter is in another, and no write is pending.
     fn can_spread_zones(&self) -> bool {
         let config = &self.durable.config;
         let zone = &self.settings.node.zone;
-        let is_elsewhere = |voter: &StoreNode| voter.zone != *zone && self.is_eligible(voter.id);
+        let is_in_other_zone = |voter: &StoreNode| voter.zone != *zone && self.is_eligible(voter.id);
         let mut data_replicas = config.voters.iter().filter(|voter| config.data_replicas.contains(&voter.id));
         self.commands.pending().is_none()
             && self.is_installed_for(ZONE_CHANGE_INTERVAL)
-            && config.voters.iter().any(is_elsewhere)
+            && config.voters.iter().any(is_in_other_zone)
             && data_replicas.all(|voter| voter.zone == *zone)
     }
 }
--- a/crates/store/src/consensus/replica/rejection.rs
+++ b/crates/store/src/consensus/replica/rejection.rs
@@ -14,8 +14,8 @@
         self.rejection = rejection;
     }
 
-    /// Starts an epoch above the promised one. If a newer replica set is known, or this store's disk is unhealthy or
-    /// the store is leaving, it steps down instead.
+    /// Starts an epoch above the promised one. Steps down instead if a newer replica set is known, this store's
+    /// disk is unhealthy or the store is leaving.
     pub(super) fn answer_rejection(&mut self) {
         let Some(EpochRejection { epoch, promised }) = self.rejection.take() else { return };
         if !self.is_leader() || epoch != self.durable.config.epoch || promised <= epoch {
--- a/crates/store/src/consensus/replica/shutdown.rs
+++ b/crates/store/src/consensus/replica/shutdown.rs
@@ -12,7 +12,7 @@
     }
 
     /// Whether other stores have taken over after [`Event::Shutdown`](crate::consensus::Event::Shutdown): this store
-    /// doesn't lead and holds no data. Its vote has to be taken over only while a learner that can do so is alive.
+    /// doesn't lead and holds no data. Its vote has to be taken over only while a live learner can take it over.
     #[must_use]
     pub fn is_handover_complete(&self) -> bool {
         if !self.status.is_leaving || !matches!(self.role, Role::Follower) {
--- a/crates/store/src/consensus/replica/status.rs
+++ b/crates/store/src/consensus/replica/status.rs
@@ -25,7 +25,7 @@
         &self.settings.node
     }
 
-    /// The epoch of the newest replica set accepted here.
+    /// The epoch of the newest replica set that this store has accepted.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.durable.config.epoch
--- a/crates/store/src/disk/slot.rs
+++ b/crates/store/src/disk/slot.rs
@@ -44,7 +44,7 @@
     hasher.finish()
 }
 
-/// An integer of the header; `None` where the bytes end before it.
+/// An integer of the header; `None` if the bytes end before it.
 fn header_field(bytes: &[u8], offset: usize) -> Option<u64> {
     let field = bytes.get(offset..)?.first_chunk()?;
     Some(u64::from_le_bytes(*field))
--- a/crates/store/src/operations/appends.rs
+++ b/crates/store/src/operations/appends.rs
@@ -13,6 +13,7 @@
     OwnBatch { epoch: Epoch, batch: u64 },
 }
 
+/// An action that waits for an append.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingForAppend {
     number: AppendNumber,
--- a/crates/store/src/operations/batches.rs
+++ b/crates/store/src/operations/batches.rs
@@ -35,10 +35,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct Batches {
     epoch: Epoch,
+    /// The sequence number of the newest claim id in this epoch.
     last_claim: u64,
+    /// The number of the newest batch that was sent; 0 if there is none.
     last_batch: u64,
+    /// Batches that were sent and are not committed.
     in_flight: VecDeque<Batch>,
+    /// The records of the next batch.
     queued_records: Vec<OperationRecord>,
+    /// The replies that wait for the next batch.
     queued_replies: Vec<PreparedReply>,
 }
 
--- a/crates/store/src/operations/mod.rs
+++ b/crates/store/src/operations/mod.rs
@@ -76,9 +76,13 @@
     role: Role,
     /// The highest promise with which another store has rejected the epoch that this store leads.
     rejection: Option<EpochRejection>,
+    /// The last append that was requested.
     last_append: AppendNumber,
+    /// The last append that is on the disk.
     appended: AppendNumber,
+    /// Actions that wait for an append, in the order of the appends.
     awaiting_append: VecDeque<WaitingForAppend>,
+    /// The effects of the event that is being handled.
     effects: Vec<Effect>,
 }
 
--- a/crates/store/src/operations/peers.rs
+++ b/crates/store/src/operations/peers.rs
@@ -20,13 +20,16 @@
 struct PeerProgress {
     /// The store has all records that the leader had when it sent this batch; `None` if no such batch is known.
     complete_through: Option<u64>,
+    /// When an offer was last sent to the store.
     offered_at: Option<Millis>,
 }
 
 /// Whether claims are refused so that learners can get all records before a change of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Seal {
+    /// Claims are granted, since this time.
     Open { since: Millis },
+    /// Claims are refused, since this time.
     Sealed { since: Millis },
 }
 
--- a/crates/store/src/operations/recovery.rs
+++ b/crates/store/src/operations/recovery.rs
@@ -30,6 +30,7 @@
 struct Voter {
     ip: Ipv4Addr,
     read: VoterRead,
+    /// When a query was last sent to the voter.
     queried_at: Millis,
 }
 
