--- a/crates/store/examples/operation_records.rs
+++ b/crates/store/examples/operation_records.rs
@@ -1,8 +1,8 @@
-//! Prints what records of operations take on disk and in memory, and how long it takes to recover them.
+//! Prints the size of operation records on disk and in memory, and the time needed to recover them.
 //!
-//! `cargo run --profile proof -p violetyoke-store --example operation_records -- write FOLDER`, then the same with
-//! `recover FOLDER`: another process, so that it has the memory of nothing else. Times depend on the machine, and those of
-//! the recovery on whether the files are cached.
+//! Run `cargo run --profile proof -p violetyoke-store --example operation_records -- write FOLDER`, then the same with
+//! `recover FOLDER`. Recovery is a separate process so that its memory includes nothing of the writing. Times depend on
+//! the machine, and recovery times also on whether the files are cached.
 
 use std::error::Error;
 use std::path::Path;
@@ -15,7 +15,7 @@
 
 const RECORDS: u64 = 30_000;
 const RECORDS_PER_BATCH: u64 = 5;
-/// Records per second, so that segments are as old as in service.
+/// Operations per second of simulated time, so that segments reach the same ages as in production.
 const RATE: u64 = 450;
 const MAX_LOG_BYTES: u64 = 1 << 30;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes a claim and its end for each operation.
+/// Writes two records for each operation: claimed and executed.
 fn write(folder: &Path) -> Result<(), Box<dyn Error>> {
     let (mut log, _) = OperationLog::open(folder, MAX_LOG_BYTES)?;
     let started_at = Instant::now();
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// The resident memory of this process now, or at its peak (kB).
+/// The resident memory of this process (kB): `VmRSS` is the current value, `VmHWM` the peak.
 fn memory_kb(name: &str) -> Result<u64, Box<dyn Error>> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix(name)).ok_or("no such line")?;
@@ -66,28 +66,28 @@
 }
 
 fn recover(folder: &Path) -> Result<(), Box<dyn Error>> {
-    let before = memory_kb("VmRSS")?;
+    let initial_kb = memory_kb("VmRSS")?;
     let started_at = Instant::now();
     let (_log, records) = OperationLog::open(folder, MAX_LOG_BYTES)?;
     let read_at = Instant::now();
-    let found = records.len();
+    let record_count = records.len();
     let mut table = OperationTable::new(TableOptions { window_ms: 60_000, max_bytes: usize::MAX });
     for record in records {
         table.merge(1, record);
     }
-    println!("read {found} records: {:.1?}", read_at - started_at);
+    println!("read {record_count} records: {:.1?}", read_at - started_at);
     println!("merged into {} operations: {:.1?}", table.len(), read_at.elapsed());
     println!("the table's own count: {} bytes", table.bytes());
     println!(
         "resident: {} kB more, {} kB more at the peak",
-        memory_kb("VmRSS")? - before,
-        memory_kb("VmHWM")? - before
+        memory_kb("VmRSS")? - initial_kb,
+        memory_kb("VmHWM")? - initial_kb
     );
-    let asked_at = Instant::now();
-    println!("{} digests: {:.1?}", table.digests().len(), asked_at.elapsed());
-    let expired_at = Instant::now();
+    let digests_from = Instant::now();
+    println!("{} digests: {:.1?}", table.digests().len(), digests_from.elapsed());
+    let expiry_from = Instant::now();
     table.expire(100_000);
-    println!("expired all: {:.1?}", expired_at.elapsed());
+    println!("expired all: {:.1?}", expiry_from.elapsed());
     Ok(())
 }
 
