--- a/crates/store/tests/power_loss/files.rs
+++ b/crates/store/tests/power_loss/files.rs
@@ -1,38 +1,39 @@
-//! Two files in memory whose writes may fail at any step, and which lose or tear unsynced bytes in a loss of power.
+//! Two in-memory slot files whose writes may fail at any step, and which lose or tear unsynced bytes in a power loss.
 
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
 use violetyoke_store::disk::SlotFiles;
 
-/// What a loss of power makes of bytes that were not synced.
+/// What a power loss does to unsynced bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Unsynced {
     Lost,
     Kept,
-    /// The first bytes are there, and behind them what was there before.
+    /// This many bytes are written; the rest of the file is as before.
     Torn(usize),
 }
 
 #[derive(Clone, Debug, Default)]
 struct File {
-    /// What a process reads.
+    /// The content that a process reads; `None` if there is no file.
     written: Option<Vec<u8>>,
-    /// What a loss of power leaves.
+    /// The content that survives a power loss.
     synced: Option<Vec<u8>>,
-    /// Its directory entry is synced.
+    /// Whether the directory entry is synced.
     is_entry_synced: bool,
 }
 
 #[derive(Debug, Default)]
 struct Disk {
     files: [File; 2],
-    /// How many bytes, and after them syncs, still succeed; all where there is no number.
+    /// Number of steps that still succeed; each byte written and each sync is a step. `None`: no limit.
     steps_left: Option<usize>,
-    skips_sync_of_found: bool,
+    /// Syncs of recovered files are reported as successful but have no effect (negative control).
+    skips_sync_on_recovery: bool,
 }
 
-/// A disk; clones share it.
+/// A simulated disk; clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyFiles(Rc<RefCell<Disk>>);
 
@@ -76,13 +77,13 @@
 }
 
 impl FaultyFiles {
-    /// Reports a file as synced without syncing it, where it is synced as it was found: the negative control.
-    pub fn without_sync_of_found() -> FaultyFiles {
-        let disk = Disk { skips_sync_of_found: true, ..Disk::default() };
+    /// A disk that doesn't sync the files that a process recovers (negative control).
+    pub fn without_sync_on_recovery() -> FaultyFiles {
+        let disk = Disk { skips_sync_on_recovery: true, ..Disk::default() };
         FaultyFiles(Rc::new(RefCell::new(disk)))
     }
 
-    /// How many bytes, and after them syncs, succeed from now on; all where there is no number.
+    /// Sets the number of steps (bytes written and syncs) that succeed from now on; `None` removes the limit.
     pub fn limit_steps(&self, steps: Option<usize>) {
         self.0.borrow_mut().steps_left = steps;
     }
@@ -115,7 +116,7 @@
     fn sync(&mut self, slot: usize) -> io::Result<()> {
         let disk = &mut *self.0.borrow_mut();
         disk.step()?;
-        if !disk.skips_sync_of_found {
+        if !disk.skips_sync_on_recovery {
             disk.files[slot].synced = disk.files[slot].written.clone();
         }
         Ok(())
--- a/crates/store/tests/power_loss/log_files.rs
+++ b/crates/store/tests/power_loss/log_files.rs
@@ -1,4 +1,4 @@
-//! Segments in memory whose writes may fail at any step, and which lose or tear unsynced bytes in a loss of power.
+//! In-memory log segments whose writes may fail at any step, and which lose or tear unsynced bytes in a power loss.
 
 use super::files::Unsynced;
 use std::cell::RefCell;
@@ -7,43 +7,45 @@
 use std::rc::Rc;
 use violetyoke_store::disk::operation_log::{LogFiles, SegmentNumber};
 
-/// A sync that reports success and does nothing: the negative controls.
+/// Which syncs report success without any effect (negative controls).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum SkippedSync {
     #[default]
     None,
-    Found,
+    /// Syncs of segments that a process recovers.
+    Recovered,
+    /// Syncs of the directory.
     Directory,
 }
 
 #[derive(Clone, Debug, Default)]
 struct File {
-    /// What a process reads.
+    /// The bytes that a process reads.
     written: Vec<u8>,
-    /// How many of these bytes a loss of power leaves.
+    /// Number of written bytes that survive a power loss.
     synced: usize,
-    /// Its directory entry is synced.
+    /// Whether the directory entry is synced.
     is_entry_synced: bool,
 }
 
 #[derive(Debug, Default)]
 struct Disk {
     files: BTreeMap<SegmentNumber, File>,
-    /// How many bytes, files and syncs still succeed; all where there is no number.
+    /// Number of steps that still succeed; each byte written, file created and sync is a step. `None`: no limit.
     steps_left: Option<usize>,
     skipped: SkippedSync,
     refuses_removal: bool,
 }
 
-/// A disk; clones share it.
+/// A simulated disk; clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyLogFiles(Rc<RefCell<Disk>>);
 
 impl Disk {
-    /// Takes up to so many steps; returns how many succeed.
-    fn take_steps(&mut self, wanted: usize) -> usize {
-        let Some(left) = &mut self.steps_left else { return wanted };
-        let taken = wanted.min(*left);
+    /// Uses up to `requested` steps. Returns how many succeed.
+    fn take_steps(&mut self, requested: usize) -> usize {
+        let Some(left) = &mut self.steps_left else { return requested };
+        let taken = requested.min(*left);
         *left -= taken;
         taken
     }
@@ -79,7 +81,7 @@
         FaultyLogFiles(Rc::new(RefCell::new(Disk { skipped, ..Disk::default() })))
     }
 
-    /// How many bytes, files and syncs succeed from now on; all where there is no number.
+    /// Sets the number of steps (bytes, files and syncs) that succeed from now on; `None` removes the limit.
     pub fn limit_steps(&self, steps: Option<usize>) {
         self.0.borrow_mut().steps_left = steps;
     }
@@ -109,7 +111,7 @@
     fn sync(&mut self, segment: SegmentNumber) -> io::Result<()> {
         let disk = &mut *self.0.borrow_mut();
         disk.step()?;
-        if disk.skipped != SkippedSync::Found {
+        if disk.skipped != SkippedSync::Recovered {
             let file = disk.file(segment)?;
             file.synced = file.written.len();
         }
@@ -129,7 +131,7 @@
         let disk = &mut *self.0.borrow_mut();
         let count = disk.take_steps(bytes.len());
         disk.file(segment)?.written.extend_from_slice(&bytes[..count]);
-        // With no step left, this fails too.
+        // The sync fails as well if no step is left.
         disk.step()?;
         let file = disk.file(segment)?;
         file.synced = file.written.len();
--- a/crates/store/tests/power_loss/operation_log.rs
+++ b/crates/store/tests/power_loss/operation_log.rs
@@ -1,5 +1,4 @@
-//! The log of operations through processes that die and losses of power at each step of an append: what counted once is
-//! there.
+//! The operation log whose writer dies or loses power at each step of an append: all confirmed records are recovered.
 
 use super::files::Unsynced;
 use super::log_files::{FaultyLogFiles, SkippedSync};
@@ -8,7 +7,7 @@
 use violetyoke_transport::messages::{OperationKey, OperationRecord, OperationState};
 
 const KEEP_MS: u32 = 60_000;
-/// Steps of an append to a new segment beside its bytes: creating the file, and the syncs of directory and file.
+/// Steps of an append to a new segment, not counting its bytes: file creation, and the syncs of directory and file.
 const STEPS_OF_NEW_SEGMENT: usize = 3;
 
 fn record(number: u64) -> OperationRecord {
@@ -26,7 +25,7 @@
     encode_entry(&[record(9)]).expect("a record can be encoded").len()
 }
 
-/// The log of a process that starts now, and the keys that it finds.
+/// The log of a newly started process, and the keys that it recovers.
 fn recover(files: &FaultyLogFiles) -> (OperationLog<FaultyLogFiles>, Vec<String>) {
     let (log, records) = OperationLog::recover(files.clone(), 1 << 20).expect("a disk without a limit");
     (log, records.into_iter().map(|record| record.key.key).collect())
@@ -36,7 +35,7 @@
     log.append_at(Duration::from_secs(now_s), &[record(number)])
 }
 
-/// Steps at which an append may fail: within the header, within the records, before each sync.
+/// Steps at which an append fails: within the header, within the records, and before each sync.
 fn failure_points() -> Vec<usize> {
     let bytes = entry_bytes();
     let last = bytes + STEPS_OF_NEW_SEGMENT;
@@ -45,12 +44,12 @@
     steps
 }
 
-/// A process that appends some records, of which one fails at a step; another one that does the same; a loss of power.
+/// Two processes, one after the other, whose first append fails at some step; then a power loss.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     first_fails_at: usize,
     second_fails_at: usize,
-    /// The processes append once more after the failure.
+    /// Whether the processes append two more records after the failure.
     appends_again: bool,
     unsynced: Unsynced,
 }
@@ -73,35 +72,35 @@
         all
     }
 
-    /// Plays it; what was lost, if a record was that had counted.
+    /// Runs the scenario. Returns a description of the loss if confirmed records were lost.
     fn loss(self, files: &FaultyLogFiles) -> Option<String> {
-        let mut counted = self.run_process(files, 10, self.first_fails_at);
-        counted.extend(self.run_process(files, 20, self.second_fails_at));
+        let mut confirmed = self.run_process(files, 10, self.first_fails_at);
+        confirmed.extend(self.run_process(files, 20, self.second_fails_at));
         files.lose_power(self.unsynced);
         let (_, found) = recover(files);
-        let lost: Vec<&String> = counted.iter().filter(|key| !found.contains(key)).collect();
+        let lost: Vec<&String> = confirmed.iter().filter(|key| !found.contains(key)).collect();
         (!lost.is_empty()).then(|| format!("{self:?}: lost {lost:?}"))
     }
 
-    /// A process that dies after its appends; returns the records that counted: those it found, and those appended.
+    /// Runs a process that dies after its appends. Returns the keys of confirmed records: recovered and appended ones.
     fn run_process(self, files: &FaultyLogFiles, first: u64, fails_at: usize) -> Vec<String> {
-        let (mut log, mut counted) = recover(files);
+        let (mut log, mut confirmed) = recover(files);
         let steps = [Some(fails_at), None, None];
         let appends = if self.appends_again { 3 } else { 1 };
         for (number, steps) in (first..).zip(steps).take(appends) {
             files.limit_steps(steps);
             if append_at(&mut log, 0, number).is_ok() {
-                counted.push(record(number).key.key);
+                confirmed.push(record(number).key.key);
             }
         }
         files.limit_steps(None);
-        counted
+        confirmed
     }
 }
 
-/// Guards against a record that counted and is gone: not synced, or hidden behind a torn one.
+/// Guards against the loss of a confirmed record that was not synced or that is hidden behind a torn one.
 #[test]
-fn records_that_counted_survive_failed_appends_and_a_loss_of_power() {
+fn confirmed_records_survive_failed_appends_and_a_power_loss() {
     let scenarios = Scenario::all();
     assert!(scenarios.len() > 5_000, "{} scenarios", scenarios.len());
     for scenario in scenarios {
@@ -109,17 +108,17 @@
     }
 }
 
-/// Guards against a test above that can't fail.
+/// Negative control: guards against a test above that can't fail.
 #[test]
-fn without_one_of_the_syncs_records_that_counted_are_lost() {
-    for skipped in [SkippedSync::Found, SkippedSync::Directory] {
+fn without_one_of_the_syncs_confirmed_records_are_lost() {
+    for skipped in [SkippedSync::Recovered, SkippedSync::Directory] {
         let mut losses =
             Scenario::all().into_iter().filter_map(|it| it.loss(&FaultyLogFiles::skipping(skipped)));
-        assert!(losses.next().is_some(), "the negative control finds the loss: {skipped:?}");
+        assert!(losses.next().is_some(), "negative control: no loss detected without {skipped:?}");
     }
 }
 
-/// Guards against a torn entry that is taken for a record, or that hides those of later segments.
+/// Guards against a torn entry that is read as a record, or that hides the records of later segments.
 #[test]
 fn torn_entry_is_dropped_and_later_segments_are_read() {
     for fails_at in 0..entry_bytes() {
@@ -130,11 +129,11 @@
         append_at(&mut log, 0, 2).expect_err("torn");
         files.limit_steps(None);
         append_at(&mut log, 0, 3).expect("appended to another segment");
-        assert_eq!(recover(&files).1, ["order-1", "order-3"], "torn at {fails_at}");
+        assert_eq!(recover(&files).1, ["order-1", "order-3"], "torn at step {fails_at}");
     }
 }
 
-/// Guards against a disk that fills with the remains of attempts while it refuses writes.
+/// Guards against a disk that fills up with segments of failed appends while it refuses writes.
 #[test]
 fn failed_appends_leave_no_more_than_one_segment_behind() {
     let files = FaultyLogFiles::default();
@@ -146,7 +145,7 @@
     }
 }
 
-/// Guards against a log that makes space by forgetting records, and against one that stays full.
+/// Guards against a log that drops unexpired records to make space, and against one that stays full for good.
 #[test]
 fn full_log_keeps_its_records_until_they_expire() {
     let files = FaultyLogFiles::default();
@@ -166,9 +165,9 @@
     assert_eq!(recover(&files).1, ["order-3", "order-4"]);
 }
 
-/// Guards against records that expire by the age that they had in an earlier process, which nobody knows.
+/// Guards against recovered records that expire early: their age in an earlier process is not known.
 #[test]
-fn found_records_are_kept_for_their_whole_time_again() {
+fn recovered_records_are_kept_for_their_full_retention_again() {
     let files = FaultyLogFiles::default();
     append_at(&mut recover(&files).0, 0, 1).expect("appended");
     let (mut log, _) = recover(&files);
