--- a/crates/store/tests/schedules/generators.rs
+++ b/crates/store/tests/schedules/generators.rs
@@ -1,5 +1,5 @@
-//! Named generators of schedules: one for each of the five points of docs/design/control-safety.md, and one for each kind of
-//! fault beside them.
+//! Named generators of schedules: at least one for each of the five points of docs/design/control-safety.md, and one
+//! for each other kind of fault.
 
 use super::random_steps::{activity, direction, loss, target, MESSAGE_KINDS};
 use super::schedule::{Activity, Schedule, ScheduledStep, Step, Target};
@@ -23,14 +23,14 @@
     ("all-down", all_down),
 ];
 
-/// A schedule of one generator, or, where `crossed`, of two, one behind the other or into each other.
-pub fn schedule(generator: usize, seed: u64, machines: usize, crossed: bool) -> Schedule {
+/// Draws a schedule of a generator. If `is_combined`, the steps of a second generator are inserted at random positions.
+pub fn schedule(generator: usize, seed: u64, machines: usize, is_combined: bool) -> Schedule {
     let mut random = Random(seed.wrapping_mul(31).wrapping_add(generator as u64));
     let mut steps = GENERATORS[generator].1(&mut random);
-    if crossed {
+    if is_combined {
         let other = random.below(GENERATORS.len() as u64) as usize;
-        let more = GENERATORS[other].1(&mut random);
-        for step in more {
+        let other_steps = GENERATORS[other].1(&mut random);
+        for step in other_steps {
             let index = random.below(steps.len() as u64 + 1) as usize;
             steps.insert(index, step);
         }
@@ -38,7 +38,7 @@
     Schedule { seed, machines, fault_tolerance: (machines as u32 - 1) / 2, steps }
 }
 
-/// Point 1: a machine is partitioned for twenty seconds, and clients still reach it.
+/// Point 1: a machine is partitioned from the other stores for 20 s while clients still reach it.
 fn partition(random: &mut Random) -> Vec<ScheduledStep> {
     let (first, direction) = (target(random), direction(random));
     let partition = Step::Partition { target: first, direction, span: 20_000 };
@@ -47,13 +47,13 @@
     let all = Step::KillAll { loses_power: random.one_in(2), down: 300 + random.below(1_000) };
     let meanwhile = if random.one_in(3) { all } else { loss(random, other, span) };
     steps.push(ScheduledStep::new(at, activity(random), meanwhile));
-    // Right after its return.
+    // The partitioned machine is lost shortly after its return.
     let returned = loss(random, Target::Last, 1_500);
     steps.push(ScheduledStep::new(random.within(1..4_000), activity(random), returned));
     steps
 }
 
-/// A machine that is partitioned loses its place to another, and returns.
+/// A partitioned machine is replaced as a voter and returns afterwards.
 fn partition_and_replacement(random: &mut Random) -> Vec<ScheduledStep> {
     let old = target(random);
     let span = random.within(14_000..24_000);
@@ -73,7 +73,7 @@
     ]
 }
 
-/// Point 2: two texts under one version, replies that are lost, a command repeated after a change of leader.
+/// Point 2: two texts under one version, lost replies, and commands that are repeated after a change of leader.
 fn contested_versions(random: &mut Random) -> Vec<ScheduledStep> {
     let mut steps = Vec::new();
     for _ in 0..4 {
@@ -91,7 +91,7 @@
     steps
 }
 
-/// Point 3: a machine is replaced without notice, and another is lost as soon as the newcomer counts.
+/// Point 3: a machine is replaced without notice, and another is lost as soon as the newcomer has had time to catch up.
 fn second_loss_after_replacement(random: &mut Random) -> Vec<ScheduledStep> {
     let (first, second) = (target(random), target(random));
     let span = random.within(3_000..16_000);
@@ -100,15 +100,15 @@
     vec![
         ScheduledStep::new(random.below(1_000), activity(random), Step::Remove { target: first }),
         ScheduledStep::new(random.within(300..1_500), None, Step::Add),
-        ScheduledStep::new(0, Some(Activity::NewcomerCounts), second),
-        ScheduledStep::new(CALM, activity(random), third),
+        ScheduledStep::new(0, Some(Activity::NewcomerCaughtUp), second),
+        ScheduledStep::new(OBSERVATION_TIME, activity(random), third),
     ]
 }
 
-/// Long enough for a command to be acknowledged, or not to be.
-const CALM: Millis = 6_000;
+/// Long enough for operators to notice whether commands are acknowledged.
+const OBSERVATION_TIME: Millis = 6_000;
 
-/// Point 3: the new machine comes first, then the old one, which may lead or hold data, gets a SIGTERM.
+/// Point 3: the new machine is added first, then the old one, which may lead or hold data, receives SIGTERM.
 fn planned_replacement(random: &mut Random) -> Vec<ScheduledStep> {
     let (leaving, other) = (target(random), target(random));
     let span = random.within(1_000..10_000);
@@ -117,13 +117,13 @@
     let third = loss(random, Target::Newcomer, 2_000);
     vec![
         ScheduledStep::new(random.below(1_000), None, Step::Add),
-        ScheduledStep::new(0, Some(Activity::NewcomerCounts), Step::Terminate { target: leaving }),
+        ScheduledStep::new(0, Some(Activity::NewcomerCaughtUp), Step::Terminate { target: leaving }),
         ScheduledStep::new(at, activity(random), second),
-        ScheduledStep::new(CALM, activity(random), third),
+        ScheduledStep::new(OBSERVATION_TIME, activity(random), third),
     ]
 }
 
-/// A SIGTERM while a store takes over.
+/// A store receives SIGTERM while another store takes over.
 fn shutdown_during_takeover(random: &mut Random) -> Vec<ScheduledStep> {
     let leaving = target(random);
     let span = random.within(500..3_000);
@@ -142,7 +142,7 @@
     ]
 }
 
-/// Point 4: hundreds of changes while a machine is lost or slow; it returns, and then another is lost.
+/// Point 4: hundreds of changes while a machine is lost or slow. Once that machine has caught up, another is lost.
 fn many_changes(random: &mut Random) -> Vec<ScheduledStep> {
     let victim = target(random);
     let span = random.within(3_000..12_000);
@@ -164,7 +164,7 @@
     ]
 }
 
-/// Point 5 between stores: messages of one kind are lost while epochs change.
+/// Point 5, for messages between stores: messages of one kind are lost while epochs change.
 fn lost_messages(random: &mut Random) -> Vec<ScheduledStep> {
     let mut steps = Vec::new();
     for _ in 0..3 {
@@ -184,6 +184,7 @@
     steps
 }
 
+/// One disk is slow and another stalls; machines are lost while writes are pending.
 fn slow_and_stalled_disks(random: &mut Random) -> Vec<ScheduledStep> {
     let (slow, other, third) = (target(random), target(random), target(random));
     let stall = Step::StallDisk { target: other, span: random.within(300..5_000) };
@@ -200,6 +201,7 @@
     ]
 }
 
+/// The links of one machine are slow while large texts are sent; all processes are killed meanwhile.
 fn slow_links(random: &mut Random) -> Vec<ScheduledStep> {
     let (slow, other) = (target(random), target(random));
     let span = random.within(4_000..15_000);
@@ -217,7 +219,7 @@
     ]
 }
 
-/// All processes are killed, or all power is lost, in the middle of something.
+/// All processes are killed, or all machines lose power, during some activity.
 fn all_down(random: &mut Random) -> Vec<ScheduledStep> {
     let mut steps = Vec::new();
     for _ in 0..3 {
--- a/crates/store/tests/schedules/injection.rs
+++ b/crates/store/tests/schedules/injection.rs
@@ -1,4 +1,4 @@
-//! Which machine a step means, what is under way at a moment, and what each step does to the cluster.
+//! Resolves the target of a step, detects activities, and injects the fault of each step.
 
 use super::runner::{Runner, CATCH_UP};
 use super::schedule::{Activity, Direction, Step, Target};
@@ -8,14 +8,14 @@
 use violetyoke_store::consensus::Replica;
 use violetyoke_transport::messages::{Epoch, StoreId};
 
-/// A machine that was removed counts as lost until its successor is there.
+/// Until when a removed machine without a successor counts as lost.
 const NEVER: Millis = Millis::MAX;
 
-/// Silence after which a connection is ended (`violetyoke_transport::connection::IDLE_TIMEOUT`).
+/// A connection without incoming data is closed after this time (`violetyoke_transport::connection::IDLE_TIMEOUT`).
 const IDLE_TIMEOUT: Millis = 1_100;
 
 impl Runner {
-    /// The machine that is meant; `None` where there is none such.
+    /// The present machine that the target denotes; `None` if there is none.
     pub fn resolve(&self, target: Target) -> Option<usize> {
         let config = &self.cluster.newest_config;
         let machines = &self.cluster.machines;
@@ -38,7 +38,7 @@
         found.filter(|n| !machines[*n].is_removed)
     }
 
-    pub fn is_under_way(&self, activity: Activity) -> bool {
+    pub fn is_in_progress(&self, activity: Activity) -> bool {
         let (cluster, now) = (&self.cluster, self.cluster.now);
         let epoch_of =
             |n: usize| cluster.machines[n].replica.as_ref().map_or(Epoch::default(), Replica::epoch);
@@ -53,9 +53,9 @@
             Activity::CatchingUp => cluster.machines.iter().any(|machine| {
                 machine.incarnation > 1 && machine.replica.is_some() && now < machine.started_at + CATCH_UP
             }),
-            Activity::NewcomerCounts => self.losses.newcomer.is_some_and(|n| {
-                let counts_from = cluster.machines[n].started_at + CATCH_UP;
-                (counts_from..counts_from + 500).contains(&now)
+            Activity::NewcomerCaughtUp => self.losses.newcomer.is_some_and(|n| {
+                let caught_up_at = cluster.machines[n].started_at + CATCH_UP;
+                (caught_up_at..caught_up_at + 500).contains(&now)
             }),
         }
     }
@@ -71,13 +71,13 @@
             self.disturb(now, now);
         }
         match lost {
-            Some(n) => self.lose(n, step),
+            Some(n) => self.carry_out_loss(n, step),
             None => self.carry_out_without_loss(step),
         }
     }
 
-    /// Carries out a step by which a machine is lost.
-    fn lose(&mut self, n: usize, step: &Step) {
+    /// Carries out a step that makes machine `n` count as lost.
+    fn carry_out_loss(&mut self, n: usize, step: &Step) {
         let now = self.cluster.now;
         match step {
             Step::Kill { loses_power, down, .. } => {
@@ -130,7 +130,7 @@
             }
             Step::ContestVersion => self.contest_version(),
             Step::SkipSyncs => self.cluster.disks_skip_syncs = true,
-            // The machine that was meant is gone.
+            // The target machine doesn't exist any more.
             _ => {}
         }
     }
@@ -146,7 +146,7 @@
         self.disturb(at, at);
     }
 
-    /// Kills all processes that run; one machine may lose its disk as well.
+    /// Kills all running processes; one machine may lose its disk as well.
     fn kill_all(&mut self, loses_power: bool, down: Millis, wiped: Option<usize>) {
         for n in 0..self.cluster.machines.len() {
             if self.cluster.is_up(n) {
@@ -162,8 +162,8 @@
         }
     }
 
-    /// A machine that receives nothing ends its connections a little later, so that a partition of one direction becomes
-    /// one of both.
+    /// Blocks links of a machine. A machine that receives nothing closes its connections after the idle time-out, so a
+    /// partition of one direction becomes one of both directions.
     fn partition(&mut self, n: usize, direction: Direction, span: Millis) {
         if direction != Direction::Inbound {
             self.cluster.block_outbound(n);
@@ -178,12 +178,12 @@
         self.end_after(n, Fault::LinksBlocked, span);
     }
 
-    /// The machine counts as lost until its successor counts.
+    /// Removes a machine for good. It counts as lost until its successor has had time to catch up.
     fn remove(&mut self, n: usize) {
         self.cluster.kill(n, true);
         self.cluster.machines[n].is_removed = true;
         self.losses.last_target = n;
-        // A spare takes its place, in the time that a successor has.
+        // A spare machine takes over within the catch-up time.
         let spare = self.losses.spares.pop().map(|_| self.cluster.now + CATCH_UP);
         self.losses.lost_until.insert(n, spare.unwrap_or(NEVER));
     }
@@ -191,15 +191,16 @@
     fn add(&mut self) {
         let n = self.cluster.add_machine();
         self.losses.newcomer = Some(n);
-        let counts_from = self.cluster.now + CATCH_UP;
-        // It is the successor of a machine that was removed, if there is one without.
+        let caught_up_at = self.cluster.now + CATCH_UP;
+        // It becomes the successor of a removed machine that has none, otherwise a spare.
         match self.losses.lost_until.values_mut().find(|until| **until == NEVER) {
-            Some(until) => *until = counts_from,
+            Some(until) => *until = caught_up_at,
             None => self.losses.spares.push(n),
         }
     }
 
-    /// A machine whose successor came first and counts: it stops counting with the signal.
+    /// Sends SIGTERM to a machine that a spare replaces. The machine doesn't count as lost, because the spare has
+    /// caught up.
     fn terminate(&mut self, target: Target) {
         let (Some(n), Some(_)) = (self.resolve(target), self.losses.spares.pop()) else { return };
         self.cluster.shut_down(n);
@@ -207,17 +208,21 @@
         self.losses.lost_until.insert(n, 0);
     }
 
-    /// A machine may be terminated if it runs and another that counts can take its place.
+    /// Whether the machine runs and a spare that has caught up can replace it.
     pub fn may_terminate(&self, target: Target) -> bool {
         let (Some(n), Some(spare)) = (self.resolve(target), self.losses.spares.last()) else { return false };
         let machines = &self.cluster.machines;
-        let counts = self.cluster.now >= machines[*spare].started_at + CATCH_UP;
+        let has_caught_up = self.cluster.now >= machines[*spare].started_at + CATCH_UP;
         let is_running =
             |n: usize| self.losses.lost_until.get(&n).is_none_or(|until| *until <= self.cluster.now);
-        counts && n != *spare && machines[n].shutdown_at.is_none() && is_running(n) && is_running(*spare)
+        has_caught_up
+            && n != *spare
+            && machines[n].shutdown_at.is_none()
+            && is_running(n)
+            && is_running(*spare)
     }
 
-    /// Two operators send different texts under the next version.
+    /// Makes two operators send different texts under the next version.
     fn contest_version(&mut self) {
         self.operators.last_version += 1;
         for (operator, name) in ["of one", "of the other"].into_iter().enumerate() {
--- a/crates/store/tests/schedules/operators.rs
+++ b/crates/store/tests/schedules/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: each sends one command at a time until it has a clear answer, to one machine after the other, and pauses.
+//! Operators: each sends one command at a time, to one machine after another until it has a clear answer, and then
+//! pauses.
 
 use super::runner::Runner;
 use crate::simulation::events::Scheduled;
@@ -7,20 +8,20 @@
 use violetyoke_store::consensus::{ClientId, Replica};
 use violetyoke_transport::messages::{Command, Epoch, Outcome};
 
-/// How often an operator looks for its answer.
+/// Interval at which an operator polls for its answer.
 const POLL_INTERVAL: Millis = 20;
-/// After this long without an answer the same command goes to another machine.
+/// Without an answer for this long, the command is sent to another machine.
 const REPLY_TIMEOUT: Millis = 900;
-/// A command that is not acknowledged in so long a time without faults breaks the rule of availability.
+/// A command without an answer after this long without faults violates the availability rule.
 const AVAILABILITY_BOUND: Millis = 4_000;
-/// A command is given up after this long.
+/// An operator gives a command up after this time.
 const GIVE_UP_AFTER: Millis = 25_000;
-/// One of two texts under a version may stay without a clear answer; it is given up after this long.
+/// A contested command may never get a clear answer; the operator gives it up after this time.
 const GIVE_UP_CONTESTED_AFTER: Millis = 5_000;
 const MIN_PAUSE: Millis = 10;
 const MAX_PAUSE: Millis = 400;
 
-/// What an operator's commands are.
+/// The kind of commands that an operator sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Workload {
     Configure,
@@ -29,27 +30,28 @@
 }
 
 impl Workload {
-    /// Those of all operators. The first two configure, and may be told to contest a version.
+    /// The workloads of all operators. The first two configure, and contest a version when a step requires it.
     pub const ALL: [Workload; 5] =
         [Workload::Configure, Workload::Configure, Workload::Evacuate, Workload::Read, Workload::Read];
 }
 
-/// A command that an operator waits for.
+/// A command whose answer an operator waits for.
 struct CurrentCommand {
     command: Command,
     started_at: Millis,
-    /// How long it has waited without an interruption in which the stores had to be available.
+    /// How long the command has waited while the stores had to be available, since the last time they did not have to
+    /// be.
     available_for: Millis,
     polled_at: Millis,
-    sending: Sending,
-    sendings: usize,
-    /// Another operator sends another text under the same version.
+    sent_request: SentRequest,
+    send_count: usize,
+    /// Whether another operator sends another text under the same version.
     is_contested: bool,
 }
 
-/// The last sending of a command.
+/// One transmission of a command to a machine.
 #[derive(Clone, Copy)]
-struct Sending {
+struct SentRequest {
     client: ClientId,
     machine: usize,
     sent_at: Millis,
@@ -58,7 +60,7 @@
 pub struct Operator {
     workload: Workload,
     current: Option<CurrentCommand>,
-    /// A contested command that it has to send next, instead of one of its own.
+    /// A contested command that the operator has to send next, instead of one of its workload.
     pub next: Option<Command>,
 }
 
@@ -78,24 +80,24 @@
         self.cluster.schedule(at, Scheduled::OperatorTurn { operator });
     }
 
-    /// Sends the next command; the time until the operator's next turn.
+    /// Sends the next command. Returns the time until the operator's next turn.
     fn start_command(&mut self, operator: usize) -> Millis {
-        if self.operators.is_over {
+        if self.operators.is_stopped {
             return GIVE_UP_AFTER;
         }
         let next = self.operators.operators[operator].next.take();
         let is_contested = next.is_some();
         let workload = self.operators.operators[operator].workload;
         let command = next.unwrap_or_else(|| self.draw_command(workload));
-        let sending = self.send(&command, 0, None);
+        let sent_request = self.send(&command, 0, None);
         let now = self.cluster.now;
         let current = CurrentCommand {
             command,
             started_at: now,
             available_for: 0,
             polled_at: now,
-            sending,
-            sendings: 1,
+            sent_request,
+            send_count: 1,
             is_contested,
         };
         self.operators.operators[operator].current = Some(current);
@@ -121,27 +123,27 @@
         Command::Replace { version, text }
     }
 
-    /// Looks for the answer; the time until the operator's next turn.
+    /// Polls for the answer. Returns the time until the operator's next turn.
     fn poll(&mut self, operator: usize, mut current: CurrentCommand) -> Millis {
         let now = self.cluster.now;
         let elapsed = now - current.polled_at;
         current.polled_at = now;
         current.available_for = if self.must_be_available() { current.available_for + elapsed } else { 0 };
-        let outcome = self.cluster.replies.remove(&current.sending.client).map(|reply| reply.outcome);
-        if self.is_over(&current, outcome.as_ref()) {
+        let outcome = self.cluster.replies.remove(&current.sent_request.client).map(|reply| reply.outcome);
+        if self.is_finished(&current, outcome.as_ref()) {
             return self.pause();
         }
-        if outcome.is_some() || now > current.sending.sent_at + REPLY_TIMEOUT {
-            let last_machine = Some(current.sending.machine);
-            current.sending = self.send(&current.command, current.sendings, last_machine);
-            current.sendings += 1;
+        if outcome.is_some() || now > current.sent_request.sent_at + REPLY_TIMEOUT {
+            let last_machine = Some(current.sent_request.machine);
+            current.sent_request = self.send(&current.command, current.send_count, last_machine);
+            current.send_count += 1;
         }
         self.operators.operators[operator].current = Some(current);
         POLL_INTERVAL
     }
 
-    /// Whether the operator is done with a command: it has a clear answer, breaks a rule, or is given up.
-    fn is_over(&mut self, current: &CurrentCommand, outcome: Option<&Outcome>) -> bool {
+    /// Whether the operator has finished a command: it has a clear answer, violates a rule, or is given up.
+    fn is_finished(&mut self, current: &CurrentCommand, outcome: Option<&Outcome>) -> bool {
         let waited = self.cluster.now - current.started_at;
         match outcome {
             Some(Outcome::VersionTaken) => {
@@ -177,9 +179,9 @@
         self.cluster.random.within(MIN_PAUSE..MAX_PAUSE)
     }
 
-    /// Sends a command: every other time to a store that says to registries that it leads, as those do, else to any but
-    /// the last one.
-    fn send(&mut self, command: &Command, sendings: usize, last_machine: Option<usize>) -> Sending {
+    /// Sends a command: alternately to a store that reports to registries that it leads, as registries do, and to a
+    /// random store other than the last one.
+    fn send(&mut self, command: &Command, send_count: usize, last_machine: Option<usize>) -> SentRequest {
         let machines = &self.cluster.machines;
         let is_leader = |n: &usize| machines[*n].replica.as_ref().is_some_and(Replica::is_leader_in_contact);
         let mut leaders: Vec<usize> = (0..machines.len()).filter(is_leader).collect();
@@ -188,12 +190,12 @@
         let count = machines.len();
         let drawn = self.cluster.random.below(count as u64) as usize;
         let other = if Some(drawn) == last_machine { (drawn + 1) % count } else { drawn };
-        let machine = match leaders.get((sendings / 2) % leaders.len().max(1)) {
-            Some(leader) if sendings.is_multiple_of(2) => *leader,
+        let machine = match leaders.get((send_count / 2) % leaders.len().max(1)) {
+            Some(leader) if send_count.is_multiple_of(2) => *leader,
             _ => other,
         };
         let client = self.cluster.submit(machine, command.clone());
-        Sending { client, machine, sent_at: self.cluster.now }
+        SentRequest { client, machine, sent_at: self.cluster.now }
     }
 }
 
--- a/crates/store/tests/schedules/random_steps.rs
+++ b/crates/store/tests/schedules/random_steps.rs
@@ -1,14 +1,14 @@
-//! What generators draw: machines, activities, losses.
+//! Random targets, activities and losses for the generators.
 //!
-//! Seeds of schedules that once broke a rule are kept (`FORMERLY_BROKEN` in `main.rs`): the draws and their order must not
-//! change.
+//! The random draws and their order must not change, because tests keep the seeds of schedules that once violated a
+//! rule (`REGRESSION_SEEDS` in `main.rs`).
 
 use super::schedule::{Activity, Direction, Step, Target};
 use crate::simulation::random::Random;
 use crate::simulation::Millis;
 
-/// The kinds of messages between stores that are lost in turn. "Installed" and "Learn" were kinds of an earlier protocol:
-/// without them other kinds would be drawn from the seeds that are kept.
+/// Kinds of messages between stores that generators may lose. "Installed" and "Learn" belong to an earlier protocol;
+/// they stay so that the kept seeds draw the same kinds.
 pub const MESSAGE_KINDS: [&str; 12] = [
     "Heartbeat",
     "Prepare",
@@ -48,7 +48,7 @@
     [Direction::Both, Direction::Both, Direction::Inbound, Direction::Outbound][random.below(4) as usize]
 }
 
-/// A loss of one machine for a time.
+/// A temporary loss of one machine.
 pub fn loss(random: &mut Random, target: Target, span: Millis) -> Step {
     match random.below(8) {
         0 | 1 => Step::Kill { target, loses_power: true, down: span },
--- a/crates/store/tests/schedules/runner.rs
+++ b/crates/store/tests/schedules/runner.rs
@@ -1,4 +1,5 @@
-//! Runs a schedule: operators at work, and each step at its moment, with no more machines lost at once than tolerated.
+//! Runs a schedule: operators send commands, and each step is carried out at its time, with no more machines lost at
+//! once than the cluster tolerates.
 
 use super::operators::{Operator, Workload};
 use super::schedule::{Activity, Schedule, ScheduledStep, Step, ACTIVITIES};
@@ -8,50 +9,53 @@
 use crate::simulation::{Cluster, Millis};
 use std::collections::BTreeMap;
 
-/// A machine that came back, or is new, counts as lost for this long.
+/// A machine that has come back or is new counts as lost for this long.
 pub const CATCH_UP: Millis = 4_000;
-/// Operators may expect service this long after the last fault or its end.
+/// The stores have to be available again this long after the last fault or its end.
 const SETTLING_TIME: Millis = 1_000;
-/// A step waits this long for its activity, and for a moment in which one more machine may be lost.
+/// A step waits at most this long for its activity, and at most `LOSS_TIMEOUT` until one more loss is tolerated.
 const ACTIVITY_TIMEOUT: Millis = 1_500;
 const LOSS_TIMEOUT: Millis = 30_000;
-/// The first replica set is installed by then, and newcomers could be taken in.
+/// By this time the first replica set is installed and newcomers can join.
 const START_TIME: Millis = 5_000;
 const READ_TIMEOUT: Millis = 20_000;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: &'static str,
     pub detail: String,
 }
 
-/// A span in which something happened to machines or links.
+/// A period in which machines or links were disturbed.
 struct Disturbance {
     from: Millis,
     until: Millis,
 }
 
-/// What the operators do now and next.
+/// The state of the operators and their workload.
 #[derive(Default)]
 pub struct OperatorState {
     pub operators: Vec<Operator>,
     /// The highest version sent so far.
     pub last_version: u64,
-    /// By how much texts are longer (bytes), and how many commands are still to follow without a pause.
+    /// Additional length of texts in bytes, and the number of commands that still follow without a pause.
     pub padding: usize,
     pub burst: u64,
-    pub is_over: bool,
+    /// No operator starts another command.
+    pub is_stopped: bool,
 }
 
-/// Which machines are lost, and which take their places.
+/// Which machines are lost, and which replace them.
 #[derive(Default)]
 pub struct Losses {
-    /// Until when each machine counts as lost.
+    /// For each machine, the time until which it counts as lost.
     pub lost_until: BTreeMap<usize, Millis>,
+    /// The machine of the last loss or termination.
     pub last_target: usize,
+    /// The machine that was added last.
     pub newcomer: Option<usize>,
-    /// Machines that were added and have taken no other's place yet.
+    /// Added machines that have not replaced another machine yet.
     pub spares: Vec<usize>,
     disturbances: Vec<Disturbance>,
 }
@@ -62,12 +66,12 @@
     pub losses: Losses,
     pub statistics: Statistics,
     violations: Vec<Violation>,
-    /// How many machines the fault tolerance is about.
+    /// Number of machines at the start, to which the fault tolerance applies.
     machines: usize,
     fault_tolerance: usize,
 }
 
-/// What a schedule came to.
+/// The result of a schedule.
 pub struct RunResult {
     pub statistics: Statistics,
     pub violations: Vec<Violation>,
@@ -93,7 +97,7 @@
             cluster,
             operators: OperatorState { operators, ..OperatorState::default() },
             losses: Losses::default(),
-            statistics: Statistics::of_one_schedule(),
+            statistics: Statistics::for_one_schedule(),
             violations: Vec::new(),
             machines: schedule.machines,
             fault_tolerance: schedule.fault_tolerance as usize,
@@ -105,7 +109,7 @@
         self.violations.push(Violation { rule, detail });
     }
 
-    /// Runs the cluster for some time, and operators as they are due.
+    /// Runs the cluster for some time, and the operators whenever their turns are due.
     fn run_for(&mut self, span: Millis) {
         let until = self.cluster.now + span;
         while self.cluster.now < until {
@@ -123,9 +127,9 @@
             return;
         }
         if let Some(activity) = scheduled.during {
-            let is_newcomer = activity == Activity::NewcomerCounts;
+            let is_newcomer = activity == Activity::NewcomerCaughtUp;
             let timeout = if is_newcomer { CATCH_UP * 2 } else { ACTIVITY_TIMEOUT };
-            self.wait_for(timeout, |runner| runner.is_under_way(activity));
+            self.wait_for(timeout, |runner| runner.is_in_progress(activity));
         }
         let lacks_target = scheduled.step.lost_target().is_some_and(|target| self.resolve(target).is_none());
         if lacks_target || !self.is_tolerated(&scheduled.step) {
@@ -133,12 +137,12 @@
             return;
         }
         let during: Vec<Activity> =
-            ACTIVITIES.into_iter().filter(|activity| self.is_under_way(*activity)).collect();
+            ACTIVITIES.into_iter().filter(|activity| self.is_in_progress(*activity)).collect();
         self.statistics.on_step(scheduled.step.name(), &during);
         self.carry_out(&scheduled.step);
     }
 
-    /// Runs until a condition holds, or for the whole time; whether it holds.
+    /// Runs until a condition holds, at most for the time-out. Returns whether it holds.
     fn wait_for(&mut self, timeout: Millis, condition: impl Fn(&Runner) -> bool) -> bool {
         let until = self.cluster.now + timeout;
         while !condition(self) && self.cluster.now < until {
@@ -147,7 +151,7 @@
         condition(self)
     }
 
-    /// With this step no more machines are lost than the cluster tolerates.
+    /// Whether the cluster tolerates the losses after this step.
     fn is_tolerated(&self, step: &Step) -> bool {
         if let Step::Terminate { target } = step {
             return self.may_terminate(*target);
@@ -157,11 +161,12 @@
         self.losses.lost_until.iter().filter(is_lost).count() < self.fault_tolerance
     }
 
+    /// Records a disturbance.
     pub fn disturb(&mut self, from: Millis, until: Millis) {
         self.losses.disturbances.push(Disturbance { from, until });
     }
 
-    /// More than half of the counted machines run and are connected, and nothing has happened to them of late.
+    /// Whether more than half of the original number of machines run and are connected, with no recent disturbance.
     pub fn must_be_available(&self) -> bool {
         let now = self.cluster.now;
         let is_recent =
@@ -186,7 +191,7 @@
         let last = ends.max().unwrap_or(0);
         let now = self.cluster.now;
         self.run_for(last.saturating_sub(now).min(30_000));
-        self.operators.is_over = true;
+        self.operators.is_stopped = true;
         self.run_for(1_000);
         if !self.cluster.read_until_answered(READ_TIMEOUT) {
             self.report("availability", "no store answers at the end");
--- a/crates/store/tests/schedules/schedule.rs
+++ b/crates/store/tests/schedules/schedule.rs
@@ -1,8 +1,8 @@
-//! A schedule: faults and planned work in their order, each with the moment that it waits for.
+//! A schedule: an ordered list of faults and planned work, each with the condition that it waits for.
 
 use crate::simulation::Millis;
 
-/// Which machine; resolved when the step is carried out.
+/// The machine that a step affects; resolved when the step is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     Leader,
@@ -10,7 +10,7 @@
     Witness,
     /// The machine that was added last.
     Newcomer,
-    /// The machine that was last removed, partitioned or frozen.
+    /// The machine of the last loss or termination.
     Last,
     /// One of the present machines, by its index.
     Any(usize),
@@ -20,18 +20,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     Both,
-    /// It receives nothing.
+    /// The machine receives nothing.
     Inbound,
-    /// Nothing that it sends arrives.
+    /// Nothing that the machine sends arrives.
     Outbound,
 }
 
-/// A fault, or work that operators do.
+/// A fault or an action of operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The process dies, perhaps because the machine loses its power.
+    /// The process dies; the machine may lose power.
     Kill { target: Target, loses_power: bool, down: Millis },
-    /// The machine loses its power and its disk.
+    /// The machine loses power and its disk.
     Wipe { target: Target, down: Millis },
     /// The machine loses its disk while all others lose power.
     WipeAndPowerLoss { target: Target, down: Millis },
@@ -39,11 +39,11 @@
     KillAll { loses_power: bool, down: Millis },
     /// Links of the machine are blocked.
     Partition { target: Target, direction: Direction, span: Millis },
-    /// The process does nothing for a while.
+    /// The process is frozen for some time.
     Freeze { target: Target, span: Millis },
-    /// The disk completes no write for a while.
+    /// The disk completes no write for some time.
     StallDisk { target: Target, span: Millis },
-    /// Writes take longer by a factor.
+    /// Writes take `factor` times as long.
     SlowDisk { target: Target, factor: u64, span: Millis },
     /// Links of the machine have a delay and a limited rate.
     SlowLinks { target: Target, delay: Millis, bytes_per_ms: u64, span: Millis },
@@ -51,37 +51,37 @@
     LoseMessages { kind: &'static str, percent: u64, span: Millis },
     /// Replies to operators are lost.
     LoseReplies { percent: u64, span: Millis },
-    /// The machine is gone for good, without notice.
+    /// The machine is removed for good, without notice.
     Remove { target: Target },
-    /// An empty machine comes at another address.
+    /// An empty machine is added at another address.
     Add,
-    /// SIGTERM; the process does not come back.
+    /// The process receives SIGTERM and is not restarted.
     Terminate { target: Target },
     /// Operators send this many changes without a pause, with texts that are longer by `padding` bytes.
     Changes { count: u64, padding: usize },
     /// Two operators send different texts under one version.
     ContestVersion,
-    /// Disks report writes as synced that they have skipped: the negative control.
+    /// Disks report writes as synced that they have dropped (negative control).
     SkipSyncs,
 }
 
-/// What a step waits for, so that it happens during it.
+/// An activity that a step waits for, so that it happens during the activity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Activity {
-    /// A command is on its way.
+    /// A command is in flight.
     CommandInFlight,
-    /// A change was acknowledged a moment ago.
+    /// A change was acknowledged in the last few milliseconds.
     JustAcknowledged,
-    /// The voters change.
+    /// A change of voters is in progress.
     Reconfiguring,
-    /// A store is about to lead under a new epoch.
+    /// A new epoch has no leader yet.
     TakingOver,
-    /// A disk has writes to complete.
+    /// A disk has pending writes.
     DiskWriting,
-    /// A machine that came back, or is new, does not count yet.
+    /// A machine that has come back or is new is still catching up.
     CatchingUp,
-    /// The machine that was added last has just begun to count.
-    NewcomerCounts,
+    /// The machine that was added last has just had its time to catch up.
+    NewcomerCaughtUp,
 }
 
 pub const ACTIVITIES: [Activity; 7] = [
@@ -91,15 +91,15 @@
     Activity::TakingOver,
     Activity::DiskWriting,
     Activity::CatchingUp,
-    Activity::NewcomerCounts,
+    Activity::NewcomerCaughtUp,
 ];
 
-/// A step and when it is carried out.
+/// A step and its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledStep {
-    /// This long after the step before it.
+    /// Delay after the previous step.
     pub after: Millis,
-    /// Then as soon as this is under way.
+    /// After the delay, the step waits for this activity.
     pub during: Option<Activity>,
     pub step: Step,
 }
@@ -110,7 +110,7 @@
     }
 }
 
-/// Steps for a cluster.
+/// A cluster and the steps to carry out on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
     pub seed: u64,
@@ -120,12 +120,12 @@
 }
 
 impl Step {
-    /// The name of its variant.
+    /// The name of the variant.
     pub fn name(&self) -> String {
         format!("{self:?}").chars().take_while(char::is_ascii_alphanumeric).collect()
     }
 
-    /// The machine that counts as lost by it, if one does.
+    /// The machine that counts as lost after the step, if any.
     pub fn lost_target(&self) -> Option<Target> {
         match self {
             Step::Kill { target, .. }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// How long it lasts; `None` where it has no end.
+    /// The duration of the fault; `None` if it doesn't end by itself.
     pub fn span(&self) -> Option<Millis> {
         match self {
             Step::Kill { down, .. }
--- a/crates/store/tests/schedules/shrink.rs
+++ b/crates/store/tests/schedules/shrink.rs
@@ -1,30 +1,30 @@
-//! The shortest part of a schedule found that still breaks the same rule, and its trace.
+//! Shrinks a schedule to steps that still violate the same rule, and prints them.
 
 use super::runner::{run, RunResult};
 use super::schedule::Schedule;
 
-/// Leaves out each step without which the rule is still broken.
+/// Removes each step without which the schedule still violates the rule.
 pub fn shrink(schedule: &Schedule, rule: &str) -> Schedule {
     let mut shortest = schedule.clone();
     for index in (0..schedule.steps.len()).rev() {
         let mut shorter = shortest.clone();
-        let left_out = shorter.steps.remove(index);
-        // What follows comes at the same time as before.
+        let removed = shorter.steps.remove(index);
+        // The following steps keep their times.
         if let Some(next) = shorter.steps.get_mut(index) {
-            next.after += left_out.after;
+            next.after += removed.after;
         }
-        if breaks(&run(&shorter), rule) {
+        if violates(&run(&shorter), rule) {
             shortest = shorter;
         }
     }
     shortest
 }
 
-fn breaks(result: &RunResult, rule: &str) -> bool {
+fn violates(result: &RunResult, rule: &str) -> bool {
     result.violations.iter().any(|violation| violation.rule == rule)
 }
 
-/// A schedule, one step a line.
+/// Formats a schedule with one step per line.
 pub fn format_trace(schedule: &Schedule) -> String {
     let steps = schedule.steps.iter().map(|scheduled| {
         let during = scheduled.during.map_or(String::new(), |activity| format!(", during {activity:?}"));
--- a/crates/store/tests/schedules/statistics.rs
+++ b/crates/store/tests/schedules/statistics.rs
@@ -1,4 +1,4 @@
-//! What schedules covered: how often each step happened during which activity, and how long commands took.
+//! Coverage of schedules: how often each step happened during each activity, and how long commands took.
 
 use super::schedule::{Activity, ACTIVITIES};
 use crate::simulation::Millis;
@@ -12,21 +12,22 @@
     during: BTreeMap<Activity, u64>,
 }
 
-/// Sums over schedules.
+/// Sums over several schedules.
 #[derive(Clone, Debug, Default)]
 pub struct Statistics {
     pub schedules: u64,
-    /// Commands that operators have given up.
+    /// Commands that operators gave up.
     pub given_up: u64,
-    /// Steps that found no moment in which no more than the tolerated losses would have come.
+    /// Steps that were skipped because they would have exceeded the tolerated losses or had no target.
     pub skipped: u64,
     steps: BTreeMap<String, StepCount>,
+    /// Commands and reads that were answered, and the longest time until an answer.
     operations: u64,
     longest: Millis,
 }
 
 impl Statistics {
-    pub fn of_one_schedule() -> Statistics {
+    pub fn for_one_schedule() -> Statistics {
         Statistics { schedules: 1, ..Statistics::default() }
     }
 
@@ -58,7 +59,7 @@
         }
     }
 
-    /// How often that step happened during that activity.
+    /// How often a step happened during an activity.
     pub fn count_during(&self, step: &str, activity: Activity) -> u64 {
         self.steps.get(step).and_then(|count| count.during.get(&activity)).copied().unwrap_or(0)
     }
