--- a/crates/store/tests/operations/dead_candidates.rs
+++ b/crates/store/tests/operations/dead_candidates.rs
@@ -1,20 +1,20 @@
-//! Voters that have promised an epoch whose candidate died take nothing of the leader of a lower one.
+//! Voters that have promised an epoch whose candidate died reject records of the leader, whose epoch is lower.
 
 use crate::simulation::{Cluster, Millis};
 use violetyoke_store::consensus::Event;
 use violetyoke_transport::messages::{Envelope, Epoch, PeerMessage, Revision};
 
-/// What the operators' settings give a lost machine until it counts again (`catch-up-s`).
+/// Time that the operators' settings allow a lost machine for catching up (`catch-up-s`).
 const CATCH_UP: Millis = 6_000;
 const WINDOW: Millis = 60_000;
 const STORES: usize = 5;
 const FAULT_TOLERANCE: u32 = 2;
-/// How far above the leader's epoch that of the candidate is.
+/// Difference between the candidate's epoch and the epoch that the voter has promised.
 const EPOCHS_AHEAD: u64 = 3;
 
-/// Guards against claims that are refused for good, because no majority takes records of the leader's epoch.
+/// Guards against claims that are never granted again, because no majority accepts records of the leader's epoch.
 #[test]
-fn claims_go_on_after_a_majority_has_promised_an_epoch_whose_candidate_died() {
+fn claims_are_granted_after_a_majority_has_promised_an_epoch_whose_candidate_died() {
     for seed in 0..10 {
         let mut cluster = start(seed);
         let leader = cluster.active_store().expect("a store answers");
@@ -26,9 +26,9 @@
     }
 }
 
-/// Guards against a voter that is lost to the leader for good, and is missed once others fail.
+/// Guards against a voter that rejects the leader's records for good, so that a majority is missing once others fail.
 #[test]
-fn voter_that_has_promised_an_epoch_whose_candidate_died_takes_records_again() {
+fn voter_that_has_promised_an_epoch_whose_candidate_died_accepts_records_again() {
     for seed in 0..10 {
         let mut cluster = start(seed);
         let leader = cluster.active_store().expect("a store answers");
@@ -51,7 +51,7 @@
     cluster
 }
 
-/// A voter that holds no data: nothing but records of operations is sent to it.
+/// A voter that holds no data, so the leader sends it no data other than operation records.
 fn witness(cluster: &Cluster) -> usize {
     let leader = cluster.active_store().expect("a store answers");
     let config = &cluster.newest_config;
@@ -62,7 +62,7 @@
     (0..STORES).find(|n| *n != leader && is_witness(n)).expect("not all voters hold data")
 }
 
-/// A voter gets a candidate's request for a promise.
+/// Delivers a candidate's request for a promise to a voter.
 fn promise(cluster: &mut Cluster, candidate: usize, voter: usize) {
     let from = cluster.machines[candidate].replica.as_ref().expect("it runs").node().clone();
     let promised = cluster.machines[voter].replica.as_ref().expect("it runs").promised();
--- a/crates/store/tests/operations/engine.rs
+++ b/crates/store/tests/operations/engine.rs
@@ -1,4 +1,4 @@
-//! One engine by itself: what it sends, appends and answers, step by step.
+//! A single operation replica: what it answers as its records are appended and committed.
 
 use std::net::Ipv4Addr;
 use violetyoke_idempotency::TableOptions;
@@ -17,30 +17,30 @@
 const HOLDER: ClaimHolder = ClaimHolder { incarnation: 1, request: 1 };
 const NOW: u64 = 1_000;
 
-/// Guards against a report that is confirmed while its record is at the leader alone.
+/// Guards against a report that is confirmed while only the leader has its record.
 #[test]
 fn repeated_report_is_confirmed_once_its_record_is_committed() {
     let mut leader = leader();
     request(&mut leader, 1, claim());
     commit(&mut leader, 1);
     assert_eq!(request(&mut leader, 2, complete()), [], "the report waits");
-    assert_eq!(request(&mut leader, 3, complete()), [], "and so does its repetition");
+    assert_eq!(request(&mut leader, 3, complete()), [], "its repetition waits");
     assert_eq!(commit(&mut leader, 2), [recorded(2), recorded(3)]);
     assert_eq!(request(&mut leader, 4, release()), [], "the release waits");
-    assert_eq!(request(&mut leader, 5, release()), [], "and so does its repetition");
+    assert_eq!(request(&mut leader, 5, release()), [], "its repetition waits");
     assert_eq!(commit(&mut leader, 3), [recorded(4), recorded(5)]);
 }
 
-/// Guards against the same where the record has not even been sent, as the batch before is not committed.
+/// Guards against a report that is confirmed while its record is queued behind an uncommitted batch.
 #[test]
-fn repeated_report_of_a_queued_record_waits_too() {
+fn repeated_report_of_a_queued_record_waits_for_its_commit() {
     let mut leader = leader();
     request(&mut leader, 1, claim());
     assert_eq!(request(&mut leader, 2, complete()), [], "the claim's batch is in flight");
     assert_eq!(request(&mut leader, 3, complete()), []);
     assert_eq!(commit(&mut leader, 1).len(), 1, "the grant");
     assert_eq!(commit(&mut leader, 2), [recorded(2), recorded(3)]);
-    assert_eq!(request(&mut leader, 4, complete()), [recorded(4)], "it is committed by now");
+    assert_eq!(request(&mut leader, 4, complete()), [recorded(4)], "the record is committed");
 }
 
 fn node(id: u64) -> StoreNode {
@@ -52,7 +52,7 @@
     OperationReplica::new(node(id), options, records, NOW)
 }
 
-/// The leader of three voters, of which the second has shown that it has no records.
+/// An active leader of three voters; the second one has reported that it has no records.
 fn leader() -> OperationReplica {
     let mut leader = engine(1, Vec::new());
     let leadership = Leadership {
@@ -89,7 +89,7 @@
     replies(leader.handle(NOW, Event::Request { client: ClientId(client), request }))
 }
 
-/// The leader and the second store have a batch on their disks.
+/// Completes a batch on the disks of the leader and of the second store. Returns the replies.
 fn commit(leader: &mut OperationReplica, batch: u64) -> Vec<(ClientId, OperationReply)> {
     assert_eq!(replies(leader.handle(NOW, Event::Appended(AppendNumber(batch)))), [], "no majority yet");
     let message = OperationMessage::Appended { epoch: EPOCH, batch };
@@ -113,7 +113,7 @@
     OperationRequest::Complete { key: key("k-1"), holder: HOLDER }
 }
 
-/// Of an operation whose claim is still on its way.
+/// The release of an operation whose claim has not arrived.
 fn release() -> OperationRequest {
     OperationRequest::Release { key: key("k-2"), holder: HOLDER }
 }
--- a/crates/store/tests/operations/faults.rs
+++ b/crates/store/tests/operations/faults.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults, within what is tolerated, beside proxies under load.
+//! Random schedules of tolerated faults while proxies send operations.
 
 use crate::disk_losses::DiskLosses;
 use crate::proxies::Proxies;
@@ -9,9 +9,9 @@
 /// A machine counts as lost for this long after its fault has ended.
 pub(crate) const CATCH_UP: Millis = 4_000;
 const DURATION: Millis = 40_000;
-/// No fault lasts longer.
+/// Upper bound (exclusive) on the duration of a fault.
 const MAX_FAULT: Millis = 2_600;
-/// Longer than a run: no operation may be executed again in it.
+/// Longer than a run, so no operation may be executed twice in a run.
 const WINDOW: Millis = 60_000;
 const STORES: usize = 5;
 const SPARES: usize = 1;
@@ -37,7 +37,7 @@
     last_voters: Vec<u64>,
 }
 
-/// Plays the schedule of a seed.
+/// Runs the schedule of a seed.
 pub(crate) fn run(seed: u64, controls: Controls) -> Run {
     let mut cluster = Cluster::with_operations(seed, STORES + SPARES, FAULT_TOLERANCE, WINDOW);
     if let Some(operations) = &mut cluster.operations {
@@ -65,7 +65,8 @@
         schedule.step();
     }
     schedule.run.recoveries = u64::from(schedule.recovers());
-    schedule.run.losses_beyond_tolerance = u64::from(schedule.disk_losses.excuse(&schedule.cluster));
+    schedule.run.losses_beyond_tolerance =
+        u64::from(schedule.disk_losses.explains_unavailability(&schedule.cluster));
     schedule.finish()
 }
 
@@ -73,7 +74,7 @@
     fn step(&mut self) {
         self.end_faults();
         if self.cluster.random.one_in(60) {
-            self.fault();
+            self.inject_fault();
         }
         if self.cluster.random.one_in(3) {
             self.proxies.send(self.cluster.now);
@@ -85,7 +86,7 @@
         self.disk_losses.on_time_passed(&self.cluster, is_partitioned, STEP);
     }
 
-    /// Ends all faults; whether a new claim is granted within the time that a lost machine may take.
+    /// Ends all faults. Returns whether a new claim is granted within the catch-up time of a lost machine.
     fn recovers(&mut self) -> bool {
         self.cluster.restart_all();
         self.cluster.network.without_leader_messages = None;
@@ -115,7 +116,7 @@
         }
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let n = self.cluster.random.below(self.lost_until.len() as u64) as usize;
         let n = self.cluster.active_store().filter(|_| self.cluster.random.one_in(3)).unwrap_or(n);
         let span = 100 + self.cluster.random.below(2_500);
@@ -124,37 +125,37 @@
         match kind {
             0..=2 if may_be_lost => {
                 self.cluster.kill(n, kind > 0);
-                self.lose(n, span);
+                self.mark_lost(n, span);
                 self.restarts.push(Restart { at: self.cluster.now + span, machine: n });
             }
             3 | 4 if may_be_lost => {
                 self.wipe(n);
-                self.lose(n, span);
+                self.mark_lost(n, span);
                 self.restarts.push(Restart { at: self.cluster.now + span, machine: n });
             }
             5 | 6 if may_be_lost => {
                 self.cluster.freeze(n, span);
-                self.lose(n, span);
+                self.mark_lost(n, span);
             }
             7 if may_be_lost => {
                 self.cluster.machines[n].disk.stalled_until = self.cluster.now + span;
-                self.lose(n, span);
+                self.mark_lost(n, span);
             }
             8 | 9 if self.partition_ends_at <= self.cluster.now => self.partition(span),
             10 => self.lose_all_power(span),
             11 if may_be_lost && self.leader_messages_resume_at <= self.cluster.now => {
                 self.cluster.network.without_leader_messages = Some(n);
                 self.leader_messages_resume_at = self.cluster.now + span;
-                self.lose(n, span);
+                self.mark_lost(n, span);
             }
             _ => return,
         }
         self.run.faults_in_claims += u64::from(self.proxies.has_claim_in_flight());
-        self.run.faults_before_records += u64::from(self.proxies.has_unrecorded_end());
+        self.run.faults_before_records += u64::from(self.proxies.has_unconfirmed_outcome());
         self.run.faults_in_takeovers += u64::from(self.cluster.active_store().is_none());
     }
 
-    /// Cuts the machines into two halves; nothing is lost by it.
+    /// Partitions the machines into two random groups. No machine counts as lost.
     fn partition(&mut self, span: Millis) {
         let machines = self.lost_until.len();
         let sides: Vec<bool> = (0..machines).map(|_| self.cluster.random.one_in(2)).collect();
@@ -166,20 +167,20 @@
         self.partition_ends_at = self.cluster.now + span;
     }
 
-    /// All machines lose power, and up to as many as are tolerated their disks.
+    /// Cuts the power of all machines. At most as many as tolerated lose their disks as well.
     fn lose_all_power(&mut self, span: Millis) {
         let machines = self.lost_until.len();
         let lost = (0..machines).filter(|n| self.lost_until[*n] > self.cluster.now).count();
-        let mut to_wipe = (FAULT_TOLERANCE as usize).saturating_sub(lost);
+        let mut wipes_left = (FAULT_TOLERANCE as usize).saturating_sub(lost);
         for n in 0..machines {
             if !self.cluster.is_up(n) {
                 continue;
             }
             self.cluster.kill(n, true);
-            if to_wipe > 0 && self.cluster.random.one_in(4) {
-                to_wipe -= 1;
+            if wipes_left > 0 && self.cluster.random.one_in(4) {
+                wipes_left -= 1;
                 self.wipe(n);
-                self.lose(n, span + 8_000);
+                self.mark_lost(n, span + 8_000);
             }
             self.restarts.push(Restart { at: self.cluster.now + span, machine: n });
         }
@@ -196,7 +197,7 @@
         is_other_lost < FAULT_TOLERANCE as usize
     }
 
-    fn lose(&mut self, n: usize, span: Millis) {
+    fn mark_lost(&mut self, n: usize, span: Millis) {
         self.lost_until[n] = self.cluster.now + span + CATCH_UP;
     }
 
--- a/crates/store/tests/operations/learners.rs
+++ b/crates/store/tests/operations/learners.rs
@@ -1,26 +1,26 @@
-//! A store that lost its disk gets its vote again while operations are claimed at the full rate.
+//! A store that lost its disk becomes a voter again while operations are claimed at the full rate.
 
 use crate::proxies::Proxies;
 use crate::simulation::{Cluster, Millis};
 
-/// What the operators' settings give a lost machine until it counts again (`catch-up-s`).
+/// Time that the operators' settings allow a lost machine for catching up (`catch-up-s`).
 const CATCH_UP: Millis = 6_000;
 const WINDOW: Millis = 60_000;
-/// More operations than this are not sent in one run.
+/// Number of distinct keys: more than the operations of a run, so that keys are rarely repeated.
 const KEYS: u64 = 1_000_000;
 const STEP: Millis = 5;
-/// Operations in each step: 600 a second.
+/// Operations sent in each step: 600/s.
 const OPERATIONS_PER_STEP: usize = 3;
 
-/// Guards against a learner that is offered records which are sent to it only later, and so never has all of them.
+/// Guards against a learner that never has all records, because it is offered records which are sent to it only later.
 #[test]
-fn store_with_an_empty_disk_votes_within_its_time_under_load() {
+fn store_with_an_empty_disk_becomes_voter_within_the_catch_up_time_under_load() {
     (0..5).for_each(|seed| lose_a_disk_under_load(seed, 1));
 }
 
-/// Guards against a change of voters that waits until a batch is committed, which takes as long as the slowest disks.
+/// Guards against a change of voters that waits for the commit of a batch, which takes as long as the slowest disks.
 #[test]
-fn store_with_an_empty_disk_votes_within_its_time_beside_slow_disks() {
+fn store_with_an_empty_disk_becomes_voter_within_the_catch_up_time_beside_slow_disks() {
     (0..5).for_each(|seed| lose_a_disk_under_load(seed, 80));
 }
 
@@ -42,7 +42,7 @@
     let leader = cluster.active_store().expect("a store answers");
     let replica = cluster.machines[leader].replica.as_ref().expect("it runs");
     let id = cluster.machines[lost].replica.as_ref().expect("it runs").node().id;
-    assert!(replica.voters().iter().any(|voter| voter.id == id), "seed {seed}: no vote");
+    assert!(replica.voters().iter().any(|voter| voter.id == id), "seed {seed}: the store is no voter");
     assert_eq!(proxies.violations, Vec::<String>::new(), "seed {seed}");
 }
 
--- a/crates/store/tests/operations/main.rs
+++ b/crates/store/tests/operations/main.rs
@@ -1,5 +1,6 @@
-//! Operations are executed once: stores in virtual time, with faults drawn by a seed, and proxies that claim, execute,
-//! repeat, give up and die. What backends executed and what clients got decides, nothing that a store believes.
+//! Operations are executed at most once: stores in virtual time with seeded random faults, and proxies that claim,
+//! execute, repeat, give up and die. Checks use what backends executed and clients received, never the state of a
+//! store.
 
 #![cfg(test)]
 
@@ -16,19 +17,20 @@
 use faults::run;
 use run::{Controls, Run};
 
-/// The schedules that each change is tested with. `VIOLETYOKE_SEEDS` sets another number for a long run by hand.
+/// Number of seeds in a normal test; the environment variable `VIOLETYOKE_SEEDS` sets another one for long runs.
 const SEEDS: u64 = 60;
 
 fn seeds() -> u64 {
     std::env::var("VIOLETYOKE_SEEDS").ok().and_then(|count| count.parse().ok()).unwrap_or(SEEDS)
 }
 
-fn violated(controls: Controls, seeds: u64) -> Option<u64> {
+/// The first seed whose run violates an invariant.
+fn first_violating_seed(controls: Controls, seeds: u64) -> Option<u64> {
     (0..seeds).find(|seed| !run(*seed, controls).violations.is_empty())
 }
 
-/// Guards against an operation that is executed twice, or repeated with another response, after any tolerated fault, and
-/// against claims that are refused for good after it.
+/// Guards against an operation that is executed twice or replayed with another response after tolerated faults, and
+/// against claims that are never granted again after them.
 #[test]
 fn operations_are_executed_once_under_random_faults() {
     let mut total = Run::default();
@@ -45,33 +47,33 @@
     assert!(total.counts.replayed > 0 && total.voter_changes > 0);
 }
 
-/// Guards against a takeover that answers before it has what was granted: the check that reads a majority is left out.
+/// Negative control: a new leader that answers before it has read the granted claims from a majority.
 #[test]
 fn without_recovery_of_a_majority_an_operation_is_executed_twice() {
     let controls = Controls { leaders_skip_recovery: true, ..Controls::default() };
-    let seed = violated(controls, 200).expect("the fault is found");
+    let seed = first_violating_seed(controls, 200).expect("the fault is found");
     println!("found by seed {seed}");
 }
 
-/// Guards against a store that takes records of a leader that was superseded.
+/// Negative control: a store that accepts records of a superseded leader.
 #[test]
 fn without_the_check_of_epochs_an_operation_is_executed_twice() {
     let controls = Controls { stores_skip_epochs: true, ..Controls::default() };
-    let seed = violated(controls, 400).expect("the fault is found");
+    let seed = first_violating_seed(controls, 400).expect("the fault is found");
     println!("found by seed {seed}");
 }
 
-/// Guards against a change of voters that counts on records which are on their way.
+/// Guards against a change of voters that relies on records which are still in flight.
 #[test]
 fn operations_are_executed_once_where_offers_are_lost() {
     let controls = Controls { offers_are_lost: true, ..Controls::default() };
-    assert_eq!(violated(controls, seeds() / 2), None);
+    assert_eq!(first_violating_seed(controls, seeds() / 2), None);
 }
 
-/// Guards against learners that get a vote before they have all records.
+/// Negative control: learners that become voters before they have all records.
 #[test]
 fn without_records_of_new_voters_an_operation_is_executed_twice() {
     let controls = Controls { learners_skip_records: true, offers_are_lost: true, ..Controls::default() };
-    let seed = violated(controls, 400).expect("the fault is found");
+    let seed = first_violating_seed(controls, 400).expect("the fault is found");
     println!("found by seed {seed}");
 }
--- a/crates/store/tests/operations/proxies.rs
+++ b/crates/store/tests/operations/proxies.rs
@@ -1,4 +1,5 @@
-//! Proxies that claim operations, execute them at a backend, and report how they ended; and what must hold of it.
+//! Proxies that claim operations, execute them at a backend and report the outcome, with the checks on executions and
+//! replies.
 
 use crate::simulation::random::Random;
 use crate::simulation::{Cluster, Millis};
@@ -6,18 +7,18 @@
 use violetyoke_store::consensus::ClientId;
 use violetyoke_transport::messages::{ClaimHolder, OperationKey, OperationReply, OperationRequest};
 
-/// A claim without a reply is sent again after this time.
-const CLAIM_AGAIN_AFTER: Millis = 60;
-/// A proxy gives a claim up after this time.
+/// A request without a reply is repeated after this time.
+const RETRY_INTERVAL: Millis = 60;
+/// A proxy gives up a claim after this time.
 const CLAIM_TIMEOUT: Millis = 600;
-/// How long an execution takes at most.
+/// Upper bound (exclusive) on the duration of an execution.
 const MAX_EXECUTION: Millis = 400;
-/// The holder's time that each claim states.
+/// Holder time-out stated in each claim, in ms.
 const HOLDER_TIMEOUT: u32 = 2_000;
-/// How long a proxy repeats its report.
+/// A proxy repeats its report for this long.
 const REPORT_TIMEOUT: Millis = 5_000;
 
-/// What one try of an operation is doing.
+/// The current step of an attempt to execute an operation.
 #[derive(Clone, Debug)]
 enum Step {
     Claiming { until: Millis },
@@ -39,26 +40,26 @@
     at: Millis,
 }
 
-/// What a backend saw.
+/// One execution at a backend.
 #[derive(Clone, Copy, Debug)]
 struct Execution {
     at: Millis,
-    /// Who got the response, if there was one.
-    response_at: Option<ClaimHolder>,
+    /// The holder that received the response; `None` if there was no response.
+    response_holder: Option<ClaimHolder>,
 }
 
-/// What backends saw of an operation.
+/// The last execution of an operation at a backend.
 #[derive(Clone, Debug, Default)]
 struct Executions {
     last: Option<Execution>,
 }
 
-/// How often things happened.
+/// How often each event happened.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub executed: u64,
     pub replayed: u64,
-    pub refused_as_running: u64,
+    pub rejected_in_progress: u64,
     pub unknown: u64,
     pub given_up: u64,
     pub released_after_grant: u64,
@@ -90,15 +91,15 @@
         }
     }
 
-    /// Whether a claim waits for its grant.
+    /// Whether a claim is waiting for its grant.
     pub(crate) fn has_claim_in_flight(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| matches!(attempt.step, Step::Claiming { .. }) && attempt.sent.is_some())
     }
 
-    /// Whether an operation was executed and its end is not recorded.
-    pub(crate) fn has_unrecorded_end(&self) -> bool {
+    /// Whether an execution is running, or a report has not been confirmed yet.
+    pub(crate) fn has_unconfirmed_outcome(&self) -> bool {
         self.attempts.iter().any(|attempt| !matches!(attempt.step, Step::Claiming { .. }))
     }
 
@@ -112,7 +113,7 @@
         self.attempts.push(Attempt { key, holder, step, sent: None });
     }
 
-    /// Lets each attempt go on.
+    /// Advances each attempt.
     pub(crate) fn step(&mut self, cluster: &mut Cluster) {
         for mut attempt in std::mem::take(&mut self.attempts) {
             if self.step_attempt(cluster, &mut attempt) {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Whether the attempt goes on.
+    /// Advances an attempt. Returns whether it continues.
     fn step_attempt(&mut self, cluster: &mut Cluster, attempt: &mut Attempt) -> bool {
         let reply = attempt.sent.and_then(|sent| cluster.take_operation_reply(sent.client));
         if reply.is_some() {
@@ -147,7 +148,7 @@
             Step::Executing { .. } => true,
             Step::Reporting { until, .. } if now > until || reply == Some(OperationReply::Recorded) => false,
             Step::Reporting { request, .. } => {
-                self.send_again(cluster, attempt, request);
+                self.send_if_due(cluster, attempt, request);
                 true
             }
         }
@@ -168,7 +169,7 @@
             }
             Some(OperationReply::Granted { .. }) => self.execute(cluster.now, attempt),
             Some(OperationReply::Executed { holder }) => self.check_replay(cluster.now, &key, *holder),
-            Some(OperationReply::InProgress { .. }) => self.counts.refused_as_running += 1,
+            Some(OperationReply::InProgress { .. }) => self.counts.rejected_in_progress += 1,
             Some(OperationReply::Unknown) => self.counts.unknown += 1,
             Some(OperationReply::Recorded) => {
                 self.violations.push("a claim was answered as a report".to_owned());
@@ -185,7 +186,7 @@
                     timeout_ms: HOLDER_TIMEOUT,
                     is_self_deduplicating,
                 };
-                self.send_again(cluster, attempt, claim);
+                self.send_if_due(cluster, attempt, claim);
             }
         }
         !matches!(attempt.step, Step::Claiming { .. }) || attempt.sent.is_some()
@@ -202,14 +203,15 @@
             let (key, first) = (&attempt.key.key, first.at);
             self.violations.push(format!("{now} ms: {key} was executed again, after {first} ms"));
         }
-        executions.last = Some(Execution { at: now, response_at: has_response.then_some(attempt.holder) });
+        executions.last =
+            Some(Execution { at: now, response_holder: has_response.then_some(attempt.holder) });
     }
 
-    /// A repeat gets the response of this holder.
+    /// Checks the reply to a repeated operation, which names the holder whose response is replayed.
     fn check_replay(&mut self, now: Millis, key: &OperationKey, holder: ClaimHolder) {
         self.counts.replayed += 1;
         let executed = self.executions.get(key).and_then(|executions| executions.last);
-        if executed.and_then(|execution| execution.response_at) != Some(holder) {
+        if executed.and_then(|execution| execution.response_holder) != Some(holder) {
             self.violations.push(format!("{now} ms: {} got another response than the first", key.key));
         }
     }
@@ -217,13 +219,13 @@
     fn report(&mut self, cluster: &mut Cluster, attempt: &mut Attempt, request: OperationRequest) {
         attempt.step = Step::Reporting { request: request.clone(), until: cluster.now + REPORT_TIMEOUT };
         attempt.sent = None;
-        self.send_again(cluster, attempt, request);
+        self.send_if_due(cluster, attempt, request);
     }
 
-    /// Sends a request where none is outstanding, or the last one for too long: mostly to the store that answers, at times to
-    /// any other.
-    fn send_again(&mut self, cluster: &mut Cluster, attempt: &mut Attempt, request: OperationRequest) {
-        if attempt.sent.is_some_and(|sent| cluster.now < sent.at + CLAIM_AGAIN_AFTER) {
+    /// Sends a request unless one is outstanding for less than `RETRY_INTERVAL`. It mostly goes to the active store,
+    /// sometimes to a random one.
+    fn send_if_due(&mut self, cluster: &mut Cluster, attempt: &mut Attempt, request: OperationRequest) {
+        if attempt.sent.is_some_and(|sent| cluster.now < sent.at + RETRY_INTERVAL) {
             return;
         }
         let any = self.random.below(cluster.machines.len() as u64) as usize;
--- a/crates/store/tests/operations/run.rs
+++ b/crates/store/tests/operations/run.rs
@@ -1,31 +1,31 @@
-//! What a run leaves out, and what happened in it.
+//! The negative controls and the results of a run.
 
 use crate::proxies::Counts;
 
-/// Checks that are left out.
+/// Checks that are disabled in a run (negative controls).
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Controls {
     pub leaders_skip_recovery: bool,
     pub stores_skip_epochs: bool,
     pub learners_skip_records: bool,
-    /// No check, but a fault that lasts: most offers are lost.
+    /// Not a check, but a permanent fault: most offers are lost.
     pub offers_are_lost: bool,
 }
 
-/// What happened in a run.
+/// The results of a run, or their sums over several runs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Run {
     pub violations: Vec<String>,
-    /// 1 where a new claim was granted after all faults had ended; else 0.
+    /// Runs in which a new claim was granted after all faults had ended.
     pub recoveries: u64,
-    /// 1 where a majority of the voters lost their disks, and more had than are tolerated at once; else 0.
+    /// Runs in which a majority of the voters lost their disks, with more disks lost at once than are tolerated.
     pub losses_beyond_tolerance: u64,
     pub counts: Counts,
-    /// Faults that fell between a claim and its grant.
+    /// Faults between a claim and its grant.
     pub faults_in_claims: u64,
-    /// Faults that fell between an execution and the record of its end.
+    /// Faults while an execution was running or its report was not confirmed.
     pub faults_before_records: u64,
-    /// Faults that fell while no store answered.
+    /// Faults while no store was active.
     pub faults_in_takeovers: u64,
     pub leader_changes: u64,
     pub voter_changes: u64,
@@ -37,7 +37,7 @@
         self.losses_beyond_tolerance += other.losses_beyond_tolerance;
         self.counts.executed += other.counts.executed;
         self.counts.replayed += other.counts.replayed;
-        self.counts.refused_as_running += other.counts.refused_as_running;
+        self.counts.rejected_in_progress += other.counts.rejected_in_progress;
         self.counts.unknown += other.counts.unknown;
         self.counts.given_up += other.counts.given_up;
         self.counts.released_after_grant += other.counts.released_after_grant;
--- a/crates/store/tests/random_faults.rs
+++ b/crates/store/tests/random_faults.rs
@@ -62,22 +62,22 @@
         match self.cluster.random.below(60) {
             0 if may_be_lost && self.cluster.is_up(n) => {
                 self.cluster.kill(n, true);
-                self.lose(n, span);
+                self.mark_lost(n, span);
                 self.restart_after(n, span);
             }
             1 if may_be_lost && self.cluster.is_up(n) => {
                 self.cluster.wipe(n);
-                self.lose(n, span);
+                self.mark_lost(n, span);
                 self.restart_after(n, span);
             }
             2 if may_be_lost && self.partition_ends_at <= self.cluster.now => self.partition(n, span),
             3 if may_be_lost && self.cluster.is_up(n) => {
                 self.cluster.freeze(n, span);
-                self.lose(n, span);
+                self.mark_lost(n, span);
             }
             4 if may_be_lost => {
                 self.cluster.machines[n].disk.stalled_until = self.cluster.now + span;
-                self.lose(n, span);
+                self.mark_lost(n, span);
             }
             5 if self.cluster.random.one_in(6) => self.kill_all(span),
             6..=30 => {
@@ -112,7 +112,7 @@
         self.lost_until.iter().enumerate().filter(is_lost).count() < self.fault_tolerance
     }
 
-    fn lose(&mut self, n: usize, span: Millis) {
+    fn mark_lost(&mut self, n: usize, span: Millis) {
         self.lost_until[n] = self.cluster.now + span + CATCH_UP;
     }
 
@@ -127,7 +127,7 @@
             self.cluster.block_inbound(n);
         }
         self.partition_ends_at = self.cluster.now + span;
-        self.lose(n, span);
+        self.mark_lost(n, span);
     }
 
     /// Kills all processes at once; the disks survive. All machines count as lost until they are back and have caught
