--- a/crates/store/tests/model/explore.rs
+++ b/crates/store/tests/model/explore.rs
@@ -1,4 +1,4 @@
-//! Visits every state within some steps.
+//! Explores every state of a model up to a depth.
 
 use super::system::{InFlight, System};
 use stateright::{Checker, Model};
@@ -10,16 +10,16 @@
     fn delivered(&self) -> Option<usize>;
 }
 
-/// What was found.
+/// The result of an exploration.
 #[derive(Debug)]
 pub struct Exploration {
-    /// Names of `always` properties that don't hold, and of `sometimes` properties that do, in alphabetical order.
+    /// Names of violated `always` properties and satisfied `sometimes` properties, in alphabetical order.
     pub discoveries: Vec<&'static str>,
-    /// How many states were visited.
+    /// Number of visited states.
     pub states: usize,
 }
 
-/// Explores a model to a depth; prints how many states it has, and how each of `violations` comes about.
+/// Explores a model up to a depth. Prints the number of states and a trace to each of `violations` that was found.
 pub fn explore<M>(model: M, depth: usize, violations: &[&'static str]) -> Exploration
 where
     M: Model<State = System> + Send + Sync + 'static,
--- a/crates/store/tests/model/main.rs
+++ b/crates/store/tests/model/main.rs
@@ -1,7 +1,8 @@
-//! The shipped replica in every order of events, to some depth, by an explicit-state model checker (`stateright`).
+//! Model checking of the production consensus replica: an explicit-state checker (`stateright`) explores every order of
+//! events up to a depth.
 //!
-//! Each model is run as it is, where nothing acknowledged may be lost, and without one of the checks that the algorithm
-//! makes, where the loss that the check prevents has to be found.
+//! Each model is run unchanged, where no acknowledged command may be lost, and without one of the checks of the
+//! algorithm, where the checker must find the loss that the check prevents.
 
 #![cfg(test)]
 #![allow(unreachable_pub, reason = "support modules are public to the tests")]
--- a/crates/store/tests/model/message_sizes.rs
+++ b/crates/store/tests/model/message_sizes.rs
@@ -1,10 +1,11 @@
-//! What a store sends as it takes over or returns from elsewhere: no full state to a store that has it already.
+//! Messages of a store that takes over or restarts in another zone: no full state is sent to a store that already has
+//! it.
 
 use crate::system::{address, Heartbeats, System};
 use violetyoke_store::consensus::{Replica, ReplicaOptions};
 use violetyoke_transport::messages::{InitialState, PeerMessage, StoreId};
 
-/// Three stores with an acknowledged command.
+/// Three stores that have acknowledged a command.
 struct Stores {
     system: System,
     leader: usize,
@@ -25,9 +26,9 @@
         Stores { system, leader, backup, witness: 3 - leader - backup }
     }
 
-    /// A store takes over without the leader, hearing one other.
-    fn elect(&mut self, candidate: usize, heard: usize) {
-        self.system.elect(candidate, heard);
+    /// A store takes over while it receives messages from only one other store and the old leader receives none.
+    fn elect(&mut self, candidate: usize, connected: usize) {
+        self.system.elect(candidate, connected);
         let leader = self.leader;
         self.system.in_flight.retain(|message| message.to != leader);
     }
@@ -42,7 +43,7 @@
         self.system.tick(n, Heartbeats::Dropped);
     }
 
-    /// Messages on their way to a store.
+    /// Messages in flight to a store.
     fn in_flight_to(&self, n: usize) -> impl Iterator<Item = &PeerMessage> {
         let messages = self.system.in_flight.iter().filter(move |message| message.to == n);
         messages.map(|message| &message.envelope.message)
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn backup_that_takes_over_gets_no_state_and_sends_it_only_where_it_is_missing() {
+fn backup_that_takes_over_receives_no_state_and_sends_it_only_to_stores_without_it() {
     let mut stores = Stores::started();
     let (backup, witness) = (stores.backup, stores.witness);
     stores.elect(backup, witness);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn witness_that_takes_over_gets_the_state_once_and_returns_a_revision() {
+fn witness_that_takes_over_receives_the_state_once_and_sends_back_a_revision() {
     let mut stores = Stores::started();
     let (backup, witness) = (stores.backup, stores.witness);
     stores.elect(witness, backup);
@@ -88,7 +89,7 @@
         _ => None,
     });
     assert!(matches!(accepts, Some(Some(InitialState::Promised { .. }))), "{accepts:?}");
-    // The backup takes the new revision, and the witness leads.
+    // The backup adopts the new revision, and the witness becomes leader.
     stores.deliver_all();
     stores.deliver_all();
     let backup = &stores.system.stores[backup].durable;
--- a/crates/store/tests/model/reconfiguration.rs
+++ b/crates/store/tests/model/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! A reconfiguration in every order of its messages: the leader (0) gives the place of a silent voter (1) to a learner (3),
-//! while messages are lost, the silent voter returns and takes over, processes die or shut down and a disk is lost.
+//! A reconfiguration in every order of its messages: the leader (0) replaces an unreachable voter (1) by a learner (3),
+//! while messages are lost, the replaced voter returns and takes over, processes die or shut down, and a disk is lost.
 
 use crate::explore::Action;
 use crate::system::{address, Heartbeats, InFlight, System};
@@ -8,7 +8,7 @@
 use violetyoke_transport::messages::{Epoch, PeerMessage, StoreId};
 
 const LEADER: usize = 0;
-const SILENT: usize = 1;
+const REPLACED: usize = 1;
 const OTHER: usize = 2;
 const LEARNER: usize = 3;
 const STORES: usize = 4;
@@ -16,24 +16,24 @@
 const TICK_INTERVAL: Millis = 50;
 /// The time from the delivery of a message to the receiver's next tick.
 const DELIVERY_TIME: Millis = 40;
-/// Messages that may be delivered next, of those on their way.
+/// Number of messages in flight, from the oldest on, that may be delivered next.
 const DELIVERABLE: usize = 8;
 
-pub const LEADER_HAS_ACKNOWLEDGED: &str = "the leader has what was acknowledged";
-pub const ONE_LEADER: &str = "one store leads under an epoch";
+pub const LEADER_HAS_ACKNOWLEDGED: &str = "the leader has every acknowledged version";
+pub const ONE_LEADER: &str = "one store leads in each epoch";
 pub const ACKNOWLEDGED: &str = "a command is acknowledged after the reconfiguration";
-pub const RETURNED_LEADS: &str = "the voter that returned leads";
+pub const RETURNED_LEADS: &str = "the returned voter becomes leader";
 
 /// One step of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// A message is delivered, by its index. One that never is, is lost.
+    /// Delivers the message with this index. A message that is never delivered is lost.
     Deliver(usize),
-    /// A store takes over, hearing only one other.
-    Elect { candidate: usize, heard: usize },
+    /// A store takes over while it receives messages from only one other store.
+    Elect { candidate: usize, connected: usize },
     /// A process dies and starts again from its disk.
     Restart(usize),
-    /// A process is told to end, and announces it.
+    /// A process is told to shut down and announces it.
     ShutDown(usize),
     /// A disk is lost: an empty store starts at the same address.
     Wipe(usize),
@@ -48,14 +48,14 @@
     }
 }
 
-/// From where all orders are explored.
+/// The state from which all orders are explored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartPoint {
-    /// The replica set that names the learner has just been proposed.
+    /// The replica set with the learner has just been proposed.
     Proposed,
     /// The learner and the third voter have accepted it.
     Accepted,
-    /// It has just been proposed, and the silent voter has returned and asks for promises.
+    /// The replica set has just been proposed, and the replaced voter has returned and requests promises.
     Returned,
 }
 
@@ -63,19 +63,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Steps {
     All,
-    /// Deliveries and, where the replica set has just been proposed, one election. What a check prevents is found by
-    /// them.
+    /// Deliveries and, from `StartPoint::Proposed`, elections of one store. They suffice to find what a check prevents.
     DeliveriesOnly,
 }
 
-/// The model.
+/// The model of a reconfiguration.
 pub struct Reconfiguration {
     pub checks: SafetyChecks,
     pub start: StartPoint,
     pub steps: Steps,
 }
 
-/// Whether a replica set that names the learner is on its way.
+/// Whether a proposal of a replica set with the learner is in flight.
 fn is_proposed(system: &System) -> bool {
     let names_learner = |message: &PeerMessage| match message {
         PeerMessage::Accept { config, .. } => config.voters.iter().any(|voter| voter.ip == address(LEARNER)),
@@ -84,7 +83,7 @@
     system.in_flight.iter().any(|message| names_learner(&message.envelope.message))
 }
 
-/// A tick of all but the silent voter, and all messages among them, until the replica set is proposed.
+/// Ticks all stores except the unreachable voter and delivers their messages, until the replica set is proposed.
 fn advance(system: &mut System) {
     const CONNECTED: [usize; 3] = [LEADER, OTHER, LEARNER];
     system.now += TICK_INTERVAL;
@@ -97,7 +96,7 @@
 }
 
 impl Reconfiguration {
-    /// From the first start to the moment in which the replica set is proposed, and a command waits.
+    /// Runs from the first start until the replica set is proposed. A command is waiting then.
     fn proposed(&self) -> System {
         let mut system = System::new(STORES);
         for store in &mut system.stores {
@@ -110,7 +109,7 @@
                 break;
             }
         }
-        assert!(is_proposed(&system), "no reconfiguration begins");
+        assert!(is_proposed(&system), "no reconfiguration starts");
         system.in_flight.retain(|message| matches!(message.envelope.message, PeerMessage::Accept { .. }));
         system.sent_version = 1;
         system.submit(LEADER, 1);
@@ -127,17 +126,17 @@
         system
     }
 
-    /// The silent voter returns and asks for promises of an epoch that is new to the third one.
+    /// The replaced voter returns and requests promises for an epoch that is new to the third voter.
     fn returned(mut system: System) -> System {
         let proposals = std::mem::take(&mut system.in_flight);
         let prepare = loop {
-            system.elect(SILENT, OTHER);
+            system.elect(REPLACED, OTHER);
             let sent = std::mem::take(&mut system.in_flight);
             let Some(last) = sent.into_iter().rfind(|message| message.to == OTHER) else { continue };
             if matches!(last.envelope.message, PeerMessage::Prepare { epoch, .. } if epoch > Epoch(3)) {
                 break last;
             }
-            // Refused: the answer tells the returned voter of the newer epoch.
+            // The third voter rejects the request, and its answer reports the newer epoch.
             system.handle(last.to, Event::Message(last.envelope), Heartbeats::Dropped);
             system.deliver_all(Heartbeats::Dropped);
             system.sync_all();
@@ -170,16 +169,17 @@
     fn actions(&self, system: &System, actions: &mut Vec<Step>) {
         actions.extend((0..system.in_flight.len().min(DELIVERABLE)).map(Step::Deliver));
         if self.steps == Steps::DeliveriesOnly {
-            // Voters leave a candidate the time of a phase: without this step no other stands amid its messages.
+            // Voters give a candidate time to complete a phase, so without this step no other store becomes a candidate
+            // while messages of the first candidate are in flight.
             if self.start == StartPoint::Proposed {
-                actions.push(Step::Elect { candidate: OTHER, heard: LEARNER });
+                actions.push(Step::Elect { candidate: OTHER, connected: LEARNER });
             }
             return;
         }
         actions.extend([
-            Step::Elect { candidate: SILENT, heard: OTHER },
-            Step::Elect { candidate: OTHER, heard: LEARNER },
-            Step::Elect { candidate: LEARNER, heard: OTHER },
+            Step::Elect { candidate: REPLACED, connected: OTHER },
+            Step::Elect { candidate: OTHER, connected: LEARNER },
+            Step::Elect { candidate: LEARNER, connected: OTHER },
         ]);
         if system.deaths < 1 {
             actions.extend((0..STORES).flat_map(|n| [Step::Restart(n), Step::Wipe(n), Step::ShutDown(n)]));
@@ -196,7 +196,7 @@
                 system.now += DELIVERY_TIME;
                 system.tick(to, Heartbeats::Dropped);
             }
-            Step::Elect { candidate, heard } => system.elect(candidate, heard),
+            Step::Elect { candidate, connected } => system.elect(candidate, connected),
             Step::ShutDown(n) => {
                 system.deaths += 1;
                 system.handle(n, Event::Shutdown, Heartbeats::Dropped);
@@ -217,7 +217,7 @@
             Property::always(LEADER_HAS_ACKNOWLEDGED, |_, system: &System| system.leader_has_acknowledged()),
             Property::always(ONE_LEADER, |_, system: &System| system.has_one_leader_per_epoch()),
             Property::sometimes(ACKNOWLEDGED, |_, system: &System| system.acknowledged_version > 0),
-            Property::sometimes(RETURNED_LEADS, |_, system: &System| system.is_leader(SILENT)),
+            Property::sometimes(RETURNED_LEADS, |_, system: &System| system.is_leader(REPLACED)),
         ]
     }
 }
--- a/crates/store/tests/model/reconfiguration_tests.rs
+++ b/crates/store/tests/model/reconfiguration_tests.rs
@@ -1,4 +1,4 @@
-//! What is found in a reconfiguration, with and without the checks that make it safe.
+//! Explores reconfigurations with and without the checks that make them safe.
 
 use crate::explore::{explore, Exploration};
 use crate::reconfiguration::{
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn reconfiguration_loses_nothing_whichever_store_dies_returns_or_takes_over() {
+fn reconfiguration_loses_no_command_whichever_store_dies_shuts_down_or_takes_over() {
     let model = with_all_checks(StartPoint::Accepted, Steps::All);
     let Exploration { discoveries, states } = explore_reconfiguration(model, 6);
     assert_eq!(discoveries, [ACKNOWLEDGED]);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn reconfiguration_loses_nothing_in_any_order_of_its_messages() {
+fn reconfiguration_loses_no_command_in_any_order_of_its_messages() {
     let model = with_all_checks(StartPoint::Proposed, Steps::DeliveriesOnly);
     let Exploration { discoveries, states } = explore_reconfiguration(model, 9);
     assert_eq!(discoveries, [ACKNOWLEDGED]);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn reconfiguration_loses_nothing_while_the_replaced_voter_takes_over() {
+fn reconfiguration_loses_no_command_while_the_replaced_voter_takes_over() {
     let model = with_all_checks(StartPoint::Returned, Steps::DeliveriesOnly);
     let Exploration { discoveries, states } = explore_reconfiguration(model, 10);
     assert_eq!(discoveries, [RETURNED_LEADS]);
--- a/crates/store/tests/model/replication.rs
+++ b/crates/store/tests/model/replication.rs
@@ -1,5 +1,5 @@
-//! Three stores in every order in which messages, syncs, silence, deaths and commands can come, from an installed
-//! replica set on.
+//! Three stores with an installed replica set, in every order of messages, syncs, lost heartbeats, restarts and
+//! commands.
 
 use crate::explore::Action;
 use crate::system::{address, Heartbeats, InFlight, System};
@@ -7,30 +7,31 @@
 use violetyoke_store::consensus::{Event, Millis};
 use violetyoke_transport::messages::{Envelope, Epoch, PeerMessage};
 
-pub const LEADER_HAS_ACKNOWLEDGED: &str = "the leader has what was acknowledged";
+pub const LEADER_HAS_ACKNOWLEDGED: &str = "the leader has every acknowledged version";
 pub const ACKNOWLEDGED: &str = "a version is acknowledged";
 pub const SECOND_EPOCH: &str = "a second epoch is installed";
 
-/// More silence than a leader is believed to be alive through, and the longest delay of a follower.
-const SILENCE: Millis = 900;
+/// Longer than the time without heartbeats after which a leader is considered dead.
+const LEADER_TIMEOUT: Millis = 900;
+/// The longest delay of a follower before it becomes a candidate.
 const ELECTION_DELAY: Millis = 450;
 /// The time from the delivery of a message to the receiver's next tick.
 const DELIVERY_TIME: Millis = 40;
-/// Versions that the operator sends at most.
+/// Maximum number of versions that the operator sends.
 const VERSIONS: u64 = 2;
-/// Messages that may be delivered next, of those on their way.
+/// Number of messages in flight, from the oldest on, that may be delivered next.
 const DELIVERABLE: usize = 4;
 
 /// One step of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// A message is delivered, by its index. One that never is, is lost.
+    /// Delivers the message with this index. A message that is never delivered is lost.
     Deliver(usize),
     /// A disk completes its writes.
     Sync(usize),
     /// The next version is sent to a store.
     Submit(usize),
-    /// A store hears nothing of the leader for so long that it takes over, and the third one still does.
+    /// A store receives no heartbeats of the leader until it takes over, while the third store still receives them.
     LoseHeartbeats(usize),
     /// A process dies and starts again from its disk.
     Restart(usize),
@@ -45,28 +46,29 @@
     }
 }
 
-/// The model.
+/// The model of replication.
 #[derive(Default)]
 pub struct Replication {
-    /// Starts when a command is on its way and another store has just begun to take over, and disks sync at once: from
-    /// there a second epoch is near. Otherwise it starts at rest, and each sync is a step.
+    /// Starts with a command in flight and a store that has just started to take over, and disks sync at once, so
+    /// that a second epoch is within the depth. Otherwise the model starts without messages in flight, and each sync
+    /// is a step.
     pub starts_in_takeover: bool,
-    /// Receivers acknowledge writes of any epoch.
+    /// Receivers acknowledge writes of any epoch (negative control).
     pub skips_epoch_check: bool,
 }
 
 impl Replication {
-    /// Delivers a message; without the check of epochs, a write of an old one is acknowledged.
+    /// Delivers a message. Without the epoch check, a write of an old epoch is acknowledged.
     fn deliver(&self, system: &mut System, index: usize) -> Option<()> {
         let InFlight { to, envelope } = system.in_flight.remove(index);
         let receiver = &system.stores[to];
         let newest = receiver.replica.epoch().max(receiver.durable.promised);
         match &envelope.message {
             PeerMessage::Write { epoch, state } if self.skips_epoch_check && *epoch < newest => {
-                let back = (0..3).find(|n| address(*n) == envelope.from.ip)?;
+                let sender = (0..3).find(|n| address(*n) == envelope.from.ip)?;
                 let message = PeerMessage::Written { epoch: *epoch, revision: state.revision };
                 let envelope = Envelope { from: receiver.replica.node().clone(), message };
-                system.in_flight.push(InFlight { to: back, envelope });
+                system.in_flight.push(InFlight { to: sender, envelope });
             }
             _ => system.handle(to, Event::Message(envelope), Heartbeats::Dropped),
         }
@@ -78,7 +80,7 @@
     fn lose_heartbeats(system: &mut System, n: usize) -> Option<()> {
         let leader = (0..3).find(|other| system.is_leader(*other));
         let third = (0..3).find(|other| *other != n && Some(*other) != leader)?;
-        for span in [SILENCE, ELECTION_DELAY] {
+        for span in [LEADER_TIMEOUT, ELECTION_DELAY] {
             system.now += span;
             if let Some(leader) = leader {
                 system.heartbeat(leader, third);
@@ -111,7 +113,7 @@
 
     fn actions(&self, system: &System, actions: &mut Vec<Step>) {
         actions.extend((0..system.in_flight.len().min(DELIVERABLE)).map(Step::Deliver));
-        // What the check of epochs prevents is found by deliveries alone.
+        // Deliveries suffice to find what the epoch check prevents.
         for n in (0..3).filter(|_| !self.skips_epoch_check) {
             if !system.stores[n].pending_writes.is_empty() {
                 actions.push(Step::Sync(n));
--- a/crates/store/tests/model/replication_tests.rs
+++ b/crates/store/tests/model/replication_tests.rs
@@ -1,4 +1,4 @@
-//! What is found in the replication of commands, with and without the receivers' check of epochs.
+//! Explores the replication of commands with and without the epoch check of receivers.
 
 use crate::explore::{explore, Exploration};
 use crate::replication::{Replication, ACKNOWLEDGED, LEADER_HAS_ACKNOWLEDGED, SECOND_EPOCH};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn no_acknowledged_command_is_lost_from_an_installed_configuration_on() {
+fn no_acknowledged_command_is_lost_after_a_replica_set_is_installed() {
     let Exploration { discoveries, states } = explore_replication(Replication::default(), 7);
     assert_eq!(discoveries, [ACKNOWLEDGED]);
     assert!(states > 10_000, "{states}");
--- a/crates/store/tests/model/system.rs
+++ b/crates/store/tests/model/system.rs
@@ -1,4 +1,4 @@
-//! One state of the whole system: what each process knows, what each disk has, which messages are on their way.
+//! The state of the modelled system: processes, disks and messages in flight.
 
 use std::hash::{Hash, Hasher};
 use std::net::Ipv4Addr;
@@ -18,43 +18,43 @@
     state: DurableState,
 }
 
-/// A store's process and its disk.
+/// The process and the disk of a store.
 #[derive(Clone, Debug)]
 pub struct Store {
     pub replica: Replica,
-    /// What is on the disk.
+    /// The state on the disk.
     pub durable: DurableState,
     pub pending_writes: Vec<PendingWrite>,
 }
 
-/// A message on its way. One that is never delivered is lost.
+/// A message in flight. A message that is never delivered is lost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InFlight {
     pub to: usize,
     pub envelope: Envelope,
 }
 
-/// Whether heartbeats go out like other messages. Where they don't, silence and its end are actions of their own.
+/// Whether heartbeats are sent like other messages. If they are dropped, the loss of heartbeats is a separate action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heartbeats {
     Sent,
     Dropped,
 }
 
-/// The system at one moment.
+/// The system at one point in time.
 #[derive(Clone, Debug)]
 pub struct System {
     pub now: Millis,
     pub stores: Vec<Store>,
     pub in_flight: Vec<InFlight>,
-    /// The newest version that the operator has sent, and the newest that was acknowledged.
+    /// The newest version that the operator has sent, and the newest acknowledged version.
     pub sent_version: u64,
     pub acknowledged_version: u64,
-    /// Processes that have died or left.
+    /// Number of processes that have died or were told to shut down.
     pub deaths: u32,
 }
 
-// Two states that print alike are the same: replicas hold nothing that they don't print.
+// States are compared by their debug output, which contains all fields of a replica.
 impl Hash for System {
     fn hash<H: Hasher>(&self, state: &mut H) {
         format!("{self:?}").hash(state);
@@ -118,7 +118,7 @@
                     if heartbeats == Heartbeats::Dropped => {}
                 Effect::Send { to, message } => {
                     let Some(to) = (0..self.stores.len()).find(|n| address(*n) == to) else { continue };
-                    // The same message sent again while the first is on its way is one message.
+                    // A message that is repeated while the first one is in flight is kept only once.
                     let message = InFlight { to, envelope: Envelope { from: from.clone(), message } };
                     if !self.in_flight.contains(&message) {
                         self.in_flight.push(message);
@@ -139,13 +139,13 @@
         self.handle(n, Event::Tick { disk_healthy: true }, heartbeats);
     }
 
-    /// The operator sends a store its version, as the client of that number.
+    /// The operator sends a version to a store; the client id is the version.
     pub fn submit(&mut self, n: usize, version: u64) {
         let event = Event::Command { client: ClientId(version), command: replace(version) };
         self.handle(n, event, Heartbeats::Dropped);
     }
 
-    /// A disk completes its writes.
+    /// A disk completes its pending writes.
     pub fn sync(&mut self, n: usize) {
         let Some(PendingWrite { number, state }) = self.stores[n].pending_writes.pop() else { return };
         self.stores[n].pending_writes.clear();
@@ -157,7 +157,7 @@
         self.stores.iter().any(|store| !store.pending_writes.is_empty())
     }
 
-    /// All disks complete their writes, and those that follow from them.
+    /// All disks complete their pending writes and the writes that follow from them.
     pub fn sync_all(&mut self) {
         while self.has_pending_writes() {
             (0..self.stores.len()).for_each(|n| self.sync(n));
@@ -170,7 +170,7 @@
         self.stores[n].replica = start_replica(n, self.stores[n].durable.clone(), self.now);
     }
 
-    /// A tick of one store, whose heartbeat reaches one other.
+    /// Ticks a store and delivers its heartbeat to one other store only.
     pub fn heartbeat(&mut self, from: usize, to: usize) {
         let count = self.in_flight.len();
         self.tick(from, Heartbeats::Sent);
@@ -185,14 +185,14 @@
         }
     }
 
-    /// Delivers all messages that are on their way.
+    /// Delivers all messages in flight.
     pub fn deliver_all(&mut self, heartbeats: Heartbeats) {
         for InFlight { to, envelope } in std::mem::take(&mut self.in_flight) {
             self.handle(to, Event::Message(envelope), heartbeats);
         }
     }
 
-    /// Everything that happens without a fault, until a replica set is installed.
+    /// Runs without faults until a replica set is installed.
     pub fn settle(&mut self) {
         for _ in 0..START_TICKS {
             self.now += TICK_INTERVAL;
@@ -204,12 +204,12 @@
         }
     }
 
-    /// A store hears only one other for so long that it takes over, where it may.
-    pub fn elect(&mut self, n: usize, heard: usize) {
-        // More silence than a leader is believed to be alive through, and the longest delay of a follower.
+    /// A store receives heartbeats of only one other store until it takes over, if the protocol allows it.
+    pub fn elect(&mut self, n: usize, connected: usize) {
+        // Longer than the leader time-out, then the longest delay before an election.
         for span in [900, 450] {
             self.now += span;
-            self.heartbeat(heard, n);
+            self.heartbeat(connected, n);
             self.tick(n, Heartbeats::Dropped);
             self.sync_all();
         }
@@ -219,19 +219,19 @@
         self.stores[n].replica.is_leader()
     }
 
-    /// The store that leads under the highest epoch.
+    /// The store that leads; the one with the highest epoch if there are several.
     pub fn leader(&self) -> Option<usize> {
         let leaders = (0..self.stores.len()).filter(|n| self.is_leader(*n));
         leaders.max_by_key(|n| self.stores[*n].replica.epoch())
     }
 
-    /// The leader of the highest epoch has committed what was acknowledged.
+    /// Whether the leader of the highest epoch has committed every acknowledged version.
     pub fn leader_has_acknowledged(&self) -> bool {
         let committed = self.leader().and_then(|n| self.stores[n].replica.committed_state());
         committed.is_none_or(|state| state.version >= self.acknowledged_version)
     }
 
-    /// No two stores lead under the same epoch.
+    /// Whether no two stores lead in the same epoch.
     pub fn has_one_leader_per_epoch(&self) -> bool {
         let leaders = self.stores.iter().map(|store| &store.replica).filter(|replica| replica.is_leader());
         let mut epochs: Vec<Epoch> = leaders.map(Replica::epoch).collect();
--- a/crates/store/tests/operation_model/main.rs
+++ b/crates/store/tests/operation_model/main.rs
@@ -1,7 +1,9 @@
-//! An operation is executed once, in every order of events within bounds, by a model checker (`stateright`).
+//! Model checking of the rule that an operation is executed once: `stateright` explores every order of events within
+//! bounds.
 //!
-//! The stores are the shipped engines (`OperationReplica`) with a log each; the consensus core is abstracted to epochs and
-//! promises. Each guard is also left out, where an operation has to be executed twice.
+//! The stores are production replicas (`OperationReplica`) with a log each; the consensus replica is abstracted to
+//! epochs and promises. Each guard is also disabled in turn, where the checker must find an operation that is
+//! executed twice.
 
 #![cfg(test)]
 #![allow(unreachable_pub, reason = "support modules are public to the tests")]
@@ -12,16 +14,16 @@
 mod system;
 
 use model::{Guard, Operations};
-use properties::{ANSWERS_AFTER_TAKEOVER, EXECUTED_AFTER_RELEASE, ONCE, REPLAYED, TOLD_UNKNOWN};
+use properties::{ACTIVE_AFTER_TAKEOVER, EXECUTED_AFTER_RELEASE, EXECUTED_ONCE, OUTCOME_UNKNOWN, REPLAYED};
 use stateright::{Checker, Model};
 use std::collections::BTreeSet;
 
-/// Time, and all ends of the operation.
-const ENDS: Operations = Operations { requests: 2, waits: 2, depth: 9, ..Operations::NONE };
-/// Another leader beside the old one, and repeated messages.
+/// One leader, with expiring claims and all outcomes of the operation.
+const ALL_OUTCOMES: Operations = Operations { requests: 2, waits: 2, depth: 9, ..Operations::NONE };
+/// A second leader while the old one still runs, and repeated messages.
 const TAKEOVERS: Operations =
     Operations { requests: 1, repeats: 1, takeovers: 1, depth: 10, ..Operations::NONE };
-/// The same with disks that take their time, and a process that dies.
+/// A second leader, disks whose syncs are separate steps, and a process that restarts.
 const RESTARTS: Operations = Operations {
     requests: 1,
     takeovers: 1,
@@ -31,40 +33,41 @@
     ..Operations::NONE
 };
 
-/// Explores a model; prints its size, and the steps to a second execution. The names of the discoveries.
+/// Explores a model. Prints its size and the steps to a second execution, if there is one. Returns the names of
+/// violated `always` properties and satisfied `sometimes` properties.
 fn explore(model: Operations) -> BTreeSet<&'static str> {
     let checker = model.checker().threads(1).target_max_depth(model.depth).spawn_bfs().join();
     println!("{model:?}: states={} depth={}", checker.unique_state_count(), checker.max_depth());
     let found = checker.discoveries();
-    let steps = found.get(ONCE).map(|path| path.clone().into_actions()).unwrap_or_default();
+    let steps = found.get(EXECUTED_ONCE).map(|path| path.clone().into_actions()).unwrap_or_default();
     steps.iter().for_each(|step| println!("  {step:?}"));
     found.into_keys().collect()
 }
 
-fn is_executed_twice(without: Guard, model: Operations) -> bool {
-    explore(Operations { without: Some(without), ..model }).contains(ONCE)
+fn is_executed_twice(omitted_guard: Guard, model: Operations) -> bool {
+    explore(Operations { omitted_guard: Some(omitted_guard), ..model }).contains(EXECUTED_ONCE)
 }
 
 #[test]
-fn operation_is_executed_once_whatever_its_end() {
-    assert_eq!(explore(ENDS), BTreeSet::from([EXECUTED_AFTER_RELEASE, REPLAYED, TOLD_UNKNOWN]));
+fn operation_is_executed_once_whatever_its_outcome() {
+    assert_eq!(explore(ALL_OUTCOMES), BTreeSet::from([EXECUTED_AFTER_RELEASE, REPLAYED, OUTCOME_UNKNOWN]));
 }
 
 #[test]
 fn operation_is_executed_once_across_a_takeover() {
-    assert_eq!(explore(TAKEOVERS), BTreeSet::from([ANSWERS_AFTER_TAKEOVER]));
+    assert_eq!(explore(TAKEOVERS), BTreeSet::from([ACTIVE_AFTER_TAKEOVER]));
     let model = Operations { requests: 2, repeats: 0, depth: 9, ..TAKEOVERS };
     assert_eq!(
         explore(model),
-        BTreeSet::from([ANSWERS_AFTER_TAKEOVER, EXECUTED_AFTER_RELEASE, REPLAYED, TOLD_UNKNOWN])
+        BTreeSet::from([ACTIVE_AFTER_TAKEOVER, EXECUTED_AFTER_RELEASE, REPLAYED, OUTCOME_UNKNOWN])
     );
 }
 
 #[test]
 fn operation_is_executed_once_across_a_restart() {
-    assert_eq!(explore(RESTARTS), BTreeSet::from([ANSWERS_AFTER_TAKEOVER]));
+    assert_eq!(explore(RESTARTS), BTreeSet::from([ACTIVE_AFTER_TAKEOVER]));
     let model = Operations { answers_are_steps: true, depth: 10, ..RESTARTS };
-    assert_eq!(explore(model), BTreeSet::from([ANSWERS_AFTER_TAKEOVER]));
+    assert_eq!(explore(model), BTreeSet::from([ACTIVE_AFTER_TAKEOVER]));
 }
 
 #[test]
@@ -74,7 +77,7 @@
 
 #[test]
 fn without_the_check_of_epochs_an_operation_is_executed_twice() {
-    assert!(is_executed_twice(Guard::EpochAtReceiver, TAKEOVERS));
+    assert!(is_executed_twice(Guard::EpochCheckAtReceiver, TAKEOVERS));
 }
 
 #[test]
@@ -83,6 +86,6 @@
 }
 
 #[test]
-fn without_kept_unknown_outcomes_an_operation_is_executed_twice() {
-    assert!(is_executed_twice(Guard::UnknownKept, ENDS));
+fn without_record_of_unknown_outcomes_an_operation_is_executed_twice() {
+    assert!(is_executed_twice(Guard::KeepUnknownOutcome, ALL_OUTCOMES));
 }
--- a/crates/store/tests/operation_model/model.rs
+++ b/crates/store/tests/operation_model/model.rs
@@ -1,4 +1,4 @@
-//! The steps of the system and their bounds.
+//! The steps of the modelled system and their bounds.
 
 use crate::properties;
 use crate::proxy::{Stage, HOLDER_TIMEOUT};
@@ -8,27 +8,32 @@
 use violetyoke_store::operations::Event;
 use violetyoke_transport::messages::OperationState;
 
-/// First a claim becomes overdue, and what was not acknowledged is sent again; then its record expires.
+/// Durations of the waiting steps. After the first one a claim is overdue and unacknowledged messages are repeated;
+/// after the second one its record has expired.
 const WAITS: [Millis; 2] =
     [HOLDER_TIMEOUT as Millis + 1, WINDOW + HOLDER_TIMEOUT as Millis + EXPIRY_SLACK_MS];
 
-/// A guard that is left out.
+/// A guard of the protocol that a model can omit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
+    /// A claim is synced before it is granted.
     SyncBeforeGrant,
-    EpochAtReceiver,
+    /// A receiver rejects appends of old epochs.
+    EpochCheckAtReceiver,
+    /// A new leader reads the records of a majority.
     QuorumAfterTakeover,
-    UnknownKept,
+    /// An operation with an unknown outcome is not executed again.
+    KeepUnknownOutcome,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     Deliver(String),
-    /// Delivers a message that stays on its way, to be delivered again.
+    /// Delivers a message and keeps it in flight, to be delivered again.
     Repeat(String),
     /// A disk completes its writes.
     Sync(usize),
-    /// A claim, new or sent again, arrives at a store; perhaps overtaken by its release.
+    /// A new or repeated claim arrives at a store, possibly after its release.
     Claim {
         proxy: usize,
         store: usize,
@@ -43,7 +48,7 @@
         store: usize,
         end: OperationState,
     },
-    /// A store takes over by its promise and another's.
+    /// A store takes over with its own promise and that of another store.
     TakeOver {
         store: usize,
         other: usize,
@@ -59,23 +64,24 @@
 /// The model, with bounds on its steps: two proxies, three stores, one key.
 #[derive(Clone, Copy, Debug)]
 pub struct Operations {
-    pub without: Option<Guard>,
+    /// A disabled guard (negative control).
+    pub omitted_guard: Option<Guard>,
     pub depth: usize,
-    /// Of each proxy.
+    /// Number of requests of each proxy.
     pub requests: u32,
     pub repeats: u32,
     pub waits: usize,
     pub takeovers: u64,
     pub restarts: u32,
-    /// Else disks sync at once.
+    /// Whether syncs are separate steps; otherwise disks sync at once.
     pub syncs_are_steps: bool,
-    /// Else answers of followers arrive at once.
+    /// Whether answers of followers are separate steps; otherwise they arrive at once.
     pub answers_are_steps: bool,
 }
 
 impl Operations {
     pub const NONE: Operations = Operations {
-        without: None,
+        omitted_guard: None,
         depth: 0,
         requests: 0,
         repeats: 0,
@@ -86,8 +92,8 @@
         answers_are_steps: false,
     };
 
-    fn lacks(&self, guard: Guard) -> bool {
-        self.without == Some(guard)
+    fn omits(&self, guard: Guard) -> bool {
+        self.omitted_guard == Some(guard)
     }
 
     fn proxy_steps(&self, system: &System, proxy: usize, steps: &mut Vec<Step>) {
@@ -95,19 +101,19 @@
         if matches!(stage, Stage::Granted { until } if system.now < until) {
             steps.push(Step::Execute { proxy });
         }
-        // The proxies are alike: the first one claims first.
+        // The proxies are interchangeable, so only orders in which the first one claims first are explored.
         if system.proxies[proxy].sent == self.requests || (proxy > 0 && system.proxies[0].sent == 0) {
             return;
         }
         for store in (0..STORES).filter(|store| system.stores[*store].engine.is_active()) {
             let ends: &[OperationState] = match stage {
-                // A release overtakes its claim in the model without takeovers only, to bound the others.
+                // A release may overtake its claim only in the model without takeovers, which bounds the other models.
                 Stage::Idle if self.takeovers > 0 => &[],
                 Stage::Idle | Stage::Claiming { .. } | Stage::Granted { .. } | Stage::Released => {
                     &[OperationState::Released]
                 }
                 Stage::Executed => &[OperationState::Executed, OperationState::Unknown],
-                Stage::Replayed { .. } | Stage::ToldUnknown | Stage::Recorded => continue,
+                Stage::Replayed { .. } | Stage::OutcomeUnknown | Stage::Recorded => continue,
             };
             steps.extend(ends.iter().map(|end| Step::Report { proxy, store, end: *end }));
             if stage != Stage::Executed {
@@ -126,7 +132,7 @@
         if system.restarts < self.restarts {
             steps.push(Step::Restart(n));
         }
-        // The followers are alike: the same one takes over.
+        // The followers are interchangeable, so it is always store 1 that takes over.
         if n != 1 && system.epoch.0 <= self.takeovers {
             steps.push(Step::TakeOver { store: 1, other: n });
         }
@@ -139,7 +145,7 @@
 
     fn init_states(&self) -> Vec<System> {
         let mut system = System::new(!self.syncs_are_steps, !self.answers_are_steps);
-        system.acknowledges_unsynced = self.lacks(Guard::SyncBeforeGrant);
+        system.acknowledges_unsynced = self.omits(Guard::SyncBeforeGrant);
         vec![system]
     }
 
@@ -158,15 +164,15 @@
     fn next_state(&self, last: &System, step: Step) -> Option<System> {
         let mut system = last.clone();
         match step {
-            Step::Deliver(label) => system.deliver(&label, !self.lacks(Guard::EpochAtReceiver)),
+            Step::Deliver(label) => system.deliver(&label, !self.omits(Guard::EpochCheckAtReceiver)),
             Step::Repeat(label) => {
                 system.repeats += 1;
-                system.deliver(&label, !self.lacks(Guard::EpochAtReceiver));
+                system.deliver(&label, !self.omits(Guard::EpochCheckAtReceiver));
                 system.in_flight.insert(label.clone(), last.in_flight[&label].clone());
             }
             Step::Sync(n) => system.sync(n),
             Step::Claim { proxy, store } => {
-                let request = system.proxies[proxy].claim(system.now, self.lacks(Guard::UnknownKept));
+                let request = system.proxies[proxy].claim(system.now, self.omits(Guard::KeepUnknownOutcome));
                 system.request(proxy, store, request);
             }
             Step::Execute { proxy } => {
@@ -179,7 +185,7 @@
                 system.request(proxy, store, request);
             }
             Step::TakeOver { store, other } => {
-                system.take_over(store, other, !self.lacks(Guard::QuorumAfterTakeover));
+                system.take_over(store, other, !self.omits(Guard::QuorumAfterTakeover));
             }
             Step::Learn(n) => system.promise(n, system.epoch),
             Step::Restart(n) => system.restart(n),
@@ -193,8 +199,8 @@
     }
 
     fn properties(&self) -> Vec<Property<Operations>> {
-        if self.without.is_some() {
-            vec![properties::once()]
+        if self.omitted_guard.is_some() {
+            vec![properties::executed_once()]
         } else {
             properties::all()
         }
--- a/crates/store/tests/operation_model/proxy.rs
+++ b/crates/store/tests/operation_model/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that claims the operation for a client's request, executes it, and reports how it ended.
+//! A proxy that claims the operation for a client's request, executes it and reports the outcome.
 
 use violetyoke_idempotency::Millis;
 use violetyoke_store::consensus::ClientId;
@@ -6,27 +6,27 @@
     ClaimHolder, OperationKey, OperationReply, OperationRequest, OperationState,
 };
 
-/// How long a holder may take (ms).
+/// Holder time-out stated in each claim, in ms.
 pub const HOLDER_TIMEOUT: u32 = 2_000;
 
-/// What a proxy does.
+/// The stage of a proxy's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Idle,
     Claiming {
         until: Millis,
     },
-    /// The grant is at the proxy, or on its way.
+    /// A store has granted the claim; the grant is in flight or has arrived.
     Granted {
         until: Millis,
     },
     Executed,
-    /// It gave up, perhaps while the grant is on its way.
+    /// The proxy gave up, possibly while the grant is in flight.
     Released,
     Replayed {
         holder: ClaimHolder,
     },
-    ToldUnknown,
+    OutcomeUnknown,
     Recorded,
 }
 
@@ -34,7 +34,7 @@
 pub struct Proxy {
     pub holder: ClaimHolder,
     pub stage: Stage,
-    /// Requests to stores.
+    /// Number of requests sent to stores.
     pub sent: u32,
 }
 
@@ -60,10 +60,10 @@
         OperationRequest::Claim { key, holder, timeout_ms, is_self_deduplicating }
     }
 
-    pub fn report(&mut self, end: OperationState) -> OperationRequest {
+    pub fn report(&mut self, outcome: OperationState) -> OperationRequest {
         self.sent += 1;
         let (key, holder) = (key(), self.holder);
-        match end {
+        match outcome {
             OperationState::Executed => OperationRequest::Complete { key, holder },
             OperationState::Unknown => OperationRequest::Abandon { key, holder },
             OperationState::Released | OperationState::Claimed => {
@@ -79,7 +79,7 @@
             (Stage::Claiming { .. }, OperationReply::Executed { holder }) => {
                 Stage::Replayed { holder: *holder }
             }
-            (Stage::Claiming { .. }, OperationReply::Unknown) => Stage::ToldUnknown,
+            (Stage::Claiming { .. }, OperationReply::Unknown) => Stage::OutcomeUnknown,
             (Stage::Executed, OperationReply::Recorded) => Stage::Recorded,
             (stage, _) => stage,
         };
--- a/crates/store/tests/operation_model/system.rs
+++ b/crates/store/tests/operation_model/system.rs
@@ -1,4 +1,4 @@
-//! One state of the whole system: engines, logs, messages on their way, proxies, and what backends executed.
+//! The state of the modelled system: operation replicas, logs, messages in flight, proxies, and executions at backends.
 
 use crate::proxy::Proxy;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 pub struct System {
     pub now: Millis,
     pub stores: Vec<Store>,
-    /// By their text, so that the same message sent twice is one. One that is never delivered is lost.
+    /// Messages by their text, so that a repeated message is kept once. A message that is never delivered is lost.
     pub in_flight: BTreeMap<String, InFlight>,
     pub proxies: Vec<Proxy>,
     pub executions: Vec<Execution>,
@@ -50,15 +50,15 @@
     pub repeats: u32,
     pub restarts: u32,
     pub waits: usize,
-    /// Else each sync is a step.
+    /// Whether disks sync at once; otherwise each sync is a step.
     disks_sync_at_once: bool,
-    /// Else answers of followers are messages like others.
+    /// Whether answers of followers arrive at once; otherwise they are messages in flight like others.
     answers_arrive_at_once: bool,
-    /// A negative control: appends are reported before they are synced.
+    /// Appends are reported as synced before they are (negative control).
     pub acknowledges_unsynced: bool,
 }
 
-// Two states that print alike are the same: engines hold nothing that they don't print.
+// States are compared by their text, which contains the debug output with all fields of an operation replica.
 impl Hash for System {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.text().hash(state);
@@ -88,7 +88,7 @@
 }
 
 impl System {
-    /// All that differs between states. Views are part of engines, and a message's text is its key.
+    /// Everything that can differ between states. Views are part of the replicas, and a message's text is its key.
     fn text(&self) -> String {
         let stores: Vec<_> =
             self.stores.iter().map(|store| (&store.engine, &store.log, &store.unsynced)).collect();
@@ -97,7 +97,7 @@
         format!("{stores:?} {messages:?} {:?} {:?} {bounds:?} {}", self.proxies, self.executions, self.now)
     }
 
-    /// The first store leads.
+    /// Three stores of which the first one is the active leader.
     pub fn new(disks_sync_at_once: bool, answers_arrive_at_once: bool) -> System {
         let mut system = System {
             now: 1,
@@ -129,7 +129,7 @@
     fn carry_out(&mut self, n: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                // Only the core acts on it.
+                // Only the consensus replica handles this message.
                 Effect::Send { message: OperationMessage::Rejected { .. }, .. } => {}
                 Effect::Send { to, message } => to.iter().for_each(|ip| self.send(n, *ip, message.clone())),
                 Effect::Append { number, records } => {
@@ -158,20 +158,20 @@
         self.in_flight.insert(label, InFlight { from, to, message });
     }
 
-    /// Delivers a message; without the check of epochs, to a store that has promised none above the message's.
+    /// Delivers a message. Without the epoch check, the receiver sees its promised epoch as not above the message's.
     pub fn deliver(&mut self, label: &str, checks_epoch: bool) {
         let Some(InFlight { from, to, message }) = self.in_flight.remove(label) else { return };
         let promised = self.stores[to].view.promised;
-        let shown = match &message {
+        let visible_promise = match &message {
             OperationMessage::Append { epoch, .. } if !checks_epoch => promised.min(*epoch),
             _ => promised,
         };
-        self.promise(to, shown);
+        self.promise(to, visible_promise);
         self.handle(to, Event::Message { from: node(from), message });
         self.promise(to, promised);
     }
 
-    /// A disk completes its writes.
+    /// A disk completes its pending writes.
     pub fn sync(&mut self, n: usize) {
         let store = &mut self.stores[n];
         store.log.append(&mut store.unsynced);
@@ -179,7 +179,7 @@
         self.handle(n, Event::Appended(number));
     }
 
-    /// A process dies with its connections, and a new one starts from its log.
+    /// A process dies, its connections are lost, and a new process starts from the log.
     pub fn restart(&mut self, n: usize) {
         self.restarts += 1;
         self.in_flight.retain(|_, message| message.from != n && message.to != n);
@@ -188,7 +188,7 @@
         self.observe(n);
     }
 
-    /// A store learns of an epoch, and leads in none below.
+    /// A store promises an epoch and stops leading in lower ones.
     pub fn promise(&mut self, n: usize, promised: Epoch) {
         let view = &mut self.stores[n].view;
         if view.promised != promised {
@@ -198,7 +198,8 @@
         }
     }
 
-    /// A store leads in a new epoch, by its own promise and another's. The third store may lead on in the old one.
+    /// A store leads in a new epoch with its own promise and that of another store. The third store may still lead in
+    /// the old epoch.
     pub fn take_over(&mut self, n: usize, other: usize, reads_majority: bool) {
         self.epoch = self.epoch.next();
         self.promise(other, self.epoch);
