--- a/crates/store/tests/disk_failures.rs
+++ b/crates/store/tests/disk_failures.rs
@@ -48,11 +48,11 @@
 struct Machine(Rc<FullDisk>);
 
 impl Environment for Machine {
-    fn connect(&self, _to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
+    fn connect(&self, _address: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
         async { Err(io::ErrorKind::ConnectionRefused.into()) }.boxed_local()
     }
 
-    fn listen(&self, _at: SocketAddr) -> io::Result<Incoming> {
+    fn listen(&self, _address: SocketAddr) -> io::Result<Incoming> {
         Ok(unbounded_channel().1)
     }
 
--- a/crates/store/tests/fault_tolerance.rs
+++ b/crates/store/tests/fault_tolerance.rs
@@ -118,5 +118,5 @@
         assert!(cluster.read_until_answered(8_000));
         found += usize::from(!cluster.violations.is_empty());
     }
-    assert_eq!(found, 10, "negative control: the loss is detected in each run");
+    assert_eq!(found, 10, "negative control: some losses went undetected");
 }
--- a/crates/store/tests/linearizability.rs
+++ b/crates/store/tests/linearizability.rs
@@ -53,14 +53,14 @@
 
 #[test]
 fn concurrent_read_may_return_either_state_and_later_reads_never_an_older_one() {
-    let before = [
+    let valid = [
         answered(replace(1, "a"), 1, 2, Answer::Acknowledged),
         answered(replace(2, "b"), 3, 10, Answer::Acknowledged),
         answered(Command::Read, 4, 5, state(1, "a", &[])),
         answered(Command::Read, 6, 7, state(2, "b", &[])),
     ];
-    assert_eq!(check(&before), Ok(()));
-    let mut with_older_read = before.to_vec();
+    assert_eq!(check(&valid), Ok(()));
+    let mut with_older_read = valid.to_vec();
     with_older_read.push(answered(Command::Read, 8, 9, state(1, "a", &[])));
     assert_eq!(check(&with_older_read).expect_err("the last read returns an older state").operation, 4);
 }
--- a/crates/store/tests/model/message_sizes.rs
+++ b/crates/store/tests/model/message_sizes.rs
@@ -1,5 +1,5 @@
-//! Messages of a store that takes over or restarts in another zone: no full state is sent to a store that already has
-//! it.
+//! Messages of a store that takes over: no full state is sent to a store that already has it. Also checks that a voter
+//! keeps its vote when it restarts in another zone.
 
 use crate::system::{address, Heartbeats, System};
 use violetyoke_store::consensus::{Replica, ReplicaOptions};
--- a/crates/store/tests/operation_log_writer.rs
+++ b/crates/store/tests/operation_log_writer.rs
@@ -42,14 +42,14 @@
 struct View(Rc<Machine>);
 
 impl Environment for View {
-    fn connect(&self, _to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
-        let (near, far) = duplex(1 << 16);
-        let is_open = self.0.listener.borrow().as_ref().is_some_and(|it| it.send((far, CLIENT)).is_ok());
-        async move { is_open.then_some(near).ok_or_else(|| io::ErrorKind::ConnectionRefused.into()) }
+    fn connect(&self, _address: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
+        let (local, remote) = duplex(1 << 16);
+        let is_open = self.0.listener.borrow().as_ref().is_some_and(|it| it.send((remote, CLIENT)).is_ok());
+        async move { is_open.then_some(local).ok_or_else(|| io::ErrorKind::ConnectionRefused.into()) }
             .boxed_local()
     }
 
-    fn listen(&self, _at: SocketAddr) -> io::Result<Incoming> {
+    fn listen(&self, _address: SocketAddr) -> io::Result<Incoming> {
         let (sender, incoming) = unbounded_channel();
         *self.0.listener.borrow_mut() = Some(sender);
         Ok(incoming)
--- a/crates/store/tests/operations/learners.rs
+++ b/crates/store/tests/operations/learners.rs
@@ -47,8 +47,8 @@
 }
 
 fn run(cluster: &mut Cluster, proxies: &mut Proxies, span: Millis) {
-    let until = cluster.now + span;
-    while cluster.now < until {
+    let end = cluster.now + span;
+    while cluster.now < end {
         for _ in 0..OPERATIONS_PER_STEP {
             proxies.send(cluster.now);
         }
--- a/crates/store/tests/safety_checks.rs
+++ b/crates/store/tests/safety_checks.rs
@@ -29,13 +29,13 @@
     set_checks(&mut cluster, checks);
     let leader = cluster.leader().filter(|leader| *leader != returned).unwrap_or((returned + 1) % 3);
     cluster.network.unblock_others(leader);
-    let until = cluster.now + 1_500;
-    while cluster.now < until && cluster.leader() != Some(returned) {
+    let deadline = cluster.now + 1_500;
+    while cluster.now < deadline && cluster.leader() != Some(returned) {
         cluster.run_for(10);
     }
     cluster.network.unblock_all();
-    let until = cluster.now + 5_000;
-    while cluster.now < until && cluster.acknowledged_version < 2 {
+    let deadline = cluster.now + 5_000;
+    while cluster.now < deadline && cluster.acknowledged_version < 2 {
         // The command goes only to the leader.
         if let Some(leader) = cluster.leader() {
             cluster.submit_replace(leader, 2);
--- a/crates/store/tests/schedules/generators.rs
+++ b/crates/store/tests/schedules/generators.rs
@@ -43,10 +43,10 @@
     let (first, direction) = (target(random), direction(random));
     let partition = Step::Partition { target: first, direction, span: 20_000 };
     let mut steps = vec![ScheduledStep::new(random.below(500), activity(random), partition)];
-    let (other, at, span) = (target(random), random.within(500..18_000), random.within(500..4_000));
+    let (other, delay, span) = (target(random), random.within(500..18_000), random.within(500..4_000));
     let all = Step::KillAll { loses_power: random.one_in(2), down: 300 + random.below(1_000) };
     let meanwhile = if random.one_in(3) { all } else { loss(random, other, span) };
-    steps.push(ScheduledStep::new(at, activity(random), meanwhile));
+    steps.push(ScheduledStep::new(delay, activity(random), meanwhile));
     // The partitioned machine is lost shortly after its return.
     let returned = loss(random, Target::Last, 1_500);
     steps.push(ScheduledStep::new(random.within(1..4_000), activity(random), returned));
@@ -113,12 +113,12 @@
     let (leaving, other) = (target(random), target(random));
     let span = random.within(1_000..10_000);
     let second = loss(random, other, span);
-    let at = random.below(3_000);
+    let delay = random.below(3_000);
     let third = loss(random, Target::Newcomer, 2_000);
     vec![
         ScheduledStep::new(random.below(1_000), None, Step::Add),
         ScheduledStep::new(0, Some(Activity::NewcomerCaughtUp), Step::Terminate { target: leaving }),
-        ScheduledStep::new(at, activity(random), second),
+        ScheduledStep::new(delay, activity(random), second),
         ScheduledStep::new(OBSERVATION_TIME, activity(random), third),
     ]
 }
@@ -201,7 +201,7 @@
     ]
 }
 
-/// The links of one machine are slow while large texts are sent; all processes are killed meanwhile.
+/// The links of one machine are slow while large texts are sent and all processes are killed.
 fn slow_links(random: &mut Random) -> Vec<ScheduledStep> {
     let (slow, other) = (target(random), target(random));
     let span = random.within(4_000..15_000);
--- a/crates/store/tests/schedules/injection.rs
+++ b/crates/store/tests/schedules/injection.rs
@@ -111,8 +111,8 @@
             Step::SlowDisk { target, factor, span } => {
                 if let Some(n) = self.resolve(*target) {
                     self.cluster.machines[n].disk.slowness = *factor;
-                    let at = self.cluster.now + span;
-                    self.cluster.schedule(at, Scheduled::EndFault { to: n, fault: Fault::SlowDisk });
+                    let ends_at = self.cluster.now + span;
+                    self.cluster.schedule(ends_at, Scheduled::EndFault { to: n, fault: Fault::SlowDisk });
                 }
             }
             Step::LoseMessages { kind, percent, span } => {
@@ -141,9 +141,9 @@
     }
 
     fn end_after(&mut self, n: usize, fault: Fault, span: Millis) {
-        let at = self.cluster.now + span;
-        self.cluster.schedule(at, Scheduled::EndFault { to: n, fault });
-        self.disturb(at, at);
+        let ends_at = self.cluster.now + span;
+        self.cluster.schedule(ends_at, Scheduled::EndFault { to: n, fault });
+        self.disturb(ends_at, ends_at);
     }
 
     /// Kills all running processes; one machine may lose its disk as well.
--- a/crates/store/tests/schedules/main.rs
+++ b/crates/store/tests/schedules/main.rs
@@ -199,5 +199,5 @@
         let violations = run(&skipping).violations;
         found += usize::from(violations.iter().any(|violation| violation.rule == "linearizability"));
     }
-    assert_eq!(found, 20, "negative control: the loss is detected in each run");
+    assert_eq!(found, 20, "negative control: some losses went undetected");
 }
--- a/crates/store/tests/schedules/operators.rs
+++ b/crates/store/tests/schedules/operators.rs
@@ -76,8 +76,8 @@
             None => self.start_command(operator),
             Some(current) => self.poll(operator, current),
         };
-        let at = self.cluster.now + pause;
-        self.cluster.schedule(at, Scheduled::OperatorTurn { operator });
+        let next_turn_at = self.cluster.now + pause;
+        self.cluster.schedule(next_turn_at, Scheduled::OperatorTurn { operator });
     }
 
     /// Sends the next command. Returns the time until the operator's next turn.
--- a/crates/store/tests/schedules/runner.rs
+++ b/crates/store/tests/schedules/runner.rs
@@ -111,8 +111,8 @@
 
     /// Runs the cluster for some time, and the operators whenever their turns are due.
     fn run_for(&mut self, span: Millis) {
-        let until = self.cluster.now + span;
-        while self.cluster.now < until {
+        let end = self.cluster.now + span;
+        while self.cluster.now < end {
             self.cluster.run_for(1);
             for operator in std::mem::take(&mut self.cluster.due_operators) {
                 self.take_turn(operator);
@@ -144,8 +144,8 @@
 
     /// Runs until a condition holds, at most for the time-out. Returns whether it holds.
     fn wait_for(&mut self, timeout: Millis, condition: impl Fn(&Runner) -> bool) -> bool {
-        let until = self.cluster.now + timeout;
-        while !condition(self) && self.cluster.now < until {
+        let deadline = self.cluster.now + timeout;
+        while !condition(self) && self.cluster.now < deadline {
             self.run_for(1);
         }
         condition(self)
--- a/crates/store/tests/simulation/machine.rs
+++ b/crates/store/tests/simulation/machine.rs
@@ -140,8 +140,8 @@
             return;
         }
         if self.now < machine.disk.stalled_until {
-            let at = machine.disk.stalled_until + 1;
-            return self.schedule(at, Scheduled::Synced { to: n, incarnation, number });
+            let resumes_at = machine.disk.stalled_until + 1;
+            return self.schedule(resumes_at, Scheduled::Synced { to: n, incarnation, number });
         }
         if machine.disk.complete(number) {
             self.handle(n, Event::Persisted(number));
--- a/crates/store/tests/simulation/operations.rs
+++ b/crates/store/tests/simulation/operations.rs
@@ -181,8 +181,8 @@
             return;
         }
         if self.now < machine.disk.stalled_until {
-            let at = machine.disk.stalled_until + 1;
-            return self.schedule(at, Scheduled::Appended { to: n, incarnation, number });
+            let resumes_at = machine.disk.stalled_until + 1;
+            return self.schedule(resumes_at, Scheduled::Appended { to: n, incarnation, number });
         }
         machine.operation_log.complete(number);
         self.handle_operations(n, Event::Appended(number));
