--- a/crates/store/tests/random_faults.rs
+++ b/crates/store/tests/random_faults.rs
@@ -18,7 +18,7 @@
     machine: usize,
 }
 
-/// Random faults that never make more machines unavailable at once than the cluster tolerates.
+/// Seeded random faults in which no more machines are lost at once than the cluster tolerates.
 struct RandomFaults {
     cluster: Cluster,
     fault_tolerance: usize,
--- a/crates/store/tests/reconfiguration.rs
+++ b/crates/store/tests/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Reconfiguration: learners replace voters that are silent, shut down or have lost their disks, soon enough to
-//! tolerate a second loss. A store that returns or shuts down neither loses commands nor interrupts the service.
+//! Reconfiguration: learners replace voters that are unreachable, shut down or have lost their disks, soon enough to
+//! tolerate a second loss. Stores that return or shut down cause no loss of acknowledged commands.
 
 #![cfg(test)]
 
