--- a/crates/registry/src/commands.rs
+++ b/crates/registry/src/commands.rs
@@ -1,22 +1,23 @@
-//! Operators' commands on their way to the leading store, apart from sockets and clocks.
+//! Forwards operators' commands to the leading store; without sockets and clocks.
 //!
-//! A command is sent once over each connection to a leader, until one answers or its time is up. Each request has an id of
-//! its own, and a response counts only if it has that id and came on the connection on which the request was sent.
+//! A command is sent once on each connection to a leader, until a leader answers or the command times out. Each
+//! request has its own id. A response is accepted only if it has that id and arrived on the connection on which the
+//! request was sent.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use violetyoke_transport::messages::{Command, Outcome};
 
-/// The outcome of a command that no store answers within this time (ms) is unknown. Its operator goes on to another
-/// registry after a second of silence, so a later response would reach nobody.
+/// A command that no store answers within this time (ms) has an unknown outcome. Operators' clients try another
+/// registry if they get no response for a second, so they would not receive a later response.
 pub const RESPONSE_TIMEOUT: Millis = 900;
-/// A new leader is known within this time (ms) after the last one failed. Where none has been known for longer, this
-/// registry or the core is partitioned.
+/// The longest time (ms) from the failure of a leader until the next one is known here. If no leader has been known
+/// for longer, this registry or the core is partitioned.
 pub const FAILOVER_TIMEOUT: Millis = 1_500;
-/// The time after which a command's outcome is unknown while this registry or the core is partitioned (ms).
+/// Replaces [`RESPONSE_TIMEOUT`] (ms) while this registry or the core is partitioned.
 pub const PARTITIONED_RESPONSE_TIMEOUT: Millis = 250;
-/// A store that has answered that it is not the leader is asked again after this time (ms), if no other leader is known.
+/// Delay (ms) before a command is sent again after a store has answered that it is not the leader.
 const NOT_LEADER_RETRY_DELAY: Millis = 40;
 
 /// Identifies a command at this registry: ids ascend in the order of submission.
@@ -28,7 +29,7 @@
 pub struct StoreConnection {
     /// The store's address.
     pub store: Ipv4Addr,
-    /// How many connections to that store there have been, this one included.
+    /// The number of connections to that store so far, including this one.
     pub generation: u64,
 }
 
@@ -48,26 +49,26 @@
     pub from: StoreConnection,
     /// The id of the request.
     pub request_id: u64,
-    /// What became of the command.
+    /// The outcome of the command.
     pub outcome: Outcome,
 }
 
-/// A command with its final outcome.
+/// A command that has an outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedCommand {
     /// The command's id.
     pub id: CommandId,
-    /// What became of it.
+    /// The command's outcome.
     pub outcome: Outcome,
 }
 
-/// What is to be done with the pending commands.
+/// The requests and time-outs that are due.
 #[derive(Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct Dispatch {
     /// Requests to be sent to the leader.
     pub requests: Vec<CommandRequest>,
-    /// Commands whose time is up: they may take effect or not.
+    /// Commands that have timed out. They may still take effect.
     pub timed_out: Vec<CommandId>,
 }
 
@@ -86,7 +87,7 @@
     not_before: Millis,
 }
 
-/// The commands that have no outcome yet.
+/// Tracks the commands that have no outcome yet, and decides when they are sent.
 #[derive(Clone, Debug)]
 pub struct CommandDispatcher {
     pending: BTreeMap<CommandId, PendingCommand>,
@@ -96,8 +97,8 @@
 }
 
 impl CommandDispatcher {
-    /// A dispatcher without commands. Request ids begin at the random `incarnation`, so that no two incarnations of a
-    /// registry use the same ones.
+    /// A dispatcher without commands. Request ids start at the random `incarnation`, so that successive incarnations
+    /// of a registry do not use the same ids.
     pub fn new(incarnation: u64) -> CommandDispatcher {
         CommandDispatcher {
             pending: BTreeMap::new(),
@@ -116,21 +117,22 @@
         id
     }
 
-    /// Removes a command whose outcome nobody waits for any more. It may have been sent already.
+    /// Removes a command whose operator no longer waits for the outcome. The command may have been sent already.
     pub fn cancel(&mut self, id: CommandId) {
         self.pending.remove(&id);
     }
 
-    /// What is due at `now`, with the connection to the leader if one is known.
+    /// Returns the requests and time-outs that are due at `now`. `leader` is the connection to the leading store, if
+    /// one is known.
     pub fn dispatch(&mut self, now: Millis, leader: Option<StoreConnection>) -> Dispatch {
         let timed_out = self.expire(now, leader.is_some());
         let requests = leader.map(|leader| self.requests_to(now, leader)).unwrap_or_default();
         Dispatch { requests, timed_out }
     }
 
-    /// Takes in a store's response. Returns the command that it completes; none if the response is to an earlier request
-    /// or came on another connection, or if the store is not the leader.
-    #[must_use = "whoever submitted the command waits for its outcome"]
+    /// Handles a store's response. Returns the command that it completes; `None` if the response is to an earlier
+    /// request, came on another connection, or says that the store is not the leader.
+    #[must_use = "the operator that submitted the command waits for its outcome"]
     pub fn complete(&mut self, now: Millis, response: CommandResponse) -> Option<CompletedCommand> {
         let answered = SentRequest { to: response.from, request_id: response.request_id };
         let (id, command) = self.pending.iter_mut().find(|(_, command)| command.sent == Some(answered))?;
@@ -144,7 +146,7 @@
         Some(CompletedCommand { id, outcome: response.outcome })
     }
 
-    /// A connection to a store has ended: the commands that were sent on it are sent again.
+    /// Handles the end of a connection to a store: commands that were sent on it will be sent again.
     pub fn connection_lost(&mut self, connection: StoreConnection) {
         for command in self.pending.values_mut() {
             if command.sent.is_some_and(|sent| sent.to == connection) {
--- a/crates/registry/src/operation_relay.rs
+++ b/crates/registry/src/operation_relay.rs
@@ -1,14 +1,14 @@
-//! Proxies' requests about operations on their way to the leading store, apart from sockets and clocks.
+//! Forwards proxies' requests about operations to the leading store; without sockets and clocks.
 //!
-//! A request is sent to the leader once, and its reply goes back on the connection of its proxy. Nothing is repeated here:
-//! the proxy, which knows how long its client waits, sends a request again where there was no reply.
+//! A request is sent to the leader once, and its reply is returned on the connection of its proxy. The relay does not
+//! retry: the proxy knows how long its client waits, and sends a request again if it gets no reply.
 
 use crate::commands::StoreConnection;
 use crate::Millis;
 use std::collections::BTreeMap;
 use violetyoke_transport::connection::ConnectionId;
 
-/// A store replies within this time (ms), or its reply reaches a proxy that waits no longer.
+/// A request without a reply is dropped after this time (ms), when its proxy no longer waits.
 pub const REPLY_TIMEOUT: Millis = 3_000;
 
 /// The request of a proxy that waits for a reply.
@@ -16,7 +16,7 @@
 pub struct WaitingProxy {
     /// The connection on which the request came.
     pub connection: ConnectionId,
-    /// The proxy's id of the request.
+    /// The id that the proxy gave the request.
     pub request_id: u32,
 }
 
@@ -27,7 +27,7 @@
     sent_at: Millis,
 }
 
-/// Requests whose reply is outstanding, by the registry's own ids.
+/// The requests that have no reply yet, by the ids that the registry gave them.
 #[derive(Clone, Debug)]
 pub struct OperationRelay {
     pending: BTreeMap<u64, PendingRequest>,
@@ -35,14 +35,14 @@
 }
 
 impl OperationRelay {
-    /// A relay without requests. Ids begin at the random `incarnation`, so that no two incarnations of a registry use the
-    /// same ones.
+    /// A relay without requests. Ids start at the random `incarnation`, so that successive incarnations of a registry
+    /// do not use the same ids.
     #[must_use]
     pub fn new(incarnation: u64) -> OperationRelay {
         OperationRelay { pending: BTreeMap::new(), last_request_id: incarnation }
     }
 
-    /// A request goes to a store; returns the id that it bears there.
+    /// Records a request that is to be sent to a store. Returns the id for the request to the store.
     #[must_use]
     pub fn forward(&mut self, now: Millis, proxy: WaitingProxy, sent_to: StoreConnection) -> u64 {
         self.last_request_id = self.last_request_id.wrapping_add(1);
@@ -50,7 +50,8 @@
         self.last_request_id
     }
 
-    /// A store has replied; who waits for it. None if the request was sent on another connection, or is too old.
+    /// Completes a request when a store has replied. Returns the proxy that waits for the reply; `None` if the
+    /// request was sent on another connection or has expired.
     #[must_use]
     pub fn complete(&mut self, from: StoreConnection, request_id: u64) -> Option<WaitingProxy> {
         let is_expected = self.pending.get(&request_id).is_some_and(|pending| pending.sent_to == from);
@@ -58,7 +59,8 @@
         pending.map(|pending| pending.proxy)
     }
 
-    /// A connection to a store has ended; who gets no reply any more.
+    /// Drops the requests that were sent on a connection that has ended. Returns the proxies that wait for their
+    /// replies.
     #[must_use]
     pub fn connection_lost(&mut self, connection: StoreConnection) -> Vec<WaitingProxy> {
         let is_lost = |pending: &PendingRequest| pending.sent_to == connection;
@@ -68,7 +70,7 @@
         lost
     }
 
-    /// Drops requests that were sent too long ago.
+    /// Drops the requests that are older than [`REPLY_TIMEOUT`].
     pub fn expire(&mut self, now: Millis) {
         self.pending.retain(|_, pending| now <= pending.sent_at + REPLY_TIMEOUT);
     }
--- a/crates/registry/src/refusals.rs
+++ b/crates/registry/src/refusals.rs
@@ -1,32 +1,32 @@
-//! Configurations that are refused as invalid: operators repeat a command that failed, and the log has a line only where
-//! a refusal differs from the one before.
+//! Refusals of invalid configurations. Operators' clients repeat a command that failed, so a refusal is logged only
+//! if it differs from the one before.
 
 use violetyoke_api::ValidationError;
 
 /// Why a configuration was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Its version, where the document has one.
+    /// The version of the configuration, if the document has one.
     pub version: Option<u64>,
-    /// The first field that is wrong.
+    /// The first invalid field, and the reason.
     pub error: ValidationError,
 }
 
-/// The newest refusal.
+/// Remembers the newest refusal.
 #[derive(Debug, Default)]
 pub struct RefusalTracker {
     latest: Option<Refusal>,
 }
 
 impl RefusalTracker {
-    /// Takes in a refusal. Returns whether it differs from the one before.
+    /// Records a refusal. Returns whether it differs from the one before.
     pub fn record(&mut self, refusal: Refusal) -> bool {
         let is_new = self.latest.as_ref() != Some(&refusal);
         self.latest = Some(refusal);
         is_new
     }
 
-    /// A valid configuration was received: the next refusal is new, whatever it says.
+    /// Forgets the newest refusal, because a valid configuration was received: the next refusal counts as new.
     pub fn clear(&mut self) {
         self.latest = None;
     }
--- a/crates/registry/src/response_reads.rs
+++ b/crates/registry/src/response_reads.rs
@@ -1,4 +1,4 @@
-//! Responses that are read from the proxies that received them, for the repeat of a request at another proxy; apart from
+//! Reads recorded responses from the proxies that received them, when a request is repeated at another proxy; without
 //! sockets and clocks.
 
 use crate::operation_relay::WaitingProxy;
@@ -7,15 +7,15 @@
 use violetyoke_transport::connection::ConnectionId;
 use violetyoke_transport::messages::ClaimHolder;
 
-/// A proxy that has a response replies within this time (ms), or does not count as having it.
+/// If the proxy that holds a response does not reply within this time (ms), the response counts as lost.
 pub const READ_TIMEOUT: Millis = 1_000;
 
-/// A request for a response, to the proxy that received it.
+/// A request for a response, to the proxy that received the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseRead {
-    /// The connection of that proxy.
+    /// The connection to that proxy.
     pub to: ConnectionId,
-    /// The registry's id of the request.
+    /// The id that the registry gave the request.
     pub request_id: u64,
 }
 
@@ -26,21 +26,23 @@
     sent_at: Millis,
 }
 
-/// Which proxy has the responses of which incarnation, and the requests that it has not answered.
+/// The connections to the proxies that hold responses, and the reads that are pending.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseReads {
+    /// By the incarnation of the proxy that holds the responses.
     connections: HashMap<u64, ConnectionId>,
     pending: BTreeMap<u64, PendingRead>,
     last_request_id: u64,
 }
 
 impl ResponseReads {
-    /// The responses of an incarnation can be read on this connection.
+    /// Registers the connection on which the responses of a proxy's incarnation can be read.
     pub fn add_holder(&mut self, connection: ConnectionId, incarnation: u64) {
         self.connections.insert(incarnation, connection);
     }
 
-    /// A proxy asks for a response. `None` where its holder has no connection here.
+    /// Begins a read of a response for the proxy `reader`. Returns `None` if the holder has no connection to this
+    /// registry.
     #[must_use]
     pub fn begin(&mut self, now: Millis, reader: WaitingProxy, holder: ClaimHolder) -> Option<ResponseRead> {
         let to = *self.connections.get(&holder.incarnation)?;
@@ -49,7 +51,8 @@
         Some(ResponseRead { to, request_id: self.last_request_id })
     }
 
-    /// A proxy has replied; who waits for the response. `None` if the request was sent on another connection, or is too old.
+    /// Completes a read when the holder has replied. Returns the proxy that waits for the response; `None` if the
+    /// request was sent on another connection or has expired.
     #[must_use]
     pub fn complete(&mut self, from: ConnectionId, request_id: u64) -> Option<WaitingProxy> {
         if self.pending.get(&request_id).is_none_or(|pending| pending.to != from) {
@@ -58,14 +61,14 @@
         self.pending.remove(&request_id).map(|pending| pending.reader)
     }
 
-    /// A connection has ended; who waits for a response that can't be read any more.
+    /// Handles the end of a connection. Returns the proxies that wait for a response from it.
     #[must_use]
     pub fn connection_lost(&mut self, connection: ConnectionId) -> Vec<WaitingProxy> {
         self.connections.retain(|_, holder| *holder != connection);
         self.remove_pending(|pending| pending.to == connection)
     }
 
-    /// Gives up requests that were sent too long ago; who waits for them.
+    /// Drops the reads that are older than [`READ_TIMEOUT`]. Returns the proxies that wait for them.
     #[must_use]
     pub fn expire(&mut self, now: Millis) -> Vec<WaitingProxy> {
         self.remove_pending(|pending| now > pending.sent_at + READ_TIMEOUT)
