--- a/crates/registry/src/backend_list/change.rs
+++ b/crates/registry/src/backend_list/change.rs
@@ -1,4 +1,4 @@
-//! What distinguishes two lists of backends.
+//! The digest of a list of backends, and the change between two lists.
 
 use crate::Millis;
 use std::collections::hash_map::DefaultHasher;
@@ -6,10 +6,11 @@
 use std::hash::{Hash, Hasher};
 use violetyoke_transport::messages::{Backend, BackendList, BackendListChange, ListDigest};
 
-/// Slow starts that end less than this (ms) after the registry's clock began are taken for ended.
+/// Slow starts that end less than this time (ms) after the start of the registry's clock count as finished.
 const SLOW_START_GRANULARITY: Millis = 400;
 
-/// The digest of a list that was asked for at `polled_at`: of all its content, except how far slow starts have run down.
+/// The digest of a list that was polled at `polled_at`. It covers all content except the remaining time of slow
+/// starts.
 pub fn digest_of(backends: &[Backend], polled_at: Millis) -> ListDigest {
     let mut hasher = DefaultHasher::new();
     for backend in backends {
@@ -22,7 +23,7 @@
     ListDigest(hasher.finish())
 }
 
-/// What a proxy that has the list `old` needs to have the list `new`.
+/// The change from the list `old` to the list `new`.
 pub fn change_between(old: &BackendList, new: &BackendList) -> BackendListChange {
     let old_by_id: HashMap<&str, &Backend> =
         old.backends.iter().map(|backend| (backend.id.as_str(), backend)).collect();
@@ -41,10 +42,11 @@
     }
 }
 
-/// Slow starts run down by themselves: a backend differs if its slow start has ended or begun, and not if less is left.
-fn is_equivalent(a: &Backend, b: &Backend) -> bool {
-    let a_with_time_left_of_b = Backend { slow_start_left_ms: b.slow_start_left_ms, ..a.clone() };
-    a_with_time_left_of_b == *b && is_in_slow_start(a) == is_in_slow_start(b)
+/// Whether a backend is unchanged for proxies. The remaining time of a slow start decreases by itself, so a slow
+/// start is a change only when it begins or ends.
+fn is_equivalent(old: &Backend, new: &Backend) -> bool {
+    let old_with_new_time_left = Backend { slow_start_left_ms: new.slow_start_left_ms, ..old.clone() };
+    old_with_new_time_left == *new && is_in_slow_start(old) == is_in_slow_start(new)
 }
 
 fn is_in_slow_start(backend: &Backend) -> bool {
--- a/crates/registry/src/backend_list/mod.rs
+++ b/crates/registry/src/backend_list/mod.rs
@@ -1,8 +1,8 @@
 //! The newest list of backends that any registry has received from the platform.
 //!
-//! [`BackendListCache`] decides which registry polls the platform, how often, and which of several lists is the newest;
-//! `daemon` makes the calls and sends lists to peers. [`change_between`] is what a proxy needs to go from one list to the
-//! next.
+//! [`BackendListCache`] decides which registry polls the platform, how often, and which of several lists is the
+//! newest; `daemon` makes the calls and sends lists to peers. [`change_between`] computes the change from one list to
+//! another.
 
 mod change;
 
@@ -12,33 +12,33 @@
 use std::net::Ipv4Addr;
 use violetyoke_transport::messages::{Backend, BackendList, ListDigest};
 
-/// The time between two polls of the platform while the list changes (ms).
+/// The interval between two polls of the platform while the list changes (ms).
 const POLL_INTERVAL: Millis = 500;
-/// The list counts as changing for so long after a change (ms): changes mostly come one after the other.
+/// The list counts as changing for this time after a change (ms), because changes mostly come in series.
 const CHANGING_FOR: Millis = 4_000;
-/// A list of another registry that is older than the longest time between two polls by this (ms) is polled for here as
-/// well: the poll may take 900 ms, and its report is 700 ms apart from the one before it.
+/// A list that another registry polls for counts as stale once it is older than the longest interval between polls by
+/// this margin (ms); this registry then polls too. A poll may take 900 ms, and reports to peers are 700 ms apart.
 const STALE_MARGIN: Millis = 1_200;
-/// The backoff after a failed poll (ms): doubled with each failure in a row, up to the maximum.
+/// The backoff after a failed poll (ms), doubled with each failure in a row up to the maximum.
 const INITIAL_BACKOFF: Millis = 400;
 const MAX_BACKOFF: Millis = 3_000;
-/// The most times that the backoff is doubled.
+/// Maximum number of times that the backoff is doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// A list, and when it was asked for by this registry's clock.
+/// A list, and when it was polled by this registry's clock.
 #[derive(Clone, Debug)]
 struct PolledList {
     polled_at: Millis,
     list: BackendList,
 }
 
-/// The newest list, and when the platform is to be polled for the next.
+/// The newest list, and when the platform is to be polled for the next one.
 #[derive(Clone, Debug)]
 pub struct BackendListCache {
-    /// The time between two polls while the list stays the same (ms).
+    /// The interval between two polls while the list stays the same (ms).
     max_interval: Millis,
     newest: Option<PolledList>,
-    /// When the newest list came that differs from the one before.
+    /// When the list last changed.
     changed_at: Millis,
     next_poll_at: Millis,
     consecutive_failures: u32,
@@ -46,7 +46,8 @@
 }
 
 impl BackendListCache {
-    /// No list yet. While the list stays the same, polls are `max_interval` (ms) apart, and closer while it changes.
+    /// A cache without a list. Polls are `max_interval` (ms) apart while the list stays the same, and closer while it
+    /// changes.
     pub fn new(max_interval: Millis) -> BackendListCache {
         BackendListCache {
             max_interval: max_interval.max(POLL_INTERVAL),
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Whether `local`, one of the connected `registries`, is to poll now. The one with the lowest address polls for all;
-    /// another one does so while it receives no fresh list. There is one poll at a time.
+    /// Whether `local`, one of the connected `registries`, is to poll now. The registry with the lowest address polls
+    /// for all of them; another one polls while it receives no fresh list. Only one poll runs at a time.
     pub fn is_poll_due(&self, now: Millis, local: Ipv4Addr, registries: &[Ipv4Addr]) -> bool {
         let is_poller = registries.iter().min().is_none_or(|lowest| *lowest == local);
         let is_fresh = self
@@ -77,17 +78,19 @@
         !self.is_polling && now >= self.next_poll_at && (is_poller || !is_fresh)
     }
 
-    /// A poll has been sent.
+    /// Records that a poll has been sent.
     pub fn poll_started(&mut self) {
         self.is_polling = true;
     }
 
-    /// The platform has answered a poll that was sent at `started_at`. Returns whether the list differs from the one before.
+    /// Handles the response to a poll that was sent at `started_at`. Returns whether the list differs from the one
+    /// before.
     pub fn poll_succeeded(&mut self, now: Millis, started_at: Millis, mut backends: Vec<Backend>) -> bool {
         self.is_polling = false;
         self.consecutive_failures = 0;
-        // The time left of a slow start runs from when its page was written, which is after the poll was sent: long
-        // after, for the last of many pages from a distant platform. Counted from the answer it ends late, never early.
+        // The remaining time of a slow start counts from when the platform wrote the page. This may be long after the
+        // poll was sent, such as for the last of many pages from a distant platform. Counted from the response, a
+        // slow start may end late, but never early.
         let elapsed = now.saturating_sub(started_at);
         for backend in backends.iter_mut().filter(|backend| backend.slow_start_left_ms > 0) {
             backend.slow_start_left_ms += elapsed;
@@ -99,7 +102,7 @@
         is_changed
     }
 
-    /// The poll was refused or not answered. Returns whether it is the first one to fail after one that succeeded.
+    /// Handles a poll that was refused or not answered. Returns whether this is the first failure in a row.
     pub fn poll_failed(&mut self, now: Millis) -> bool {
         self.is_polling = false;
         self.consecutive_failures += 1;
@@ -108,8 +111,8 @@
         self.consecutive_failures == 1
     }
 
-    /// Takes in the list of a peer. One without backends only reports that the peer's last list is still current. Returns
-    /// whether the list differs from the one before.
+    /// Merges the list of a peer. A list without backends only reports that the peer's last list is still current.
+    /// Returns whether the list differs from the one before.
     pub fn merge_peer_list(&mut self, now: Millis, list: BackendList) -> bool {
         let polled_at = now.saturating_sub(list.age_ms);
         match &mut self.newest {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// The newest list with its age.
+    /// The newest list, with its present age.
     pub fn newest(&self, now: Millis) -> Option<BackendList> {
         let newest = self.newest.as_ref()?;
         Some(BackendList { age_ms: now.saturating_sub(newest.polled_at), ..newest.list.clone() })
@@ -136,7 +139,7 @@
         Some(BackendList { digest: newest.list.digest, age_ms, backends: Vec::new() })
     }
 
-    /// The digest of the newest list, or that of no list.
+    /// The digest of the newest list, or [`ListDigest::NONE`] without a list.
     pub fn digest(&self) -> ListDigest {
         self.newest.as_ref().map_or(ListDigest::NONE, |newest| newest.list.digest)
     }
@@ -144,7 +147,7 @@
     fn replace_if_newer(&mut self, now: Millis, polled_at: Millis, list: BackendList) -> bool {
         match &mut self.newest {
             Some(newest) if polled_at < newest.polled_at => false,
-            // The same backends in the same states: only the time is new.
+            // The content is the same, so only the time is updated.
             Some(newest) if newest.list.digest == list.digest => {
                 newest.polled_at = polled_at;
                 false
--- a/crates/registry/src/platform/mod.rs
+++ b/crates/registry/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A client of the platform that hosts the backends: it reads their list, in pages of `GET /instances`.
+//! A client of the platform that hosts the backends. It reads the list of backends, in pages of `GET /instances`.
 
 mod page;
 
@@ -18,26 +18,26 @@
 use violetyoke_transport::messages::Backend;
 use violetyoke_transport::net::connect;
 
-/// The most time that all pages of a list may take.
+/// Time limit for reading all pages of a list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(900);
-/// The largest page, in bytes.
+/// Maximum size of a page, in bytes.
 const MAX_PAGE_BYTES: usize = 4 << 20;
-/// The most pages of one list: 200 of 50 are 10,000 backends.
+/// Maximum number of pages of a list: 200 pages of 50 are 10,000 backends.
 const MAX_PAGES: usize = 200;
 
 /// Why the list of backends could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// The pages took longer than is allowed.
+    /// The pages took longer than `LIST_TIMEOUT`.
     #[error("the platform did not answer within {} ms", LIST_TIMEOUT.as_millis())]
     Timeout,
     /// No connection could be opened.
     #[error("no connection to the platform")]
     Connect(#[source] io::Error),
-    /// A request could not be made of the page token that the platform has sent.
-    #[error("the platform's page token is no part of a URI")]
+    /// The page token that the platform has sent is not valid in a URI.
+    #[error("the platform's page token is not valid in a URI")]
     PageToken(#[source] hyper::http::Error),
-    /// The connection failed, or what came on it is not HTTP.
+    /// The connection failed, or the received bytes are not HTTP.
     #[error("the exchange with the platform failed")]
     Exchange(#[from] hyper::Error),
     /// The platform refused the request.
@@ -49,19 +49,19 @@
     /// A page is not of the form that the platform documents.
     #[error("a page could not be read")]
     Page(#[from] serde_json::Error),
-    /// The list has more pages than any that is expected.
+    /// The list has more than `MAX_PAGES` pages.
     #[error("the list has more than {MAX_PAGES} pages")]
     TooManyPages,
 }
 
 /// Reads the complete list of backends.
 ///
-/// Each list is read on a connection of its own, and its pages are requested one after the other, so that a late response
-/// can't be taken for that of another page or list. The connection ends with the call.
+/// Each list is read on its own connection, and its pages are requested one after the other, so that a late response
+/// can't be mistaken for that of another page or list. The connection is closed when the call returns.
 ///
 /// # Errors
 ///
-/// If any of the pages could not be read: a list without some of its backends would take them out of service.
+/// If any of the pages could not be read: an incomplete list would take the missing backends out of service.
 pub async fn fetch_backends(address: SocketAddr) -> Result<Vec<Backend>, PlatformError> {
     match timeout(LIST_TIMEOUT, fetch_pages(address)).await {
         Ok(result) => result,
@@ -72,9 +72,9 @@
 async fn fetch_pages(address: SocketAddr) -> Result<Vec<Backend>, PlatformError> {
     let stream = connect(address).await.map_err(PlatformError::Connect)?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
-    // Dropping the set ends the connection, whether the call is complete, has failed, or has timed out.
+    // Dropping the set closes the connection, whether the call has succeeded, failed or timed out.
     let mut driver = JoinSet::new();
-    // An error of the connection is returned by the request that needs it.
+    // Errors of the connection are returned by the requests on it.
     driver.spawn_local(async move { drop(connection.await) });
     let mut backends = Vec::new();
     let mut page_token = None;
--- a/crates/registry/src/platform/page.rs
+++ b/crates/registry/src/platform/page.rs
@@ -10,7 +10,7 @@
 pub struct Page {
     /// The backends of the page.
     pub backends: Vec<Backend>,
-    /// By which the next page is requested; `None` on the last one.
+    /// The token for requesting the next page; `None` on the last page.
     pub next_token: Option<String>,
 }
 
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     ///
-    /// If the body is not JSON of the form that the platform documents. Unknown members are passed over.
+    /// If the body is not JSON of the form that the platform documents. Unknown members are ignored.
     pub fn parse(body: &[u8]) -> Result<Page, serde_json::Error> {
         let document: PageDocument = serde_json::from_slice(body)?;
         let backends = document.instances.into_iter().map(|(id, instance)| instance.into_backend(id));
@@ -66,7 +66,7 @@
             address: self.address,
             zone: self.zone,
             slots: self.slots.max(1),
-            // No new requests where it is not certain that they would be served.
+            // A backend in an unknown state might not serve new requests, so it gets none.
             draining: self.state != InstanceState::Ready,
             slow_start_left_ms: self.cold_left_ms.max(0.0).ceil() as u64,
         }
