--- a/crates/registry/src/quota_shards.rs
+++ b/crates/registry/src/quota_shards.rs
@@ -9,25 +9,26 @@
 };
 use violetyoke_transport::messages::{Revision, ShardOwners};
 
-/// Of the overshoot that a limit allows, the part that covers what partitioned proxies admit by themselves. Delays of
-/// increments and the ends of windows take up the rest.
+/// The part of a limit's allowed overshoot that covers the requests which partitioned proxies admit on their own. The
+/// rest covers delayed increments and the ends of windows.
 const PARTITIONED_PART_OF_OVERSHOOT: f64 = 0.6;
-/// The circumstances under which a request is counted.
+
+/// The conditions under which a request is counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CountingTerms {
-    /// Whether this registry is in contact with the core. While it is not, it counts for nobody: its shards may have been
-    /// assigned to another one by now.
+    /// Whether this registry is in contact with the core. While it is not, it counts for no tenant, because its
+    /// shards may have been assigned to another registry.
     pub in_contact: bool,
-    /// The part of a limit by which it may be exceeded.
+    /// The fraction of a limit by which the limit may be exceeded.
     pub allowed_overshoot: f64,
 }
 
-/// This registry does not count for the tenant, or not any more: another one does, or none is known that does.
+/// This registry does not count the tenant's requests: another registry does, or the owner is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("this registry does not count for the tenant")]
+#[error("this registry does not count the tenant's requests")]
 pub struct NotOwner;
 
-/// Limits, counters and the assignment of shards, as one registry has them.
+/// The limits, the counters and the assignment of shards at one registry.
 pub struct QuotaShards {
     local: Ipv4Addr,
     counters: OwnerCounters<Revision>,
@@ -38,7 +39,7 @@
 }
 
 impl QuotaShards {
-    /// No counters, and no shard assigned yet.
+    /// Without counters and assigned shards.
     pub fn new(local: Ipv4Addr) -> QuotaShards {
         QuotaShards {
             local,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Takes the limits of a newer configuration, and drops the counters of tenants that are not in it.
+    /// Sets the limits from a newer configuration, and drops the counters of tenants that are not in it.
     pub fn set_limits(&mut self, configuration: &Configuration) {
         let limits = configuration.tenants.iter().map(|tenant| {
             let limit = Limit::new(tenant.rate_per_s, tenant.burst);
@@ -60,37 +61,38 @@
         self.counters.retain(|tenant| limits.contains_key(tenant));
     }
 
-    /// From now on increments under an older fencing token are refused.
+    /// Rejects increments under an older fencing token from now on.
     pub fn advance_fence(&mut self, fencing_token: Revision) {
         self.counters.advance_fence(fencing_token);
     }
 
-    /// Computes the assignment of shards to their owners.
+    /// Assigns the shards to their owners.
     pub fn assign(&mut self, owners: &ShardOwners) {
         self.assignment = ShardAssignment::new(&owners.registries);
     }
 
-    /// The proxies that have a session now, and those of them that have not admitted anything yet, in ascending order.
+    /// Updates the ids of the proxies that have a session (`proxies`), and of those among them that have not admitted
+    /// any request yet (`not_ready`), both in ascending order.
     pub fn update_members(&mut self, now: Millis, proxies: &[u32], not_ready: &[u32]) {
         self.partitioned.update_members(now, proxies, not_ready);
     }
 
-    /// Takes in the proxies that a peer takes for partitioned.
+    /// Adds the proxies that a peer reports as partitioned.
     pub fn merge_partitioned(&mut self, now: Millis, proxies: &[u32]) {
         self.partitioned.merge(now, proxies);
     }
 
-    /// The proxies whose sessions have ended of late: they may be partitioned, and admit requests by themselves.
+    /// The proxies whose sessions ended recently: they may be partitioned, and admit requests on their own.
     pub fn partitioned(&self) -> Vec<u32> {
         self.partitioned.partitioned()
     }
 
-    /// Decides on one request of a tenant, and counts it if it is admitted.
+    /// Decides whether a request of a tenant is admitted, and counts it if it is.
     ///
     /// # Errors
     ///
-    /// If another registry counts for the tenant, if the tenant is not known here yet, or if the proxy has not learned yet
-    /// of the assignment in force.
+    /// If this registry does not own the tenant's shard or has no contact with the core, if the tenant is not known
+    /// here yet, or if the proxy has not received the assignment in force yet.
     pub fn increment(
         &mut self,
         now: Millis,
@@ -99,7 +101,7 @@
         terms: CountingTerms,
     ) -> Result<Admission, NotOwner> {
         let limit = match self.limits.get(tenant) {
-            // A tenant of a configuration that has not been received here yet: the proxy that asks knows its limit.
+            // The tenant is of a configuration that this registry has not received yet; the proxy knows its limit.
             None => return Err(NotOwner),
             Some(None) => return Ok(Admission::Admitted),
             Some(Some(limit)) => *limit,
@@ -113,11 +115,12 @@
         self.counters.increment(now, tenant, fencing_token, limit).map_err(|_| NotOwner)
     }
 
-    /// Takes over what a proxy admitted for a tenant before its shard was assigned to this registry.
+    /// Imports the requests that a proxy admitted for a tenant before the tenant's shard was assigned to this
+    /// registry.
     ///
     /// # Errors
     ///
-    /// If the count was sent under an older assignment. It is lost then; the present owner is sent it as well.
+    /// If the count was sent under an older assignment. The count is dropped; the present owner receives it as well.
     pub fn import(
         &mut self,
         now: Millis,
--- a/crates/registry/src/sessions.rs
+++ b/crates/registry/src/sessions.rs
@@ -1,11 +1,11 @@
-//! Which proxies there are: a proxy is a member while it has a session with a registry, here or at a peer.
+//! The sessions of proxies. A proxy is a member while it has a session with this registry or with one of its peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use violetyoke_transport::connection::ConnectionId;
 use violetyoke_transport::messages::{proxy_id, Session};
 
-/// The most addresses in one answer of the directory.
+/// Maximum number of addresses in one response of the directory.
 const MAX_ADDRESSES: usize = 64;
 
 /// The sessions of all proxies: those with this registry, and those that its peers report.
@@ -13,8 +13,8 @@
 pub struct Sessions {
     local: BTreeMap<ConnectionId, Session>,
     by_peer: BTreeMap<Ipv4Addr, Vec<Session>>,
-    /// Computed when a session begins, changes or ends, and not when it is read: it is read at each message of a proxy,
-    /// and building it from all sessions each time would make the cost grow with their square.
+    /// Recomputed when a session begins, changes or ends, and not on each read: it is read for each message of a
+    /// proxy, so that computing it there would cost time quadratic in the number of sessions.
     proxies: ProxyIds,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl Sessions {
-    /// Begins or updates the session of the proxy on `connection`. Returns whether anything is new about it.
+    /// Begins or updates the session of the proxy on `connection`. Returns whether the session is new or has changed.
     pub fn register(&mut self, connection: ConnectionId, session: Session) -> bool {
         let has_changed = self.local.get(&connection) != Some(&session);
         self.local.insert(connection, session);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Drops the sessions that a peer has reported, because it is no longer connected.
+    /// Drops the sessions that a peer has reported, because the peer is no longer connected.
     pub fn remove_peer(&mut self, peer: Ipv4Addr) {
         if self.by_peer.remove(&peer).is_some() {
             self.update_proxy_ids();
@@ -89,7 +89,7 @@
         addresses.into_iter().take(MAX_ADDRESSES).collect()
     }
 
-    /// One session for each proxy: the one with this registry wins over those that peers report.
+    /// One session for each proxy. A session with this registry takes precedence over those that peers report.
     fn by_node(&self) -> BTreeMap<&str, &Session> {
         let sessions = self.by_peer.values().flatten().chain(self.local.values());
         sessions.map(|session| (session.node.as_str(), session)).collect()
