--- a/crates/registry/src/updates/backend_list.rs
+++ b/crates/registry/src/updates/backend_list.rs
@@ -7,21 +7,21 @@
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{BackendList, ListDigest, ProxyReply};
 
-/// The newest backend lists, and the messages that bring proxies to the last of them.
+/// The most recent backend lists, and the encoded messages that update proxies to the newest one.
 #[derive(Default)]
 pub struct BackendListUpdates {
     history: VecDeque<BackendList>,
-    /// By the digest of the list from which they lead to the newest.
+    /// By the digest of the list that the proxy has.
     encoded: HashMap<ListDigest, Bytes>,
 }
 
 impl BackendListUpdates {
-    /// The digest of the last list that was added, or that of no list.
+    /// The digest of the newest list, or [`ListDigest::NONE`] without a list.
     pub fn latest(&self) -> ListDigest {
         self.history.back().map_or(ListDigest::NONE, |list| list.digest)
     }
 
-    /// Adds a list, unless it is the same as the last.
+    /// Adds a list, unless it is the same as the newest one.
     pub fn install(&mut self, list: BackendList) {
         if list.digest == self.latest() && !self.history.is_empty() {
             return;
@@ -38,7 +38,7 @@
         self.encoded.clear();
     }
 
-    /// The encoded message for a proxy that has the list `known`; `newest` is the last list with its age by now.
+    /// The encoded message for a proxy that has the list `known`; `newest` is the newest list, with its present age.
     pub fn update_from(&mut self, known: ListDigest, newest: BackendList) -> Bytes {
         if let Some(encoded) = self.encoded.get(&known) {
             return encoded.clone();
--- a/crates/registry/src/updates/membership.rs
+++ b/crates/registry/src/updates/membership.rs
@@ -7,15 +7,15 @@
 use violetyoke_transport::codec::encode;
 use violetyoke_transport::messages::{Membership, MembershipDigest, ProxyReply, Revision};
 
-/// A membership is replaced no more often than this (ms), because many proxies join and leave at once. Changes of who owns
-/// the quota shards, or of contact with the core, are not delayed.
+/// Minimum interval (ms) between two memberships, because many proxies may join and leave at once. Changes of the
+/// owners of quota shards and of contact with the core are not delayed.
 pub const MEMBERSHIP_INTERVAL: Millis = 250;
-/// So much longer for each proxy (ms): a membership names all proxies and goes to all of them, so that what a wave costs
-/// at a fixed interval grows with their square. Until then shares are cut for the proxies of before, which differ from
-/// those of now by the few that came or went meanwhile.
+/// Minimum interval for each proxy (ms). A membership names all proxies and is sent to all of them, so its cost at a
+/// fixed interval would be quadratic in their number. Until the next membership, quota shares are computed for the
+/// previous one, which differs only by the few proxies that have joined or left since.
 const INTERVAL_PER_PROXY: Millis = 4;
 
-/// How long a membership of so many proxies is kept at least (ms).
+/// The minimum time for which a membership of that many proxies is kept (ms).
 pub fn membership_interval(proxies: usize) -> Millis {
     MEMBERSHIP_INTERVAL.max(INTERVAL_PER_PROXY * proxies as Millis)
 }
@@ -27,14 +27,14 @@
     installed_at: Millis,
 }
 
-/// What became of a membership that was offered for installation.
+/// The result of offering a membership for installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Installation {
-    /// It is the same as the current one, or is delayed.
+    /// The membership is the same as the current one, or is delayed.
     Skipped,
-    /// It is the current one from now on.
+    /// The membership is now the current one.
     Installed {
-        /// The quota shards have other owners than before.
+        /// Whether the quota shards have other owners than before.
         has_new_owners: bool,
     },
 }
@@ -60,7 +60,7 @@
         &self.current
     }
 
-    /// The encoded message, with the newest state that this registry has.
+    /// The encoded message, with the revision of the newest state that this registry has.
     pub fn encode(&self, newest: Revision) -> Bytes {
         encode(&ProxyReply::Membership(Membership { newest, ..self.current.clone() }))
     }
--- a/crates/registry/src/updates/mod.rs
+++ b/crates/registry/src/updates/mod.rs
@@ -1,8 +1,8 @@
-//! What proxies are sent: control states, backend lists and memberships.
+//! Updates for proxies: control states, backend lists and memberships.
 //!
 //! [`ProxyProgress`] decides which updates are due for one proxy. [`StateUpdates`], [`BackendListUpdates`] and
-//! [`MembershipUpdates`] encode them: each once for all proxies that have the same version, and as a change from that
-//! version where it is still known, or else in full. Nothing here sends; `daemon` does.
+//! [`MembershipUpdates`] encode them, once for all proxies that have the same version: as a change from that version
+//! if it is still known, and in full otherwise. `daemon` sends them.
 
 mod backend_list;
 mod membership;
@@ -16,5 +16,5 @@
 pub use staleness::{StalenessTimers, UpdateKinds, FALLBACK_DELAY, FIRST_FALLBACK_DELAY};
 pub use state::StateUpdates;
 
-/// Earlier versions that are kept, so that a proxy which has one of them is sent a change only.
+/// Number of versions that are kept, including the newest. A proxy that has one of them is sent only the change.
 const HISTORY_LENGTH: usize = 8;
--- a/crates/registry/src/updates/progress.rs
+++ b/crates/registry/src/updates/progress.rs
@@ -1,4 +1,4 @@
-//! How far one proxy is behind, and which updates are due for it.
+//! Tracks the versions that one proxy has, and decides which updates are due for it.
 
 use super::staleness::{StalenessTimers, UpdateKinds, FIRST_FALLBACK_DELAY};
 use crate::Millis;
@@ -9,30 +9,31 @@
 pub struct LatestVersions {
     /// The control state, if there is one.
     pub state: Option<Revision>,
-    /// The backend list, or that of no list.
+    /// The digest of the backend list, or [`ListDigest::NONE`] without a list.
     pub backend_list: ListDigest,
     /// The membership.
     pub membership: MembershipDigest,
-    /// The ownership in the membership: its changes are never delayed.
+    /// The ownership in the membership. Its changes are never delayed.
     pub ownership: Ownership,
 }
 
 /// The versions that a proxy reports in a poll.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyVersions {
-    /// Its control state.
+    /// The revision of its control state.
     pub state: Revision,
-    /// Its backend list.
+    /// The digest of its backend list.
     pub backend_list: ListDigest,
     /// The membership that it received from this registry.
     pub membership: MembershipDigest,
 }
 
-/// An update that was sent is taken for lost only after this time (ms): a connection delivers in order, and a large list takes
-/// its time on a slow link. Until then a poll that reports the same versions as the one before has crossed the update.
+/// An update that was sent counts as lost only after this time (ms), because connections deliver in order and a large
+/// list takes long on a slow link. Until then, a poll that reports the same versions as the one before is assumed to
+/// have crossed the update.
 pub const RESEND_AFTER: Millis = 2_000;
 
-/// What one proxy was sent, what it has reported, and since when it has been behind.
+/// The versions that one proxy was sent and has reported, and since when it has been behind.
 ///
 /// ```
 /// use violetyoke_registry::updates::{LatestVersions, ProxyProgress, ProxyVersions, FALLBACK_DELAY};
@@ -41,24 +42,24 @@
 /// let revision = Revision { epoch: Epoch(1), sequence: 2 };
 /// let latest = LatestVersions { state: Some(revision), ..LatestVersions::default() };
 /// let mut proxy = ProxyProgress::default();
-/// // It has an older state, and another registry is its primary one: that one is left time to send the update.
+/// // The proxy has an older state and another primary registry, which gets time to send the update.
 /// let older = Revision { epoch: Epoch(1), sequence: 1 };
 /// proxy.on_poll(900, ProxyVersions { state: older, ..ProxyVersions::default() }, false);
 /// assert!(!proxy.due_updates(1_000, &latest).state);
 /// assert!(proxy.due_updates(1_000 + FALLBACK_DELAY, &latest).state);
-/// // Once it was sent, it is not due again.
+/// // A state that was sent is not due again.
 /// proxy.state_sent(1_600, revision);
 /// assert!(!proxy.due_updates(2_000 + FALLBACK_DELAY, &latest).state);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProxyProgress {
-    /// Whether this is the registry that the proxy wants its updates from first.
+    /// Whether this is the proxy's primary registry, which sends updates without delay.
     is_primary: bool,
-    /// What it has, or will have once it has received what was sent.
+    /// The versions that the proxy has, or will have once it has received all updates that were sent.
     sent: ProxyVersions,
-    /// What it has by its own last report.
+    /// The versions in the proxy's last poll.
     reported: ProxyVersions,
-    /// The ownership in the last membership that it was sent.
+    /// The ownership in the last membership that the proxy was sent.
     sent_ownership: Ownership,
     timers: StalenessTimers,
     /// When the last state and the last list were sent.
@@ -71,66 +72,69 @@
     backend_list: Option<Millis>,
 }
 
-/// Whether an update that was sent then may still be on its way.
-fn is_under_way(now: Millis, sent_at: Option<Millis>) -> bool {
+/// Whether an update that was sent at `sent_at` may still be in transit.
+fn is_in_transit(now: Millis, sent_at: Option<Millis>) -> bool {
     sent_at.is_some_and(|at| now < at + RESEND_AFTER)
 }
 
 impl ProxyProgress {
-    /// The proxy reports what it has. `is_primary`: it wants its updates from this registry first.
+    /// Handles a poll, in which the proxy reports the versions that it has. `is_primary`: whether this is its primary
+    /// registry.
     pub fn on_poll(&mut self, now: Millis, versions: ProxyVersions, is_primary: bool) {
         let has_newer_state = versions.state > self.reported.state;
         let has_other_list = versions.backend_list != self.reported.backend_list;
         self.timers.on_poll(has_newer_state, has_other_list);
         self.is_primary = is_primary;
-        if versions.state != self.reported.state || !is_under_way(now, self.sent_at.state) {
+        if versions.state != self.reported.state || !is_in_transit(now, self.sent_at.state) {
             self.sent.state = versions.state;
         }
-        if has_other_list || !is_under_way(now, self.sent_at.backend_list) {
+        if has_other_list || !is_in_transit(now, self.sent_at.backend_list) {
             self.sent.backend_list = versions.backend_list;
         }
-        // Small: it is sent again rather than waited for.
+        // A membership is small, so it is sent again instead of being assumed to be in transit.
         self.sent.membership = versions.membership;
         self.reported = versions;
     }
 
-    /// A state and a list that were sent long ago and never reported are sent again. Proxies report a membership only when
-    /// they poll for something else.
+    /// Makes a state or a list due again that was sent more than [`RESEND_AFTER`] ago and has not been reported.
+    /// Memberships are left out: proxies report them only in polls that have another cause.
     fn expire_sent(&mut self, now: Millis) {
-        if !is_under_way(now, self.sent_at.state) {
+        if !is_in_transit(now, self.sent_at.state) {
             self.sent.state = self.reported.state;
         }
-        if !is_under_way(now, self.sent_at.backend_list) {
+        if !is_in_transit(now, self.sent_at.backend_list) {
             self.sent.backend_list = self.reported.backend_list;
         }
     }
 
-    /// The proxy waits for a newer state than `known`: what was sent since is sent again, and at once.
+    /// Makes the update from the state `known` due at once, even if it was sent before, because the proxy waits for
+    /// it.
     pub fn request_state_since(&mut self, known: Revision) {
         self.sent.state = known;
         self.sent_at.state = None;
         self.is_primary = true;
     }
 
-    /// The revision of the state that it has by its own last report.
+    /// The revision of the state in the proxy's last poll.
     pub fn reported_state(&self) -> Revision {
         self.reported.state
     }
 
-    /// The versions from which the next updates are to lead on.
+    /// The versions to which the next updates apply.
     pub fn sent(&self) -> ProxyVersions {
         self.sent
     }
 
-    /// Decides which updates are due at `now`: those that the proxy lacks, at once if this is its primary registry, and
-    /// after [`super::FALLBACK_DELAY`] otherwise.
+    /// Decides which updates are due at `now`: those that the proxy lacks, at once if this is its primary registry,
+    /// and after [`super::FALLBACK_DELAY`] otherwise.
     #[must_use]
     pub fn due_updates(&mut self, now: Millis, latest: &LatestVersions) -> UpdateKinds {
         self.expire_sent(now);
         let missing = self.missing(latest);
         self.timers.update(now, missing);
         let overdue = self.overdue(now);
-        // A proxy without a membership from here has just started: it serves only once all registries have sent theirs.
+        // A proxy without a membership from this registry has just started. It does not serve requests until all
+        // registries have sent theirs.
         let is_membership_urgent =
             self.sent.membership == MembershipDigest::NONE || self.sent_ownership != latest.ownership;
         UpdateKinds {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// What has been missing for long enough to be sent by a registry that is not the primary.
+    /// The kinds of updates that the proxy has lacked for so long that a registry other than its primary sends them.
     fn overdue(&self, now: Millis) -> UpdateKinds {
         let overdue = self.timers.overdue(now);
         let overdue_first = self.timers.missing_for(now, FIRST_FALLBACK_DELAY);
@@ -162,21 +166,21 @@
         }
     }
 
-    /// The state of that revision has been sent.
+    /// Records that the state of that revision has been sent.
     pub fn state_sent(&mut self, now: Millis, revision: Revision) {
         self.sent_at.state = Some(now);
         self.sent.state = revision;
         self.timers.reset_state();
     }
 
-    /// The backend list of that digest has been sent.
+    /// Records that the backend list with that digest has been sent.
     pub fn backend_list_sent(&mut self, now: Millis, digest: ListDigest) {
         self.sent_at.backend_list = Some(now);
         self.sent.backend_list = digest;
         self.timers.reset_backend_list();
     }
 
-    /// The membership of that digest, with that ownership, has been sent.
+    /// Records that the membership with that digest and that ownership has been sent.
     pub fn membership_sent(&mut self, digest: MembershipDigest, ownership: Ownership) {
         self.sent.membership = digest;
         self.sent_ownership = ownership;
@@ -184,7 +188,8 @@
     }
 }
 
-/// Whether all proxies, by the states that they `reported`, have installed the state of revision `target` or a later one.
+/// Whether all proxies have installed the state of revision `target` or a later one. `reported`: the revisions in
+/// their last polls.
 pub fn is_installed_by_all(target: Revision, reported: impl IntoIterator<Item = Revision>) -> bool {
     reported.into_iter().all(|revision| revision >= target)
 }
--- a/crates/registry/src/updates/staleness.rs
+++ b/crates/registry/src/updates/staleness.rs
@@ -1,17 +1,19 @@
-//! Since when a proxy has been behind the state, the backend list and the membership that are known here.
+//! Tracks since when a proxy has lacked the newest state, backend list or membership of this registry.
 //!
-//! The proxy's primary registry may be partitioned from the store and still send backend lists all the time. Each kind of
-//! update therefore has a timer of its own, which is reset only when the proxy has advanced in that kind.
+//! A proxy's primary registry may be partitioned from the store and still send backend lists all the time. Each kind
+//! of update therefore has its own timer, which is reset only when the proxy has received a newer version of that
+//! kind.
 
 use crate::Millis;
 
-/// A registry that is not the primary of a proxy sends an update only after this delay (ms), and only if the proxy has not
-/// received it from elsewhere by then.
+/// A registry that is not the primary of a proxy sends an update only after this delay (ms), and only if the proxy
+/// has not received it from another registry by then.
 pub const FALLBACK_DELAY: Millis = 600;
 
-/// The same for a proxy that has no state or no list yet (ms): in a wave of proxies that start, the primary may take longer
-/// than [`FALLBACK_DELAY`] to serve all, and each other registry would send each of them all of both as well. A primary that
-/// is down is found out within 1,100 ms by the end of its connection, after which the proxy asks another one.
+/// The fallback delay (ms) for a proxy that has no state or no list yet. When many proxies start at once, their
+/// primary may take longer than [`FALLBACK_DELAY`] to serve all of them, and each other registry would send all of
+/// them the full state and list as well. The end of the connection to a failed primary is detected within 1,100 ms,
+/// after which the proxy takes another registry as its primary.
 pub const FIRST_FALLBACK_DELAY: Millis = 1_800;
 
 /// A set of kinds of updates: those that a proxy lacks, or those that are due for it.
@@ -34,7 +36,7 @@
 }
 
 impl StalenessTimers {
-    /// The proxy has polled again: with a newer state than in its last poll, or with another list.
+    /// Handles a poll that reports a newer state, or another list, than the poll before.
     pub fn on_poll(&mut self, has_newer_state: bool, has_other_list: bool) {
         if has_newer_state {
             self.state = None;
@@ -66,17 +68,17 @@
         }
     }
 
-    /// The state has been sent.
+    /// Resets the timer of the state, because it has been sent.
     pub fn reset_state(&mut self) {
         self.state = None;
     }
 
-    /// The backend list has been sent.
+    /// Resets the timer of the backend list, because it has been sent.
     pub fn reset_backend_list(&mut self) {
         self.backend_list = None;
     }
 
-    /// The membership has been sent.
+    /// Resets the timer of the membership, because it has been sent.
     pub fn reset_membership(&mut self) {
         self.membership = None;
     }
--- a/crates/registry/src/updates/state.rs
+++ b/crates/registry/src/updates/state.rs
@@ -16,17 +16,17 @@
     configuration: Configuration,
 }
 
-/// The newest control states, and the messages that bring proxies to the last of them.
+/// The most recent control states, and the encoded messages that update proxies to the newest one.
 #[derive(Default)]
 pub struct StateUpdates {
     history: VecDeque<ParsedState>,
-    /// By the revision from which they lead to the newest.
+    /// By the revision of the state that the proxy has.
     encoded: HashMap<Revision, Bytes>,
 }
 
 impl StateUpdates {
-    /// Adds a newer state with its parsed configuration, unless it means the same to proxies as the one before.
-    /// `has_other_text`: the text of its configuration differs from that of the state before.
+    /// Adds a newer state with its parsed configuration, unless it is equivalent for proxies to the one before.
+    /// `has_other_text`: whether the text of its configuration differs from that of the state before.
     pub fn install(&mut self, state: &ControlState, configuration: Configuration, has_other_text: bool) {
         let is_equivalent = |last: &ParsedState| {
             last.configuration.version == state.version && last.evacuated == state.evacuated
@@ -53,8 +53,8 @@
         state.map(|state| state.revision)
     }
 
-    /// The encoded message for a proxy that has the state of revision `known`; none if there is no state, or if it can't
-    /// be compressed.
+    /// The encoded message for a proxy that has the state of revision `known`; `None` if there is no state, or if the
+    /// state can't be compressed.
     pub fn update_from(&mut self, known: Revision) -> Option<Bytes> {
         if let Some(encoded) = self.encoded.get(&known) {
             return Some(encoded.clone());
