--- a/crates/registry/src/daemon/backend_polling.rs
+++ b/crates/registry/src/daemon/backend_polling.rs
@@ -1,4 +1,4 @@
-//! The platform's list of backends: polled when it is this registry's turn, and reported to the others.
+//! Polls the platform for the list of backends when a poll is due, and reports the list to the other registries.
 
 use super::input::Input;
 use super::registry::Registry;
@@ -17,7 +17,7 @@
         if self.backend_lists.is_poll_due(now, local, &self.peers.connected_registries(local)) {
             self.backend_lists.poll_started();
             let (address, inputs) = (api.address, self.inputs.clone());
-            // It ends by itself: `fetch_backends` has a timeout.
+            // The task ends by itself: `fetch_backends` has a time-out.
             tokio::task::spawn_local(async move {
                 let result = fetch_backends(address).await;
                 inputs.send(Input::BackendsPolled { started_at: now, result });
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The platform has answered a poll, or has not.
+    /// Handles the result of a poll that was sent at `started_at`.
     pub(super) fn on_backends_polled(
         &mut self,
         started_at: Millis,
--- a/crates/registry/src/daemon/command_client.rs
+++ b/crates/registry/src/daemon/command_client.rs
@@ -1,4 +1,4 @@
-//! Commands on their way to the leading store, and who waits for their outcomes.
+//! Sends operators' commands to the leading store, and returns their outcomes to the callers.
 
 use super::stores::LeaderConnection;
 use crate::commands::{CommandDispatcher, CommandId, CommandRequest, CommandResponse, StoreConnection};
@@ -10,7 +10,7 @@
 
 pub(super) struct CommandClient {
     dispatcher: CommandDispatcher,
-    /// A waiter that is dropped learns that the outcome of its command is unknown.
+    /// The channels to the callers. Dropping one tells the caller that the outcome of its command is unknown.
     waiters: BTreeMap<CommandId, oneshot::Sender<Outcome>>,
 }
 
@@ -20,8 +20,8 @@
         CommandClient { dispatcher: CommandDispatcher::new(incarnation), waiters: BTreeMap::new() }
     }
 
-    /// Sends a command to the leader, now or as soon as one is known. The receiver fails if the outcome stays unknown; if
-    /// it is dropped, the command is not sent any more.
+    /// Sends a command to the leader, now or as soon as one is known. The receiver fails if the outcome stays
+    /// unknown. If the receiver is dropped, the command is no longer sent.
     pub(super) fn submit(
         &mut self,
         now: Millis,
@@ -35,7 +35,7 @@
         outcome
     }
 
-    /// Sends what is due, and gives up what is too old.
+    /// Sends the commands that are due, and drops those that have timed out or whose callers no longer wait.
     pub(super) fn dispatch(&mut self, now: Millis, leader: Option<LeaderConnection<'_>>) {
         self.cancel_abandoned();
         let dispatch = self.dispatcher.dispatch(now, leader.as_ref().map(|leader| leader.id));
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Takes in a store's response.
+    /// Handles a store's response.
     pub(super) fn complete(&mut self, now: Millis, response: CommandResponse) {
         let Some(completed) = self.dispatcher.complete(now, response) else { return };
         if let Some(waiter) = self.waiters.remove(&completed.id) {
-            // The operator may have closed its connection: its outcome is lost then, and nobody waits for it.
+            // Sending fails if the operator has closed its connection; the outcome is not needed then.
             drop(waiter.send(completed.outcome));
         }
     }
@@ -61,7 +61,7 @@
         self.dispatcher.connection_lost(connection);
     }
 
-    /// Whether nobody waits for the outcome of a command.
+    /// Whether no caller waits for the outcome of a command.
     pub(super) fn is_idle(&self) -> bool {
         self.waiters.is_empty()
     }
--- a/crates/registry/src/daemon/gossip.rs
+++ b/crates/registry/src/daemon/gossip.rs
@@ -1,4 +1,4 @@
-//! What registries report to each other: their sessions, partitioned proxies, and backend lists.
+//! Reports between registries: their sessions, partitioned proxies, and backend lists.
 
 use super::registry::Registry;
 use crate::Millis;
@@ -16,12 +16,12 @@
                 self.peers.connected(peer, sender);
             }
             Event::Disconnected => self.peers.disconnected(peer),
-            // Peers send on the connections that they open themselves.
+            // Peers send only on the connections that they open themselves.
             Event::Message(_) => {}
         }
     }
 
-    /// Takes in what a peer reports of itself.
+    /// Handles a report of a peer.
     pub(super) fn on_gossip(&mut self, now: Millis, connection: ConnectionId, gossip: Gossip) {
         let Gossip { from, sessions, partitioned, backends } = gossip;
         self.peers.identified(connection, from);
@@ -33,7 +33,8 @@
         self.batch.request_publication();
     }
 
-    /// Reports this registry's sessions to all others, with a backend list if there is something new about it.
+    /// Reports this registry's sessions to all others, together with `backends` if that list is new or confirmed as
+    /// current.
     pub(super) fn report_to_peers(&self, backends: Option<BackendList>) {
         let message = self.report(backends);
         for sender in self.peers.senders() {
--- a/crates/registry/src/daemon/http/control.rs
+++ b/crates/registry/src/daemon/http/control.rs
@@ -15,7 +15,7 @@
 use violetyoke_api::{Configuration, ValidationError};
 use violetyoke_transport::messages::{Command, Outcome};
 
-/// The largest document, in bytes.
+/// Maximum size of a document, in bytes.
 const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 /// Replaces the configuration; confirmed once all proxies have installed it, or a short time after it was accepted.
@@ -41,7 +41,7 @@
     }
 }
 
-/// The version of a valid configuration. A refusal is logged where it is another than the one before.
+/// Returns the version of a valid configuration. A refusal is logged if it differs from the one before.
 fn validate(registry: &mut Registry, document: &[u8]) -> Result<u64, ValidationError> {
     match Configuration::parse(document) {
         Ok(configuration) => {
@@ -89,8 +89,8 @@
     Ok(collected.map_err(ApiError::Body)?.to_bytes())
 }
 
-/// Sends a command to the leading store, and waits for its outcome. The call ends here if its client closes the
-/// connection; the command is dropped then if it has not been sent.
+/// Sends a command to the leading store, and waits for its outcome. If the client closes the connection, the call is
+/// cancelled, and a command that has not been sent yet is dropped.
 async fn execute(registry: &RefCell<Registry>, command: Command) -> Result<Outcome, ApiError> {
     if let Some(delay) = admission_delay(&command) {
         sleep(delay).await;
--- a/crates/registry/src/daemon/http/directory.rs
+++ b/crates/registry/src/daemon/http/directory.rs
@@ -1,15 +1,15 @@
-//! The directory: clients ask for the addresses of proxies.
+//! The directory: clients query it for the addresses of proxies.
 
 use super::{json, ApiError, ApiResponse};
 use crate::daemon::registry::Registry;
 use std::cell::RefCell;
 use violetyoke_api::calls::query_parameter;
 
-/// The longest that clients may keep an answer (s). Each time that they ask they wait for a round trip to the core, and a
-/// proxy that has shut down is skipped by a client that tries it.
+/// Maximum time for which clients may cache an answer (s). Each query costs clients a round trip to the core, and a
+/// client that tries a proxy which has shut down skips it.
 const MAX_TTL_S: f64 = 5.0;
 
-/// The addresses for a client of the region and the zone that the query names.
+/// The addresses for a client in the region and the zone that the query names.
 pub(super) fn resolve(
     registry: &RefCell<Registry>,
     parameters: Option<&str>,
--- a/crates/registry/src/daemon/http/error.rs
+++ b/crates/registry/src/daemon/http/error.rs
@@ -17,7 +17,7 @@
     /// The body could not be received, or is too large.
     #[error("document: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// Another text was accepted under the version. This one takes no effect, and would not if it were sent again.
+    /// Another text was accepted under the version. This text has no effect, also if it is sent again.
     #[error("version: {version} was accepted with another text")]
     VersionConflict { version: u64 },
     #[error("configuration: none was ever sent")]
@@ -45,7 +45,7 @@
         serde_json::json!({ "error": self.to_string(), "field": self.field() }).to_string()
     }
 
-    /// After how many seconds the call may be repeated, if that helps.
+    /// The time (s) after which to repeat the call, if repeating may help.
     pub(super) fn retry_after(&self) -> Option<&'static str> {
         matches!(self, ApiError::OutcomeUnknown).then_some("0.2")
     }
--- a/crates/registry/src/daemon/http/mod.rs
+++ b/crates/registry/src/daemon/http/mod.rs
@@ -21,9 +21,9 @@
 use violetyoke_api::calls::{Call, CallTarget};
 use violetyoke_transport::net::{Listener, Stream};
 
-/// The longest that a client may take to send the head of a request.
+/// The longest time that a client may take to send the head of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long no connection is accepted after one could not be.
+/// The pause after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 type SharedRegistry = Rc<RefCell<Registry>>;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Serves connections until it is dropped; all of them end with it.
+/// Accepts and serves connections until the future is dropped, which closes all of them.
 pub(super) async fn serve(listener: Listener, registry: SharedRegistry, kind: ApiKind) {
     let mut connections = JoinSet::new();
     loop {
@@ -71,13 +71,13 @@
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
-    // A client that has closed its side waits no longer: a command that has not been sent yet is dropped.
+    // A client that closes its side ends the call, so that a command that has not been sent yet is dropped.
     builder.half_close(false);
-    // A client may break off at any time, and learns nothing more then.
+    // Errors are ignored: a client may close the connection at any time, and can't be answered then.
     drop(builder.serve_connection(TokioIo::new(stream), service).await);
 }
 
-/// Finds the handler of a call.
+/// Passes a call to its handler.
 async fn handle(
     request: Request<Incoming>,
     registry: &RefCell<Registry>,
--- a/crates/registry/src/daemon/inbound.rs
+++ b/crates/registry/src/daemon/inbound.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Whoever was on the connection, a proxy or a peer, is not there any more.
+    /// Handles the end of a connection that a proxy or another registry had opened.
     fn on_inbound_ended(&mut self, connection: ConnectionId) {
         self.proxies.disconnected(connection);
         self.on_holder_lost(connection);
--- a/crates/registry/src/daemon/input.rs
+++ b/crates/registry/src/daemon/input.rs
@@ -1,4 +1,4 @@
-//! What happens outside the registry's state: all of it reaches the registry in one queue.
+//! Events from connections and from polls of the platform. All of them reach the registry through one queue.
 
 use crate::platform::PlatformError;
 use crate::Millis;
@@ -7,31 +7,31 @@
 use violetyoke_transport::connection::{ConnectionId, Event};
 use violetyoke_transport::messages::Backend;
 
-/// Something that the registry has to take in.
+/// An event for the registry to handle.
 pub(super) enum Input {
-    /// On a connection that a proxy or another registry has opened.
+    /// An event on a connection that a proxy or another registry has opened.
     Inbound { connection: ConnectionId, event: Event },
-    /// On this registry's own connection to another registry.
+    /// An event on this registry's own connection to another registry.
     Peer { registry: Ipv4Addr, event: Event },
-    /// On this registry's connection to a store.
+    /// An event on this registry's connection to a store.
     Store { store: Ipv4Addr, event: Event },
-    /// The platform has answered a poll that was sent at `started_at`, or has not.
+    /// The result of a poll of the platform that was sent at `started_at`.
     BackendsPolled { started_at: Millis, result: Result<Vec<Backend>, PlatformError> },
 }
 
-/// Adds to the queue. It is not bounded: what fills it is bounded by the connections' own rates, and an event of a
-/// connection that were dropped would leave a peer's state wrong until the connection ends.
+/// The sending end of the queue. The queue is unbounded: its input is limited by the rates of the connections, and
+/// dropping an event of a connection would leave the state of that peer wrong until the connection ends.
 #[derive(Clone)]
 pub(super) struct InputSender(UnboundedSender<Input>);
 
 impl InputSender {
     pub(super) fn send(&self, input: Input) {
-        // The queue is closed only once the daemon has ended: nothing is lost that anybody could act on.
+        // Sending fails only once the daemon has ended, when the input is no longer needed.
         drop(self.0.send(input));
     }
 }
 
-/// The queue, and what adds to it.
+/// Creates the queue: its sending and its receiving end.
 pub(super) fn channel() -> (InputSender, UnboundedReceiver<Input>) {
     let (sender, queue) = unbounded_channel();
     (InputSender(sender), queue)
--- a/crates/registry/src/daemon/mod.rs
+++ b/crates/registry/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The registry as a process: its listeners, its event loop and its end.
+//! The registry as a process: its listeners, its event loop and its shutdown.
 
 mod backend_polling;
 mod batch;
@@ -37,19 +37,20 @@
 use violetyoke_transport::net::Listener;
 
 const NAME: &str = "registry";
-/// After a SIGTERM, the longest that pending commands are waited for.
+/// After a SIGTERM, the longest time for which pending commands are waited for.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// After a SIGTERM, the least time before the end, in which responses are written.
+/// After a SIGTERM, the minimum time until the process ends, in which responses are written.
 const MIN_SHUTDOWN_DELAY: Duration = Duration::from_millis(200);
-/// Inputs that are taken in at once: in a wave of sessions, proxies are sent updates after so many at the latest.
+/// Maximum number of inputs in a batch. In a wave of sessions, proxies are sent updates after this many inputs at the
+/// latest.
 const MAX_BATCH: usize = 64;
-/// How often timers are looked at.
+/// How often timers are checked.
 const TICK: Duration = Duration::from_millis(50);
 
 /// Runs the program with the arguments that follow its name.
 pub fn program(arguments: lexopt::Parser) -> ExitCode {
     let about =
-        "The registry: one process on each core machine; it takes the outside calls for the store too.";
+        "The registry: one process on each core machine; it also takes operators' calls for the store.";
     daemon::run(NAME, about, arguments, run)
 }
 
@@ -57,13 +58,13 @@
 ///
 /// # Errors
 ///
-/// If an address that the settings name is missing or can't be listened at.
+/// If the settings lack an address, or if the registry can't listen at an address that they name.
 pub async fn run(settings: Settings, lifecycle: Lifecycle, log: Logger) -> Result<(), Report<StartError>> {
     let listeners = Listeners::bind(&settings)?;
     let (inputs, queue) = input::channel();
     let registry = Registry::new(settings, lifecycle.incarnation, inputs.clone(), log);
     let registry = Rc::new(RefCell::new(registry));
-    // Dropped at the end, and with it all servers and their connections.
+    // All servers and their connections end when this is dropped on return.
     let _servers = listeners.serve(&registry, &inputs);
     info!(registry.borrow().log, "started");
     run_until_shutdown(&registry, queue, lifecycle).await;
@@ -102,7 +103,7 @@
     }
 }
 
-/// Handles inputs, until a shutdown was requested and no command is pending, or the time for that is up.
+/// Handles inputs until a shutdown was requested and either no command is pending or [`SHUTDOWN_TIMEOUT`] has passed.
 async fn run_until_shutdown(
     registry: &RefCell<Registry>,
     mut queue: UnboundedReceiver<Input>,
--- a/crates/registry/src/daemon/operations.rs
+++ b/crates/registry/src/daemon/operations.rs
@@ -1,4 +1,4 @@
-//! Proxies' requests about operations: passed to the leading store, and its replies back.
+//! Forwards proxies' requests about operations to the leading store, and the replies to the proxies.
 
 use super::registry::Registry;
 use crate::commands::StoreConnection;
@@ -7,7 +7,8 @@
 use violetyoke_transport::messages::{OperationReply, OperationRequest, ProxyReply, StoreRequest};
 
 impl Registry {
-    /// Passes a request to the leading store. Where none is known, the proxy learns so at once.
+    /// Forwards a request to the leading store. If no leader is known, the proxy is sent a reply that says so at
+    /// once.
     pub(super) fn on_operation_request(&mut self, proxy: WaitingProxy, request: OperationRequest) {
         let now = self.now();
         let Some(leader) = self.stores.leader() else {
@@ -17,7 +18,7 @@
         leader.sender.send(encode(&StoreRequest::Operation { request_id, request }));
     }
 
-    /// A store has replied.
+    /// Handles the reply of a store.
     pub(super) fn on_operation_reply(
         &mut self,
         from: StoreConnection,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The connection to a store has ended: nothing is known of the requests that were sent on it.
+    /// Handles the end of a connection to a store: the requests that were sent on it have no known result.
     pub(super) fn on_operations_lost(&mut self, connection: StoreConnection) {
         for proxy in self.operations.connection_lost(connection) {
             self.reply_to_operation(proxy, OperationReply::Unavailable);
--- a/crates/registry/src/daemon/peers.rs
+++ b/crates/registry/src/daemon/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other registries, and those that they open to this one.
+//! Connections to the other registries, and the connections that they open to this one.
 
 use super::input::{Input, InputSender};
 use crate::Millis;
@@ -44,19 +44,20 @@
         self.outbound.senders()
     }
 
-    /// A peer has said who it is on a connection that it opened.
+    /// Records which peer has opened a connection.
     pub(super) fn identified(&mut self, connection: ConnectionId, peer: Ipv4Addr) {
         self.inbound.insert(connection, peer);
     }
 
-    /// A connection has ended that a proxy or a peer had opened. Returns the peer if it was its last one.
+    /// Handles the end of a connection that a proxy or a peer had opened. Returns the peer if this was its last
+    /// connection.
     pub(super) fn inbound_ended(&mut self, connection: ConnectionId) -> Option<Ipv4Addr> {
         let peer = self.inbound.remove(&connection)?;
         let has_other = self.inbound.values().any(|other| *other == peer);
         (!has_other).then_some(peer)
     }
 
-    /// The registries that are connected, and this one, in ascending order.
+    /// The registries that are connected, including this one, in ascending order.
     pub(super) fn connected_registries(&self, local: Ipv4Addr) -> Vec<Ipv4Addr> {
         let connected: BTreeSet<Ipv4Addr> = self.inbound.values().copied().chain([local]).collect();
         connected.into_iter().collect()
--- a/crates/registry/src/daemon/proxies.rs
+++ b/crates/registry/src/daemon/proxies.rs
@@ -1,4 +1,4 @@
-//! Connections of proxies, and how far each proxy has got.
+//! Connections of proxies, and which updates each proxy has received.
 
 use crate::updates::ProxyProgress;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 /// A connection on which a proxy may have a session.
 pub(super) struct ProxyConnection {
     sender: Sender,
-    /// The proxy has said who it is. Connections of other registries never do.
+    /// Whether a proxy has opened a session. Connections of other registries never have one.
     has_session: bool,
     pub(super) progress: ProxyProgress,
 }
@@ -37,7 +37,7 @@
         self.0.remove(&connection);
     }
 
-    pub(super) fn session_begun(&mut self, connection: ConnectionId) {
+    pub(super) fn session_started(&mut self, connection: ConnectionId) {
         if let Some(proxy) = self.0.get_mut(&connection) {
             proxy.has_session = true;
         }
--- a/crates/registry/src/daemon/proxy_requests.rs
+++ b/crates/registry/src/daemon/proxy_requests.rs
@@ -1,4 +1,4 @@
-//! What proxies ask: one handler for each request.
+//! Proxies' requests: one handler for each.
 
 use super::registry::Registry;
 use crate::operation_relay::WaitingProxy;
@@ -9,7 +9,7 @@
 use violetyoke_transport::connection::ConnectionId;
 use violetyoke_transport::messages::{ProxyReply, ProxyRequest, Revision, Session};
 
-/// The longest time to a retry that is reported to a proxy (ms).
+/// Maximum time to a retry that is reported to a proxy (ms).
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
 impl Registry {
@@ -45,17 +45,17 @@
         }
     }
 
-    /// A proxy says who it is, and whether it is ready.
+    /// A proxy opens its session, or reports that the session has changed.
     fn on_hello(&mut self, connection: ConnectionId, session: Session) {
         info!(self.log, "session"; "proxy" => &session.node, "ready" => session.is_ready);
         if self.sessions.register(connection, session) {
             self.batch.sessions_changed();
         }
-        self.proxies.session_begun(connection);
+        self.proxies.session_started(connection);
         self.batch.request_publication();
     }
 
-    /// A proxy reports what it has, and asks for what is newer.
+    /// A proxy reports the versions that it has, and asks for newer ones.
     fn on_poll(&mut self, connection: ConnectionId, versions: ProxyVersions, is_primary: bool) {
         let now = self.now();
         if let Some(proxy) = self.proxies.get_mut(connection) {
@@ -65,8 +65,8 @@
         self.batch.request_publication();
     }
 
-    /// A proxy waits to learn whether there is a newer state than the one it knows: it is answered in any case, by that
-    /// state or by a reply that there is none.
+    /// A proxy waits for an answer on whether there is a state newer than `known`. The answer is that state, or a
+    /// reply that there is none.
     fn on_check_freshness(&mut self, connection: ConnectionId, request_id: u32, known: Revision) {
         let newest = self.publisher.latest_state().unwrap_or_default();
         if let Some(proxy) = self.proxies.get_mut(connection) {
@@ -104,7 +104,8 @@
         }
     }
 
-    /// A proxy transfers what it admitted for a tenant whose counter this registry owns newly.
+    /// A proxy transfers the requests that it admitted for a tenant whose counter this registry has newly become the
+    /// owner of.
     fn on_transfer_count(&mut self, tenant: &str, fencing_token: Revision, usage: WindowCounts) {
         if let Err(stale) = self.quota.import(self.now(), tenant, fencing_token, usage) {
             debug!(self.log, "transferred count dropped"; "tenant" => tenant, "error" => %stale);
--- a/crates/registry/src/daemon/publisher.rs
+++ b/crates/registry/src/daemon/publisher.rs
@@ -1,4 +1,5 @@
-//! The newest versions of all that proxies are sent, and one pass in which each proxy is sent what is due.
+//! The newest versions of all updates for proxies, and the pass over all proxies that sends each the updates that are
+//! due.
 
 use super::proxies::ProxyConnection;
 use crate::backend_list::BackendListCache;
@@ -10,7 +11,7 @@
 use violetyoke_api::Configuration;
 use violetyoke_transport::messages::{ControlState, ListDigest, Membership, Revision, ShardOwners};
 
-/// The newest versions of all that proxies are sent, with their encoded messages.
+/// The newest versions of all updates for proxies, with their encoded messages.
 #[derive(Default)]
 pub(super) struct Publisher {
     states: StateUpdates,
@@ -58,7 +59,7 @@
     }
 }
 
-/// One pass over all proxies. Each message is encoded once for all proxies that need the same.
+/// One pass over all proxies. Each message is encoded once for all proxies that need it.
 pub(super) struct Round<'a> {
     now: Millis,
     latest: LatestVersions,
@@ -74,7 +75,7 @@
         backend_lists: &'a BackendListCache,
     ) -> Round<'a> {
         let digest = backend_lists.digest();
-        // Publishing follows each message of each proxy, so the list is copied only if it is another.
+        // A pass follows every batch of inputs, so the list is copied only if it has changed.
         if publisher.backend_lists.latest() != digest {
             if let Some(list) = backend_lists.newest(now) {
                 publisher.backend_lists.install(list);
--- a/crates/registry/src/daemon/publishing.rs
+++ b/crates/registry/src/daemon/publishing.rs
@@ -1,4 +1,4 @@
-//! When proxies are sent updates: after each input that may have brought something new, and at each tick.
+//! When proxies are sent updates: after each batch of inputs that may have brought something new, and at each tick.
 
 use super::publisher::Round;
 use super::registry::Registry;
@@ -10,7 +10,7 @@
 use violetyoke_transport::messages::{Membership, MembershipDigest, Revision};
 
 impl Registry {
-    /// All inputs that were there have been taken in: sends what they have made due.
+    /// Sends the updates and reports that have become due in a batch of inputs.
     pub(super) fn finish_batch(&mut self) {
         if self.batch.take_due_report(self.now()) {
             self.report_to_peers(None);
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Sends each proxy what it lacks: at once where this is its primary registry, and a little later otherwise.
+    /// Sends each proxy the updates that it lacks: at once if this is its primary registry, and after a delay
+    /// otherwise.
     pub(super) fn publish(&mut self) {
         let now = self.now();
         self.update_membership(now);
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Makes what is known by now of proxies, registries and shard owners the membership that proxies are sent.
+    /// Offers a membership made of the proxies, registries and shard owners that are known now.
     fn update_membership(&mut self, now: Millis) {
         let connected = self.peers.connected_registries(self.settings.local.ip);
         let owners = self.stores.shard_owners.clone();
@@ -42,7 +43,7 @@
         };
         let in_contact = self.contact.update(view);
         self.quota.update_members(now, self.sessions.proxy_ids(), self.sessions.not_ready());
-        // A registry that is partitioned names those that it can't reach as well: a proxy may reach them.
+        // Registries that can't be reached from here are named as well: proxies may be able to reach them.
         let known =
             self.stores.known().chain(seeds).chain(connected).chain(owners.registries.iter().copied());
         let registries: BTreeSet<Ipv4Addr> = known.collect();
--- a/crates/registry/src/daemon/registry.rs
+++ b/crates/registry/src/daemon/registry.rs
@@ -24,7 +24,7 @@
 use violetyoke_api::settings::{Process, Settings};
 use violetyoke_transport::messages::ControlState;
 
-/// All that a registry knows. One thread owns it; each input is taken in without waiting.
+/// The state of a registry. One thread owns it and handles each input without waiting.
 pub(super) struct Registry {
     pub(super) settings: Settings,
     pub(super) inputs: InputSender,
@@ -50,7 +50,7 @@
 }
 
 impl Registry {
-    /// A registry that knows nothing yet. `incarnation` is a random number that no other process has.
+    /// A registry that has received nothing yet. `incarnation` is a random number that identifies this process.
     pub(super) fn new(settings: Settings, incarnation: u64, inputs: InputSender, log: Logger) -> Registry {
         let local = settings.local.ip;
         Registry {
@@ -81,7 +81,7 @@
         self.started_at.elapsed().as_millis() as Millis + 1
     }
 
-    /// Takes in what has happened outside, and sends what follows from all of it.
+    /// Handles a batch of inputs, then sends the updates and reports that have become due.
     pub(super) fn on_inputs(&mut self, inputs: impl Iterator<Item = Input>) {
         for input in inputs {
             self.on_input(input);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Does what is due by time alone.
+    /// Does the work that depends on time alone.
     pub(super) fn on_tick(&mut self) {
         let now = self.now();
         self.connect_to_core();
--- a/crates/registry/src/daemon/responses.rs
+++ b/crates/registry/src/daemon/responses.rs
@@ -1,4 +1,4 @@
-//! Responses that proxies read from one another.
+//! Handles reads of responses by a proxy from the proxy that received them.
 
 use super::registry::Registry;
 use crate::operation_relay::WaitingProxy;
@@ -7,7 +7,7 @@
 use violetyoke_transport::messages::{ClaimHolder, ProxyReply, RecordedResponse};
 
 impl Registry {
-    /// A proxy asks for the response that another one has received.
+    /// A proxy asks for a response that another proxy has received.
     pub(super) fn on_read_response(&mut self, reader: WaitingProxy, holder: ClaimHolder) {
         let read = self.response_reads.begin(self.now(), reader, holder);
         match read.and_then(|read| Some((self.proxies.get(read.to)?, read.request_id))) {
@@ -16,7 +16,7 @@
         }
     }
 
-    /// A proxy has replied with a response, or does not have it any more.
+    /// A proxy has replied with a response, or that it no longer has it.
     pub(super) fn on_response(
         &mut self,
         from: ConnectionId,
@@ -28,14 +28,14 @@
         }
     }
 
-    /// The connection to a proxy has ended, which may have had responses that others wait for.
+    /// Handles the end of a proxy's connection: other proxies may be waiting for responses from it.
     pub(super) fn on_holder_lost(&mut self, connection: ConnectionId) {
         for reader in self.response_reads.connection_lost(connection) {
             self.reply_with_response(reader, None);
         }
     }
 
-    /// Gives up what no proxy has replied to.
+    /// Answers reads that have timed out without a response.
     pub(super) fn expire_response_reads(&mut self, now: Millis) {
         for reader in self.response_reads.expire(now) {
             self.reply_with_response(reader, None);
--- a/crates/registry/src/daemon/store_replies.rs
+++ b/crates/registry/src/daemon/store_replies.rs
@@ -1,4 +1,4 @@
-//! What stores send: their status, newer control states, and the outcomes of commands.
+//! Handles messages from stores: their status, newer control states, and the outcomes of commands.
 
 use super::registry::Registry;
 use super::stores::StoreStatus;
@@ -29,7 +29,7 @@
         self.dispatch_commands(now);
     }
 
-    /// Subscribes to control states that are newer than the one here.
+    /// Subscribes to control states that are newer than the present one.
     fn on_store_connected(&mut self, store: Ipv4Addr, sender: Sender) {
         let known = self.state.revision;
         sender.send(encode(&StoreRequest::Watch { registry: self.settings.local.ip, known }));
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Puts a newer control state in force.
+    /// Applies a newer control state.
     fn apply_state(&mut self, state: ControlState) {
         let has_other_text = state.text != self.state.text;
         match Configuration::parse(state.text.as_bytes()) {
@@ -78,12 +78,13 @@
                 self.quota.set_limits(&configuration);
                 self.publisher.install_state(&state, configuration, has_other_text);
             }
-            // Stores hold only what a registry has validated, but that may have been a newer build.
+            // Stores only have configurations that a registry has validated, but that registry may be of a newer
+            // build.
             Err(error) if has_other_text => {
                 warn!(self.log, "configuration unreadable"; "version" => state.version,
                     "field" => &error.field, "reason" => &error.reason);
             }
-            // It was unreadable before, or there is none yet.
+            // The same text was unreadable before, or there is no configuration yet.
             Err(_) => {}
         }
         self.state = state;
--- a/crates/registry/src/daemon/stores.rs
+++ b/crates/registry/src/daemon/stores.rs
@@ -13,7 +13,7 @@
 pub(super) struct StoreStatus {
     /// The epoch that it is in.
     pub(super) epoch: Epoch,
-    /// It leads that epoch, and is in contact with all data replicas.
+    /// Whether it leads that epoch and is in contact with all data replicas.
     pub(super) is_leader: bool,
 }
 
@@ -50,7 +50,7 @@
         self.known.iter().copied()
     }
 
-    /// A store has reported the addresses of stores.
+    /// Adds the addresses of stores that a store has reported.
     pub(super) fn extend_known(&mut self, stores: Vec<Ipv4Addr>) {
         self.known.extend(stores);
     }
@@ -64,7 +64,8 @@
         self.connections.connected(store, sender);
     }
 
-    /// The connection to a store has ended: nothing is known of the store any more. Returns the connection that it was.
+    /// Handles the end of a connection to a store, whose status is no longer known. Returns the connection that has
+    /// ended.
     pub(super) fn disconnected(&mut self, store: Ipv4Addr) -> StoreConnection {
         self.connections.disconnected(store);
         self.status.remove(&store);
@@ -75,7 +76,7 @@
         self.status.insert(store, status);
     }
 
-    /// The present connection to a store, or the last one.
+    /// The present connection to a store, or the last one if the store is not connected.
     pub(super) fn connection_to(&self, store: Ipv4Addr) -> StoreConnection {
         StoreConnection { store, generation: self.connections.generation(store) }
     }
