--- a/crates/registry/tests/http_api.rs
+++ b/crates/registry/tests/http_api.rs
@@ -37,8 +37,8 @@
     with_registry(|| async {
         let unknown = post("/api/rpc?call=nothing", "").await;
         assert_error(&unknown, 404, "call: is none that this address takes", "call");
-        let of_the_other_address = call(CONTROL, "GET", "/api/resolve", "").await;
-        assert_error(&of_the_other_address, 404, "call: is none that this address takes", "call");
+        let directory_call = call(CONTROL, "GET", "/api/resolve", "").await;
+        assert_error(&directory_call, 404, "call: is none that this address takes", "call");
     });
 }
 
@@ -57,7 +57,7 @@
     });
 }
 
-// Guards against a refused configuration that only the operator's client saw: the log said nothing of it.
+// Guards against a refused configuration that does not appear in the log.
 #[test]
 fn refused_configuration_is_logged_once_until_the_refusal_changes() {
     let lines = LogLines::default();
@@ -74,10 +74,10 @@
         "configuration refused, field: version, reason: is no whole number, version: ",
         "configuration refused, field: version, reason: is no whole number, version: ",
     ];
-    assert_eq!(lines.of("configuration refused"), expected);
+    assert_eq!(lines.with_message("configuration refused"), expected);
 }
 
-// Guards against a registry that goes on with an older configuration and doesn't say so.
+// Guards against a registry that keeps using an older configuration without logging it.
 #[test]
 fn configuration_that_only_other_builds_can_read_is_logged_once() {
     let lines = LogLines::default();
@@ -88,7 +88,7 @@
             sleep(Duration::from_millis(100)).await;
         }
     });
-    let unreadable = lines.of("configuration unreadable");
+    let unreadable = lines.with_message("configuration unreadable");
     assert_eq!(unreadable.len(), 1, "{unreadable:?}");
     assert!(
         unreadable[0].contains("field: limits") && unreadable[0].contains("version: 5"),
--- a/crates/registry/tests/support/log.rs
+++ b/crates/registry/tests/support/log.rs
@@ -1,4 +1,4 @@
-//! A log whose lines are kept.
+//! A log that keeps its lines for tests.
 
 use slog::{Drain, Key, Logger, OwnedKVList, Record, Serializer, KV};
 use std::fmt::Arguments;
@@ -37,8 +37,8 @@
         Logger::root(self.clone().ignore_res(), slog::o!())
     }
 
-    /// The lines with a message.
-    pub(crate) fn of(&self, message: &str) -> Vec<String> {
+    /// The lines that start with `message`.
+    pub(crate) fn with_message(&self, message: &str) -> Vec<String> {
         let lines = self.0.lock().expect("lines");
         lines.iter().filter(|line| line.starts_with(message)).cloned().collect()
     }
--- a/crates/registry/tests/support/mod.rs
+++ b/crates/registry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Values and processes that several tests of the registry use.
+//! Values and fake processes for several tests of the registry.
 
 #![allow(dead_code, reason = "no test uses all of them")]
 
@@ -11,7 +11,7 @@
 
 use violetyoke_transport::messages::Backend;
 
-/// A backend of the one service, in the one zone.
+/// A backend of the service and the zone that all tests use.
 pub(crate) fn backend(id: &str, draining: bool, slow_start_left_ms: u64) -> Backend {
     Backend {
         id: id.into(),
--- a/crates/registry/tests/support/network.rs
+++ b/crates/registry/tests/support/network.rs
@@ -17,7 +17,7 @@
 
 type Listeners = BTreeMap<SocketAddr, UnboundedSender<(DuplexStream, SocketAddr)>>;
 
-/// All listeners by address; there are no others.
+/// The network: all listeners by address.
 #[derive(Default)]
 pub(crate) struct Network(Rc<RefCell<Listeners>>);
 
--- a/crates/registry/tests/support/peer.rs
+++ b/crates/registry/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! Another registry, beside the one that is tested.
+//! A fake peer of the registry under test.
 
 use super::registry::{internal_address, settings, FakeStore, SETTLING};
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 use violetyoke_transport::messages::{Backend, BackendList, Gossip, ListDigest, RegistryRequest};
 use violetyoke_transport::net::listen;
 
-/// Another registry, which receives reports on the connection that the registry opens, and sends its own.
+/// A peer that keeps the reports of the registry under test, and sends its own.
 pub(crate) struct FakePeer {
     reports: Rc<RefCell<Vec<Gossip>>>,
     connection: Rc<RefCell<Option<Sender>>>,
@@ -21,14 +21,14 @@
 impl FakePeer {
     pub(crate) const ADDRESS: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
-    /// Starts it; `store` names it to the registry.
+    /// Starts the peer; `store` reports its machine to the registry.
     pub(crate) async fn start(store: &FakeStore) -> FakePeer {
         let reports = Rc::<RefCell<Vec<Gossip>>>::default();
         let port = settings().internal_port(Process::Registry);
         let listener = listen((FakePeer::ADDRESS, port).into()).expect("a listener");
         let received = reports.clone();
         spawn_local(accept_all(listener, move |_| {
-            // A connection lasts for as long as its sender.
+            // The connection stays open as long as its sender is kept.
             let (received, sender) = (received.clone(), RefCell::new(None));
             move |event| match event {
                 Event::Connected(connected) => *sender.borrow_mut() = Some(connected),
@@ -51,7 +51,7 @@
         FakePeer { reports, connection }
     }
 
-    /// Reports a list of backends, as one that was just received from the platform.
+    /// Reports a list of backends as if it had just been received from the platform.
     pub(crate) fn report_list(&self, backends: Vec<Backend>) {
         let list = BackendList { digest: ListDigest(backends.len() as u64 + 1), age_ms: 0, backends };
         let gossip = Gossip {
@@ -64,7 +64,7 @@
         connection.as_ref().expect("a connection").send(encode(&RegistryRequest::Registry(gossip)));
     }
 
-    /// The reports that have come since this was last asked.
+    /// Returns the reports that were received since the last call.
     pub(crate) fn take_reports(&self) -> Vec<Gossip> {
         self.reports.take()
     }
--- a/crates/registry/tests/support/proxy.rs
+++ b/crates/registry/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies that a registry talks to.
+//! Fake proxies of the registry under test.
 
 use super::registry::{internal_address, SETTLING};
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 use violetyoke_transport::connection::{maintain, Event, Sender};
 use violetyoke_transport::messages::{ProxyReply, ProxyRequest, RegistryRequest, Session};
 
-/// A proxy with a session, which reports only what a test lets it report.
+/// A proxy that sends only the requests which a test makes.
 pub(crate) struct FakeProxy {
     /// Maintains the connection.
     task: AbortHandle,
@@ -29,7 +29,7 @@
         proxy
     }
 
-    /// Begins its session, or reports what is new about it.
+    /// Begins the session, or updates it.
     pub(crate) fn begin_session(&self, front_address: SocketAddrV4, is_ready: bool) {
         let session = Session {
             node: front_address.to_string(),
@@ -41,23 +41,23 @@
         self.send(ProxyRequest::Hello(session));
     }
 
-    /// A proxy that opens its connection.
+    /// Starts a proxy that opens its connection and sends nothing.
     pub(crate) fn connect() -> FakeProxy {
         let connection = Rc::<RefCell<Option<Sender>>>::default();
         let received = Rc::<RefCell<Vec<(Instant, ProxyReply)>>>::default();
-        let (kept, noted) = (connection.clone(), received.clone());
+        let (current_sender, replies) = (connection.clone(), received.clone());
         let task = spawn_local(maintain(internal_address(Process::Registry), move |event| match event {
-            Event::Connected(sender) => *kept.borrow_mut() = Some(sender),
+            Event::Connected(sender) => *current_sender.borrow_mut() = Some(sender),
             Event::Message(message) => {
                 let reply = decode::<ProxyReply>(&message).expect("a reply");
-                noted.borrow_mut().push((Instant::now(), reply));
+                replies.borrow_mut().push((Instant::now(), reply));
             }
-            Event::Disconnected => *kept.borrow_mut() = None,
+            Event::Disconnected => *current_sender.borrow_mut() = None,
         }));
         FakeProxy { task: task.abort_handle(), connection, received }
     }
 
-    /// Ends the connections of all these proxies in one moment.
+    /// Ends the connections of all these proxies at once.
     pub(crate) fn disconnect_all(proxies: &[FakeProxy]) {
         for proxy in proxies {
             proxy.task.abort();
@@ -69,7 +69,8 @@
         connection.as_ref().expect("a connection").send(encode(&RegistryRequest::Proxy(request)));
     }
 
-    /// Waits, and returns what it has received since it was last asked, with the time since then of each.
+    /// Waits for `time`. Returns the replies that were received since the last call, each with the time from the
+    /// start of this call until its arrival.
     pub(crate) async fn replies_within(&self, time: Duration) -> Vec<(Duration, ProxyReply)> {
         let started = Instant::now();
         sleep(time).await;
--- a/crates/registry/tests/support/registry.rs
+++ b/crates/registry/tests/support/registry.rs
@@ -1,4 +1,4 @@
-//! A registry in virtual time, and the processes that it talks to.
+//! The registry under test in virtual time, and a fake store.
 
 use super::network::Network;
 use serde_json::json;
@@ -23,9 +23,9 @@
 use violetyoke_transport::net::listen;
 
 pub(crate) const LOCAL: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
-/// Where operators call.
+/// The address for operators' calls.
 pub(crate) const CONTROL: SocketAddr = SocketAddr::V4(SocketAddrV4::new(LOCAL, 8001));
-/// Where clients ask for proxies.
+/// The address of the directory.
 pub(crate) const DIRECTORY: SocketAddr = SocketAddr::V4(SocketAddrV4::new(LOCAL, 8002));
 /// Long enough for connections to be opened and messages to be handled.
 pub(super) const SETTLING: Duration = Duration::from_millis(200);
@@ -45,12 +45,12 @@
     SocketAddrV4::new(LOCAL, settings().internal_port(process))
 }
 
-/// Runs a registry, and `test` beside it.
+/// Runs a registry, and `test` concurrently.
 pub(crate) fn with_registry<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     with_logged_registry(Logger::root(slog::Discard, slog::o!()), test);
 }
 
-/// Runs a registry that logs to `log`, and `test` beside it.
+/// Runs a registry that logs to `log`, and `test` concurrently.
 pub(crate) fn with_logged_registry<F: Future<Output = ()>>(log: Logger, test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -67,13 +67,14 @@
     install(None);
 }
 
-/// A leading store that answers each command alike, or not at all, and requests about operations as a test has it.
+/// A leading store. It answers all commands with the same outcome, or none of them, and requests about operations
+/// only when a test makes it reply.
 pub(crate) struct FakeStore {
     received: Rc<Received>,
     registry: Rc<RefCell<Option<Sender>>>,
 }
 
-/// What a store has received.
+/// The commands and requests that a store has received.
 #[derive(Default)]
 struct Received {
     commands: RefCell<Vec<Command>>,
@@ -110,13 +111,13 @@
         store
     }
 
-    /// Sends the registry a state with a configuration that means nothing but its version.
+    /// Sends the registry a control state with this configuration.
     pub(crate) fn publish(&self, revision: Revision, version: u64, text: &str) {
         let state = ControlState { revision, version, text: text.into(), ..ControlState::default() };
         self.send(&StoreReply::State(state));
     }
 
-    /// Names another core machine, to which the registry then connects.
+    /// Reports another core machine, to which the registry then connects.
     pub(crate) fn announce_machine(&self, machine: Ipv4Addr) {
         self.send(&StoreReply::Status {
             epoch: Epoch(1),
@@ -141,12 +142,12 @@
         self.registry.borrow().as_ref().expect("a connection").send(encode(reply));
     }
 
-    /// The commands that it has received.
+    /// The commands that were received so far.
     pub(crate) fn executed(&self) -> Vec<Command> {
         self.received.commands.borrow().clone()
     }
 
-    /// The requests about operations that have come since this was last asked.
+    /// Returns the requests about operations that were received since the last call.
     pub(crate) fn take_operations(&self) -> Vec<ReceivedOperation> {
         self.received.operations.take()
     }
