--- a/crates/duties/src/clock.rs
+++ b/crates/duties/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of leases: it keeps running while the machine is suspended, and nobody sets it.
+//! The clock of leases: it keeps running while the machine is suspended, and can't be set.
 
 use rustix::time::{clock_gettime, ClockId};
 use violetyoke_ownership::Micros;
--- a/crates/duties/src/control_client.rs
+++ b/crates/duties/src/control_client.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 use violetyoke_ownership::{Claim, Epoch};
 
-/// How long an ordinary call may take.
+/// Time limit of a call that does not wait for a change.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a call to the control plane was not done.
+/// Why a call to the control plane failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The lease is not the newest: another owner has been here.
-    #[error("fenced: an owner with epoch {newest} has been here")]
+    /// The lease is not the newest: a newer owner's operation was accepted before.
+    #[error("fenced: the shard has a newer owner with epoch {newest}")]
     Fenced {
         /// The newest epoch.
         newest: Epoch,
@@ -26,7 +26,7 @@
     /// The key cannot be read.
     #[error("control.key_file {}: {source}", path.display())]
     KeyFile {
-        /// Where it should be.
+        /// The path of the file.
         path: PathBuf,
         /// The cause.
         source: io::Error,
@@ -45,7 +45,7 @@
         /// The cause.
         source: serde_json::Error,
     },
-    /// The control plane responded with an error, or with a body that is not of the endpoint.
+    /// The control plane responded with an error, or with a body that is not valid for the endpoint.
     #[error("{path}: {status}: {body}")]
     Response {
         /// The path that was called.
@@ -60,7 +60,7 @@
 /// The control plane's address and the key to use.
 #[derive(Clone, Debug)]
 pub struct ControlClient {
-    /// Where it listens.
+    /// The address at which the control plane listens.
     pub address: SocketAddr,
     /// The file with the key. It is read for each call, since the key may be rotated.
     pub key_file: PathBuf,
@@ -84,22 +84,22 @@
 
 impl ControlClient {
     /// Makes one call. A response with any status is returned.
-    pub(crate) async fn send(&self, call_to: Call<'_>) -> Result<Response, ControlError> {
+    pub(crate) async fn send(&self, api_call: Call<'_>) -> Result<Response, ControlError> {
         let key = std::fs::read_to_string(&self.key_file)
             .map_err(|source| ControlError::KeyFile { path: self.key_file.clone(), source })?;
         let mut request = Request::builder()
-            .method(call_to.method)
-            .uri(call_to.path)
+            .method(api_call.method)
+            .uri(api_call.path)
             .header(AUTHORIZATION, format!("Bearer {}", key.trim()));
-        if let Some(seconds) = call_to.wait_seconds {
+        if let Some(seconds) = api_call.wait_seconds {
             request = request.header("prefer", format!("wait={seconds}"));
         }
-        Ok(call(self.address, request.body(call_to.body)?, call_to.timeout).await?)
+        Ok(call(self.address, request.body(api_call.body)?, api_call.timeout).await?)
     }
 
-    async fn send_for_json(&self, call_to: Call<'_>) -> Result<Value, ControlError> {
-        let path = call_to.path;
-        let response = self.send(call_to).await?;
+    async fn send_for_json(&self, api_call: Call<'_>) -> Result<Value, ControlError> {
+        let path = api_call.path;
+        let response = self.send(api_call).await?;
         let value: Value = if response.body.is_empty() {
             Value::Null
         } else {
@@ -136,11 +136,11 @@
     /// # Errors
     /// [`ControlError`]; [`ControlError::Fenced`] if the body's claim is not the newest grant.
     pub async fn put(&self, path: &str, body: &Value, timeout: Duration) -> Result<Value, ControlError> {
-        let call_to = Call::new(Method::PUT, path, body.to_string().into());
-        self.send_for_json(Call { timeout, ..call_to }).await
+        let api_call = Call::new(Method::PUT, path, body.to_string().into());
+        self.send_for_json(Call { timeout, ..api_call }).await
     }
 
-    /// Records how far a shard's work has come, under a claim.
+    /// Records the watermark of a shard's work, under a claim.
     ///
     /// # Errors
     /// [`ControlError`]; [`ControlError::Fenced`] if the claim is not the newest grant.
--- a/crates/duties/src/health_probe.rs
+++ b/crates/duties/src/health_probe.rs
@@ -15,17 +15,17 @@
 use tokio::time::{interval, MissedTickBehavior};
 use violetyoke_ownership::SingletonRole;
 
-/// How long a node's response is awaited, and how long its publication may take.
+/// Time limit for a node's response, and for publishing the findings.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The shortest time between two probes of one shard.
+/// Minimum time between two probes of one shard.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(10);
-/// Rounds over all nodes until findings are published although nothing has changed.
+/// Number of rounds over all nodes after which unchanged findings are published again.
 const ROUNDS_PER_PUBLICATION: u64 = 10;
 
 /// Whether each node is healthy, by its address.
 type Findings = BTreeMap<String, bool>;
 
-/// Probes until the lease is to be handed over, or is not valid any more.
+/// Probes until the lease is to be handed over, or is no longer valid.
 pub(crate) async fn run(control: ControlClient, role: SingletonRole, lease: LeaseHandle) {
     let shard = lease.claim.shard.index as usize;
     let nodes: Vec<SocketAddr> =
--- a/crates/duties/src/holder.rs
+++ b/crates/duties/src/holder.rs
@@ -1,8 +1,8 @@
-//! The lease holder of a process that starts.
+//! Creates the lease holder of a process.
 
 use violetyoke_ownership::LeaseHolder;
 
-/// A holder's name: the process's own, and a random incarnation.
+/// A holder's name: the name of the process, and a random incarnation.
 ///
 /// # Errors
 /// If the system has no random numbers.
@@ -12,7 +12,7 @@
     Ok(incarnation.iter().fold(format!("{process}#"), |name, byte| name + &format!("{byte:02x}")))
 }
 
-/// A process's holder, with no leases.
+/// The holder of a process, without leases.
 pub fn new_holder(name: String, roles: Vec<String>) -> LeaseHolder {
     let holder = LeaseHolder::new(name, roles);
     #[cfg(feature = "test-faults")]
@@ -20,7 +20,7 @@
     holder
 }
 
-/// The faults that a test asks for.
+/// The faults that a test requests in `VIOLETYOKE_TEST_FAULT`.
 #[cfg(feature = "test-faults")]
 fn injected_faults() -> violetyoke_ownership::InjectedFaults {
     let is_set = |fault: &str| std::env::var("VIOLETYOKE_TEST_FAULT").is_ok_and(|value| value == fault);
--- a/crates/duties/src/http_client.rs
+++ b/crates/duties/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls, each on a connection of its own, so that no request is ever sent twice.
+//! HTTP calls, each on its own connection, so that no request is sent twice.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -13,10 +13,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The largest response body that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Why a call has no response. Only after [`HttpError::Connect`] is it certain that the server got no request.
+/// Why a call has no response. Only [`HttpError::Connect`] means that the server has certainly not received the
+/// request.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// The connection could not be made.
@@ -43,12 +44,12 @@
         /// The cause.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// There was no connection, or no complete response, in time.
-    #[error("{server}: nothing within {limit:?}")]
+    /// The connection was not made, or the response not completed, within the time limit.
+    #[error("{server}: timed out after {limit:?}")]
     TimedOut {
         /// The server's address.
         server: SocketAddr,
-        /// The time that it had.
+        /// The time limit.
         limit: Duration,
     },
 }
@@ -59,11 +60,12 @@
     pub status: StatusCode,
     /// All headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A connection for one call. It is made before it is known whether the call may be made.
+/// A connection for one call. It is opened separately, so that a caller can check directly before the request whether
+/// the call may be made.
 pub struct Connection {
     server: SocketAddr,
     sender: http1::SendRequest<Full<Bytes>>,
@@ -79,7 +81,7 @@
         let connecting = async {
             let stream =
                 TcpStream::connect(server).await.map_err(|source| HttpError::Connect { server, source })?;
-            // Without it small requests may be delayed, and nothing else is lost.
+            // If the option can't be set, small requests may be delayed.
             drop(stream.set_nodelay(true));
             let handshake = http1::handshake(TokioIo::new(stream)).await;
             let (sender, connection) = handshake.map_err(|source| HttpError::Exchange { server, source })?;
@@ -88,8 +90,8 @@
         timeout(limit, connecting).await.map_err(|_| HttpError::TimedOut { server, limit })?
     }
 
-    /// Sends a request, to which `Host` and `Content-Length` are added, and reads the whole response within `limit`.
-    /// The request's first bytes are sent before this yields.
+    /// Sends a request, to which `Host` and `Content-Length` are added, and reads the complete response within
+    /// `limit`. The request's first bytes are sent before this yields.
     ///
     /// # Errors
     /// [`HttpError`], with the server's address.
@@ -106,7 +108,7 @@
                 response.map_err(|source| HttpError::Exchange { server, source })?.into_parts();
             let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|source| HttpError::ResponseBody { server, source })?.to_bytes();
-            // The connection ends with its sender.
+            // Dropping the sender closes the connection.
             drop(sender);
             Ok(Response { status: head.status, headers: head.headers, body })
         };
@@ -115,7 +117,7 @@
     }
 }
 
-/// Makes one call on a new connection; connection and exchange may take `limit` each.
+/// Makes one call on a new connection. Connecting and the exchange may take `limit` each.
 ///
 /// # Errors
 /// [`HttpError`], with the server's address.
--- a/crates/duties/src/ingress_worker.rs
+++ b/crates/duties/src/ingress_worker.rs
@@ -29,8 +29,8 @@
         serde_json::from_value(declaration).map_err(|source| ControlError::Json { path, source })
     }
 
-    /// The role's declaration; none if the lease is to be handed over before it is known. Meanwhile the lease is not
-    /// renewed, so that it passes to a process that can read the declaration.
+    /// Waits for the role's declaration. Returns `None` if the lease is to be handed over before then. The lease is
+    /// not renewed while waiting, so that it passes to a process that can read the declaration.
     async fn wait_for_declaration(&self, lease: &LeaseHandle) -> Option<SingletonRole> {
         loop {
             match self.read_declaration(&lease.claim.shard.role).await {
--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -24,19 +24,19 @@
     }
 }
 
-/// The lease of one worker. When the lease is lost, the supervisor ends the worker.
+/// The lease of one worker. When the lease is lost, the supervisor stops the worker.
 pub struct LeaseHandle {
     /// The lease.
     pub claim: Claim,
-    /// How far the shard's work had come when the lease was granted.
+    /// The watermark of the shard's work when the lease was granted.
     pub watermark: u64,
     pub(crate) holder: SharedHolder,
     pub(crate) ending: watch::Receiver<bool>,
 }
 
-/// The lease is not valid any more: no operation may start.
+/// The lease is no longer valid: no operation may start.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the lease is not valid any more")]
+#[error("the lease is no longer valid")]
 pub struct LeaseInvalid;
 
 impl LeaseHandle {
@@ -45,7 +45,7 @@
         self.holder.lock().name().to_string()
     }
 
-    /// Checks the lease directly before an operation, of which `operation` is the name.
+    /// Checks the lease directly before an operation with the name `operation`.
     ///
     /// # Errors
     /// [`LeaseInvalid`] if the operation must not start.
@@ -78,7 +78,7 @@
 
     /// Returns once the lease is to be handed over.
     pub async fn wait_until_ending(&mut self) {
-        // An error means that the supervisor is gone, and with it whoever would take the lease back.
+        // An error means that the supervisor has ended, so that the lease can no longer be released.
         drop(self.ending.wait_for(|is_ending| *is_ending).await);
     }
 }
--- a/crates/duties/src/lease_client.rs
+++ b/crates/duties/src/lease_client.rs
@@ -1,4 +1,4 @@
-//! How a lease holder reaches the lease manager.
+//! The connection from a lease holder to the lease manager.
 
 use crate::control_client::{Call, ControlClient, ControlError};
 use crate::http_client::Response;
@@ -26,7 +26,7 @@
 
 /// A connection to the lease manager.
 pub trait LeaseClient: Send + Sync {
-    /// Renews, releases and requests leases. Whether the request was processed is not known after an error.
+    /// Renews, releases and requests leases. After an error it is not known whether the request was processed.
     fn renew(&self, request: RenewRequest) -> BoxFuture<'_, Result<RenewResponse, LeaseClientError>>;
 
     /// Returns when a lease may be available to the holder, or after a while.
@@ -49,11 +49,11 @@
     }
 
     fn wait_for_lease(&self, holder: &str) -> BoxFuture<'_, Result<(), LeaseClientError>> {
-        // Of a holder's name only `#` has a meaning in a query.
+        // The only character of a holder's name that must be escaped in a query is `#`.
         let path = format!("/v1/leases?holder={}", holder.replace('#', "%23"));
         Box::pin(async move {
-            let call_to = Call::new(Method::GET, &path, Bytes::new());
-            let watch = Call { wait_seconds: Some(WATCH_SECONDS), timeout: WATCH_TIMEOUT, ..call_to };
+            let api_call = Call::new(Method::GET, &path, Bytes::new());
+            let watch = Call { wait_seconds: Some(WATCH_SECONDS), timeout: WATCH_TIMEOUT, ..api_call };
             let Response { status, body, .. } = self.send(watch).await?;
             match status {
                 StatusCode::OK | StatusCode::NOT_MODIFIED => Ok(()),
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,9 +1,9 @@
-//! Runs the singleton roles of one process: keeps its leases and the workers that do their work.
+//! Runs the singleton roles of one process: its leases, and the workers that do the work.
 //!
-//! [`supervisor`] requests leases, starts a worker for each and stops it when the lease is lost. It reaches the lease
-//! manager through a [`lease_client::LeaseClient`], over HTTP by [`control_client::ControlClient`]. A worker checks
-//! its [`lease::LeaseHandle`] before each operation. [`ingress_worker`] has the roles that an ingress can run, and
-//! [`usage`] counts what its tenants use.
+//! [`supervisor`] requests leases, starts a worker for each, and stops the worker when its lease is lost. It reaches
+//! the lease manager through a [`lease_client::LeaseClient`], which [`control_client::ControlClient`] implements over
+//! HTTP. A worker checks its [`lease::LeaseHandle`] before each operation. [`ingress_worker`] runs the roles of an
+//! ingress, and [`usage`] counts the attempts of its tenants.
 //!
 //! The rules of leases are in `violetyoke-ownership`; the lease manager's side is in `violetyoke-control`.
 
--- a/crates/duties/src/pause_point.rs
+++ b/crates/duties/src/pause_point.rs
@@ -1,6 +1,6 @@
 //! Pause points for tests of several processes. If `VIOLETYOKE_GATE` is set to an address, a worker that has checked
-//! its lease and is about to operate reports there, and waits for a byte before it goes on. So a test can stop the
-//! process between check and operation. If it is not set, nothing happens.
+//! its lease and is about to operate reports to that address, and waits for a byte before it continues. This lets a
+//! test stop the process between the check and the operation. If the variable is not set, nothing happens.
 
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 use violetyoke_ownership::Claim;
 
-/// A worker that is not released goes on after this time.
+/// A worker that the test does not release continues after this time.
 const MAX_PAUSE: Duration = Duration::from_secs(60);
 
 fn test_address() -> Option<SocketAddr> {
@@ -27,6 +27,6 @@
         stream.write_all(report.as_bytes()).await?;
         stream.read_u8().await
     };
-    // A test that is not there, or does not answer, must not stop the work.
+    // The work must continue if the test does not listen or does not answer.
     drop(timeout(MAX_PAUSE, pause).await);
 }
--- a/crates/duties/src/supervisor.rs
+++ b/crates/duties/src/supervisor.rs
@@ -16,21 +16,21 @@
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 use violetyoke_ownership::{CallId, Claim, LeaseEvent, LeaseHolder, RenewResponse, ShardId};
 
-/// How often expired leases are looked for; also the shortest pause between two calls.
+/// How often leases are checked for expiry; also the minimum pause between two calls.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The pause after a failed call, and before the first response sets the pace.
+/// The pause between two calls until a response sets it, and the first pause after a failed watch.
 const INITIAL_PAUSE: Duration = Duration::from_millis(300);
-/// The longest pause after failed watches.
+/// Maximum pause after watches that have failed repeatedly.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(3);
-/// The longest pause between two calls, whatever a response says.
+/// Maximum pause between two calls, whatever a response asks for.
 const MAX_CALL_PAUSE: Duration = Duration::from_secs(300);
-/// For how long leases are handed over when the process shuts down; also the time of the last call after that.
+/// Time limit for handing over the leases when the process shuts down. The last call after that has the same limit.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Does the work of one kind of role.
 pub trait RoleWorker: Send + Sync {
-    /// Works under the lease. Returns when the lease is to be handed over and no operation is half done; if the lease
-    /// is lost, the future is dropped instead.
+    /// Works under the lease. Returns when the lease is to be handed over and no operation is in progress. If the
+    /// lease is lost, the future is dropped instead.
     fn run(&self, lease: LeaseHandle) -> BoxFuture<'static, ()>;
 }
 
@@ -49,7 +49,8 @@
     result: Result<RenewResponse, LeaseClientError>,
 }
 
-/// The state of [`run`], which owns all tasks: calls in flight end with it, workers by `finish_shutdown`.
+/// The state of [`run`], which owns all tasks. Calls in flight are cancelled when it is dropped; workers are stopped
+/// by `finish_shutdown`.
 struct Supervisor {
     client: Arc<dyn LeaseClient>,
     workers: RoleWorkers,
@@ -57,7 +58,7 @@
     running: BTreeMap<ShardId, RunningWorker>,
     /// Workers that have returned. At most one message for each running worker is queued.
     finished: mpsc::UnboundedSender<Claim>,
-    /// Calls in flight: few, as they are paced.
+    /// Calls in flight. There are few, because of the pause between two calls.
     calls: JoinSet<CompletedCall>,
     random: Pcg64Mcg,
     /// The pause between two calls, before jitter.
@@ -114,7 +115,7 @@
     supervisor.finish_shutdown().await;
 }
 
-/// Has a call made whenever a lease may be available.
+/// Triggers a call whenever a lease may be available.
 async fn watch_for_leases(client: Arc<dyn LeaseClient>, holder: SharedHolder, seed: u64) {
     let name = holder.lock().name().to_string();
     let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -124,10 +125,11 @@
             Ok(()) => {
                 holder.request_due.notify_one();
                 pause = INITIAL_PAUSE;
-                // The call that follows gets what there is; another watch before it would say the same.
+                // The call that follows requests the available leases. A watch before that call would return at once
+                // again.
                 sleep(EXPIRY_CHECK_INTERVAL).await;
             }
-            // Calls fail for the same reason, and log it.
+            // Not logged here: calls fail for the same reason, and their errors are logged.
             Err(_) => {
                 sleep(pause.mul_f64(random.random_range(0.5..1.0))).await;
                 pause = (pause * 2).min(MAX_RETRY_PAUSE);
@@ -150,7 +152,7 @@
         self.next_call = Instant::now();
     }
 
-    /// Releases what has finished with a last call, and stops what has not.
+    /// Releases the leases whose work has finished with a last call, and stops the other workers.
     async fn finish_shutdown(self) {
         let (_, request) = self.holder.lock().next_request(boottime());
         // If the call fails, the leases expire at the lease manager.
@@ -172,7 +174,7 @@
     }
 
     fn call(&mut self) {
-        // Jitter, so that processes that started together do not call together.
+        // The jitter keeps processes that started together from calling together.
         self.next_call = Instant::now() + self.call_pause.mul_f64(self.random.random_range(0.75..1.0));
         let (id, request) = self.holder.lock().next_request(boottime());
         let client = self.client.clone();
@@ -193,7 +195,7 @@
                 self.holder.lock().on_call_failed(id);
                 self.log_once(error.to_string());
             }
-            // A client that panics; the holder abandons the call later.
+            // The client has panicked. The holder abandons the call later.
             Err(error) => self.log_once(error.to_string()),
         }
     }
@@ -236,7 +238,7 @@
         let (work, finished, finished_claim) = (worker.run(lease), self.finished.clone(), claim.clone());
         let task = tokio::spawn(async move {
             work.await;
-            // Without a supervisor there is nobody to release the lease: it expires.
+            // If the supervisor has ended, the lease can't be released and expires.
             drop(finished.send(finished_claim));
         });
         let shard = claim.shard.clone();
--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -1,4 +1,4 @@
-//! Counts what this process's tenants use, and publishes it at the control plane.
+//! Counts the attempts of each tenant at this process, and publishes the counts at the control plane.
 
 use crate::control_client::ControlClient;
 use serde_json::json;
@@ -16,7 +16,7 @@
 pub struct UsageCounters(Arc<Mutex<BTreeMap<String, Arc<AtomicU64>>>>);
 
 impl UsageCounters {
-    /// A tenant's counter, to be added to.
+    /// A tenant's counter, for the caller to add to.
     pub fn of_tenant(&self, tenant: &str) -> Arc<AtomicU64> {
         let mut counters = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         counters.entry(tenant.to_string()).or_default().clone()
@@ -28,7 +28,7 @@
         let counts =
             counters.iter().map(|(tenant, counter)| (tenant.clone(), counter.swap(0, Ordering::Relaxed)));
         let counts = counts.filter(|(_, count)| *count > 0).collect();
-        // A counter that only this map refers to is not added to any more.
+        // A counter without another reference can no longer be added to.
         counters.retain(|_, counter| Arc::strong_count(counter) > 1);
         counts
     }
--- a/crates/duties/src/usage_report.rs
+++ b/crates/duties/src/usage_report.rs
@@ -1,9 +1,9 @@
-//! Usage reports: each time span's attempts by tenant, to a sink that gets every span once and in order, whoever owns
-//! the work.
+//! Usage reports: the attempts of each tenant in each time span, sent to a sink that gets every span once and in
+//! order, even when the owner of the work changes.
 //!
-//! A span is *closed* in the store before it is sent: usage published later counts in the next span, so that every
-//! owner that sends the span sends the same. The lease's watermark is the last closed span. A new owner sends it once
-//! more, and the sink drops duplicates.
+//! A span is *closed* in the store before it is sent: usage that is published later counts in the next span, so that
+//! every owner sends the same content for a span. The lease's watermark is the last closed span. A new owner sends
+//! that span again, and the sink drops duplicates.
 
 use crate::control_client::{ControlClient, ControlError};
 use crate::http_client::{Connection, HttpError};
@@ -16,14 +16,14 @@
 use tokio::time::sleep;
 use violetyoke_ownership::Epoch;
 
-/// How long the sink's response is awaited.
+/// Time limit for the sink's response.
 const SINK_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// The longest pause until the end of a span is looked for again.
+/// Maximum pause before checking again whether a span has ended (ms).
 const MAX_SPAN_WAIT_MS: u64 = 200;
 
-/// Reports until the lease is to be handed over, or is not valid any more.
+/// Reports until the lease is to be handed over, or is no longer valid.
 pub(crate) async fn run(control: ControlClient, sink: SocketAddr, lease: LeaseHandle) {
     let last_closed = lease.watermark;
     let unsent = (last_closed > 0).then_some(last_closed);
@@ -36,14 +36,14 @@
     lease: LeaseHandle,
     /// The last span that was closed; 0: none yet.
     last_closed: u64,
-    /// That span, if the sink has not acknowledged it to this owner.
+    /// The last closed span, if the sink has not acknowledged it to this owner.
     unsent: Option<u64>,
 }
 
-/// Why a step was not done.
+/// Why a step failed.
 #[derive(Debug, thiserror::Error)]
 enum StepError {
-    #[error("a newer owner has been here")]
+    #[error("fenced by a newer owner")]
     Fenced,
     #[error(transparent)]
     LeaseInvalid(#[from] LeaseInvalid),
@@ -60,7 +60,8 @@
 }
 
 impl UsageReport {
-    /// A span that is not closed may be handed over at any time; one that is closed is sent first.
+    /// Reports until the lease is to be handed over. A closed span is sent before that; a span that is still open
+    /// passes to the next owner.
     async fn run(mut self) {
         let mut last_error = String::new();
         while !self.lease.is_ending() || self.unsent.is_some() {
@@ -97,7 +98,7 @@
         format!("/v1/use/{}/{}?{query}", shard.role, shard.index)
     }
 
-    /// Gives up the lease if that is what the error says.
+    /// Gives up the lease if the error says that the lease is fenced.
     fn on_control_error(&self, error: ControlError) -> StepError {
         match error {
             ControlError::Fenced { newest } => {
@@ -112,7 +113,8 @@
         self.control.get(path).await.map_err(|error| self.on_control_error(error))
     }
 
-    /// Closes the span after the last closed one, if it is over; else the time to wait for that.
+    /// Closes the span after the last closed one, if it has ended. Otherwise returns the time to wait before the next
+    /// check.
     async fn close_next(&mut self) -> Result<Option<Duration>, StepError> {
         let path = self.path(&format!("after={}", self.last_closed));
         let next = self.read(&path).await?;
@@ -120,7 +122,7 @@
             next[field].as_u64().ok_or_else(|| StepError::MissingField { path: path.clone(), field })
         };
         let (span, left_ms) = (number("span")?, number("left_ms")?);
-        // There is nothing to do yet, which is no lack of progress.
+        // Waiting for the end of a span counts as progress.
         self.lease.record_progress(0);
         if left_ms > 0 {
             return Ok(Some(Duration::from_millis(left_ms.min(MAX_SPAN_WAIT_MS))));
@@ -147,7 +149,7 @@
         let connection = Connection::open(self.sink, SINK_TIMEOUT).await?;
         self.lease.check("send").await?;
         let response = connection.send(request, SINK_TIMEOUT).await?;
-        // Without JSON in the body the status decides alone.
+        // If the body is not JSON, the status alone decides.
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         match (response.status, body["newest"].as_u64()) {
             (StatusCode::OK, _) => {
--- a/crates/duties/tests/supervisor.rs
+++ b/crates/duties/tests/supervisor.rs
@@ -1,4 +1,4 @@
-//! The supervisor with a lease client that plays the lease manager: workers start, stop and hand over with their leases.
+//! The supervisor with a scripted lease client: workers start, stop and hand over with their leases.
 
 #![cfg(test)]
 
@@ -28,7 +28,7 @@
     RenewResponse { grants: vec![grant], ..response() }
 }
 
-/// Gives its responses in turn, and then empty ones; records the requests.
+/// Returns its responses in turn, and empty ones after that; records the requests.
 #[derive(Default)]
 struct ScriptedClient {
     responses: Mutex<VecDeque<RenewResponse>>,
@@ -148,7 +148,7 @@
     assert_eq!(started, Some(WorkerEvent::Started { epoch: Epoch(5), watermark: 7 }));
     assert_eq!(dropped, Some(WorkerEvent::Dropped));
     let requests = supervisor.shut_down().await;
-    assert!(requests.iter().all(|request| request.release.is_empty()), "nothing is left to release");
+    assert!(requests.iter().all(|request| request.release.is_empty()), "a lost lease is not released");
 }
 
 #[tokio::test]
