--- a/crates/ownership/src/assignment.rs
+++ b/crates/ownership/src/assignment.rs
@@ -1,13 +1,13 @@
 //! Assignment of shards to candidates by rendezvous hashing (Thaler and Ravishankar, 1998).
 //!
-//! A candidate that comes or goes moves only the shards that become or were its own, and any two processes that know
-//! the same candidates compute the same assignment.
+//! When a candidate joins or leaves, only the shards that it gains or had move. Any two processes that know the same
+//! candidates compute the same assignment.
 
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Candidates kept for each shard, in order of preference.
+/// Number of candidates that are kept for each shard, in order of preference.
 const CANDIDATES_PER_SHARD: usize = 8;
 
 /// The rendezvous weight of a candidate for a shard. It depends on names alone, so that it is the same in every
@@ -57,7 +57,7 @@
     }
 
     /// The owner of a shard: the most preferred candidate that has not failed, or else the one that failed longest
-    /// ago. `failed` has the most recent failure last. None if the shard has no candidates.
+    /// ago. `failed` has the most recent failure last. Returns `None` if the shard has no candidates.
     pub fn owner(&self, shard: u32, failed: &[String]) -> Option<&str> {
         let ranking = self.candidates_by_shard.get(shard as usize)?;
         // `None` orders before every position: candidates that have not failed come first, in their ranking.
--- a/crates/ownership/src/candidates.rs
+++ b/crates/ownership/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The processes that call, and so may be granted shards.
+//! The processes that call the lease manager and may therefore be granted shards.
 
 use crate::assignment::Assignment;
 use crate::claim::ShardId;
@@ -6,21 +6,21 @@
 use crate::role::SingletonRole;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long a process without declared roles is remembered.
+/// How long a process without declared roles is remembered after its last call (ms).
 const DEFAULT_TTL_MS: u64 = 10_000;
 
-/// What is known of a process that calls.
+/// What is known about a process that calls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Session {
     /// Names of the declared roles that it can run.
     pub(crate) roles: BTreeSet<String>,
     pub(crate) last_call: Micros,
-    /// Whether responses reach it in time. A process that receives none is no candidate.
+    /// Whether responses reach the process in time. A process that receives none is no candidate.
     pub(crate) receives_responses: bool,
 }
 
-/// Sessions by holder, and the assignment of each role's shards to them. Where a method returns that candidates have
-/// changed, [`Candidates::reassign`] is due.
+/// Sessions by holder, and the assignment of each role's shards to them. If a method returns that candidates have
+/// changed, [`Candidates::reassign`] is to be called.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Candidates {
     sessions: BTreeMap<String, Session>,
@@ -37,7 +37,7 @@
         self.assignments = roles.values().map(|role| (role.name.clone(), assign(role))).collect();
     }
 
-    /// Records a call; whether that changes the candidates of any role.
+    /// Records a call. Returns whether that changes the candidates of any role.
     pub(crate) fn record_call(&mut self, holder: &str, session: Session) -> bool {
         let has_changed = self.sessions.get(holder).map_or(session.receives_responses, |previous| {
             previous.roles != session.roles || previous.receives_responses != session.receives_responses
@@ -51,12 +51,13 @@
         self.sessions.get(holder).is_some_and(|session| session.receives_responses)
     }
 
-    /// Removes a process that shuts down; whether it was known.
+    /// Removes a process that shuts down. Returns whether it was known.
     pub(crate) fn remove(&mut self, holder: &str) -> bool {
         self.sessions.remove(holder).is_some()
     }
 
-    /// Removes processes that have not called for the longest lease duration of their roles; whether there were any.
+    /// Removes processes that have not called for the longest lease duration of their roles. Returns whether there
+    /// were any.
     pub(crate) fn remove_silent(&mut self, roles: &BTreeMap<String, SingletonRole>, now: Micros) -> bool {
         let count = self.sessions.len();
         self.sessions.retain(|_, session| {
--- a/crates/ownership/src/claim.rs
+++ b/crates/ownership/src/claim.rs
@@ -1,4 +1,4 @@
-//! Names of leases: a shard, and the epoch of one grant of it.
+//! Identifiers of leases: a shard, and the epoch of one grant of it.
 
 use crate::epoch::Epoch;
 use serde::{Deserialize, Serialize};
@@ -44,7 +44,7 @@
 pub struct Renewal {
     /// The lease to renew.
     pub claim: Claim,
-    /// Operations completed under this epoch so far.
+    /// Number of operations completed under this epoch so far.
     pub operations: u64,
 }
 
--- a/crates/ownership/src/epoch.rs
+++ b/crates/ownership/src/epoch.rs
@@ -1,17 +1,18 @@
 //! Epochs of grants, and their allocation.
 //!
-//! An epoch is higher than all before it, also after a restart and after the store was restored from a backup.
-//! Three sources tell how high the last one was: the store; a file beside the store, which is not part of its backups
-//! and is written ahead, a block at a time; and the epochs that holders report to have observed. The wall clock's
-//! milliseconds are a lower bound at the start, should store and file be lost together: the clock may be set back, so
-//! it is never the only source.
+//! Each epoch is higher than all earlier ones, even after a restart and after the store was restored from a backup.
+//! Three sources give the newest epoch: the store; a file beside the store, which is not part of its backups and
+//! which reserves epochs in blocks before they are used; and the epochs that holders report. At the start, the wall
+//! clock's milliseconds are a lower bound, in case store and file are both lost. The clock may be set back, so it is
+//! never the only source.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Epochs that one write of the file reserves.
+/// Number of epochs that one write of the file reserves.
 pub const RESERVATION_BLOCK: u64 = 1_000;
-/// How far ahead of the newest known epoch a reported one may be, in epochs: what a lost store can have granted.
+/// How far ahead of the newest known epoch a reported one may be: an upper bound for the epochs that a lost store can
+/// have granted.
 pub const MAX_EPOCH_LEAD: u64 = 1 << 40;
 
 /// The number of one grant, and its fencing token. Higher is newer, over all shards of all roles; 0: no grant yet.
@@ -20,7 +21,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch that is `count` later; the highest one where there is none.
+    /// The epoch that is `count` later, saturating at the highest one.
     #[must_use]
     pub fn advanced_by(self, count: u64) -> Epoch {
         Epoch(self.0.saturating_add(count))
@@ -33,7 +34,7 @@
     }
 }
 
-/// Allocates epochs for grants, and says when the file beside the store must be written.
+/// Allocates epochs for grants, and decides when the file beside the store must be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EpochAllocator {
     newest: Epoch,
@@ -59,25 +60,27 @@
         reported <= self.newest.advanced_by(MAX_EPOCH_LEAD)
     }
 
-    /// Advances to a reported epoch. One that is not plausible is ignored.
+    /// Advances to a reported epoch. An epoch that is not plausible is ignored.
     pub fn observe(&mut self, reported: Epoch) {
         if self.is_plausible(reported) {
             self.newest = self.newest.max(reported);
         }
     }
 
-    /// Allocates the next epoch. It may be used once the file holds [`EpochAllocator::required_reservation`], if any.
+    /// Allocates the next epoch. It may be used only once the file holds [`EpochAllocator::required_reservation`], if
+    /// any.
     pub fn allocate(&mut self) -> Epoch {
         self.newest = self.newest.advanced_by(1);
         self.newest
     }
 
-    /// What the file must say before the newest epoch may be used; none if the file already covers it.
+    /// The reservation that the file must hold before the newest epoch may be used; `None` if the file already covers
+    /// it.
     pub fn required_reservation(&self) -> Option<Epoch> {
         (self.newest > self.reserved).then(|| self.newest.advanced_by(RESERVATION_BLOCK))
     }
 
-    /// The file now reserves all epochs up to this one.
+    /// Records that the file reserves all epochs up to this one.
     pub fn confirm_reservation(&mut self, reserved: Epoch) {
         self.reserved = self.reserved.max(reserved);
     }
--- a/crates/ownership/src/event.rs
+++ b/crates/ownership/src/event.rs
@@ -1,4 +1,4 @@
-//! What a holder reports to the code that runs the work.
+//! Events that a lease holder reports to the code that runs the work.
 
 use crate::claim::Claim;
 use crate::epoch::Epoch;
@@ -11,10 +11,10 @@
     Gained {
         /// The new lease.
         claim: Claim,
-        /// How far the shard's work has come.
+        /// The progress of the shard's work at the time of the grant.
         watermark: u64,
     },
-    /// Work is to finish in order; then [`LeaseHolder::finish`](crate::LeaseHolder::finish) is due.
+    /// The work is to finish, after which [`LeaseHolder::finish`](crate::LeaseHolder::finish) is to be called.
     HandOverRequested(Claim),
     /// The lease is no longer held: work stops at once.
     Lost {
@@ -28,7 +28,7 @@
 /// Why a holder lost a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossCause {
-    /// The lease manager said so.
+    /// The lease manager reported the loss.
     Reported(LossReason),
     /// It expired by the holder's own clock.
     Expired,
--- a/crates/ownership/src/fencing.rs
+++ b/crates/ownership/src/fencing.rs
@@ -1,18 +1,18 @@
-//! The receiver's side: an operation carries the shard and epoch of its lease, and a receiver that has seen a newer
-//! epoch of that shard rejects it.
+//! Fencing at a receiver of operations. Each operation carries the shard and epoch of its lease, and a receiver that
+//! has seen a newer epoch of that shard rejects the operation.
 
 use crate::claim::ShardId;
 use crate::epoch::Epoch;
 use std::collections::BTreeMap;
 
-/// The newest epoch of each shard that a receiver has seen. It must outlive the receiver's restarts for as long as
-/// the effects of the operations do.
+/// The newest epoch of each shard that a receiver has seen. It has to be kept across restarts of the receiver for as
+/// long as the effects of the operations last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     newest: BTreeMap<ShardId, Epoch>,
 }
 
-/// An operation is rejected, because a newer owner has been here.
+/// An operation was rejected, because the receiver has admitted an operation of a newer owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("epoch: an owner with epoch {newest} has been here")]
 pub struct StaleEpoch {
--- a/crates/ownership/src/injected_faults.rs
+++ b/crates/ownership/src/injected_faults.rs
@@ -4,8 +4,8 @@
 /// set only with the crate's feature `test-faults`, which no released program has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct InjectedFaults {
-    /// Counts a lease's time from the response instead of the request.
+    /// Whether a lease's time counts from the response instead of the request.
     pub counts_from_response: bool,
-    /// Renews leases whether or not their work makes progress.
+    /// Whether leases are renewed even if their work makes no progress.
     pub renews_without_progress: bool,
 }
--- a/crates/ownership/src/lease_holder/calls.rs
+++ b/crates/ownership/src/lease_holder/calls.rs
@@ -6,7 +6,7 @@
 use crate::event::{LeaseEvent, LossCause};
 use crate::messages::{Grant, LossReason, RenewRequest, RenewResponse};
 
-/// Requests whose responses are awaited; the oldest beyond that is abandoned.
+/// Maximum number of requests that await a response; beyond that, the oldest is abandoned.
 pub const MAX_PENDING_CALLS: usize = 4;
 
 /// The number of one request of a holder.
@@ -25,12 +25,12 @@
 pub(super) struct PendingCall {
     sent_at: Micros,
     renewed: Vec<Claim>,
-    /// Released, or reported as expired.
+    /// Claims that were released or reported as expired.
     released: Vec<Claim>,
 }
 
 impl LeaseHolder {
-    /// The next request, to be sent now. Its outcome goes to [`LeaseHolder::on_response`] or
+    /// The next request, to be sent now. Its result is to be passed to [`LeaseHolder::on_response`] or
     /// [`LeaseHolder::on_call_failed`].
     pub fn next_request(&mut self, now: Micros) -> (CallId, RenewRequest) {
         let call = self.next_call;
@@ -64,7 +64,7 @@
         (call, request)
     }
 
-    /// Handles the response to a request. Responses to abandoned requests, and second ones, are ignored.
+    /// Handles the response to a request. Responses to abandoned requests and duplicate responses are ignored.
     #[must_use]
     pub fn on_response(&mut self, call: CallId, response: RenewResponse, now: Micros) -> Vec<LeaseEvent> {
         let Some(PendingCall { sent_at, released, .. }) = self.pending_calls.remove(&call) else {
@@ -74,7 +74,8 @@
         self.echo = self.echo.max(response.token);
         let mut events = Vec::new();
         for claim in released {
-            // Taken back, or lost before: it is not held either way.
+            // The manager has processed the release, or the lease was lost before: it is no longer held in either
+            // case.
             self.expired.retain(|expired| *expired != claim);
             events.extend(self.drop_lease(&claim, LossCause::Expired));
         }
@@ -128,7 +129,7 @@
         events.push(LeaseEvent::Gained { claim: grant.claim, watermark: grant.watermark });
     }
 
-    /// Handles a request that will get no response. What it was to renew is renewed by the next one.
+    /// Handles a request that will get no response. The leases that it was to renew are renewed by the next request.
     pub fn on_call_failed(&mut self, call: CallId) {
         let Some(call) = self.pending_calls.remove(&call) else { return };
         for claim in call.renewed {
--- a/crates/ownership/src/lease_holder/mod.rs
+++ b/crates/ownership/src/lease_holder/mod.rs
@@ -1,10 +1,10 @@
-//! The holder's side: which leases this process has, and until when.
+//! The lease holder: which leases this process has, and until when.
 //!
-//! A lease lasts for its duration from *before the request was sent* that brought it, less the allowance for clock
-//! drift: at its end the lease manager, who counts from when it received the request, still has it on record. A
-//! response is used once, and counts from its own request in whatever order responses arrive, so that nothing that
-//! arrives late or twice extends a lease. A renewal is requested only if the work has made progress since the last
-//! one: a worker that hangs loses its lease while the rest of its process goes on.
+//! A lease's duration counts from *before the request was sent* that brought it, less an allowance for clock drift.
+//! The lease manager counts from when it received the request, so that it still has the lease on record when the
+//! lease ends here. A response is used once, and counts from its own request in whatever order responses arrive, so
+//! that late and duplicate responses extend no lease. A renewal is requested only if the work has made progress since
+//! the last one, so that a worker that hangs loses its lease while the rest of its process goes on.
 
 mod calls;
 
@@ -18,9 +18,10 @@
 use calls::PendingCall;
 use std::collections::BTreeMap;
 
-/// The fraction of a lease's duration by which a holder stops early, so that the speeds of two clocks may differ by
-/// that much (1/50) without two processes holding the lease at once.
+/// A holder stops this fraction (1/50) of a lease's duration early, so that the speeds of two clocks may differ by
+/// that much without two processes holding the lease at once.
 pub const CLOCK_DRIFT_DIVISOR: u64 = 50;
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     epoch: Epoch,
@@ -40,9 +41,11 @@
     name: String,
     roles: Vec<String>,
     leases: BTreeMap<ShardId, HeldLease>,
-    /// Leases that expired here before the lease manager has taken them back: it may do so without waiting.
+    /// Leases that expired by this holder's clock and that the lease manager has not taken back yet. They are
+    /// reported to the manager, which can then grant them without waiting.
     expired: Vec<Claim>,
-    /// The newest epoch of each shard that was ever held here. A lease that has ended is not taken up again.
+    /// The newest epoch of each shard that was ever held here. Grants of this epoch or older ones are not accepted
+    /// again once the lease has ended.
     newest_held: BTreeMap<ShardId, Epoch>,
     pending_calls: BTreeMap<CallId, PendingCall>,
     next_call: CallId,
@@ -53,8 +56,8 @@
 }
 
 impl LeaseHolder {
-    /// A process that holds no leases, under a name that no other process and no earlier incarnation has, and the
-    /// names of the roles that it can run.
+    /// A holder without leases. No other process and no earlier incarnation may have the same name. `roles` are the
+    /// names of the roles that the process can run.
     pub fn new(name: impl Into<String>, roles: Vec<String>) -> LeaseHolder {
         LeaseHolder {
             name: name.into(),
@@ -71,7 +74,7 @@
         }
     }
 
-    /// The same with faults, for tests that prove that they are detected.
+    /// The same holder with injected faults, for tests which prove that checks detect the faults.
     #[cfg(feature = "test-faults")]
     #[must_use]
     pub fn with_faults(self, faults: InjectedFaults) -> LeaseHolder {
@@ -93,7 +96,7 @@
         !self.expired.is_empty() || self.leases.values().any(|lease| lease.is_finished)
     }
 
-    /// Ends leases that have expired. To be called before anything else is done at this time.
+    /// Ends leases that have expired. To be called before any other method at the same time.
     #[must_use]
     pub fn expire_leases(&mut self, now: Micros) -> Vec<LeaseEvent> {
         let is_expired = |lease: &HeldLease| lease.expires_at <= now;
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Records that the work has finished in order: the lease is released with the next request.
+    /// Records that the work has finished: the lease is released with the next request.
     pub fn finish(&mut self, claim: &Claim) {
         if let Some(lease) = self.lease_mut(claim) {
             lease.is_finished = true;
@@ -152,7 +155,7 @@
         self.leases.get_mut(&claim.shard).filter(|lease| lease.epoch == claim.epoch)
     }
 
-    /// Drops a lease if it is held. One that has finished ends without an event.
+    /// Drops a lease if it is held. The end of a lease whose work has finished is not reported as an event.
     fn drop_lease(&mut self, claim: &Claim, cause: LossCause) -> Option<LeaseEvent> {
         let is_finished = self.lease_mut(claim)?.is_finished;
         self.leases.remove(&claim.shard);
--- a/crates/ownership/src/lease_manager/mod.rs
+++ b/crates/ownership/src/lease_manager/mod.rs
@@ -1,12 +1,12 @@
-//! The lease manager's side: which process may have which shard, and until when.
+//! The lease manager: decides which process has the lease of which shard, and until when.
 //!
-//! Records are in a store that several lease managers may share and that outlives each of them. Beside them a manager
-//! has in memory when, on its own clock, it first observed a record as it is. A lease has expired once its record has
-//! been unchanged for the whole duration; so a manager that has just started waits that long before it takes a lease
-//! from any holder, and a jump of its wall clock does no harm.
+//! Records are in a store that several lease managers may share and that outlives them. In addition, a manager
+//! remembers when it first observed a record in its present form, by its own clock. A lease has expired once its
+//! record has been unchanged for the lease's full duration. A manager that has just started therefore waits that long
+//! before it revokes a lease, and jumps of its wall clock have no effect.
 //!
-//! Each change of a record is a function from the record to its successor (in `transitions`), to be called in the
-//! store's transaction. [`LeaseManager::observe`] is due once that is committed.
+//! Each change of a record is a function from the record to its successor (in `transitions`), to be called in a
+//! transaction of the store. [`LeaseManager::observe`] is to be called once the transaction is committed.
 
 mod transitions;
 
@@ -19,16 +19,16 @@
 use crate::role::SingletonRole;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Calls that a holder makes in the duration of a lease.
+/// Number of calls that a holder makes in the duration of a lease.
 const CALLS_PER_TTL: u64 = 3;
 /// Lease duration that paces the calls of a process without declared roles.
 const DEFAULT_TTL_MS: u64 = 10_000;
 
-/// The state of a lease manager beside the store.
+/// The state of a lease manager that is not in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseManager {
     started_at: Micros,
-    /// No epoch was ever allocated in this store: there are no holders to wait for.
+    /// Whether no epoch was ever allocated in this store, so that there are no holders to wait for.
     is_new_store: bool,
     roles: BTreeMap<String, SingletonRole>,
     overrides: BTreeMap<ShardId, ShardOverride>,
@@ -36,13 +36,13 @@
     candidates: Candidates,
 }
 
-/// The manager's time as a token that is never 0, which would mean that there is none.
+/// The manager's time as a token. It is never 0, which stands for no token.
 fn response_token(now: Micros) -> u64 {
     now + 1
 }
 
 impl LeaseManager {
-    /// A lease manager that starts now. `is_new_store`: no epoch was ever allocated in this store.
+    /// A lease manager that starts now. `is_new_store`: whether no epoch was ever allocated in this store.
     pub fn new(roles: Vec<SingletonRole>, is_new_store: bool, now: Micros) -> LeaseManager {
         let mut manager = LeaseManager {
             started_at: now,
@@ -74,8 +74,8 @@
         self.roles.get(&shard.role).filter(|role| shard.index < role.shard_count)
     }
 
-    /// Records a holder's call: it stays a candidate for a while, if a response sent within the last lease duration
-    /// has reached it. Roles that are not declared are ignored.
+    /// Records a holder's call. The holder is a candidate until it has not called for a while, if it has received a
+    /// response that was sent within the last lease duration. Roles that are not declared are ignored.
     pub fn record_call(&mut self, request: &RenewRequest, now: Micros) {
         let declared = || request.roles.iter().filter_map(|role| self.roles.get(role));
         let roles: BTreeSet<String> = declared().map(|role| role.name.clone()).collect();
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Completes a response with its token and the pause until the next call: three calls in a lease duration, and a
-    /// holder's second call at once, as nothing is granted before it.
+    /// Completes a response with its token and the pause until the next call. Holders call three times in a lease
+    /// duration. The second call of a new holder is due at once, because nothing is granted before it.
     pub fn complete_response(&self, response: &mut RenewResponse, request: &RenewRequest, now: Micros) {
         response.token = response_token(now);
         let declared = request.roles.iter().filter_map(|role| self.roles.get(role));
@@ -124,7 +124,7 @@
         self.observed.contains_key(shard)
     }
 
-    /// Whether any shard without a holder has a candidate to go to.
+    /// Whether any shard without a holder can be granted to a candidate.
     pub fn has_assignable_shard(&self) -> bool {
         self.observed.iter().any(|(shard, observed)| {
             observed.holder.is_none() && self.intended_holder(shard, observed).is_some()
@@ -141,7 +141,7 @@
         self.overrides.get(shard).is_some_and(|decision| decision.suspension_reason.is_some())
     }
 
-    /// The candidate that is to have a shard; none if there is no candidate or the shard is suspended.
+    /// The candidate that is to hold a shard; `None` if there is no candidate or the shard is suspended.
     fn intended_holder(&self, shard: &ShardId, observed: &ObservedRecord) -> Option<&str> {
         if observed.is_suspended || self.is_suspended_by_operator(shard) {
             return None;
@@ -154,7 +154,7 @@
             .or_else(|| self.candidates.assigned_to(shard, failed))
     }
 
-    /// The shards without a holder that this holder is to have.
+    /// The shards without a holder that can be granted to this holder.
     pub fn grantable_to(&self, holder: &str, now: Micros) -> Vec<ShardId> {
         let is_grantable = |shard: &ShardId, observed: &ObservedRecord| {
             let Some(role) = self.role_of(shard) else { return false };
@@ -165,7 +165,8 @@
         grantable.map(|(shard, _)| shard.clone()).collect()
     }
 
-    /// Whether another process is to have what this record's holder has.
+    /// Whether the record's holder has to hand over the shard, because another process is to hold it or an operator
+    /// has suspended it.
     fn must_hand_over(&self, record: &LeaseRecord) -> bool {
         let Some(observed) = self.observed.get(&record.shard) else { return false };
         let intended = self.intended_holder(&record.shard, observed);
--- a/crates/ownership/src/lease_manager/transitions.rs
+++ b/crates/ownership/src/lease_manager/transitions.rs
@@ -1,4 +1,4 @@
-//! Transitions of a shard's record, each from the record as it is in the store to its successor.
+//! Transitions of a shard's record: each computes the next record from the one in the store.
 
 use super::LeaseManager;
 use crate::claim::{Claim, Renewal};
@@ -8,8 +8,8 @@
 use crate::record::{LeaseRecord, FORGIVE_AFTER_RENEWALS};
 
 impl LeaseManager {
-    /// Grants a shard without a holder to the holder that is to have it, under a new epoch. None if it cannot be
-    /// granted.
+    /// Grants a shard without a holder to its intended holder, under a new epoch. Returns `None` if the shard can't
+    /// be granted to `holder`.
     pub fn grant(
         &self,
         record: &LeaseRecord,
@@ -37,10 +37,10 @@
         Some((record, grant))
     }
 
-    /// Renews a lease whose work makes progress. `record` is none if the store has none.
+    /// Renews a lease whose work makes progress. `record` is `None` if the store has no record.
     ///
     /// # Errors
-    /// Why the lease is not the holder's.
+    /// Why the holder does not have the lease.
     pub fn renew(
         &self,
         record: Option<&LeaseRecord>,
@@ -62,10 +62,10 @@
         Ok((record, grant))
     }
 
-    /// Releases a lease whose work has finished in order.
+    /// Releases a lease whose work has finished.
     ///
     /// # Errors
-    /// Why the lease is not the holder's.
+    /// Why the holder does not have the lease.
     pub fn release(
         &self,
         record: Option<&LeaseRecord>,
@@ -76,10 +76,10 @@
         Ok(LeaseRecord { holder: None, consecutive_failures: 0, ..record.clone() })
     }
 
-    /// Takes back a lease that its holder reports as expired, before this manager's own clock does.
+    /// Revokes a lease that its holder reports as expired, before it expires by this manager's own clock.
     ///
     /// # Errors
-    /// Why the lease is not the holder's.
+    /// Why the holder does not have the lease.
     pub fn release_expired(
         &self,
         record: Option<&LeaseRecord>,
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Takes an expired lease from its holder. None if the record is not as observed, or the lease has not expired.
+    /// Revokes an expired lease. Returns `None` if the record differs from the observed one, or if the lease has not
+    /// expired.
     pub fn expire(&self, record: &LeaseRecord, now: Micros) -> Option<LeaseRecord> {
         let observed = self.observed.get(&record.shard)?;
         let is_as_observed = record.is_granted_to(observed.holder.as_deref()?, observed.epoch)
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,13 +1,13 @@
 //! Leases that give each piece of the fleet's background work to one process at a time.
 //!
-//! A [`SingletonRole`] is such work (reporting, health probes, upkeep of the store), cut into shards. The control
+//! A [`SingletonRole`] is such work (reporting, health probes, upkeep of the store), split into shards. The control
 //! plane runs a [`LeaseManager`], which grants the lease on a shard to one process; that process tracks its leases in
-//! a [`LeaseHolder`]. Every grant has an [`Epoch`] that is never used again: receivers of the work check it in a
+//! a [`LeaseHolder`]. Every grant has an [`Epoch`] that is never used again. Receivers of the work check it in a
 //! [`FencingGuard`], which rejects a holder that was paused between its last check of the lease and its operation.
 //! [`Assignment`] decides which candidate a shard belongs to, and [`EpochAllocator`] allocates epochs.
 //!
 //! This crate does no I/O and reads no clock. Times are [`Micros`] of the caller's own monotonic clock; the clocks of
-//! manager and holder are never compared with each other.
+//! the manager and the holders are never compared with each other.
 
 mod assignment;
 mod candidates;
--- a/crates/ownership/src/messages.rs
+++ b/crates/ownership/src/messages.rs
@@ -1,11 +1,11 @@
-//! Messages between lease holders and the lease manager, JSON on the wire. The serialized names are those of the
+//! Messages between lease holders and the lease manager, as JSON. The serialized names are those of the
 //! administration API.
 
 use crate::claim::{Claim, Renewal};
 use crate::epoch::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// One call of a holder, which is a candidate for shards of the roles it names for as long as it calls.
+/// One call of a holder. While it keeps calling, it is a candidate for the shards of the roles that it names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Ask", deny_unknown_fields)]
 pub struct RenewRequest {
@@ -23,10 +23,10 @@
     /// Leases that expired by the holder's own clock.
     #[serde(default, rename = "gave_up")]
     pub expired: Vec<Claim>,
-    /// The newest epoch that the holder has observed anywhere.
+    /// The newest epoch that the holder has observed, from any source.
     #[serde(default, rename = "seen")]
     pub observed_epoch: Epoch,
-    /// The token of the newest response that was received, 0 for none: a holder that receives no responses is granted
+    /// The token of the newest response that was received, 0 for none. A holder that receives no responses is granted
     /// nothing.
     #[serde(default)]
     pub echo: u64,
@@ -35,7 +35,7 @@
     pub is_leaving: bool,
 }
 
-/// A lease that is the holder's until `ttl_ms` after it sent the request that this answers.
+/// A lease that is valid until `ttl_ms` after the holder sent the request which this answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "wire::Grant", into = "wire::Grant")]
 pub struct Grant {
@@ -43,24 +43,25 @@
     pub claim: Claim,
     /// For how long it is granted, in milliseconds.
     pub ttl_ms: u64,
-    /// How far the shard's work has come, as its owners have recorded.
+    /// The progress of the shard's work, as its owners have recorded it.
     pub watermark: u64,
-    /// The holder is to finish its work and release the lease, because another holder is to have it.
+    /// The holder is to finish its work and release the lease, because the shard is to pass to another holder or is
+    /// suspended.
     pub must_hand_over: bool,
 }
 
-/// Why a claimed lease is not the holder's.
+/// Why a holder does not have a lease that it claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum LossReason {
-    /// Granted since to another holder, or to the same one anew.
+    /// The shard has been granted again since, to another holder or to the same one.
     #[serde(rename = "newer")]
-    #[error("granted anew since")]
+    #[error("granted again since")]
     Superseded,
     /// The lease manager has no such grant on record.
     #[error("no such grant on record")]
     Unknown,
-    /// It had expired before the renewal arrived.
+    /// The lease had expired before the renewal arrived.
     #[serde(rename = "ran_out")]
     #[error("expired before the renewal arrived")]
     Expired,
@@ -84,7 +85,7 @@
     /// The newest epoch.
     #[serde(rename = "newest")]
     pub newest_epoch: Epoch,
-    /// To be echoed in the next request: the time of this response by the manager's clock.
+    /// The time of this response by the manager's clock, to be echoed in the next request.
     #[serde(default)]
     pub token: u64,
     /// Parts of the request that were ignored, as field and reason; the rest was processed.
--- a/crates/ownership/src/observed.rs
+++ b/crates/ownership/src/observed.rs
@@ -1,19 +1,19 @@
-//! What a lease manager knows of a shard beside the store: since when its record is unchanged, and what operators
-//! have decided.
+//! What a lease manager knows about a shard in addition to the stored record: since when the record has been
+//! unchanged, and the operators' override.
 
 use crate::clock::Micros;
 use crate::epoch::Epoch;
 use crate::record::LeaseRecord;
 use serde::{Deserialize, Serialize};
 
-/// An operator's decision on one shard, which takes precedence over its assignment.
+/// An operator's override for one shard, which takes precedence over the shard's assignment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Word", deny_unknown_fields)]
 pub struct ShardOverride {
-    /// The process that is to have the shard while it is a candidate.
+    /// The process that is to hold the shard while it is a candidate.
     #[serde(default, rename = "next")]
     pub preferred_process: Option<String>,
-    /// Why no process is to have the shard.
+    /// Why the shard is suspended: no process is to hold it.
     #[serde(default, rename = "held_back")]
     pub suspension_reason: Option<String>,
 }
@@ -31,7 +31,8 @@
 }
 
 impl ObservedRecord {
-    /// A record as it is now. If it is the same as in the previous observation, it is unchanged since then.
+    /// Observes a record as it is now. If it is the same as in the previous observation, it counts as unchanged since
+    /// then.
     pub(crate) fn new(
         record: &LeaseRecord,
         previous: Option<&ObservedRecord>,
--- a/crates/ownership/src/record.rs
+++ b/crates/ownership/src/record.rs
@@ -1,47 +1,51 @@
-//! What the store keeps of one shard.
+//! The stored record of one shard.
 
 use crate::claim::{Claim, ShardId};
 use crate::epoch::Epoch;
 use crate::messages::Grant;
 use serde::{Deserialize, Serialize};
 
-/// Owners in a row whose lease may expire before they completed an operation, until the shard is suspended.
+/// Number of owners in a row whose leases expire before they complete an operation, after which the shard is
+/// suspended.
 pub const MAX_CONSECUTIVE_FAILURES: u32 = 5;
-/// Renewals after which holders that failed before are candidates like others again: some ten lease durations.
+/// Number of renewals after which holders that failed before are treated like other candidates again: about ten lease
+/// durations.
 pub const FORGIVE_AFTER_RENEWALS: u64 = 30;
-/// Failed holders that a record remembers.
+/// Maximum number of failed holders in a record.
 const MAX_FAILED_HOLDERS: usize = 8;
 
-/// One shard's lease. It is not deleted while its role exists: the watermark passes from owner to owner.
+/// The lease of one shard. The record is kept while its role exists, because the watermark passes from owner to
+/// owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
     /// The leased shard.
     #[serde(flatten)]
     pub shard: ShardId,
-    /// Who holds the lease; none: nobody.
+    /// The holder of the lease; `None` if there is none.
     pub holder: Option<String>,
     /// Epoch of the newest grant; 0: none yet.
     pub epoch: Epoch,
-    /// Renewals of this grant. Another lease manager on the same store sees by its increase that the holder is alive.
+    /// Number of renewals of this grant. Other lease managers on the same store see from its increase that the holder
+    /// is alive.
     #[serde(rename = "beat")]
     pub renewals: u64,
     /// Duration of the grant in milliseconds.
     #[serde(rename = "length_ms")]
     pub ttl_ms: u64,
-    /// How far the work has come, as owners have recorded; it never decreases.
+    /// The progress of the work, as owners have recorded it. It never decreases.
     #[serde(rename = "mark")]
     pub watermark: u64,
-    /// Operations completed under this epoch.
+    /// Number of operations completed under this epoch.
     #[serde(rename = "acts")]
     pub operations: u64,
-    /// Holders whose lease expired, the most recent last. They get the shard only where no other candidate exists,
-    /// until one owner has kept it for [`FORGIVE_AFTER_RENEWALS`].
+    /// Holders whose lease expired, the most recent last. They are granted the shard only if there is no other
+    /// candidate, until one owner has kept it for [`FORGIVE_AFTER_RENEWALS`].
     #[serde(rename = "fallen")]
     pub failed_holders: Vec<String>,
-    /// Holders in a row whose lease expired before they completed an operation.
+    /// Number of holders in a row whose lease expired before they completed an operation.
     #[serde(rename = "falls")]
     pub consecutive_failures: u32,
-    /// Why the shard is granted to nobody, where its owners keep failing. An operator's decision is stored elsewhere.
+    /// Why the shard is suspended, if its owners keep failing. Suspensions by operators are stored separately.
     #[serde(rename = "held_back")]
     pub suspension_reason: Option<String>,
     /// Time of the grant, Unix time in milliseconds; for display only.
@@ -76,13 +80,13 @@
         self.epoch == epoch && self.holder.as_deref() == Some(holder)
     }
 
-    /// The grant that this record stands for, as its holder gets it.
+    /// The grant of this record, as it is sent to its holder.
     pub(crate) fn grant(&self, must_hand_over: bool) -> Grant {
         let claim = Claim { shard: self.shard.clone(), epoch: self.epoch };
         Grant { claim, ttl_ms: self.ttl_ms, watermark: self.watermark, must_hand_over }
     }
 
-    /// Takes the lease from a holder that let it expire.
+    /// Revokes the lease of a holder that let it expire.
     pub(crate) fn fail_holder(&mut self) {
         if let Some(holder) = self.holder.take() {
             self.failed_holders.retain(|failed| *failed != holder);
--- a/crates/ownership/src/role.rs
+++ b/crates/ownership/src/role.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Shortest and longest duration of a lease, in milliseconds.
+/// Minimum and maximum duration of a lease, in milliseconds.
 pub const TTL_RANGE_MS: RangeInclusive<u64> = 500..=600_000;
-/// Most shards of one role.
+/// Maximum number of shards of one role.
 pub const MAX_SHARDS: u32 = 10_000;
 
 const REPORT_SPAN_RANGE_MS: RangeInclusive<u64> = 100..=86_400_000;
@@ -45,7 +45,8 @@
     }
 }
 
-/// A singleton role as declared: work of the fleet, each shard of which one process does at a time.
+/// A declared singleton role: work for the fleet that is split into shards, each of which is run by one process at a
+/// time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Duty", deny_unknown_fields)]
 pub struct SingletonRole {
@@ -59,16 +60,16 @@
     /// Duration of a grant, in milliseconds.
     #[serde(default = "default_ttl_ms", rename = "length_ms")]
     pub ttl_ms: u64,
-    /// Most shards of one process; 0: no limit.
+    /// Maximum number of shards at one process; 0: no limit.
     #[serde(default, rename = "most")]
     pub max_shards_per_process: u32,
-    /// Of [`RoleKind::Report`]: the time that one report covers, in milliseconds.
+    /// For [`RoleKind::Report`]: the time that one report covers, in milliseconds.
     #[serde(default = "default_report_span_ms", rename = "span_ms")]
     pub report_span_ms: u64,
-    /// Of [`RoleKind::Probe`]: the nodes' addresses, distributed over the shards in turn.
+    /// For [`RoleKind::Probe`]: the nodes' addresses, distributed over the shards in turn.
     #[serde(default)]
     pub nodes: Vec<SocketAddr>,
-    /// Of [`RoleKind::Probe`]: the time between two probes of a node, in milliseconds.
+    /// For [`RoleKind::Probe`]: the time between two probes of a node, in milliseconds.
     #[serde(default = "default_probe_interval_ms", rename = "every_ms")]
     pub probe_interval_ms: u64,
 }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The fields that are not valid; none if the role can be put in force.
+    /// The fields that are not valid; empty if the role can be put in force.
     #[must_use]
     pub fn validate(&self) -> Vec<InvalidField> {
         let invalid = |field, reason: &str| InvalidField { field, reason: reason.to_string() };
