--- a/crates/ownership/tests/components.rs
+++ b/crates/ownership/tests/components.rs
@@ -29,7 +29,7 @@
     ) {
         let (mut stored, mut file, mut highest) = (Epoch(0), Epoch(0), Epoch(0));
         for (lost, count, wall_ms) in steps {
-            // The store is restored from a backup, or the clock is anything; the file stays.
+            // The store may be restored from a backup, and the clock may have any value; the file is kept.
             let backup = if lost == 0 { Epoch(stored.0 / 2) } else { stored };
             let mut allocator = EpochAllocator::resume(backup, file, wall_ms);
             for _ in 0..count {
@@ -100,7 +100,7 @@
     let first = assignment.owner(0, &[]).unwrap().to_string();
     let other = assignment.owner(0, std::slice::from_ref(&first)).unwrap();
     assert_ne!(first, other);
-    // Where all have failed they take turns: one that fails again and again does not block the other.
+    // If all have failed they take turns, so that one that keeps failing does not block the other.
     assert_eq!(assignment.owner(0, &["a".into(), "b".into()]), Some("a"));
     assert_eq!(assignment.owner(0, &["b".into(), "a".into()]), Some("b"));
 }
--- a/crates/ownership/tests/golden/main.rs
+++ b/crates/ownership/tests/golden/main.rs
@@ -1,5 +1,5 @@
-//! Requests of lease holders, the lease manager's responses, and what the store keeps of leases, as JSON that the builds before
-//! wrote. The golden files are never edited.
+//! Requests of lease holders, the lease manager's responses, and the stored records of leases, as JSON that earlier
+//! builds wrote. The golden files are never edited.
 
 #![cfg(test)]
 
@@ -44,7 +44,7 @@
     GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "json")
 }
 
-/// Compares names and values. The order of the names is of no account in JSON.
+/// Compares names and values. The order of the names does not matter in JSON.
 fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(samples: &[Sample<T>]) {
     let encode = |value: &T| {
         let value = serde_json::to_value(value).expect("encoded");
@@ -164,14 +164,14 @@
 /// A field that another build may leave out has its default.
 #[test]
 fn requests_and_grants_without_optional_fields_are_read() {
-    let least: RenewRequest = serde_json::from_str(r#"{"holder": "ingress-1#42"}"#).expect("decoded");
-    assert_eq!(least, RenewRequest { holder: "ingress-1#42".into(), ..RenewRequest::default() });
+    let request: RenewRequest = serde_json::from_str(r#"{"holder": "ingress-1#42"}"#).expect("decoded");
+    assert_eq!(request, RenewRequest { holder: "ingress-1#42".into(), ..RenewRequest::default() });
     let renewal = r#"{"duty": "probes", "shard": 1, "epoch": 70001}"#;
     let renewal: Renewal = serde_json::from_str(renewal).expect("decoded");
     assert_eq!(renewal, Renewal { claim: claim(1), operations: 0 });
-    let given = r#"{"duty": "probes", "shard": 1, "epoch": 70001, "length_ms": 10000}"#;
-    let given: Grant = serde_json::from_str(given).expect("decoded");
-    assert_eq!(given, Grant { claim: claim(1), ttl_ms: 10_000, watermark: 0, must_hand_over: false });
+    let grant = r#"{"duty": "probes", "shard": 1, "epoch": 70001, "length_ms": 10000}"#;
+    let grant: Grant = serde_json::from_str(grant).expect("decoded");
+    assert_eq!(grant, Grant { claim: claim(1), ttl_ms: 10_000, watermark: 0, must_hand_over: false });
 }
 
 #[test]
--- a/crates/ownership/tests/leases.rs
+++ b/crates/ownership/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Lease manager and holder together, in virtual time: each hard case, and what it does to both.
+//! The lease manager and lease holders together, in virtual time: failures and their effects on both.
 
 #![cfg(test)]
 
@@ -11,12 +11,12 @@
 fn lease_counts_from_sending_the_request_less_the_clock_drift_allowance() {
     let (mut control, mut a) = (ControlPlane::new(1), holder("a"));
     // The first call only shows that responses arrive.
-    let (number, request) = a.next_request(0);
+    let (call_id, request) = a.next_request(0);
     let response = control.handle(&request, 0);
-    assert!(a.on_response(number, response, 0).is_empty());
-    let (number, request) = a.next_request(0);
+    assert!(a.on_response(call_id, response, 0).is_empty());
+    let (call_id, request) = a.next_request(0);
     let response = control.handle(&request, 400_000);
-    let claim = gained(&a.on_response(number, response, 900_000)).remove(0);
+    let claim = gained(&a.on_response(call_id, response, 900_000)).remove(0);
     assert!(a.is_valid(&claim, 979_999));
     assert!(!a.is_valid(&claim, 980_000));
     assert_eq!(a.expire_leases(980_000), [LeaseEvent::Lost { claim, cause: LossCause::Expired }]);
@@ -50,32 +50,32 @@
 fn hung_worker_is_not_renewed_and_its_shard_goes_to_another_process() {
     let (mut control, mut a, mut b) = (ControlPlane::new(1), holder("a"), holder("b"));
     let claim = gain_one(&mut control, &mut a, 0);
-    // It calls as before, with nothing to renew after the first call.
+    // The hung process calls as before, with nothing to renew after the first call.
     for now in (0..1_500_000).step_by(300_000) {
         call(&mut control, &mut a, now);
         call(&mut control, &mut b, now);
         control.expire_leases(now);
     }
     let renewals = control.store[&claim.shard].renewals;
-    assert_eq!(renewals, 1, "the gain itself counts as progress, and nothing after it");
+    assert_eq!(renewals, 1, "only the grant itself counts as progress");
     let mut gained_by_b = Vec::new();
     for now in (1_500_000..4_000_000).step_by(100_000) {
         control.expire_leases(now);
-        drop(a.expire_leases(now)); // Its worker hangs: nothing stops it.
+        drop(a.expire_leases(now)); // The hung worker does not stop.
         call(&mut control, &mut a, now);
         gained_by_b.extend(gained(&call(&mut control, &mut b, now)));
         gained_by_b.iter().for_each(|claim| b.record_progress(claim, 1));
     }
-    assert_eq!(gained_by_b.len(), 1, "it goes to the other, and not back to the one that hung");
+    assert_eq!(gained_by_b.len(), 1, "the shard goes to the other process, and not back to the hung one");
     assert!(gained_by_b[0].epoch > claim.epoch);
 }
 
 #[test]
-fn handed_over_shard_waits_for_no_expiry_and_never_has_two_owners() {
+fn handed_over_shard_moves_before_expiry_and_never_has_two_owners() {
     let (mut control, mut a, mut b) = (ControlPlane::new(8), holder("a"), holder("b"));
     let all = gained(&call(&mut control, &mut a, 0));
     assert_eq!(all.len(), 8);
-    assert!(call(&mut control, &mut b, 10).is_empty(), "what is held is not taken");
+    assert!(call(&mut control, &mut b, 10).is_empty(), "a held shard is not granted again");
     all.iter().for_each(|claim| a.record_progress(claim, 1));
     let handed_over: Vec<Claim> = (call(&mut control, &mut a, 300_000).into_iter())
         .map(|event| match event {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn restarted_lease_manager_takes_no_lease_for_a_lease_duration() {
+fn restarted_lease_manager_revokes_no_lease_for_a_lease_duration() {
     let (mut control, mut a, mut b) = (ControlPlane::new(1), holder("a"), holder("b"));
     let claim = gain_one(&mut control, &mut a, 0);
     control.restart(900_000);
@@ -117,13 +117,16 @@
     let claim = gain_one(&mut control, &mut a, 0);
     control.store = backup;
     control.restart(100_000);
-    assert!(call(&mut control, &mut b, 100_000).is_empty(), "the record is gone, and the holder is not");
+    assert!(
+        call(&mut control, &mut b, 100_000).is_empty(),
+        "the record is lost, but its holder is still running"
+    );
     a.record_progress(&claim, 1);
     let events = call(&mut control, &mut a, 200_000);
     let cause = LossCause::Reported(LossReason::Unknown);
     assert_eq!(events, [LeaseEvent::Lost { claim: claim.clone(), cause }]);
     let both = [call(&mut control, &mut a, 1_100_000), call(&mut control, &mut b, 1_100_000)].concat();
-    assert_eq!(gained(&both).len(), 1, "one of them has it");
+    assert_eq!(gained(&both).len(), 1, "exactly one of them has the lease");
 }
 
 #[test]
@@ -178,29 +181,29 @@
     let (mut control, mut a) = (ControlPlane::new(1), holder("a"));
     let claim = gain_one(&mut control, &mut a, 0);
     a.record_progress(&claim, 1);
-    let (number, request) = a.next_request(100_000);
+    let (call_id, request) = a.next_request(100_000);
     assert_eq!(request.renew.len(), 1);
-    a.on_call_failed(number);
-    let (number, request) = a.next_request(200_000);
-    assert_eq!(request.renew.len(), 1, "the work had made progress, and nobody has heard");
+    a.on_call_failed(call_id);
+    let (call_id, request) = a.next_request(200_000);
+    assert_eq!(request.renew.len(), 1, "the progress was not reported");
     let response = control.handle(&request, 200_000);
-    assert_eq!(a.on_response(number, response, 200_000), []);
+    assert_eq!(a.on_response(call_id, response, 200_000), []);
     assert_eq!(a.next_request(300_000).1.renew.len(), 0);
 }
 
 #[test]
 fn grant_is_accepted_after_a_later_response_has_overtaken_it() {
     let (mut control, mut a) = (ControlPlane::new(1), holder("a"));
-    let (hello, request) = a.next_request(0);
+    let (initial, request) = a.next_request(0);
     let response = control.handle(&request, 0);
-    assert_eq!(a.on_response(hello, response, 0), []);
+    assert_eq!(a.on_response(initial, response, 0), []);
     let (first, request) = a.next_request(1_000);
     let with_grant = control.handle(&request, 1_000);
     let (second, request) = a.next_request(2_000);
     let without_grant = control.handle(&request, 2_000);
     assert!(a.on_response(second, without_grant, 3_000).is_empty());
     let claim = gained(&a.on_response(first, with_grant, 4_000)).remove(0);
-    // It counts from its own request, not from the later one.
+    // The lease counts from the request of its grant, not from the later one.
     assert!(a.is_valid(&claim, 980_999) && !a.is_valid(&claim, 981_000));
 }
 
@@ -215,7 +218,7 @@
         let claims: Vec<Claim> = b.claims().collect();
         claims.iter().for_each(|claim| b.record_progress(claim, 1));
     }
-    assert_eq!(b.claims().count(), 4, "and nothing is kept for it");
+    assert_eq!(b.claims().count(), 4, "no shard is kept free for it");
 }
 
 #[test]
--- a/crates/ownership/tests/many_candidates.rs
+++ b/crates/ownership/tests/many_candidates.rs
@@ -38,7 +38,7 @@
         let holder = &mut self.holders[number];
         drop(holder.expire_leases(self.now)); // The work of a simulated holder needs no stopping.
         let is_due = self.now / STEP % 33 == number as u64 % 33;
-        // What a watch on the control plane tells.
+        // The control plane reports this to a watch.
         let has_grantable = !self.control.manager.grantable_to(holder.name(), self.now).is_empty();
         if is_due || has_grantable || holder.has_urgent_request() {
             self.calls[number] += 1;
@@ -69,7 +69,7 @@
 
     fleet.run(2 * TTL);
 
-    assert_eq!(fleet.held_leases(), 1, "one has it");
+    assert_eq!(fleet.held_leases(), 1, "one process has the lease");
     assert_eq!(fleet.control.epoch, epoch_before.advanced_by(1), "and no other process had it in between");
     let most = *fleet.calls.iter().max().unwrap();
     assert!(most <= 8, "a holder called {most} times in two lease durations");
@@ -93,5 +93,5 @@
     fleet.run(TTL / 10);
 
     assert_eq!(fleet.held_leases(), 300, "without waiting for a lease to expire");
-    assert_eq!(fleet.control.epoch.0 - epoch_before.0, held as u64, "only what it had moves");
+    assert_eq!(fleet.control.epoch.0 - epoch_before.0, held as u64, "only its own shards move");
 }
--- a/crates/ownership/tests/model.rs
+++ b/crates/ownership/tests/model.rs
@@ -1,7 +1,7 @@
-//! Model check of the shipped state machines: one lease manager, two holders and a receiver, in every order in which
-//! requests, responses and operations can arrive: late, twice, never, with pauses between a check of the lease and its
-//! operation, and with a restart of the lease manager. With a guard removed the same model has to find what the guard
-//! is for.
+//! Model check of the state machines as they are shipped: one lease manager, two holders and a receiver, in every
+//! order in which requests, responses and operations can arrive: late, twice or never, with pauses between a check of
+//! the lease and its operation, and with a restart of the lease manager. With a safeguard removed, the same model has
+//! to find the violation that the safeguard prevents.
 
 #![cfg(test)]
 
@@ -25,7 +25,7 @@
 fn one_process_at_a_time_holds_the_lease_in_every_order() {
     let checker = World::default().checker().threads(2).target_max_depth(DEPTH).spawn_bfs().join();
     println!("states={} depth={}", checker.unique_state_count(), checker.max_depth());
-    assert!(checker.unique_state_count() > 100_000, "the model goes nowhere");
+    assert!(checker.unique_state_count() > 100_000, "the model explores too few states");
     let found: Vec<&str> = checker.discoveries().into_keys().collect();
     assert_eq!(found, Vec::<&str>::new());
 }
--- a/crates/ownership/tests/model_world/mod.rs
+++ b/crates/ownership/tests/model_world/mod.rs
@@ -1,5 +1,5 @@
-//! The world of the model check. A tick is half of a lease duration; faults, requests and operations are counted, so
-//! that the world is finite.
+//! The model. A tick is half of a lease duration. Faults, requests and operations are limited in number, so that the
+//! model is finite.
 
 mod state;
 
@@ -10,17 +10,17 @@
     SingletonRole,
 };
 
-/// Ticks, and requests and operations of each holder, in one run of the world.
+/// Maximum number of ticks, and of requests and operations of each holder, in one run of the model.
 const MAX_TICKS: u64 = 4;
 const MAX_REQUESTS: u64 = 2;
 const MAX_OPERATIONS: u8 = 1;
 
 #[derive(Clone, Debug)]
 pub(crate) struct World {
-    /// The receiver rejects operations of older epochs.
+    /// Whether the receiver rejects operations of older epochs.
     pub(crate) is_fenced: bool,
     pub(crate) faults: InjectedFaults,
-    /// Look for operations of a second owner.
+    /// Whether to look for operations of a second owner.
     pub(crate) expects_second_owner: bool,
 }
 
@@ -36,7 +36,7 @@
     SendRequest(usize),
     CheckLease(usize),
     Operate(usize),
-    /// The message at this place of those in flight.
+    /// Delivers the message at this index of the messages in flight.
     Deliver(usize),
     DeliverAndDuplicate(usize),
     Drop(usize),
@@ -89,7 +89,9 @@
         }
         for holder in 0..2 {
             let has_call_in_flight = state.in_flight.iter().any(|message| match message {
-                Message::Request { from: of, .. } | Message::Response { to: of, .. } => *of == holder,
+                Message::Request { from: caller, .. } | Message::Response { to: caller, .. } => {
+                    *caller == holder
+                }
                 Message::Operation { .. } => false,
             });
             if !has_call_in_flight && state.requests[holder] < MAX_REQUESTS {
@@ -103,13 +105,13 @@
                 None => {}
             }
         }
-        for place in 0..state.in_flight.len() {
-            steps.push(Step::Deliver(place));
+        for index in 0..state.in_flight.len() {
+            steps.push(Step::Deliver(index));
             if state.drops == 0 {
-                steps.push(Step::Drop(place));
+                steps.push(Step::Drop(index));
             }
             if state.duplicates == 0 {
-                steps.push(Step::DeliverAndDuplicate(place));
+                steps.push(Step::DeliverAndDuplicate(index));
             }
         }
         if state.restarts == 0 && state.epoch > Epoch(0) {
@@ -139,18 +141,18 @@
                 state.holders[holder].record_progress(&claim, 1);
                 state.in_flight.push(Message::Operation { claim });
             }
-            Step::Deliver(place) => {
-                let message = state.in_flight.remove(place);
+            Step::Deliver(index) => {
+                let message = state.in_flight.remove(index);
                 state.deliver(message, self.is_fenced);
             }
-            Step::DeliverAndDuplicate(place) => {
+            Step::DeliverAndDuplicate(index) => {
                 state.duplicates += 1;
-                let message = state.in_flight[place].clone();
+                let message = state.in_flight[index].clone();
                 state.deliver(message, self.is_fenced);
             }
-            Step::Drop(place) => {
+            Step::Drop(index) => {
                 state.drops += 1;
-                state.in_flight.remove(place);
+                state.in_flight.remove(index);
             }
             Step::RestartManager => {
                 state.restarts += 1;
--- a/crates/ownership/tests/model_world/state.rs
+++ b/crates/ownership/tests/model_world/state.rs
@@ -1,4 +1,4 @@
-//! One state of the model's world, and its successors.
+//! One state of the model, and its successors.
 
 use violetyoke_ownership::{
     CallId, Claim, Epoch, FencingGuard, LeaseEvent, LeaseHolder, LeaseManager, LeaseRecord, Micros,
@@ -22,7 +22,7 @@
     pub(crate) record: LeaseRecord,
     pub(crate) epoch: Epoch,
     pub(crate) holders: [LeaseHolder; 2],
-    /// Who has checked its lease and is about to operate.
+    /// The claim of each holder that has checked its lease and is about to operate.
     pub(crate) checked: [Option<Claim>; 2],
     pub(crate) in_flight: Vec<Message>,
     pub(crate) guard: FencingGuard,
@@ -44,7 +44,7 @@
         self.holders[holder].is_valid(&claim, self.now).then_some(claim)
     }
 
-    /// What the control plane does in one transaction.
+    /// Handles a request, as the control plane does in one transaction.
     pub(crate) fn handle(&mut self, request: &RenewRequest) -> RenewResponse {
         let mut response = RenewResponse::default();
         self.manager.record_call(request, self.now);
@@ -85,7 +85,7 @@
         self.record = record;
     }
 
-    /// Takes an expired lease from its holder.
+    /// Revokes an expired lease.
     pub(crate) fn expire_leases(&mut self) {
         self.manager.remove_silent_candidates(self.now);
         if !self.manager.expired_shards(self.now).is_empty() {
@@ -97,7 +97,7 @@
 
     pub(crate) fn on_response(&mut self, holder: usize, call: CallId, response: RenewResponse) {
         for event in self.holders[holder].on_response(call, response, self.now) {
-            // A worker completes its operation before it hands over; here none is half done.
+            // A worker completes its operation before it hands over; in the model, no operation is in progress here.
             if let LeaseEvent::HandOverRequested(claim) = event {
                 self.holders[holder].finish(&claim);
             }
--- a/crates/ownership/tests/support/mod.rs
+++ b/crates/ownership/tests/support/mod.rs
@@ -34,7 +34,7 @@
         ControlPlane { manager, store: BTreeMap::new(), epoch: Epoch(0) }
     }
 
-    /// The same store under a lease manager that has just started.
+    /// Replaces the lease manager by one that has just started, on the same store.
     pub(crate) fn restart(&mut self, now: Micros) {
         let shard_count = self.manager.roles().next().unwrap().shard_count;
         self.manager = LeaseManager::new(vec![role(shard_count)], false, now);
@@ -50,7 +50,7 @@
         self.store.insert(record.shard.clone(), record);
     }
 
-    /// What the control plane does in one transaction.
+    /// Handles a request, as the control plane does in one transaction.
     pub(crate) fn handle(&mut self, request: &RenewRequest, now: Micros) -> RenewResponse {
         let mut response = RenewResponse::default();
         self.manager.record_call(request, now);
@@ -91,7 +91,7 @@
         response
     }
 
-    /// Takes expired leases from their holders.
+    /// Revokes expired leases.
     pub(crate) fn expire_leases(&mut self, now: Micros) {
         self.manager.remove_silent_candidates(now);
         for shard in self.manager.expired_shards(now) {
@@ -102,7 +102,8 @@
     }
 }
 
-/// One call without delay, and another one if the holder has received no response lately: nothing is granted before.
+/// Makes one call without delay, and another one if the holder has received no response recently, because nothing is
+/// granted before that.
 pub(crate) fn call(control: &mut ControlPlane, holder: &mut LeaseHolder, now: Micros) -> Vec<LeaseEvent> {
     let mut events = Vec::new();
     loop {
@@ -124,10 +125,10 @@
     events.iter().filter_map(claim).collect()
 }
 
-/// The one lease that a call brings.
+/// Makes a call that has to gain exactly one lease, and returns its claim.
 pub(crate) fn gain_one(control: &mut ControlPlane, holder: &mut LeaseHolder, now: Micros) -> Claim {
     let gained = gained(&call(control, holder, now));
-    assert_eq!(gained.len(), 1, "one lease is to be had");
+    assert_eq!(gained.len(), 1, "one lease is to be gained");
     gained[0].clone()
 }
 
