--- a/crates/ingress/src/exchange_port.rs
+++ b/crates/ingress/src/exchange_port.rs
@@ -1,11 +1,11 @@
 //! The exchange's port to the outside, implemented with sockets.
 
 use super::backend::{self, AttemptResult, Backend};
-use super::counter::Counter;
+use super::counter_client::CounterClient;
 use super::decision_log::DecisionLog;
 use super::discovery::Target;
 use super::embedded_counter::CounterLocation;
-use super::peers::Peers;
+use super::peers::PeerSocket;
 use super::pool::Pool;
 use super::streaming::Upload;
 use super::tasks::{self, TaskHandle};
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use violetyoke_config::Fields;
+use violetyoke_config::QuotaHeaders;
 use violetyoke_decision::interface::*;
 use violetyoke_decision::Gateway;
 use violetyoke_exchange::{
@@ -23,7 +23,7 @@
 
 /// An open connection to the shared counter, or the counter in this process.
 pub(crate) enum CounterConnection {
-    Remote(Counter),
+    Remote(CounterClient),
     Embedded(CounterLocation),
 }
 
@@ -56,7 +56,7 @@
     pub messages: Messages,
     pub pool: Rc<Pool>,
     pub counter: Option<CounterConnection>,
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSocket>,
     pub report_fields: Rc<[ReportField]>,
     pub backend_ids: BackendIds,
     pub backends: HashMap<BackendId, Rc<Backend>>,
@@ -70,9 +70,9 @@
 }
 
 impl SocketPort {
-    pub fn open(&self, location: CounterLocation, timeout: Micros) -> CounterConnection {
+    pub fn open_counter(&self, location: CounterLocation, timeout: Micros) -> CounterConnection {
         match location {
-            CounterLocation::Remote { address, namespace } => CounterConnection::Remote(Counter::open(
+            CounterLocation::Remote { address, namespace } => CounterConnection::Remote(CounterClient::open(
                 address,
                 namespace,
                 timeout,
@@ -195,7 +195,7 @@
     }
 
     fn wants_quota(&self, client: &PendingClient) -> bool {
-        client.forward.is_none() || self.pool.quota_headers.get() != Fields::default()
+        client.forward.is_none() || self.pool.quota_headers.get() != QuotaHeaders::default()
     }
 
     fn respond(
@@ -242,7 +242,7 @@
 
     fn send_to_peers(&mut self, _: Micros, to: Option<u16>, data: Vec<u8>) {
         if let Some(peers) = &self.peers {
-            peers.tell(to, &data);
+            peers.send(to, &data);
         }
     }
 
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -24,42 +24,42 @@
 pub mod config;
 mod connections;
 mod console;
-mod consult;
-mod counter;
+mod counter_client;
 mod decision_log;
 mod discovery;
 mod driver;
 mod embedded_counter;
 mod exchange_port;
+mod external_limiter;
 mod follow;
 mod framing;
-mod guest;
 mod handover_folder;
 mod handover_state;
+mod inherited_listener;
+mod migrating_task;
 mod nodes;
-mod passed;
 mod peers;
 pub mod platform;
+mod poll_schedule;
 mod pool;
 mod precheck;
 mod prepared;
-mod questions;
 mod quota_headers;
+mod rate_limit_server;
 mod request;
-mod roaming;
 mod router;
 mod running;
 mod server;
 pub mod service;
-mod sets;
 mod singleton_roles;
 mod socket;
 mod starting;
 mod streaming;
 mod takeover;
+mod task_scheduler;
 mod tasks;
+mod tenant_access;
 mod tenants;
-mod watch;
 
 use bytes::Bytes;
 use discovery::TargetList;
@@ -80,8 +80,8 @@
 const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
 /// Microseconds of Unix time: the system clock is read once, at the start, and advanced by the monotonic clock.
-/// Counter names contain the start of their window, so all ingresses need the same window boundaries and hence the
-/// same origin.
+/// Counter names contain the start of their window, so all ingresses need the same window boundaries and hence
+/// the same origin.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -158,7 +158,8 @@
 /// Messages to a pool's driver, which handles them in order.
 pub(crate) enum Message {
     Request(ClientRequest),
-    /// The client has disconnected.
+    /// The client has disconnected, or an admitted rate limit query stays counted and needs no further
+    /// tracking.
     Abandoned(RequestId),
     AttemptEnded {
         request: RequestId,
@@ -185,7 +186,8 @@
     Targets(TargetList),
     /// The shared counter has a new address.
     CounterReplaced(CounterLocation),
-    PeerMessage {
+    /// A message from another ingress, numbered by its position in the list of peers.
+    FromPeer {
         from: u32,
         data: Vec<u8>,
     },
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -6,9 +6,9 @@
 use crate::pool::{Pool, SharedCapacity};
 use crate::precheck::PoolPrecheck;
 use crate::prepared::{HostedRoute, PreparedConfig};
-use crate::questions::Asking;
+use crate::rate_limit_server::RateLimitConfig;
 use crate::router::{Route, Routing};
-use crate::sets::Sets;
+use crate::task_scheduler::TaskSets;
 use crate::tasks::{TaskHandle, TaskSet};
 use crate::tenants::Tenants;
 use crate::Clock;
@@ -30,7 +30,7 @@
 /// The running pools and their shared resources.
 pub struct Pools {
     pub clock: Clock,
-    pub sets: Rc<Sets>,
+    pub sets: Rc<TaskSets>,
     pub frontend: Rc<TaskSet>,
     pub descriptors: SharedCapacity,
     pub bytes: SharedCapacity,
@@ -54,11 +54,16 @@
 }
 
 impl Pools {
-    pub fn new(config: &file::Service, sets: Rc<Sets>, frontend: Rc<TaskSet>, usage: UsageCounters) -> Pools {
+    pub fn new(
+        config: &file::Service,
+        sets: Rc<TaskSets>,
+        frontend: Rc<TaskSet>,
+        usage: UsageCounters,
+    ) -> Pools {
         let capacity = |total| Rc::new(RefCell::new(CapacityPool::new(total)));
         let (descriptors, bytes) = (capacity(config.descriptors), capacity(config.buffered_bytes));
         let open_requests = config.control.as_ref().map_or(0, |control| control.open_requests);
-        let scheduled_sets = config.turns.then(|| sets.clone());
+        let scheduled_sets = config.schedules_by_weight.then(|| sets.clone());
         Pools {
             clock: Clock::start(),
             tenants: Tenants::new(open_requests, descriptors.clone(), bytes.clone(), scheduled_sets, usage),
@@ -80,7 +85,7 @@
         config: &file::Service,
         prepared: &PreparedConfig,
         hosted: Vec<HostedRoute>,
-    ) -> (Routing, Option<Asking>, (Vec<Member>, Arc<TenantDirectory>)) {
+    ) -> (Routing, Option<RateLimitConfig>, (Vec<Member>, Arc<TenantDirectory>)) {
         let frontend = config.descriptors / FRONTEND_DIVISOR;
         self.descriptors.borrow_mut().resize(config.descriptors);
         self.descriptors.borrow_mut().set_limits(
@@ -135,7 +140,7 @@
             class: route.class,
             tenant: self.tenants.tenant(&route.tenant),
         }));
-        let asking = config.ratelimit.clone().map(|file| Asking { file, pools });
+        let asking = config.ratelimit.clone().map(|file| RateLimitConfig { file, pools });
         (Routing::Table { table: prepared.table.clone(), routes }, asking, replaced)
     }
 
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -3,10 +3,10 @@
 
 use crate::connections::{ConnectionTable, UNASSIGNED};
 use crate::prepared::PreparedConfig;
-use crate::questions::{Asking, Questions};
+use crate::rate_limit_server::{RateLimitConfig, RateLimitServer};
 use crate::router::{Router, Routing};
 use crate::running::{Pools, RATE_LIMIT_MEMBER};
-use crate::sets::{Running, Sets};
+use crate::task_scheduler::{FairExecutor, TaskSets};
 use crate::{follow, server, singleton_roles};
 use std::cell::{Cell, RefCell};
 use std::fs;
@@ -36,7 +36,7 @@
 pub fn read(path: &Path) -> Result<file::Service, String> {
     let name = path.display();
     let text = fs::read_to_string(path).map_err(|error| format!("{name}: {error}\n"))?;
-    file::parse(&text).map_err(|errors| errors.of_file(&name.to_string()))
+    file::parse(&text).map_err(|errors| errors.format_with_file(&name.to_string()))
 }
 
 /// Serves until SIGTERM. SIGHUP reloads the file.
@@ -45,9 +45,9 @@
     let reload = signal(SignalKind::hangup())?;
     let listener = server::listen(config.listen)?;
     let address = listener.local_addr()?;
-    let (sets, is_finished) = (Rc::new(Sets::default()), Rc::new(Cell::new(false)));
+    let (sets, is_finished) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
     let frontend = sets.add(UNASSIGNED, FRONTEND_WEIGHT);
-    let running = Running::new(sets.clone(), is_finished.clone());
+    let running = FairExecutor::new(sets.clone(), is_finished.clone());
     let usage = UsageCounters::default();
     let mut pools = Pools::new(&config, sets.clone(), frontend.clone(), usage.clone());
     let config = Arc::new(config);
@@ -64,7 +64,7 @@
     let routes = std::mem::take(&mut prepared.routes);
     let (routing, rate_limits, _) = pools.apply(&config, &prepared, routes);
     let questions = rate_limits.map(|rate_limits| {
-        Questions::new(rate_limits, pools.clock, pools.descriptors.clone(), RATE_LIMIT_MEMBER)
+        RateLimitServer::new(rate_limits, pools.clock, pools.descriptors.clone(), RATE_LIMIT_MEMBER)
     });
     let connections = ConnectionTable::with_shared_capacity(pools.descriptors.clone());
     let shared = Rc::new(server::ServerState::new(
@@ -81,7 +81,7 @@
         None => None,
     };
     let weight = config.ratelimit.as_ref().map_or(1, |ratelimit| ratelimit.weight);
-    let (role_settings, control) = (config.duties.clone(), config.control.clone());
+    let (role_settings, control) = (config.singleton_roles.clone(), config.control.clone());
     let (config_sender, config_receiver) = watch_channel::channel(config.clone());
     let (update_sender, updates) = mpsc::channel(1);
     if let Some(control) = config.control.clone() {
@@ -148,7 +148,7 @@
     in_force: watch_channel::Sender<Arc<file::Service>>,
     mut pools: Pools,
     shared: Rc<server::ServerState>,
-    questions: Option<Rc<Questions>>,
+    questions: Option<Rc<RateLimitServer>>,
     mut reload: tokio::signal::unix::Signal,
     mut updates: mpsc::Receiver<follow::PreparedUpdate>,
 ) {
@@ -227,8 +227,8 @@
     prepared.unwrap_or_else(|_| Err("the check failed".into()))
 }
 
-fn set_rate_limit_weight(pools: &Pools, asking: &Asking) {
-    pools.sets.weigh(RATE_LIMIT_MEMBER, asking.file.weight);
+fn set_rate_limit_weight(pools: &Pools, asking: &RateLimitConfig) {
+    pools.sets.set_weight(RATE_LIMIT_MEMBER, asking.file.weight);
 }
 
 /// Puts a file and tenants in force that were checked together. The replaced ones are dropped on another
@@ -238,7 +238,7 @@
     config: &file::Service,
     mut prepared: PreparedConfig,
     shared: &Rc<server::ServerState>,
-    questions: Option<&Rc<Questions>>,
+    questions: Option<&Rc<RateLimitServer>>,
 ) {
     let routes = std::mem::take(&mut prepared.routes);
     let (routing, asking, (removed, directory)) = pools.apply(config, &prepared, routes);
@@ -248,12 +248,12 @@
     };
     if let (Some(questions), Some(asking)) = (questions, asking) {
         set_rate_limit_weight(pools, &asking);
-        questions.replace(asking);
+        questions.update_config(asking);
     }
     pools.retire(config, &shared.connections);
     for member in removed {
         shared.connections.unassign(member, &pools.frontend);
-        if config.turns {
+        if config.schedules_by_weight {
             // The tasks of its connections move to the frontend with their next poll, which is soon.
             let sets = pools.sets.clone();
             pools.sets.spawn(&pools.frontend, async move {
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -3,10 +3,10 @@
 use crate::backend::ConnectionBudget;
 use crate::class_plan_indices::ClassPlanIndices;
 use crate::config::Names;
-use crate::consult::Consulting;
 use crate::driver::{Driver, DriverSetup};
 use crate::embedded_counter::CounterLocation;
-use crate::nodes::{list, watch_nodes};
+use crate::external_limiter::ExternalLimiterClient;
+use crate::nodes::{static_target_list, watch_nodes};
 use crate::pool::Pool;
 use crate::precheck::PoolPrecheck;
 use crate::running::{Pools, RunningPool};
@@ -35,7 +35,7 @@
         let member = self.next;
         self.next += 1;
         self.set_limits(config, member, file);
-        let pool_set = config.turns.then(|| self.sets.add(member, file.weight));
+        let pool_set = config.schedules_by_weight.then(|| self.sets.add(member, file.weight));
         let set = pool_set.clone().unwrap_or_else(|| self.frontend.clone());
         let mut indices = ClassPlanIndices::default();
         indices.update(file, hosted);
@@ -50,7 +50,7 @@
             bytes,
             pool_set,
         );
-        pool.quota_headers.set(file.fields);
+        pool.quota_headers.set(file.quota_headers);
         let pool = Rc::new(pool);
         let setup = DriverSetup {
             predecessor_alive: false,
@@ -59,12 +59,12 @@
             names: names(file),
             seed: self.clock.now() ^ (member as u64) << 48,
             budget: ConnectionBudget::new(self.descriptors.clone(), member),
-            initial_targets: list(&file.nodes, 1),
+            initial_targets: static_target_list(&file.nodes, 1),
             counter: Some(self.counter_location(file)),
             peers: None,
             ejections: ManualEjections::default(),
         };
-        let has_own_set = config.turns;
+        let has_own_set = config.schedules_by_weight;
         let (clock, driver_pool) = (self.clock, pool.clone());
         let (descriptors, bytes) = (self.descriptors.clone(), self.bytes.clone());
         let sets = self.sets.clone();
@@ -90,15 +90,15 @@
     /// address is the same.
     fn update_external_limiter(&self, run: &RunningPool, file: &file::Pool) {
         let existing = run.precheck.external_limiter();
-        run.precheck.set_external_limiter(file.consult.clone().map(|consult| match existing {
-            Some(existing) if existing.is_at(&consult) => {
-                existing.change(consult);
+        run.precheck.set_external_limiter(file.external_limiter.clone().map(|consult| match existing {
+            Some(existing) if existing.has_address_of(&consult) => {
+                existing.update_settings(consult);
                 existing
             }
             _ => {
                 let set = run.pool.set.clone().unwrap_or_else(|| self.frontend.clone());
                 let (descriptors, name) = (self.descriptors.clone(), file.name.clone());
-                Consulting::new(consult, self.clock, descriptors, run.pool.member, set, name)
+                ExternalLimiterClient::new(consult, self.clock, descriptors, run.pool.member, set, name)
             }
         }));
     }
@@ -115,10 +115,10 @@
             return;
         }
         run.hosted = hosted.to_vec();
-        self.sets.weigh(run.pool.member, file.weight);
+        self.sets.set_weight(run.pool.member, file.weight);
         run.indices.update(file, hosted);
         run.pool.update(run.indices.rules(file), file.open_requests);
-        run.pool.quota_headers.set(file.fields);
+        run.pool.quota_headers.set(file.quota_headers);
         let settings = run.indices.settings(file);
         run.pool.send(Message::Reconfigure(Box::new((settings, names(file)))));
         if run.config.counter != file.counter {
--- a/crates/ingress/src/tenants.rs
+++ b/crates/ingress/src/tenants.rs
@@ -1,11 +1,11 @@
 //! Tenants at runtime: their resource limits, scheduling weights, plans and usage.
 
-use crate::guest::{Admitted, Guest};
 use crate::pool::SharedCapacity;
 use crate::prepared::{tenant_plan_name, PreparedConfig};
 use crate::request::{bad_request, Rejection};
-use crate::sets::Sets;
+use crate::task_scheduler::TaskSets;
 use crate::tasks::TaskSet;
+use crate::tenant_access::{TenantAccess, TenantAdmission};
 use hyper::StatusCode;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
     /// Indices of its plans in each pool to which it has routes.
     plans: RefCell<BTreeMap<Member, Vec<u16>>>,
     requests: SharedCapacity,
-    sets: Option<Rc<Sets>>,
+    sets: Option<Rc<TaskSets>>,
     /// Created with the first request, as most tenants are idle.
     set: RefCell<Option<Rc<TaskSet>>>,
     /// Admitted requests that have not been reported yet.
@@ -46,23 +46,23 @@
 /// A reference to a tenant, which permits of its requests keep.
 pub struct TenantHandle(pub Rc<Tenant>);
 
-impl Guest for TenantHandle {
+impl TenantAccess for TenantHandle {
     fn member(&self) -> Member {
         self.0.member
     }
 
-    fn set(&self) -> Option<Rc<TaskSet>> {
+    fn task_set(&self) -> Option<Rc<TaskSet>> {
         let sets = self.0.sets.as_ref()?;
         let mut set = self.0.set.borrow_mut();
         let weight = u64::from(self.0.view.borrow().weight);
         Some(set.get_or_insert_with(|| sets.add(self.0.member, weight)).clone())
     }
 
-    fn account(&self, name: &str) -> String {
+    fn qualified_account(&self, name: &str) -> String {
         format!("{}/{name}", self.0.view.borrow().name)
     }
 
-    fn admit(&self, pool: Member, account: &str) -> Result<Admitted, Rejection> {
+    fn admit(&self, pool: Member, account: &str) -> Result<TenantAdmission, Rejection> {
         const AT_LIMIT: Rejection =
             Rejection { code: StatusCode::SERVICE_UNAVAILABLE, reason: "tenant: no room" };
         const DRAINING: Rejection =
@@ -84,8 +84,12 @@
             return Err(AT_LIMIT);
         }
         tenant.admitted_requests.fetch_add(1, Ordering::Relaxed);
-        let customer = account_number(&view.name, view.epoch, account);
-        Ok(Admitted { plan: *plan, customer, place: Box::new(RequestPermit(tenant.clone())) })
+        let customer_id = account_number(&view.name, view.epoch, account);
+        Ok(TenantAdmission {
+            plan: *plan,
+            customer_id,
+            open_request: Box::new(RequestPermit(tenant.clone())),
+        })
     }
 }
 
@@ -97,7 +101,7 @@
     requests: SharedCapacity,
     descriptors: SharedCapacity,
     bytes: SharedCapacity,
-    sets: Option<Rc<Sets>>,
+    sets: Option<Rc<TaskSets>>,
     usage: UsageCounters,
 }
 
@@ -109,7 +113,7 @@
         open_requests: u64,
         descriptors: SharedCapacity,
         bytes: SharedCapacity,
-        sets: Option<Rc<Sets>>,
+        sets: Option<Rc<TaskSets>>,
         usage: UsageCounters,
     ) -> Tenants {
         let requests = Rc::new(RefCell::new(CapacityPool::new(open_requests)));
@@ -164,7 +168,7 @@
             if changed {
                 self.set_limits_of(config, &tenant, view);
                 if let (Some(sets), Some(_)) = (&self.sets, &*tenant.set.borrow()) {
-                    sets.weigh(tenant.member, u64::from(view.weight));
+                    sets.set_weight(tenant.member, u64::from(view.weight));
                 }
                 *tenant.view.borrow_mut() = view.clone();
             }
@@ -206,7 +210,7 @@
         }
     }
 
-    pub fn tenant(&self, name: &str) -> Option<Rc<dyn Guest>> {
-        self.running.get(name).map(|tenant| Rc::new(TenantHandle(tenant.clone())) as Rc<dyn Guest>)
+    pub fn tenant(&self, name: &str) -> Option<Rc<dyn TenantAccess>> {
+        self.running.get(name).map(|tenant| Rc::new(TenantHandle(tenant.clone())) as Rc<dyn TenantAccess>)
     }
 }
