--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -244,7 +244,7 @@
     };
     match unassigned_tasks {
         Some(unassigned_tasks) => {
-            migrating_task::spawn(&unassigned_tasks, Box::pin(connection_task), connection)
+            migrating_task::spawn(&unassigned_tasks, Box::pin(connection_task), connection);
         }
         None => connection.set_task(tasks::spawn(connection_task)),
     }
