--- a/crates/transport/src/chunks.rs
+++ b/crates/transport/src/chunks.rs
@@ -1,26 +1,27 @@
-//! Large messages in chunks, so that a connection goes on carrying heartbeats while a state of megabytes crosses a slow
-//! link. A frame holds a complete message, or one chunk of a large one; chunks of one message come in order, and other
-//! messages may come between them.
+//! Divides large messages into chunks, so that heartbeats are still sent while a state of several megabytes crosses a slow
+//! link. A frame contains a complete message or one chunk of a large message. The chunks of a message are sent in order;
+//! other messages may be sent between them.
 
 use crate::error::FrameError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::VecDeque;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// The most bytes of a message: a configuration of 5,000 routes is about 1 MiB, and the registry refuses documents of
-/// more than 8 MiB.
+/// The maximum size of a message. A configuration of 5,000 routes is about 1 MiB, and the registry rejects documents of more
+/// than 8 MiB.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// The most bytes of a message in one frame: 131 ms on a link of 2 Mbit/s.
+/// The maximum payload of a frame (bytes). It takes 131 ms on a link of 2 Mbit/s.
 pub const CHUNK: usize = 32 << 10;
 
-/// The first byte of a frame that is not empty: a complete message, a chunk that others follow, or the last chunk.
+/// The kind of a frame, which is its first byte unless the frame is empty: a complete message, a chunk that is followed by
+/// others, or the last chunk.
 const COMPLETE: u8 = 0;
 const PARTIAL: u8 = 1;
 const LAST: u8 = 2;
-/// The length, and the first byte.
+/// The size of the length and the kind.
 const HEADER_BYTES: usize = 5;
 
-/// Divides received bytes into frames. A frame that is longer than a chunk is an error.
+/// Divides received bytes into frames. A frame that is larger than a chunk is an error.
 pub fn frame_decoder() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(CHUNK + 1).new_codec()
 }
@@ -30,22 +31,22 @@
 pub struct OutgoingMessage {
     /// The encoded message.
     pub payload: Bytes,
-    /// It may overtake other messages.
+    /// Whether it may overtake other messages.
     pub is_urgent: bool,
 }
 
-/// The messages of one connection that wait to be sent.
+/// The queued messages of one connection.
 #[derive(Debug, Default)]
 pub struct SendQueue {
     urgent: VecDeque<Bytes>,
     ordered: VecDeque<Bytes>,
-    /// What is left of the first ordered message, once a chunk of it has been sent.
+    /// The rest of the first ordered message, if some of its chunks have been sent.
     remaining: Option<Bytes>,
 }
 
 impl SendQueue {
-    /// Adds a message. Dropped are an empty one, one that is longer than any receiver accepts, and a large one whose very
-    /// bytes are the last that wait already: it was sent again because no answer came, and would only delay others.
+    /// Adds a message. Empty messages and messages above the maximum size are dropped. So is a large message that is
+    /// identical to the last ordered one in the queue: it was resent because there was no reply, and would only delay others.
     pub fn push(&mut self, message: OutgoingMessage) {
         let OutgoingMessage { payload, is_urgent } = message;
         let is_large = payload.len() > CHUNK;
@@ -61,18 +62,18 @@
         self.ordered.push_back(payload);
     }
 
-    /// Whether nothing waits to be sent.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.urgent.is_empty() && self.ordered.is_empty()
     }
 
-    /// Appends the next frame to `out`. Returns whether there was one.
+    /// Appends the next frame to `out`. Returns `false` if the queue is empty.
     pub fn append_next(&mut self, out: &mut BytesMut) -> bool {
         if let Some(payload) = self.urgent.pop_front() {
             append_frame(out, COMPLETE, &payload);
             return true;
         }
-        let is_begun = self.remaining.is_some();
+        let is_partly_sent = self.remaining.is_some();
         let Some(mut remaining) = self.remaining.take().or_else(|| self.ordered.front().cloned()) else {
             return false;
         };
@@ -80,14 +81,14 @@
             append_frame(out, PARTIAL, &remaining.split_to(CHUNK));
             self.remaining = Some(remaining);
         } else {
-            append_frame(out, if is_begun { LAST } else { COMPLETE }, &remaining);
+            append_frame(out, if is_partly_sent { LAST } else { COMPLETE }, &remaining);
             self.ordered.pop_front();
         }
         true
     }
 }
 
-/// Appends an empty frame: a sign of life of the sender.
+/// Appends an empty frame, which keeps the connection alive.
 pub fn append_keepalive(out: &mut BytesMut) {
     out.put_u32(0);
 }
@@ -99,19 +100,19 @@
     out.put_slice(payload);
 }
 
-/// Puts the messages of one connection together from its frames.
+/// Reassembles the messages of one connection from its frames.
 #[derive(Debug, Default)]
 pub struct Assembler {
-    /// The chunks of a message whose last one has not been received.
+    /// The received chunks of an incomplete message.
     chunks: BytesMut,
 }
 
 impl Assembler {
-    /// Adds the next frame. Returns the message that it completes, if it does.
+    /// Adds the next frame. Returns the message if the frame completes one.
     ///
     /// # Errors
     ///
-    /// If the frame is of an unknown kind, or its message too long: the connection is of no use any more.
+    /// If the frame has an unknown kind or its message is too large. The connection must then be closed.
     pub fn push(&mut self, mut frame: BytesMut) -> Result<Option<Bytes>, FrameError> {
         if frame.is_empty() {
             return Ok(None);
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -1,5 +1,5 @@
-//! Messages as MessagePack. Those with a control state are compressed: it is text that repeats much, and traffic between
-//! zones has a price. [`crate::chunks`] divides the bytes into frames.
+//! The MessagePack encoding of messages. Messages with a control state are compressed, because its text is very repetitive
+//! and traffic between zones is charged for. [`crate::chunks`] divides the bytes into frames.
 //!
 //! ```
 //! use violetyoke_transport::codec::{decode, encode};
@@ -16,14 +16,13 @@
 use bytes::Bytes;
 use serde::{de::DeserializeOwned, Serialize};
 
-/// Messages with a state that have more bytes are compressed.
+/// Messages with a control state are compressed if they are larger than this.
 const MIN_COMPRESSED_BYTES: usize = 4 << 10;
-/// The first byte of a compressed message; no MessagePack value begins with it.
+/// The first byte of a compressed message. No MessagePack value starts with it.
 const COMPRESSED_MARK: u8 = 0xc1;
 
-/// A message between own processes, which has an encoding for each of its values: it consists of integers, strings, byte
-/// strings, addresses, and collections whose length is known, and it derives `Serialize`. Encoding such a value into memory
-/// has no case in which it fails.
+/// A message between processes of the system. Each value of the type must have an encoding. This holds for types that derive
+/// `Serialize` and consist of integers, strings, byte strings, addresses, and collections of known length.
 pub trait Message: Serialize {}
 
 impl Message for StoreRequest {}
@@ -35,17 +34,17 @@
 ///
 /// # Panics
 ///
-/// If the value has no encoding, in breach of what [`Message`] requires of its type.
+/// If the value has no encoding, which violates the contract of [`Message`].
 pub fn encode<M: Message>(message: &M) -> Bytes {
     Bytes::from(encode_message(message))
 }
 
-/// Encodes a message that may carry a control state: compressed, if it is large. Backend lists and memberships go to many
-/// proxies in many versions, and are not worth the time.
+/// Encodes a message that may contain a control state, and compresses it if it is large. Backend lists and memberships are
+/// not compressed: many versions are sent to many proxies, and compression would take too much time.
 ///
 /// # Panics
 ///
-/// If the value has no encoding, in breach of what [`Message`] requires of its type.
+/// If the value has no encoding, which violates the contract of [`Message`].
 pub fn encode_deflated<M: Message>(message: &M) -> Bytes {
     let plain = encode_message(message);
     if plain.len() <= MIN_COMPRESSED_BYTES {
@@ -60,7 +59,7 @@
 fn encode_message<M: Message>(message: &M) -> Vec<u8> {
     match try_encode(message) {
         Ok(bytes) => bytes,
-        // An empty or partial message must not be sent in its place: a peer would wait for it, or misread it.
+        // An empty or partial message must not be sent instead: the peer would wait for the complete one, or misinterpret it.
         Err(error) => unreachable!("a type of message has values without an encoding: {error:?}"),
     }
 }
@@ -78,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// If the bytes are not those of such a message.
+/// If the bytes are not an encoding of the expected type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     match bytes.split_first() {
         Some((&COMPRESSED_MARK, deflated)) => Ok(rmp_serde::from_slice(&inflate(deflated)?)?),
--- a/crates/transport/src/compression.rs
+++ b/crates/transport/src/compression.rs
@@ -1,4 +1,4 @@
-//! Compression of large payloads by deflate: names of routes and hosts repeat much.
+//! Compression of large payloads with deflate. Configurations compress well, as names of routes and hosts are repetitive.
 
 use crate::error::{DecodeError, EncodeError};
 use flate2::read::DeflateDecoder;
@@ -7,10 +7,10 @@
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::io::{self, Read, Write};
 
-/// The most bytes that are inflated from one payload.
+/// The maximum size of an inflated payload.
 const MAX_INFLATED_BYTES: u64 = 32 << 20;
 
-/// A payload within a message: MessagePack, deflated. It is decoded only where it is needed.
+/// A payload within a message: deflated MessagePack. Only receivers that need the value decode it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compressed(#[serde(with = "serde_bytes")] Vec<u8>);
 
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// If the payload is corrupt, too large, or of another type.
+    /// If the payload is corrupt, too large, or not of the expected type.
     pub fn decode<T: DeserializeOwned>(&self) -> Result<T, DecodeError> {
         Ok(rmp_serde::from_slice(&inflate(&self.0)?)?)
     }
@@ -40,18 +40,18 @@
     }
 }
 
-/// Appends the deflated bytes to what is there.
-pub(crate) fn deflate(to: Vec<u8>, plain: &[u8]) -> io::Result<Vec<u8>> {
-    let mut out = DeflateEncoder::new(to, Compression::fast());
-    out.write_all(plain)?;
-    out.finish()
+/// Deflates bytes, and appends the result to `prefix`.
+pub(crate) fn deflate(prefix: Vec<u8>, plain: &[u8]) -> io::Result<Vec<u8>> {
+    let mut encoder = DeflateEncoder::new(prefix, Compression::fast());
+    encoder.write_all(plain)?;
+    encoder.finish()
 }
 
 /// Inflates bytes.
 ///
 /// # Errors
 ///
-/// If they are cut short or corrupt, or inflate to more than any message has.
+/// If the bytes are truncated or corrupt, or inflate to more than the maximum size.
 pub fn inflate(deflated: &[u8]) -> Result<Vec<u8>, DecodeError> {
     let mut plain = Vec::new();
     let mut decoder = DeflateDecoder::new(deflated).take(MAX_INFLATED_BYTES + 1);
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,5 +1,6 @@
-//! Connections between own processes: kept up by the side that opens them, and closed by both sides after a time without
-//! any byte received. Each byte counts as a sign of life, so that a large message on a slow link does not end one.
+//! Connections between processes of the system. The side that opens a connection reopens it whenever it ends. Both sides
+//! close a connection on which they have received no bytes for some time. Every byte counts, so a large message on a slow
+//! link does not cause a time-out.
 
 use crate::chunks::{append_keepalive, frame_decoder, Assembler, OutgoingMessage, SendQueue, CHUNK};
 use crate::error::FrameError;
@@ -15,19 +16,20 @@
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::Decoder;
 
-/// An empty frame is sent after this time without another one.
+/// A keep-alive (an empty frame) is sent if no message was sent for this time.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(300);
-/// A connection on which nothing was received for this time is closed: three keep-alives and their transmission.
+/// A connection on which nothing was received for this time is closed. It covers three keep-alives and their transmission.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(1100);
-/// How long a connection may take to open.
+/// The time-out of an attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Bounds of the exponential backoff between attempts to connect.
 const MIN_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(300);
-/// Bytes written at once; an urgent message waits for no more than these.
+/// The size of a write (bytes). An urgent message waits for at most one write.
 const WRITE_BATCH: usize = CHUNK;
 
-/// Sends on one connection. What is sent after it has ended is lost: the receiver of its events learns of the end.
+/// Sends messages on one connection. Messages that are sent after the connection has ended are lost; its event handler is
+/// notified of the end.
 #[derive(Clone, Debug)]
 pub struct Sender {
     queue: UnboundedSender<OutgoingMessage>,
@@ -35,17 +37,18 @@
 }
 
 impl Sender {
-    /// How long the connection took to open: about the round trip to the peer. Zero where the peer has opened it.
+    /// The time that the connection took to open, which is about the round-trip time to the peer. Zero if the peer has opened
+    /// the connection.
     pub fn connect_time(&self) -> Duration {
         self.connect_time
     }
 
-    /// Sends a message after those that were sent before it.
+    /// Sends a message in order with the others sent by this method.
     pub fn send(&self, payload: Bytes) {
         self.enqueue(OutgoingMessage { payload, is_urgent: false });
     }
 
-    /// Sends a message that may overtake others: a heartbeat does not wait until a large state has crossed the link.
+    /// Sends a message that may overtake others, such as a heartbeat, which must not wait for a large state.
     pub fn send_urgent(&self, payload: Bytes) {
         self.enqueue(OutgoingMessage { payload, is_urgent: true });
     }
@@ -56,23 +59,23 @@
     }
 }
 
-/// Identifies an accepted connection among those of its listener, in the order of acceptance.
+/// Identifies an accepted connection among those of its listener. Numbered in the order of acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What happens on a connection.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum Event {
-    /// It is open; messages go out by the sender.
+    /// The connection is open; messages are sent with the sender.
     Connected(Sender),
     /// A complete message was received.
     Message(Bytes),
-    /// It has ended.
+    /// The connection has ended.
     Disconnected,
 }
 
-/// Maintains a connection to `address`, with exponential backoff between attempts, until the task is aborted. `on_event` is
-/// called with each event.
+/// Maintains a connection to `address`, with exponential backoff between attempts, until the task is aborted. Calls
+/// `on_event` with each event.
 pub async fn maintain(address: SocketAddrV4, on_event: impl Fn(Event) + 'static) {
     let on_event: Rc<dyn Fn(Event)> = Rc::new(on_event);
     let mut backoff = MIN_BACKOFF;
@@ -89,8 +92,8 @@
     }
 }
 
-/// Accepts connections until it is dropped or its task is aborted; all accepted connections end with it. `open` returns the
-/// event handler of a connection.
+/// Accepts connections until the future is dropped or its task is aborted, which also ends all accepted connections. `open`
+/// returns the event handler of a connection.
 pub async fn accept_all<F: Fn(Event) + 'static>(listener: Listener, open: impl Fn(ConnectionId) -> F) {
     let mut connections = JoinSet::new();
     let mut accepted = 0;
@@ -105,7 +108,7 @@
             let on_event: Rc<dyn Fn(Event)> = Rc::new(open(ConnectionId(accepted)));
             connections.spawn_local(async move { run(stream, Duration::ZERO, &on_event).await });
         }
-        // Those that have ended are removed from the set.
+        // Removes the tasks of connections that have ended.
         while connections.try_join_next().is_some() {}
     }
 }
@@ -121,7 +124,7 @@
     on_event(Event::Disconnected);
 }
 
-/// Why a connection has ended. Its owner learns only that it has.
+/// Why a connection has ended. The event handler is notified only of the end, not of the reason.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
     #[error("nothing was received or sent for {} ms", IDLE_TIMEOUT.as_millis())]
@@ -152,20 +155,20 @@
     mut writer: WriteHalf<Stream>,
     mut queue: UnboundedReceiver<OutgoingMessage>,
 ) -> Result<(), ConnectionError> {
-    let mut waiting = SendQueue::default();
+    let mut send_queue = SendQueue::default();
     let mut out = BytesMut::new();
     loop {
-        if waiting.is_empty() {
+        if send_queue.is_empty() {
             match timeout(KEEPALIVE_INTERVAL, queue.recv()).await {
                 Ok(None) => return Ok(()),
-                Ok(Some(message)) => waiting.push(message),
+                Ok(Some(message)) => send_queue.push(message),
                 Err(_) => append_keepalive(&mut out),
             }
         }
         while let Ok(message) = queue.try_recv() {
-            waiting.push(message);
+            send_queue.push(message);
         }
-        while out.len() < WRITE_BATCH && waiting.append_next(&mut out) {}
+        while out.len() < WRITE_BATCH && send_queue.append_next(&mut out) {}
         while !out.is_empty() {
             let written = timeout(IDLE_TIMEOUT, writer.write(&out)).await??;
             if written == 0 {
--- a/crates/transport/src/daemon/command_line.rs
+++ b/crates/transport/src/daemon/command_line.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use violetyoke_api::Settings;
 
-/// The part of the help text that is the same for all daemons.
+/// The part of the help text that all daemons have in common.
 pub(super) const OPTIONS: &str = "
   --settings FILE  settings (default: the file that $VIOLETYOKE_CONFIG names)
   --check          read the settings, say what is wrong with them, and end
@@ -12,26 +12,26 @@
 
 Exit status: 0 fine, 1 it can't run, 2 the command line is wrong.";
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum CommandLine {
-    /// To run the daemon.
+    /// Run the daemon.
     Run {
         /// The settings file.
         settings: PathBuf,
-        /// Only read the settings, and end.
+        /// Whether only to validate the settings.
         check: bool,
     },
-    /// To print the help text.
+    /// Print the help text.
     Help,
 }
 
 impl CommandLine {
-    /// Reads the arguments after the program's name; `default_settings` is the settings file if none is named.
+    /// Parses the arguments after the program's name. `default_settings` is the settings file if the arguments name none.
     ///
     /// # Errors
     ///
-    /// If an argument is unknown or lacks its value, or if there is no settings file.
+    /// If an argument is unknown or lacks its value, or if no settings file is named.
     pub(super) fn parse(
         parser: &mut lexopt::Parser,
         default_settings: Option<PathBuf>,
--- a/crates/transport/src/daemon/mod.rs
+++ b/crates/transport/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! How each daemon starts: its command line, its settings, its log, its one thread, its listeners.
+//! The start of a daemon: its command line, settings, log, single-threaded runtime and listeners.
 
 mod command_line;
 
@@ -16,10 +16,10 @@
 use tokio::task::LocalSet;
 use violetyoke_api::Settings;
 
-/// The exit status if the command line is wrong.
+/// The exit status if the command line is invalid.
 const USAGE_STATUS: u8 = 2;
 
-/// Why the daemon of that name can't run; what is wrong is attached.
+/// The daemon with this name can't run. The reason is attached to the report.
 #[derive(Clone, Copy, Debug)]
 pub struct StartError(pub &'static str);
 
@@ -31,11 +31,11 @@
 
 impl std::error::Error for StartError {}
 
-/// Listens at the address that the settings name in `field`.
+/// Listens on the address from the settings field `field`.
 ///
 /// # Errors
 ///
-/// If the address is missing or can't be listened at: the report names the field.
+/// If the address is missing or can't be listened on. The report names the field.
 pub fn bind(
     program: &'static str,
     address: Option<SocketAddr>,
@@ -46,8 +46,8 @@
     listen(address).change_context(failed).attach_with(|| format!("{field}: {address}"))
 }
 
-/// Runs a daemon until it ends: reads the command line, and the settings that it names, and runs `main` on them. `arguments`
-/// are those after the program's name; errors are reported on standard error.
+/// Runs a daemon until it ends: parses the command line, reads the settings file, and runs `main` with the settings.
+/// `arguments` are the arguments after the program's name. Errors are printed to standard error.
 pub fn run<F>(
     program: &'static str,
     about: &str,
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -1,11 +1,11 @@
-//! Why messages can't be encoded, decoded or read from a connection.
+//! Errors of encoding and decoding messages, and of reading them from a connection.
 
 use std::io;
 
 /// Why a value has no encoding.
 #[derive(Debug, thiserror::Error)]
 pub enum EncodeError {
-    /// The value's own `Serialize` failed, or MessagePack has no form for it.
+    /// The `Serialize` implementation of the value failed, or MessagePack cannot represent it.
     #[error("the value has no MessagePack encoding")]
     Format(#[from] rmp_serde::encode::Error),
     /// The encoded value could not be compressed.
@@ -16,26 +16,27 @@
 /// Why received bytes are not a message of the expected type.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// They are no MessagePack, or of another type.
+    /// The bytes are not MessagePack, or not of the expected type.
     ///
-    /// The text has the cause, because logs print no sources: it names the variant that an older build does not know.
+    /// The text contains the cause, because logs do not print sources. For a variant that this build does not know, the cause
+    /// has its name.
     #[error("the bytes are no message of the expected type: {0}")]
     Format(#[from] rmp_serde::decode::Error),
-    /// They were compressed, and are cut short or corrupt.
+    /// The compressed bytes are truncated or corrupt.
     #[error("the bytes can't be inflated: {0}")]
     Inflate(#[source] io::Error),
-    /// They would inflate to more than any message has.
+    /// The bytes inflate to more than the maximum size.
     #[error("the bytes inflate to more than any message has")]
     TooLarge,
 }
 
-/// Why the frames on a connection do not make up messages.
+/// Why the frames on a connection are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The first byte of a frame is none that we write.
+    /// The first byte of a frame is not a known kind.
     #[error("a frame is of the unknown kind {0}")]
     UnknownKind(u8),
-    /// The chunks of a message add up to more than is accepted.
+    /// The chunks of a message exceed the maximum size.
     #[error("a message is longer than any that is sent")]
     MessageTooLong,
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,13 +1,13 @@
-//! Communication between the system's own processes: stores, registries and proxies.
+//! Communication between the processes of the system: stores, registries and proxies.
 //!
-//! - [`messages`]: the typed messages; [`codec`] and [`compression`] turn them into bytes, [`chunks`] into frames; [`error`]
-//!   says why they could not.
-//! - [`connection`]: connections that are kept up and found dead by a time-out, over the streams of [`net`]; [`peers`]:
-//!   such connections to a set of peers that grows.
-//! - [`daemon`] and [`lifecycle`]: how each process starts, gets new settings and shuts down; [`log`]: its log.
-//! - [`environment`]: what an emulation installs in place of the operating system's network and disks.
+//! - [`messages`]: the typed messages. [`codec`] and [`compression`] encode them, [`chunks`] divides them into frames, and
+//!   [`error`] has the errors of all three.
+//! - [`connection`]: connections that reconnect, and detect dead peers by a time-out, over the streams of [`net`].
+//!   [`peers`]: such connections to a growing set of peers.
+//! - [`daemon`] and [`lifecycle`]: the start of each process, changes of its settings, and its shutdown. [`log`]: its log.
+//! - [`environment`]: replaces the operating system's network and disks in an emulation.
 //!
-//! Nothing is decided here: which message is sent when is up to the crates of the daemons.
+//! The crates of the daemons decide when to send which message.
 
 pub mod chunks;
 pub mod codec;
--- a/crates/transport/src/lifecycle.rs
+++ b/crates/transport/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! What reaches a process beside its connections: its incarnation, new settings, the request to shut down. They come from
-//! the operating system or from an emulation.
+//! The lifecycle of a process: its incarnation, changes of its settings, and the request to shut down. They are provided by
+//! the operating system or by an emulation.
 
 use crate::settings_watcher::SettingsWatcher;
 use std::io;
@@ -9,16 +9,16 @@
 use tokio::task::JoinSet;
 use violetyoke_api::Settings;
 
-/// The receiving ends of one incarnation of a process.
+/// The lifecycle of one incarnation of a process.
 #[derive(Debug)]
 pub struct Lifecycle {
-    /// New settings, while it runs.
+    /// Receives new settings.
     pub settings: UnboundedReceiver<Settings>,
-    /// The request to shut down gracefully (SIGTERM).
+    /// Receives the request to shut down gracefully (SIGTERM).
     pub shutdown: UnboundedReceiver<()>,
     /// A random number that identifies this incarnation.
     pub incarnation: u64,
-    /// The tasks that watch signals and the settings file; they end with this value.
+    /// The tasks that watch signals and the settings file. They are aborted when this is dropped.
     watchers: JoinSet<()>,
 }
 
@@ -27,14 +27,14 @@
 pub struct LifecycleSender {
     /// Sends new settings.
     pub settings: UnboundedSender<Settings>,
-    /// Asks the process to shut down gracefully.
+    /// Sends the request to shut down gracefully.
     pub shutdown: UnboundedSender<()>,
 }
 
-/// Why a process can't begin its lifecycle.
+/// Why the lifecycle of a process can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum LifecycleError {
-    /// The system has no randomness for the incarnation.
+    /// The system can't generate the random incarnation.
     #[error("no random number for this incarnation: {0}")]
     Incarnation(getrandom::Error),
     /// A signal handler can't be installed.
@@ -43,7 +43,7 @@
 }
 
 impl Lifecycle {
-    /// Both ends for one incarnation.
+    /// Creates a lifecycle with its sender.
     pub fn new(incarnation: u64) -> (Lifecycle, LifecycleSender) {
         let (settings_sender, settings) = unbounded_channel();
         let (shutdown_sender, shutdown) = unbounded_channel();
@@ -51,12 +51,12 @@
         (lifecycle, LifecycleSender { settings: settings_sender, shutdown: shutdown_sender })
     }
 
-    /// The lifecycle of this process: a random incarnation, SIGTERM, and changes of the settings file. Has to be called
-    /// within a [`tokio::task::LocalSet`].
+    /// Creates the lifecycle of this process, with a random incarnation, which is notified of SIGTERM and of changes of the
+    /// settings file. Must be called within a [`tokio::task::LocalSet`].
     ///
     /// # Errors
     ///
-    /// If the system gives no randomness, or a signal handler can't be installed.
+    /// If the system can't generate a random number, or a signal handler can't be installed.
     pub fn of_process(
         file: PathBuf,
         settings: Settings,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Sends a request for each signal, until the receiver is dropped.
+/// Sends a shutdown request for each signal, until the receiver is dropped.
 async fn forward(mut terminate: Signal, shutdown: UnboundedSender<()>) {
     while terminate.recv().await.is_some() && shutdown.send(()).is_ok() {}
 }
--- a/crates/transport/src/log.rs
+++ b/crates/transport/src/log.rs
@@ -1,9 +1,9 @@
-//! Logs: counters first, lines only for changes of state; to standard error.
+//! The log of a process, written to standard error. Only changes of state are logged; everything else is counted in metrics.
 
 use slog::{o, Drain, Logger};
 use std::sync::Mutex;
 
-/// The log of one process.
+/// Creates the log of a process.
 pub fn logger(program: &'static str, node: &str) -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
     let drain = slog_term::FullFormat::new(decorator).use_custom_timestamp(|_| Ok(())).build();
--- a/crates/transport/src/net.rs
+++ b/crates/transport/src/net.rs
@@ -1,5 +1,5 @@
-//! Streams and listeners: the operating system's, or those of an emulation that is installed on this thread. A daemon can't
-//! tell them apart, so that whole systems run in virtual time on the code that is shipped.
+//! Streams and listeners of the operating system, or of the emulation that is installed for this thread. Daemons use both in
+//! the same way, so complete systems can run in virtual time with the production code.
 
 use crate::environment::{current, Incoming};
 use std::io::{self, IoSlice};
@@ -11,28 +11,28 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::Mutex;
 
-/// The most connections that wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
 /// A stream of bytes in both directions.
 #[derive(Debug)]
 pub enum Stream {
-    /// The operating system's.
+    /// A stream of the operating system.
     Tcp(TcpStream),
-    /// An emulation's.
+    /// A stream of an emulation.
     Emulated(DuplexStream),
 }
 
-/// Opens a connection. Small writes go out at once.
+/// Opens a connection, and disables Nagle's algorithm so that small writes are sent at once.
 ///
 /// # Errors
 ///
-/// Those of the operating system or the emulation.
-pub async fn connect(to: SocketAddr) -> io::Result<Stream> {
+/// Errors of the operating system or the emulation.
+pub async fn connect(address: SocketAddr) -> io::Result<Stream> {
     match current() {
-        Some(environment) => environment.connect(to).await.map(Stream::Emulated),
+        Some(environment) => environment.connect(address).await.map(Stream::Emulated),
         None => {
-            let stream = TcpStream::connect(to).await?;
+            let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
             Ok(Stream::Tcp(stream))
         }
@@ -40,12 +40,12 @@
 }
 
 impl Stream {
-    /// Ends the connection once sent bytes have not been acknowledged for this time (TCP_USER_TIMEOUT, RFC 5482). An
-    /// emulated stream has no such time.
+    /// Has the connection closed if sent bytes are not acknowledged within this time (TCP_USER_TIMEOUT, RFC 5482). Has no
+    /// effect on emulated streams.
     ///
     /// # Errors
     ///
-    /// If the operating system refuses the option.
+    /// If the operating system rejects the option.
     pub fn set_user_timeout(&self, limit: Duration) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => socket2::SockRef::from(stream).set_tcp_user_timeout(Some(limit)),
@@ -69,39 +69,39 @@
     }
 }
 
-/// Accepts connections at one address.
+/// Accepts connections on one address.
 #[derive(Debug)]
 pub enum Listener {
-    /// The operating system's.
+    /// A listener of the operating system.
     Tcp(tokio::net::TcpListener),
-    /// An emulation's.
+    /// A listener of an emulation.
     Emulated(Mutex<Incoming>),
 }
 
-/// Listens at an address.
+/// Listens on an address.
 ///
 /// # Errors
 ///
-/// Those of the operating system or the emulation.
-pub fn listen(at: SocketAddr) -> io::Result<Listener> {
+/// Errors of the operating system or the emulation.
+pub fn listen(address: SocketAddr) -> io::Result<Listener> {
     if let Some(environment) = current() {
-        return environment.listen(at).map(|incoming| Listener::Emulated(Mutex::new(incoming)));
+        return environment.listen(address).map(|incoming| Listener::Emulated(Mutex::new(incoming)));
     }
-    let socket = match at.ip() {
+    let socket = match address.ip() {
         IpAddr::V4(_) => TcpSocket::new_v4()?,
         IpAddr::V6(_) => TcpSocket::new_v6()?,
     };
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(BACKLOG).map(Listener::Tcp)
 }
 
 impl Listener {
-    /// The next connection, and the address from which it was opened.
+    /// Accepts the next connection, and returns it with the address of the peer.
     ///
     /// # Errors
     ///
-    /// Those of the operating system, or [`io::ErrorKind::NotConnected`] if the emulation has ended.
+    /// Errors of the operating system, or [`io::ErrorKind::NotConnected`] if the emulation has ended.
     pub async fn accept(&self) -> io::Result<(Stream, SocketAddr)> {
         match self {
             Listener::Tcp(listener) => {
@@ -117,8 +117,8 @@
     }
 }
 
-/// Calls the same on whichever connection it is.
-macro_rules! either {
+/// Delegates a call to the underlying stream.
+macro_rules! delegate {
     ($stream:expr, $call:ident $(, $argument:expr)*) => {
         match $stream.get_mut() {
             Stream::Tcp(stream) => Pin::new(stream).$call($($argument),*),
@@ -129,13 +129,13 @@
 
 impl AsyncRead for Stream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        either!(self, poll_read, cx, into)
+        delegate!(self, poll_read, cx, into)
     }
 }
 
 impl AsyncWrite for Stream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        either!(self, poll_write, cx, bytes)
+        delegate!(self, poll_write, cx, bytes)
     }
 
     fn poll_write_vectored(
@@ -143,7 +143,7 @@
         cx: &mut Context<'_>,
         bytes: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        either!(self, poll_write_vectored, cx, bytes)
+        delegate!(self, poll_write_vectored, cx, bytes)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -154,10 +154,10 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        either!(self, poll_flush, cx)
+        delegate!(self, poll_flush, cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        either!(self, poll_shutdown, cx)
+        delegate!(self, poll_shutdown, cx)
     }
 }
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to a set of peers that may grow while a process runs.
+//! Connections to a set of peers, which may grow while a process runs.
 
 use crate::connection::{maintain, Event, Sender};
 use std::collections::BTreeMap;
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use tokio::task::JoinSet;
 
-/// One connection to each peer, opened again whenever it ends. All of them end when this is dropped.
+/// One connection to each peer, which is reopened whenever it ends. All connections are closed when this is dropped.
 ///
-/// The owner gets the events of all connections, and hands those that concern the connection itself back by
-/// [`PeerConnections::connected`] and [`PeerConnections::disconnected`]: so a process whose events go through a queue has a
-/// sender exactly from when it has handled the one event until it has handled the other.
+/// The owner receives the events of all connections. It must report [`Event::Connected`] and [`Event::Disconnected`] back
+/// with [`PeerConnections::connected`] and [`PeerConnections::disconnected`]. A process that queues events thus has a sender
+/// exactly from the time it handles the first event until it handles the second one.
 ///
 /// ```no_run
 /// use bytes::Bytes;
@@ -22,7 +22,7 @@
 ///
 /// # async fn example() {
 /// let (sender, mut events) = unbounded_channel();
-/// // The events end with the process: nothing is lost that anybody could act on.
+/// // The send fails only while the process ends, when events are no longer handled.
 /// let mut peers = PeerConnections::new(7000, move |peer, event| drop(sender.send((peer, event))));
 /// peers.connect_to([Ipv4Addr::new(10, 0, 0, 2), Ipv4Addr::new(10, 0, 0, 3)]);
 /// while let Some((peer, event)) = events.recv().await {
@@ -39,7 +39,7 @@
     port: u16,
     on_event: Rc<dyn Fn(Ipv4Addr, Event)>,
     peers: BTreeMap<Ipv4Addr, Peer>,
-    /// One task for each peer, which runs as long as this value lives.
+    /// One task for each peer. The tasks are aborted when this is dropped.
     tasks: JoinSet<()>,
 }
 
@@ -50,12 +50,13 @@
 }
 
 impl PeerConnections {
-    /// No connections yet. All peers listen at `port`; `on_event` gets each event with the address of its peer.
+    /// Creates a set without peers. All peers listen on `port`. `on_event` is called with each event and the address of its
+    /// peer.
     pub fn new(port: u16, on_event: impl Fn(Ipv4Addr, Event) + 'static) -> PeerConnections {
         PeerConnections { port, on_event: Rc::new(on_event), peers: BTreeMap::new(), tasks: JoinSet::new() }
     }
 
-    /// Begins to maintain a connection to each of these peers that has none. Has to be called within a
+    /// Starts to maintain a connection to each of these peers that does not have one yet. Must be called within a
     /// [`tokio::task::LocalSet`].
     pub fn connect_to(&mut self, peers: impl IntoIterator<Item = Ipv4Addr>) {
         for peer in peers {
@@ -69,14 +70,14 @@
         }
     }
 
-    /// The owner has received [`Event::Connected`] for that peer.
+    /// The owner has received [`Event::Connected`] for a peer.
     pub fn connected(&mut self, peer: Ipv4Addr, sender: Sender) {
         let peer = self.peers.entry(peer).or_default();
         peer.sender = Some(sender);
         peer.generation += 1;
     }
 
-    /// The owner has received [`Event::Disconnected`] for that peer.
+    /// The owner has received [`Event::Disconnected`] for a peer.
     pub fn disconnected(&mut self, peer: Ipv4Addr) {
         if let Some(peer) = self.peers.get_mut(&peer) {
             peer.sender = None;
@@ -88,13 +89,13 @@
         self.peers.get(&peer)?.sender.as_ref()
     }
 
-    /// The senders of all present connections, in the order of their peers' addresses.
+    /// The senders of all present connections, ordered by the addresses of the peers.
     pub fn senders(&self) -> impl Iterator<Item = &Sender> {
         self.peers.values().filter_map(|peer| peer.sender.as_ref())
     }
 
-    /// How many connections to a peer there have been: it tells responses on the present connection from those on an
-    /// earlier one.
+    /// The number of connections to a peer so far. It distinguishes responses on the present connection from those on earlier
+    /// ones.
     pub fn generation(&self, peer: Ipv4Addr) -> u64 {
         self.peers.get(&peer).map_or(0, |peer| peer.generation)
     }
--- a/crates/transport/src/settings_watcher.rs
+++ b/crates/transport/src/settings_watcher.rs
@@ -1,4 +1,4 @@
-//! New settings while a process runs. The file is read anew on SIGHUP, and when its modification time has changed.
+//! Reloads the settings while a process runs: on SIGHUP, and when the modification time of the file has changed.
 
 use slog::{error, info, Logger};
 use std::io;
@@ -9,11 +9,11 @@
 use tokio::time::{interval, Interval, MissedTickBehavior};
 use violetyoke_api::Settings;
 
-/// How often the file's modification time is checked.
+/// The interval at which the modification time of the file is checked.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends the settings each time that their file has other ones which are valid. An invalid file is logged, and the settings
-/// in force stay.
+/// Sends the settings whenever the file has changed and is valid. If the file is invalid, logs the error; the settings in
+/// force stay.
 pub(crate) struct SettingsWatcher {
     path: PathBuf,
     last_modified: Option<SystemTime>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Waits for SIGHUP, or until the file was modified.
+    /// Waits for SIGHUP or for a modification of the file.
     async fn wait_for_change(&mut self) {
         loop {
             tokio::select! {
@@ -78,7 +78,7 @@
     }
 }
 
-/// The file's modification time; none if there is no such file.
+/// The modification time of a file; `None` if the file does not exist.
 fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
