--- a/crates/transport/src/messages/backends.rs
+++ b/crates/transport/src/messages/backends.rs
@@ -1,59 +1,59 @@
-//! The list of backends, as registries have it from the platform.
+//! The list of backends, which registries request from the platform.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// Identifies the content of a backend list. Encoded as the number alone.
+/// Identifies the content of a backend list. Encoded as a plain number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ListDigest(pub u64);
 
 impl ListDigest {
-    /// Stands for having no list.
+    /// The digest of a receiver without a list.
     pub const NONE: ListDigest = ListDigest(0);
 }
 
-/// The platform's list of backends, as it was some time ago.
+/// The platform's list of backends at some time in the past.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BackendList {
     /// Identifies the content.
     pub digest: ListDigest,
-    /// How long ago it was polled for (ms).
+    /// The time since the list was requested from the platform (ms).
     pub age_ms: u64,
-    /// All backends, by id.
+    /// All backends, ordered by id.
     pub backends: Vec<Backend>,
 }
 
-/// A backend, as the platform lists it.
+/// A backend in the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
-    /// The platform's name of the instance.
+    /// The platform's id of the instance.
     pub id: String,
-    /// The service that it serves.
+    /// The name of its service.
     pub service: String,
-    /// Where it accepts requests.
+    /// The address on which it accepts requests.
     pub address: SocketAddrV4,
     /// The zone of its machine.
     pub zone: String,
-    /// How many requests it can process at once.
+    /// The number of requests that it can process at once.
     pub slots: u32,
-    /// It is about to shut down, and accepts no further requests.
+    /// Whether it is about to shut down and accepts no further requests.
     pub draining: bool,
-    /// How much longer its slow start lasts, counted from when the list was polled for (ms).
+    /// The remaining time of its slow start when the list was requested (ms).
     pub slow_start_left_ms: u64,
 }
 
-/// What changed from one list to another.
+/// The difference between two backend lists.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BackendListChange {
-    /// The list to which the change is to be applied.
+    /// The digest of the list to which the change applies.
     pub from: ListDigest,
-    /// The list to which it leads.
+    /// The digest of the resulting list.
     pub digest: ListDigest,
-    /// How long ago that list was polled for (ms).
+    /// The time since the resulting list was requested from the platform (ms).
     pub age_ms: u64,
-    /// Backends that are new or changed.
+    /// New and changed backends.
     pub upserted: Vec<Backend>,
-    /// Ids of backends that left the list.
+    /// The ids of removed backends.
     pub removed: Vec<String>,
 }
--- a/crates/transport/src/messages/control.rs
+++ b/crates/transport/src/messages/control.rs
@@ -7,76 +7,77 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// From a registry to a store.
+/// A message from a registry to a store.
 ///
-/// Variants keep the names under which builds up to 0.2 encode them: an upgrade mixes both.
+/// Renamed variants keep the encoded names of builds up to 0.2, as an upgrade mixes both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
     /// Subscribes to states that are newer than `known`.
     Watch {
-        /// The registry that sends it.
+        /// The address of the sender.
         registry: Ipv4Addr,
-        /// The newest revision that it has.
+        /// The newest revision that the sender has.
         known: Revision,
     },
     /// Executes a command.
     #[serde(rename = "Do")]
     Execute {
-        /// Repeated in the reply. A registry uses each once in one incarnation, also for a command that it repeats.
+        /// Repeated in the reply. Within one incarnation, a registry uses each id once; a command that is sent again gets a new
+        /// one.
         request_id: u64,
-        /// What is to be executed.
+        /// The command.
         command: Command,
     },
-    /// A message between stores, which share the port.
+    /// A message between stores, which use the same port.
     Envelope(Envelope),
     /// A proxy's request about an operation.
     Operation {
         /// Repeated in the reply.
         request_id: u64,
-        /// What the proxy asks or reports.
+        /// The request.
         request: OperationRequest,
     },
     /// A message between stores about operations.
     Replication {
         /// The sender.
         from: StoreNode,
-        /// What it sends.
+        /// The message.
         message: OperationMessage,
     },
 }
 
-/// From a store to a registry.
+/// A message from a store to a registry.
 ///
-/// Variants keep the names under which builds up to 0.2 encode them.
+/// Renamed variants keep the encoded names of builds up to 0.2.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// How the store stands; sent at each change.
+    /// The status of the store; sent at each change.
     Status {
-        /// The epoch that it is in.
+        /// The present epoch of the store.
         epoch: Epoch,
-        /// It is the leader of that epoch, and in contact with all data replicas.
+        /// Whether the store is the leader of that epoch and in contact with all data replicas.
         is_leader: bool,
-        /// The newest owners of quota counters that it knows.
+        /// The newest owners of quota counters that the store knows.
         shard_owners: ShardOwners,
-        /// The addresses of all stores that it knows.
+        /// The addresses of all stores that the store knows.
         stores: Vec<Ipv4Addr>,
     },
     /// A newer control state.
     #[serde(rename = "News")]
     State(ControlState),
-    /// The reply to a [`StoreRequest::Execute`], on the connection on which it came.
+    /// The reply to a [`StoreRequest::Execute`], sent on the connection of the request.
     #[serde(rename = "Done")]
     Completed {
         /// The id of the request.
         request_id: u64,
-        /// What became of the command.
+        /// The result of the command.
         outcome: Outcome,
     },
-    /// The reply to a [`StoreRequest::Operation`], on the connection on which it came.
+    /// The reply to a [`StoreRequest::Operation`], sent on the connection of the request.
     Operation {
         /// The id of the request.
         request_id: u64,
-        /// The answer.
+        /// The reply.
         reply: OperationReply,
     },
 }
--- a/crates/transport/src/messages/mod.rs
+++ b/crates/transport/src/messages/mod.rs
@@ -1,9 +1,9 @@
 //! The messages between stores, registries and proxies.
 //!
-//! They are MessagePack: structs are encoded by the position of their fields, and enums by the names of their variants. An
-//! upgrade mixes builds, so fields keep their order, and a variant that is renamed keeps its encoded name by
-//! `#[serde(rename = "...")]`; the golden tests hold this. Times are sent as ages, so that no two machines' clocks are
-//! compared.
+//! They are encoded as MessagePack: structs by the position of their fields, enums by the names of their variants. During an
+//! upgrade, processes of different builds communicate. Fields must therefore keep their order, and a variant that is renamed
+//! must keep its encoded name with `#[serde(rename = "...")]`; the golden tests check this. Times are sent as ages, because
+//! the clocks of different machines must not be compared.
 
 mod backends;
 mod control;
--- a/crates/transport/src/messages/operations.rs
+++ b/crates/transport/src/messages/operations.rs
@@ -1,35 +1,36 @@
-//! Messages about operations: requests with a key, which are executed once however often they are sent.
+//! Messages about operations: requests with an idempotency key, which are executed at most once, no matter how often they
+//! are sent.
 //!
-//! A proxy claims an operation before it sends the request to a backend, and reports how it ended. Claims go by a registry
-//! to the leading store, which answers once a majority of the voting stores has the claim on disk. The response stays at the
-//! proxy that received it, where the proxy of a repeat reads it by way of a registry.
+//! A proxy claims an operation before it sends the request to a backend, and reports the end of the operation. Registries
+//! forward claims to the leading store, which replies once a majority of the voting stores has written the claim to disk.
+//! The proxy that received the response keeps it; a proxy that receives a repeat reads it through a registry.
 
 use super::Epoch;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Identifies an operation: of the same tenant, requests with the same key are one operation, on whichever route.
+/// Identifies an operation. Requests of the same tenant with the same key are one operation, even on different routes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationKey {
-    /// The tenant's name; empty where a request needs no tenant.
+    /// The tenant's name; empty if the request needs no tenant.
     pub tenant: String,
-    /// The value of the client's operation key header.
+    /// The value of the operation key header of the request.
     pub key: String,
 }
 
-/// Who holds a claim: one request at one incarnation of a proxy.
+/// The holder of a claim: one request at one incarnation of a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimHolder {
     /// The random incarnation of the proxy's process.
     pub incarnation: u64,
-    /// Counts the claims of that process.
+    /// The number of the request among the claims of that process.
     pub request: u64,
 }
 
-/// Numbers the claims: a later claim of the same operation has a higher one.
+/// Orders claims: a later claim of the same operation has a higher id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The epoch of the leading store that made it.
+    /// The epoch of the leading store that granted the claim.
     pub epoch: Epoch,
     /// The number of the claim within the epoch.
     pub sequence: u64,
@@ -41,12 +42,12 @@
     }
 }
 
-/// A backend's response, as a repeat of its request gets it.
+/// A backend's response, recorded for repeats of its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecordedResponse {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The fields that are forwarded, without the attempt's id; names in lower case.
+    /// The forwarded header fields, without the id of the attempt.
     pub headers: Vec<RecordedField>,
     /// The complete body.
     #[serde(with = "serde_bytes")]
@@ -63,69 +64,69 @@
     pub value: Vec<u8>,
 }
 
-/// How an operation stands. The order is that in which one replaces another under the same claim.
+/// The state of an operation. Under the same claim, a state is replaced only by one that is listed after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OperationState {
-    /// Its holder may execute it.
+    /// The holder of the claim may execute the operation.
     Claimed,
-    /// Its holder has not executed it and never will: it may be claimed again.
+    /// The holder has not executed the operation and never will. The operation may be claimed again.
     Released,
-    /// It may have been executed, and there is no response.
+    /// The operation may have been executed, and there is no response.
     Unknown,
-    /// It was executed to its end: its holder has the response, if anyone has.
+    /// The operation was executed completely. The holder may have the response.
     Executed,
 }
 
-/// What a store keeps of an operation.
+/// A store's record of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OperationRecord {
-    /// Which operation.
+    /// The key of the operation.
     pub key: OperationKey,
-    /// The newest claim of it.
+    /// The newest claim of the operation.
     pub claim: ClaimId,
-    /// Who holds or held that claim.
+    /// The holder of that claim.
     pub holder: ClaimHolder,
-    /// How long the holder may take from the claim on (ms).
+    /// The time-out of the claim (ms).
     pub timeout_ms: u32,
-    /// How much longer the record is kept (ms).
+    /// The remaining time for which the record is kept (ms).
     pub keep_ms: u32,
-    /// How it stands.
+    /// The state of the operation.
     pub state: OperationState,
 }
 
-/// From a proxy, by a registry, to the leading store.
+/// A request from a proxy, which a registry forwards to the leading store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationRequest {
     /// Claims an operation. The same claim of the same holder may be sent again.
     Claim {
-        /// Which operation.
+        /// The key of the operation.
         key: OperationKey,
-        /// Who claims it.
+        /// The holder of the claim.
         holder: ClaimHolder,
-        /// How long the holder may take from now on (ms).
+        /// The time-out of the claim from now on (ms).
         timeout_ms: u32,
-        /// The service keeps its own record of keys: an operation of unknown outcome may be executed again.
+        /// Whether the service keeps its own record of keys, so that an operation of unknown outcome may be executed again.
         is_self_deduplicating: bool,
     },
-    /// The holder has executed the operation to its end. May be sent again.
+    /// The holder has executed the operation completely. May be sent again.
     Complete {
-        /// Which operation.
+        /// The key of the operation.
         key: OperationKey,
-        /// Who held it.
+        /// The holder of the claim.
         holder: ClaimHolder,
     },
     /// The holder may have executed the operation, and there is no response. May be sent again.
     Abandon {
-        /// Which operation.
+        /// The key of the operation.
         key: OperationKey,
-        /// Who held it.
+        /// The holder of the claim.
         holder: ClaimHolder,
     },
-    /// The holder has not executed the operation and never will. May be sent again, and before the claim arrives.
+    /// The holder has not executed the operation and never will. May be sent again, and may arrive before the claim.
     Release {
-        /// Which operation.
+        /// The key of the operation.
         key: OperationKey,
-        /// Who held it, or would have.
+        /// The holder of the claim.
         holder: ClaimHolder,
     },
 }
@@ -133,26 +134,26 @@
 /// The reply to an [`OperationRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationReply {
-    /// The holder may execute the operation, and no other may: a majority of the stores has the claim on disk.
+    /// The holder, and no other, may execute the operation: a majority of the stores has the claim on disk.
     Granted {
-        /// The regions of the core machines, by which a response reaches the proxy of a repeat; an empty name where a
-        /// region is not known.
+        /// The regions of the core machines, through which a response reaches a proxy that receives a repeat. The name is
+        /// empty if a region is unknown.
         store_regions: Vec<String>,
     },
-    /// Another holder is executing it.
+    /// Another holder is executing the operation.
     InProgress {
-        /// When it ends at the latest (ms).
+        /// The time after which the other claim has certainly ended (ms).
         retry_after_ms: u32,
     },
-    /// It was executed before, and this holder received the response.
+    /// The operation was executed by an earlier holder, which received the response.
     Executed {
-        /// Who held the claim.
+        /// The earlier holder.
         holder: ClaimHolder,
     },
-    /// It may have been executed before, and there is no response.
+    /// The operation may have been executed before, and there is no response.
     Unknown,
-    /// The end of an operation is recorded.
+    /// The end of an operation has been recorded.
     Recorded,
-    /// Nothing was decided: no store leads at present, or there is no space for another record.
+    /// There is no decision, because there is no leading store or no space for another record.
     Unavailable,
 }
--- a/crates/transport/src/messages/proxies.rs
+++ b/crates/transport/src/messages/proxies.rs
@@ -11,37 +11,37 @@
 use std::hash::Hasher;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A proxy, as it reports itself to registries.
+/// What a proxy announces of itself to registries.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Session {
-    /// Its name, unique among all proxies.
+    /// The name of the proxy, which is unique among all proxies.
     pub node: String,
-    /// Where it accepts the requests of clients.
+    /// The address on which it accepts requests of clients.
     pub front_address: SocketAddrV4,
     /// The zone of its machine.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// Whether clients may be directed to it: it has started up, and does not shut down.
+    /// Whether clients may be directed to it: it has started completely, and is not shutting down.
     pub is_ready: bool,
 }
 
-/// From a proxy to a registry.
+/// A message from a proxy to a registry.
 ///
-/// Variants keep the names under which builds up to 0.2 encode them: an upgrade mixes both.
+/// Renamed variants keep the encoded names of builds up to 0.2, as an upgrade mixes both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProxyRequest {
-    /// Opens the session, or changes what was said of the proxy.
+    /// Opens the session, or updates it.
     Hello(Session),
-    /// Reports what the proxy has, and asks for what is newer.
+    /// Reports which state the proxy has, and requests newer state.
     Poll {
-        /// Its control state.
+        /// The revision of the proxy's control state.
         revision: Revision,
-        /// Its backend list.
+        /// The digest of the proxy's backend list.
         backend_list: ListDigest,
-        /// Its membership from this registry.
+        /// The digest of the membership that the proxy has from this registry.
         membership: MembershipDigest,
-        /// This registry is to send updates at once; the others follow later, and only if it has not.
+        /// Whether this registry is to send updates at once. The other registries send them later, if they are still needed.
         is_primary: bool,
     },
     /// Counts one request of a tenant.
@@ -51,43 +51,44 @@
         request_id: u32,
         /// The tenant's name.
         tenant: String,
-        /// That of the assignment by which this registry owns the tenant's counter.
+        /// The token of the assignment by which this registry owns the tenant's counter.
         fencing_token: Revision,
     },
-    /// A key or a route is not known to the proxy: is there a newer state than `known`? Answered in any case.
+    /// Queries whether there is a newer state than `known`, because the proxy does not know a key or a route. Always
+    /// answered.
     #[serde(rename = "Newer")]
     CheckFreshness {
         /// Repeated in the reply.
         request_id: u32,
-        /// The proxy's control state.
+        /// The revision of the proxy's control state.
         known: Revision,
     },
-    /// What this proxy admitted of a tenant in its last two windows, for an owner that is new to the counter.
+    /// The number of requests of a tenant that this proxy admitted in the last two windows, for a new owner of the counter.
     #[serde(rename = "Tell")]
     TransferCount {
         /// The tenant's name.
         tenant: String,
-        /// That of the assignment by which this registry owns the tenant's counter.
+        /// The token of the assignment by which this registry owns the tenant's counter.
         fencing_token: Revision,
-        /// Requests in the window at hand.
+        /// The number of requests in the current window.
         current: u32,
-        /// Requests in the window before.
+        /// The number of requests in the previous window.
         previous: u32,
     },
-    /// About an operation: the registry passes it to the leading store.
+    /// A request about an operation, which the registry forwards to the leading store.
     Operation {
         /// Repeated in the reply.
         request_id: u32,
-        /// What the proxy asks or reports.
+        /// The request.
         request: OperationRequest,
     },
-    /// The claims of this incarnation are this proxy's: it has the responses to its operations.
+    /// The proxy's incarnation. The proxy has the responses to operations whose claims have this incarnation.
     HolderIncarnation(u64),
-    /// Asks for the response to an operation that another proxy executed.
+    /// Reads the response to an operation that another proxy executed.
     ReadResponse {
         /// Repeated in the reply.
         request_id: u32,
-        /// The claim under which it was executed.
+        /// The holder of the claim under which it was executed.
         holder: ClaimHolder,
     },
     /// The reply to a [`ProxyReply::ReadResponse`].
@@ -99,9 +100,9 @@
     },
 }
 
-/// From a registry to a proxy.
+/// A message from a registry to a proxy.
 ///
-/// Variants keep the names under which builds up to 0.2 encode them.
+/// Renamed variants keep the encoded names of builds up to 0.2.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProxyReply {
     /// The full control state.
@@ -109,19 +110,19 @@
     FullState {
         /// The state's revision.
         revision: Revision,
-        /// The zones to which no requests are to be sent.
+        /// The evacuated zones, to which no requests must be sent.
         evacuated: BTreeSet<String>,
         /// A [`violetyoke_api::Configuration`].
         configuration: Compressed,
     },
-    /// What changed since the control state that the proxy has.
+    /// A change of the control state that the proxy has.
     #[serde(rename = "Change")]
     StateChange {
-        /// The revision to which the change is to be applied.
+        /// The revision to which the change applies.
         from: Revision,
-        /// The revision to which it leads.
+        /// The resulting revision.
         revision: Revision,
-        /// The zones to which no requests are to be sent.
+        /// The evacuated zones, to which no requests must be sent.
         evacuated: BTreeSet<String>,
         /// A [`violetyoke_api::change::ConfigurationChange`].
         change: Compressed,
@@ -137,7 +138,7 @@
     /// The full list of backends.
     #[serde(rename = "List")]
     BackendList(BackendList),
-    /// What changed since the list that the proxy has.
+    /// A change of the list that the proxy has.
     #[serde(rename = "ListChange")]
     BackendListChange(BackendListChange),
     /// The proxies, registries and owners of counters.
@@ -147,10 +148,10 @@
     Counted {
         /// The id of the request.
         request_id: u32,
-        /// If the request is over the limit: the time after which another may be admitted.
+        /// If the request is over the limit, the time after which another one may be admitted (ms).
         retry_ms: Option<u32>,
     },
-    /// The reply to a [`ProxyRequest::Increment`] if this registry does not own the counter of that tenant.
+    /// The reply to a [`ProxyRequest::Increment`] if this registry does not own the tenant's counter.
     #[serde(rename = "NotMine")]
     NotOwner {
         /// The id of the request.
@@ -160,34 +161,34 @@
     Operation {
         /// The id of the request.
         request_id: u32,
-        /// The answer.
+        /// The reply.
         reply: OperationReply,
-        /// The machine of the leading store, as far as the registry knows: to ask the registry there saves a hop.
+        /// The machine of the leading store, if the registry knows it. Requests to the registry on that machine save a hop.
         leader: Option<Ipv4Addr>,
     },
-    /// Asks for the response to an operation that this proxy executed: another proxy got a repeat of it.
+    /// Reads the response to an operation that this proxy executed, because another proxy received a repeat.
     ReadResponse {
         /// Repeated in the reply.
         request_id: u64,
-        /// The claim under which it was executed.
+        /// The holder of the claim under which it was executed.
         holder: ClaimHolder,
     },
     /// The reply to a [`ProxyRequest::ReadResponse`].
     Response {
         /// The id of the request.
         request_id: u32,
-        /// The response; `None` where its holder does not have it any more, or can't be asked.
+        /// The response; `None` if its holder no longer has it or can't be reached.
         response: Option<RecordedResponse>,
     },
 }
 
-/// Identifies the content of a membership, among those of one registry. Encoded as the number alone.
+/// Identifies the content of a membership, among those of one registry. Encoded as a plain number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MembershipDigest(pub u64);
 
 impl MembershipDigest {
-    /// Stands for having no membership.
+    /// The digest of a receiver without a membership.
     pub const NONE: MembershipDigest = MembershipDigest(0);
 }
 
@@ -198,34 +199,34 @@
     pub digest: MembershipDigest,
     /// The ids of all proxies ([`proxy_id`]), in ascending order.
     pub proxies: Vec<u32>,
-    /// All registries that the sender knows of, connected or not.
+    /// All registries that the sender knows, connected or not.
     pub registries: Vec<Ipv4Addr>,
-    /// The sender is connected to more than half of the registries: it is not the one that is partitioned.
+    /// Whether the sender is connected to more than half of the registries, and so is not partitioned.
     pub in_contact: bool,
     /// The owners of the quota counters.
     pub shard_owners: ShardOwners,
-    /// The newest control state that the registry has; no part of the digest.
+    /// The revision of the newest control state that the sender has. It is not part of the digest.
     pub newest: Revision,
 }
 
 impl Membership {
-    /// The part of which proxies learn without delay.
+    /// The part whose changes are sent to proxies without delay.
     pub fn ownership(&self) -> Ownership {
         Ownership { in_contact: self.in_contact, fencing_token: self.shard_owners.fencing_token }
     }
 }
 
-/// Which assignment of quota counters a registry reports, and whether it is in contact with the core. Part of a
-/// [`Membership`]; not a message of its own.
+/// The assignment of quota counters that a registry reports, and whether the registry is in contact with a majority of the
+/// registries. A part of a [`Membership`], not a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ownership {
-    /// That of the membership.
+    /// [`Membership::in_contact`].
     pub in_contact: bool,
-    /// That of the owners.
+    /// The token of [`Membership::shard_owners`].
     pub fencing_token: Revision,
 }
 
-/// The id of the proxy with that name: the same in every process and every build.
+/// The id of the proxy with a name. It is the same in every process and every build.
 pub fn proxy_id(name: &str) -> u32 {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
--- a/crates/transport/src/messages/registries.rs
+++ b/crates/transport/src/messages/registries.rs
@@ -4,24 +4,24 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// From a registry to another: what only the sender knows.
+/// A message from one registry to another, with information that only the sender has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender's address.
+    /// The address of the sender.
     pub from: Ipv4Addr,
     /// The proxies that have a session with the sender.
     pub sessions: Vec<Session>,
-    /// The ids of proxies whose sessions have ended of late.
+    /// The ids of proxies whose sessions have recently ended.
     pub partitioned: Vec<u32>,
-    /// The newest list, or one without backends that reports the last one as still current.
+    /// The newest backend list. If the list has not changed since the last message, it is sent without backends.
     pub backends: Option<BackendList>,
 }
 
-/// What a registry receives on its internal port.
+/// A message to a registry's internal port.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RegistryRequest {
-    /// From a proxy.
+    /// A message from a proxy.
     Proxy(ProxyRequest),
-    /// From another registry.
+    /// A message from another registry.
     Registry(Gossip),
 }
--- a/crates/transport/src/messages/replication.rs
+++ b/crates/transport/src/messages/replication.rs
@@ -12,70 +12,71 @@
     pub number: u64,
 }
 
-/// What a store has in a bucket: equal records have equal digests.
+/// The digest of a bucket at a store. Buckets with equal records have equal digests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BucketDigest {
-    /// Which bucket.
+    /// The bucket.
     pub bucket: BucketId,
-    /// A digest of its records, whatever their order.
+    /// A digest of its records, independent of their order.
     pub digest: u64,
 }
 
 /// All records of a bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BucketContents {
-    /// Which bucket.
+    /// The bucket.
     pub bucket: BucketId,
     /// Its records.
     pub records: Vec<OperationRecord>,
 }
 
-/// From a store to another, about operations. Receivers act on none of an epoch other than the one that they promised.
+/// A message from one store to another about operations. Receivers ignore messages of an epoch other than the one that they
+/// have promised.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OperationMessage {
     /// The leader replicates new and changed records.
     Append {
         /// The leader's epoch.
         epoch: Epoch,
-        /// Numbers the batches of the epoch: 1, 2, 3 and so on.
+        /// The number of the batch within the epoch, starting with 1.
         batch: u64,
         /// The records.
         records: Vec<OperationRecord>,
     },
-    /// The receiver of a batch has it on its disk.
+    /// The receiver has written a batch to its disk.
     Appended {
         /// The epoch of the batch.
         epoch: Epoch,
-        /// Which batch.
+        /// The number of the batch.
         batch: u64,
     },
-    /// A new leader asks a voter what it has.
+    /// A new leader requests the digests of a voter.
     ReadDigests {
         /// The leader's epoch.
         epoch: Epoch,
     },
-    /// What a voter has. It takes no batch of a lower epoch any more.
+    /// The digests of a voter, which from now on accepts no batches of lower epochs.
     Digests {
         /// The leader's epoch.
         epoch: Epoch,
         /// All buckets that have records.
         digests: Vec<BucketDigest>,
     },
-    /// A new leader asks a voter for records.
+    /// A new leader requests records of a voter.
     ReadBuckets {
         /// The leader's epoch.
         epoch: Epoch,
         /// The buckets.
         buckets: Vec<BucketId>,
     },
-    /// The records that a new leader has asked for.
+    /// The records that a new leader has requested.
     Buckets {
         /// The leader's epoch.
         epoch: Epoch,
         /// The buckets.
         contents: Vec<BucketContents>,
     },
-    /// The leader tells a store what it has, so that the store asks for what it lacks.
+    /// The leader sends its digests to a store, so that the store can request the buckets that differ.
     Offer {
         /// The leader's epoch.
         epoch: Epoch,
@@ -84,14 +85,15 @@
         /// All buckets that have records.
         digests: Vec<BucketDigest>,
     },
-    /// A store lacks records of the leader's.
+    /// A store requests buckets that differ from the leader's.
     Wanted {
         /// The leader's epoch.
         epoch: Epoch,
         /// Some of the buckets that differ.
         buckets: Vec<BucketId>,
     },
-    /// What the leader has in those buckets: the receiver drops what else it has in them, unless it has a newer batch.
+    /// The leader's records in the requested buckets. The receiver drops all other records in them, unless they are from a newer
+    /// batch.
     Fill {
         /// The leader's epoch.
         epoch: Epoch,
@@ -100,14 +102,14 @@
         /// The buckets.
         contents: Vec<BucketContents>,
     },
-    /// A store has all that was offered on its disk.
+    /// A store has all offered records on its disk.
     Synced {
         /// The leader's epoch.
         epoch: Epoch,
-        /// That of the offer.
+        /// The newest batch of the offer.
         through: u64,
     },
-    /// A store takes nothing of a leader, because it has promised a higher epoch.
+    /// A store rejects the messages of a leader, because it has promised a higher epoch.
     Rejected {
         /// The leader's epoch.
         epoch: Epoch,
--- a/crates/transport/src/messages/state.rs
+++ b/crates/transport/src/messages/state.rs
@@ -7,7 +7,8 @@
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
 
-/// Numbers the replica sets of the stores, and thereby the times in which one store leads. 0 is before the first.
+/// The number of a replica set of the stores, and so of the period in which one store leads. 0 is the time before the first
+/// replica set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
@@ -36,8 +37,8 @@
     }
 }
 
-/// The version of the replicated control state, in its total order: the leader of a higher epoch knows all that a lower
-/// epoch acknowledged, and counts its writes by `sequence`.
+/// The version of the replicated control state. Revisions are totally ordered: the leader of a higher epoch has all writes
+/// that were acknowledged in lower epochs, and numbers its own writes with `sequence`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision {
     /// The epoch of the leader that wrote the state.
@@ -46,18 +47,18 @@
     pub sequence: u64,
 }
 
-/// The replicated control state: the newest configuration, as its operator sent it, and the evacuated zones.
+/// The replicated control state: the newest configuration, as the operator sent it, and the evacuated zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Identifies this state, and orders it among all others.
+    /// Identifies and orders the states.
     pub revision: Revision,
-    /// The version of the configuration, as its operator numbers it; 0 before the first.
+    /// The version of the configuration, which the operator assigns; 0 before the first configuration.
     pub version: u64,
-    /// The configuration, byte by byte; empty before the first.
+    /// The text of the configuration, exactly as the operator sent it; empty before the first configuration.
     pub text: String,
-    /// The zones to which no requests are to be sent.
+    /// The evacuated zones, to which no requests must be sent.
     pub evacuated: BTreeSet<String>,
-    /// Which text was accepted under which version. Last, and absent in files written before it existed.
+    /// The texts that were accepted, by version. Must be the last field, as it is absent in files of older builds.
     #[serde(default)]
     pub accepted: AcceptedVersions,
 }
@@ -65,26 +66,26 @@
 /// Whether a configuration with a given version and text was accepted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
-    /// This very text was accepted under this version.
+    /// The same text was accepted under this version.
     SameText,
     /// Another text was accepted under this version.
     OtherText,
-    /// Nothing is known about the version: it was never accepted, or it is older than the history reaches.
+    /// The version was never accepted, or is older than the history.
     Unknown,
 }
 
-/// The digests of accepted configurations by version: the newest [`AcceptedVersions::LIMIT`] of them.
+/// The history of accepted configurations: the digests of the newest [`AcceptedVersions::LIMIT`] of them, by version.
 ///
-/// Texts are compared byte by byte (through a 64-bit digest): an operator repeats a command unchanged, so a command whose
-/// bytes differ is another command, even if it means the same.
+/// Texts are compared by their bytes (with a 64-bit digest). A command that an operator repeats has the same bytes, so a
+/// command with other bytes is a different one, even if its meaning is the same.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptedVersions(BTreeMap<u64, u64>);
 
 impl AcceptedVersions {
-    /// The most versions that are remembered: about 3 kB with each state that is sent.
+    /// The maximum number of versions in the history, which adds about 3 kB to each state that is sent.
     pub const LIMIT: usize = 256;
 
-    /// Compares a text with what was accepted under `version`.
+    /// Compares a text with the one that was accepted under `version`.
     pub fn find(&self, version: u64, text: &str) -> Acceptance {
         match self.0.get(&version) {
             None => Acceptance::Unknown,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Remembers a text under `version`; the oldest version is forgotten if there are too many. Returns whether this
-    /// one is remembered: a version older than a full history is not.
+    /// Adds a text under `version`, and removes the oldest version if there are too many. Returns whether the new version is
+    /// in the history, which it is not if the history is full of newer versions.
     pub fn insert(&mut self, version: u64, text: &str) -> bool {
         self.0.insert(version, digest_of(text));
         if self.0.len() > Self::LIMIT {
@@ -105,16 +106,16 @@
 }
 
 fn digest_of(text: &str) -> u64 {
-    // Without keys: all builds and all machines have to agree on a digest.
+    // Without keys, so that the digest is the same in all builds and on all machines.
     let mut hasher = SipHasher13::new();
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
 impl ControlState {
-    /// Whether a configuration has been accepted by now.
+    /// Whether a configuration has been accepted before.
     pub fn acceptance(&self, version: u64, text: &str) -> Acceptance {
-        // A state written before there was a history has the text alone.
+        // A state that was written by a build without the history has only the text.
         match self.accepted.find(version, text) {
             Acceptance::Unknown if version == self.version && !self.text.is_empty() => {
                 if text == self.text {
@@ -123,7 +124,7 @@
                     Acceptance::OtherText
                 }
             }
-            known => known,
+            acceptance => acceptance,
         }
     }
 
@@ -133,13 +134,13 @@
     }
 }
 
-/// The registries that own the tenants' quota counters. The token fences off increments of an earlier assignment: it
-/// begins with the epoch of the store that published it.
+/// The registries that own the tenants' quota counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardOwners {
-    /// Orders assignments: a newer one has a greater token.
+    /// Orders assignments: a newer one has a greater token. Owners reject increments with the token of an earlier assignment.
+    /// The token starts with the epoch of the store that published the assignment.
     pub fencing_token: Revision,
-    /// Among which the tenants are divided; each proxy and registry computes the same division.
+    /// The registries to which the tenants are assigned. Each proxy and registry computes the same assignment.
     pub registries: Vec<Ipv4Addr>,
 }
 
@@ -153,28 +154,28 @@
         /// The configuration, as its operator sent it.
         text: String,
     },
-    /// Begins or ends the evacuation of a zone.
+    /// Starts or ends the evacuation of a zone.
     Evacuate {
         /// The name of the zone.
         zone: String,
-        /// Whether the zone is to be left empty.
+        /// Whether the zone is evacuated.
         empty: bool,
     },
     /// Reads the state in force.
     Read,
 }
 
-/// The result of a command. All but `NotLeader` are given after contact with all data replicas that followed the arrival
-/// of the command.
+/// The result of a command. All results except `NotLeader` are returned only after the leader has contacted all data replicas
+/// since the command arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The command's effect is on the disks of all data replicas.
+    /// The effect of the command is on the disks of all data replicas.
     Acknowledged,
     /// The state in force.
     Read(ControlState),
-    /// Another text was accepted under the version; this one has no effect.
+    /// Another text was accepted under the version, so the command has no effect.
     VersionTaken,
-    /// This store is not the leader; another has to be asked. (Encoded as before 0.3.)
+    /// This store is not the leader. The command must be sent to another store. (Encoded as before 0.3.)
     #[serde(rename = "Elsewhere")]
     NotLeader,
 }
--- a/crates/transport/src/messages/stores.rs
+++ b/crates/transport/src/messages/stores.rs
@@ -5,7 +5,8 @@
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// Identifies a store: its disk, not its machine. A random number that is drawn when the disk is empty; 0 is none.
+/// Identifies a store by its disk, not by its machine. A random number that is generated when the disk is empty; 0 is no
+/// store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
@@ -15,7 +16,7 @@
     }
 }
 
-/// A store as others know it. A disk that was lost makes a new one, with another `id`.
+/// What other stores know of a store. If its disk is lost, the store gets a new `id`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreNode {
     /// The id of its disk.
@@ -29,41 +30,41 @@
 /// The replica set of the stores in one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaConfig {
-    /// The epoch that it opens.
+    /// The epoch of the replica set.
     pub epoch: Epoch,
     /// The stores that vote.
     pub voters: Vec<StoreNode>,
-    /// The ids of the voters that have the control state: the first is the leader. The others are witnesses.
+    /// The ids of the voters that have the control state; the first one is the leader. The other voters are witnesses.
     pub data_replicas: Vec<StoreId>,
-    /// The voters of earlier replica sets, until this one is known to be installed: a majority of each has to agree as
-    /// well (joint consensus).
+    /// The voters of earlier replica sets, until this one is known to be installed. A majority of each must agree too (joint
+    /// consensus).
     pub previous_voters: Vec<Vec<StoreNode>>,
 }
 
 impl ReplicaConfig {
-    /// Whether the store with that id votes.
+    /// Whether the store with this id votes.
     pub fn has_voter(&self, id: StoreId) -> bool {
         self.voters.iter().any(|voter| voter.id == id)
     }
 }
 
-/// What a store sends another, and from whom.
+/// A message from one store to another, with its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
     pub from: StoreNode,
-    /// What it sends.
+    /// The message.
     pub message: PeerMessage,
 }
 
 /// A message from one store to another. An election has the two phases of Paxos: prepare and promise, accept and accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// How the sender stands.
+    /// The status of the sender.
     Heartbeat(Heartbeat),
-    /// A candidate asks to open an epoch. A voter that promises it accepts nothing of a lower one from then on.
+    /// A candidate requests promises for an epoch. A voter that promises it accepts no messages of lower epochs from then on.
     Prepare {
-        /// The epoch to be opened.
+        /// The new epoch.
         epoch: Epoch,
         /// The newest state that the sender has.
         newest: Revision,
@@ -79,26 +80,26 @@
         /// That state, if it is newer than the candidate's.
         state: Option<ControlState>,
     },
-    /// A voter refuses the epoch, because it has promised a higher one.
+    /// A voter rejects the epoch, because it has promised a higher one.
     Refuse {
-        /// The refused epoch.
+        /// The rejected epoch.
         epoch: Epoch,
-        /// The promised one.
+        /// The promised epoch.
         promised: Epoch,
     },
     /// A candidate that has the promises of a majority proposes the replica set of its epoch.
     Accept {
         /// The replica set, with its epoch.
         config: ReplicaConfig,
-        /// The state with which the epoch begins, for a data replica.
+        /// The initial state of the epoch, for a data replica.
         state: Option<InitialState>,
     },
-    /// The receiver has the replica set, and the state if it was sent one, on its disk.
+    /// The receiver has written the replica set, and the state if there was one, to its disk.
     Accepted {
         /// The epoch of the replica set.
         epoch: Epoch,
     },
-    /// The newest committed state, for a learner (a store without a vote). Its heartbeats say when it is persisted.
+    /// The newest committed state, for a learner (a store without a vote). The learner's heartbeats report when it is persisted.
     Snapshot {
         /// The leader's epoch.
         epoch: Epoch,
@@ -112,37 +113,37 @@
         /// The state.
         state: ControlState,
     },
-    /// A data replica has a state on its disk.
+    /// A data replica has written a state to its disk.
     Written {
-        /// The epoch under which it was written.
+        /// The epoch in which it was written.
         epoch: Epoch,
         /// The state's revision.
         revision: Revision,
     },
-    /// The leader asks a data replica whether it has promised no higher epoch.
+    /// The leader queries whether a data replica has promised a higher epoch.
     Confirm {
         /// The leader's epoch.
         epoch: Epoch,
-        /// Repeated in the answer.
+        /// Repeated in the reply.
         nonce: u64,
     },
-    /// A data replica has promised no higher epoch.
+    /// A data replica confirms that it has not promised a higher epoch.
     Confirmed {
         /// The leader's epoch.
         epoch: Epoch,
-        /// That of the question.
+        /// The nonce of the query.
         nonce: u64,
     },
 }
 
-/// The state with which a data replica begins an epoch.
+/// The state of a data replica at the start of an epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum InitialState {
-    /// The one that it has promised with, under a new revision.
+    /// The state that the replica had when it promised the epoch, under a new revision.
     Promised {
         /// The revision in its promise.
         from: Revision,
-        /// The new one.
+        /// The new revision.
         to: Revision,
     },
     /// The full state. (Encoded as before 0.3.)
@@ -150,24 +151,24 @@
     Full(ControlState),
 }
 
-/// What each store sends all others at an interval.
+/// The status that each store sends to all others at an interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The newest replica set that the sender has.
     pub config: ReplicaConfig,
-    /// The sender is the leader of its replica set, which is installed; also while it prepares the epoch after it, until
-    /// its proposal.
+    /// Whether the sender is the leader of its replica set, which is installed. This stays true while it prepares the next
+    /// epoch, until it proposes that epoch's replica set.
     pub is_leader: bool,
     /// The newest state known to be on the disks of all data replicas.
     pub committed: Revision,
-    /// The newest state that is on the sender's disk.
+    /// The newest state on the sender's disk.
     pub persisted: Revision,
-    /// Its disk completes writes in time.
+    /// Whether the sender's disk completes writes in time.
     pub disk_healthy: bool,
-    /// It was told to shut down (SIGTERM): it hands over what it has, and ends.
+    /// Whether the sender is shutting down (SIGTERM): it transfers its roles and its state, then ends.
     pub is_leaving: bool,
-    /// First start of the whole system, and no replica set yet.
+    /// Whether this is the first start of the system, so that there is no replica set yet.
     pub is_bootstrapping: bool,
-    /// Other stores that it knows of.
+    /// The other stores that the sender knows.
     pub known_stores: Vec<Ipv4Addr>,
 }
