--- a/crates/transport/examples/message_cost.rs
+++ b/crates/transport/examples/message_cost.rs
@@ -1,5 +1,5 @@
-//! What messages with a whole state cost, in bytes and in time: `cargo run --release -p violetyoke-transport --example
-//! message_cost`. Routes are like those of an operator's configuration, about 120 bytes each.
+//! Measures the size of messages with a full control state, and the time to encode and decode them: `cargo run --release -p
+//! violetyoke-transport --example message_cost`. The routes are similar to real ones, with about 120 bytes each.
 
 use std::time::{Duration, Instant};
 use violetyoke_transport::codec::{decode, encode_deflated};
@@ -9,7 +9,7 @@
 
 const RUNS: u32 = 20;
 
-/// Letters that repeat no more than drawn names do.
+/// A pseudo-random name, which is as incompressible as real names.
 fn name(seed: u64, length: usize) -> String {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5851_f42d_4c95_7f2d;
     let mut letter = || {
@@ -56,7 +56,7 @@
         let bytes = encode_deflated(&message);
         let encoded = mean(|| drop(encode_deflated(&message)));
         let decoded = mean(|| assert!(decode::<StoreRequest>(&bytes).is_ok()));
-        let millis = |span: Duration| span.as_secs_f64() * 1_000.0;
+        let millis = |duration: Duration| duration.as_secs_f64() * 1_000.0;
         let sent = bytes.len();
         println!("{routes:>7} {plain:>11} {sent:>10} {:>10.2} {:>10.2}", millis(encoded), millis(decoded));
     }
--- a/crates/transport/tests/chunks.rs
+++ b/crates/transport/tests/chunks.rs
@@ -1,4 +1,4 @@
-//! Messages in frames and back: chunks, and what no peer of ours sends.
+//! The division of messages into frames, their reassembly, and invalid frames.
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn messages_of_each_size_about_a_chunk_are_reassembled() {
+fn messages_of_sizes_around_that_of_a_chunk_are_reassembled() {
     for size in [1, 2, CHUNK - 1, CHUNK, CHUNK + 1, 2 * CHUNK, 2 * CHUNK + 1, 5 * CHUNK + 17] {
-        let payload = Bytes::from((0..size).map(|at| at as u8).collect::<Vec<u8>>());
+        let payload = Bytes::from((0..size).map(|index| index as u8).collect::<Vec<u8>>());
         let (mut queue, mut out) = (SendQueue::default(), BytesMut::new());
         queue.push(ordered(payload.clone()));
         append_keepalive(&mut out);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn unknown_frames_and_endless_chunks_are_errors() {
+fn unknown_kinds_too_long_frames_and_too_many_chunks_are_errors() {
     let frame = |kind: u8, length: usize| {
         let mut bytes = BytesMut::from((length as u32 + 1).to_be_bytes().as_slice());
         bytes.extend_from_slice(&[kind]);
@@ -72,5 +72,5 @@
         chunk.resize(CHUNK + 1, 0);
         assembler.push(chunk).map(drop)
     });
-    assert_eq!(result, Err(FrameError::MessageTooLong), "chunks beyond the longest message");
+    assert_eq!(result, Err(FrameError::MessageTooLong), "chunks beyond the maximum message size");
 }
--- a/crates/transport/tests/codec.rs
+++ b/crates/transport/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes and back, and values that have no encoding.
+//! The encoding and decoding of messages, and values without an encoding.
 
 #![cfg(test)]
 
@@ -15,7 +15,7 @@
 
 impl Message for Routes {}
 
-/// A value that has no encoding, as no type of message has one.
+/// A value without an encoding, which violates the contract of [`Message`].
 struct Unencodable;
 
 impl Serialize for Unencodable {
@@ -27,19 +27,19 @@
 impl Message for Unencodable {}
 
 #[test]
-fn large_messages_are_deflated_and_read_back() {
+fn large_messages_are_compressed_and_decoded() {
     let routes: Vec<String> = (0..5_000).map(|n| format!("/prefix{n}/ to a service, for a host")).collect();
     let plain_size = routes.concat().len();
     let routes = Routes(routes);
     let bytes = encode_deflated(&routes);
     assert!(bytes.len() * 4 < plain_size, "{} bytes", bytes.len());
-    assert_eq!(decode::<Routes>(&bytes).expect("read back"), routes);
+    assert_eq!(decode::<Routes>(&bytes).expect("decoded"), routes);
     for end in [0, 1, 2, bytes.len() / 2, bytes.len() - 1] {
-        assert!(decode::<Routes>(&bytes[..end]).is_err(), "cut at {end}");
+        assert!(decode::<Routes>(&bytes[..end]).is_err(), "truncated at {end}");
     }
     assert_eq!(decode::<Routes>(&encode(&routes)).expect("plain"), routes);
     let small = Routes(vec!["one".to_owned()]);
-    assert_eq!(decode::<Routes>(&encode_deflated(&small)).expect("read back"), small);
+    assert_eq!(decode::<Routes>(&encode_deflated(&small)).expect("decoded"), small);
 }
 
 #[test]
@@ -50,29 +50,29 @@
 
 #[test]
 #[should_panic(expected = "a type of message has values without an encoding")]
-fn message_without_an_encoding_is_never_sent_as_an_empty_one() {
+fn message_without_an_encoding_panics_and_is_not_sent_empty() {
     drop(encode(&Unencodable));
 }
 
 #[test]
 #[should_panic(expected = "a type of message has values without an encoding")]
-fn large_message_without_an_encoding_is_never_sent_as_an_empty_one() {
+fn large_message_without_an_encoding_panics_and_is_not_sent_empty() {
     drop(encode_deflated(&Unencodable));
 }
 
 #[test]
-fn bytes_that_are_no_message_say_why() {
+fn decoding_invalid_bytes_returns_the_kind_of_error() {
     let reply = ProxyReply::Freshness { request_id: 7, newest: Revision { epoch: Epoch(3), sequence: 9 } };
     let bytes = encode(&reply);
     assert!(matches!(decode::<ProxyReply>(&bytes[..bytes.len() - 1]), Err(DecodeError::Format(_))));
     assert!(matches!(decode::<Routes>(&bytes), Err(DecodeError::Format(_))), "another type");
     assert!(matches!(decode::<ProxyReply>(&[]), Err(DecodeError::Format(_))));
-    // The mark of a compressed message, and then a block of a kind that deflate does not have.
+    // The mark of a compressed message, followed by a block of an invalid deflate type.
     assert!(matches!(decode::<ProxyReply>(&[0xc1, 0xff, 0xff]), Err(DecodeError::Inflate(_))));
 }
 
 #[test]
-fn decode_error_names_the_variant_that_this_build_does_not_know() {
+fn decode_error_contains_the_name_of_an_unknown_variant() {
     let bytes = try_encode(&BTreeMap::from([("VariantOfALaterBuild", [7])])).expect("encoded");
     let error = decode::<ProxyReply>(&bytes).expect_err("no such variant");
     assert!(error.to_string().contains("VariantOfALaterBuild"), "{error}");
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -1,4 +1,5 @@
-//! Connections on slow links, in virtual time: a large message crosses while heartbeats go on, and a time without any byte ends them.
+//! Connections on slow links, in virtual time: large messages must not delay heartbeats or cause time-outs, and a connection
+//! without any received bytes must end.
 
 #![cfg(test)]
 
@@ -18,7 +19,7 @@
 
 const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
 
-/// What the side that listens has received, and when.
+/// The messages that the listening side has received, with the time of their arrival.
 type Received = Rc<RefCell<Vec<(Instant, Bytes)>>>;
 
 struct Link {
@@ -28,44 +29,45 @@
     disconnections: Rc<RefCell<u32>>,
 }
 
-/// A connection on a link of so many bits a second, and what `test` does with it.
-fn on_a_link<F: Future<Output = ()>>(bits: u64, test: impl FnOnce(Link) -> F) {
-    run_on_network(bits, |network| async move {
+/// Runs `test` with a connection on a link with this capacity.
+fn run_on_link<F: Future<Output = ()>>(bits_per_second: u64, test: impl FnOnce(Link) -> F) {
+    run_on_network(bits_per_second, |network| async move {
         let (received, disconnections) = (Received::default(), Rc::<RefCell<u32>>::default());
-        let into = received.clone();
+        let messages = received.clone();
         let listener = net::listen(ADDRESS.into()).expect("a listener");
         spawn_local(accept_all(listener, move |_| {
-            let into = into.clone();
-            // A connection lasts for as long as somebody may send on it.
-            let back = RefCell::new(None);
+            let messages = messages.clone();
+            // Kept, because a connection ends when its sender is dropped.
+            let accepted_sender = RefCell::new(None);
             move |event| match event {
-                Event::Connected(sender) => *back.borrow_mut() = Some(sender),
-                Event::Message(message) => into.borrow_mut().push((Instant::now(), message)),
+                Event::Connected(sender) => *accepted_sender.borrow_mut() = Some(sender),
+                Event::Message(message) => messages.borrow_mut().push((Instant::now(), message)),
                 Event::Disconnected => {}
             }
         }));
-        let senders: Rc<RefCell<Option<Sender>>> = Rc::default();
-        let (opened, ended) = (senders.clone(), disconnections.clone());
+        let opened_sender: Rc<RefCell<Option<Sender>>> = Rc::default();
+        let (connected, disconnected) = (opened_sender.clone(), disconnections.clone());
         spawn_local(maintain(ADDRESS, move |event| match event {
-            Event::Connected(sender) => *opened.borrow_mut() = Some(sender),
-            Event::Disconnected => *ended.borrow_mut() += 1,
+            Event::Connected(sender) => *connected.borrow_mut() = Some(sender),
+            Event::Disconnected => *disconnected.borrow_mut() += 1,
             Event::Message(_) => {}
         }));
         sleep(Duration::from_millis(50)).await;
-        let sender = senders.borrow().clone().expect("a connection");
+        let sender = opened_sender.borrow().clone().expect("a connection");
         test(Link { network, sender, received, disconnections }).await;
     });
 }
 
-fn state_of(bytes: usize) -> Bytes {
-    (0..bytes).map(|at| (at * 7 + at / 251) as u8).collect::<Vec<u8>>().into()
+/// A message of this size (bytes).
+fn state_of_size(size: usize) -> Bytes {
+    (0..size).map(|index| (index * 7 + index / 251) as u8).collect::<Vec<u8>>().into()
 }
 
 #[test]
 fn large_message_on_a_slow_link_does_not_delay_heartbeats() {
-    on_a_link(2_000_000, |link| async move {
-        let (state, heartbeat) = (state_of(2 << 20), Bytes::from_static(b"heartbeat"));
-        let started = Instant::now();
+    run_on_link(2_000_000, |link| async move {
+        let (state, heartbeat) = (state_of_size(2 << 20), Bytes::from_static(b"heartbeat"));
+        let started_at = Instant::now();
         link.sender.send(state.clone());
         for _ in 0..80 {
             sleep(Duration::from_millis(150)).await;
@@ -74,20 +76,20 @@
         let received = link.received.borrow();
         let complete = received.iter().filter(|(_, message)| *message == state).count();
         assert_eq!((complete, *link.disconnections.borrow(), link.network.connections()), (1, 0, 1));
-        let heartbeats = received.iter().filter(|(_, message)| *message == heartbeat).map(|(at, _)| *at);
-        let arrivals: Vec<Instant> = [started].into_iter().chain(heartbeats).collect();
+        let heartbeats = received.iter().filter(|(_, message)| *message == heartbeat).map(|(time, _)| *time);
+        let arrivals: Vec<Instant> = [started_at].into_iter().chain(heartbeats).collect();
         assert!(arrivals.len() >= 80, "{} heartbeats", arrivals.len());
-        let longest = arrivals.windows(2).map(|pair| pair[1] - pair[0]).max().expect("some heartbeats");
-        // A store is suspected after 700 ms.
-        assert!(longest < Duration::from_millis(400), "{longest:?} between two heartbeats");
+        let longest_gap = arrivals.windows(2).map(|pair| pair[1] - pair[0]).max().expect("some heartbeats");
+        // A store without heartbeats is suspected after 700 ms.
+        assert!(longest_gap < Duration::from_millis(400), "{longest_gap:?} between two heartbeats");
     });
 }
 
 #[test]
 fn chunk_that_takes_longer_than_the_idle_timeout_is_received() {
-    // A chunk takes 4.4 s here: four times the idle time-out.
-    on_a_link(60_000, |link| async move {
-        let state = state_of(100_000);
+    // A chunk takes 4.4 s on this link, four times the idle time-out.
+    run_on_link(60_000, |link| async move {
+        let state = state_of_size(100_000);
         link.sender.send(state.clone());
         sleep(Duration::from_secs(16)).await;
         assert_eq!(link.received.borrow().iter().filter(|(_, message)| *message == state).count(), 1);
@@ -96,9 +98,9 @@
 }
 
 #[test]
-fn messages_keep_their_order_and_a_waiting_large_one_is_not_sent_twice() {
-    on_a_link(2_000_000, |link| async move {
-        let (first, second) = (state_of(300_000), state_of(200_000));
+fn messages_keep_their_order_and_a_queued_large_one_is_not_queued_twice() {
+    run_on_link(2_000_000, |link| async move {
+        let (first, second) = (state_of_size(300_000), state_of_size(200_000));
         let small = Bytes::from_static(b"after both");
         for message in [&first, &first, &second, &second, &small] {
             link.sender.send(message.clone());
@@ -107,7 +109,7 @@
         let received: Vec<Bytes> =
             link.received.borrow().iter().map(|(_, message)| message.clone()).collect();
         assert!(received == [first.clone(), second, small], "{} messages", received.len());
-        // Once it has gone, it may be sent again: the answer may have been lost.
+        // Once it has been sent, it may be sent again, as the reply may have been lost.
         link.sender.send(first.clone());
         sleep(Duration::from_secs(3)).await;
         assert_eq!(link.received.borrow().last().map(|(_, message)| message.len()), Some(first.len()));
@@ -115,20 +117,20 @@
 }
 
 #[test]
-fn connection_that_carries_nothing_ends_without_delivering_part_of_a_message() {
-    on_a_link(2_000_000, |link| async move {
-        link.sender.send(state_of(1 << 20));
+fn connection_on_a_dead_link_ends_without_delivering_part_of_a_message() {
+    run_on_link(2_000_000, |link| async move {
+        link.sender.send(state_of_size(1 << 20));
         sleep(Duration::from_millis(500)).await;
         link.network.stop();
         sleep(IDLE_TIMEOUT + Duration::from_millis(200)).await;
         assert_eq!(*link.disconnections.borrow(), 1);
-        assert!(link.received.borrow().is_empty(), "no part of a message is passed on");
+        assert!(link.received.borrow().is_empty(), "no part of a message is delivered");
     });
 }
 
 #[test]
 fn idle_connection_stays_open() {
-    on_a_link(2_000_000, |link| async move {
+    run_on_link(2_000_000, |link| async move {
         sleep(Duration::from_secs(30)).await;
         assert_eq!((*link.disconnections.borrow(), link.network.connections()), (0, 1));
     });
--- a/crates/transport/tests/peers.rs
+++ b/crates/transport/tests/peers.rs
@@ -18,31 +18,31 @@
 use violetyoke_transport::peers::PeerConnections;
 
 const PORT: u16 = 7000;
-/// Bits a second.
+/// The capacity of the network (bits per second).
 const FAST: u64 = 100_000_000;
 const FIRST: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const SECOND: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
-/// The events at the side that listens, by connection.
+/// The events on the listening side, with their connections.
 type Accepted = Rc<RefCell<Vec<(ConnectionId, Event)>>>;
-/// The events at the side that connects, by peer.
+/// The events on the connecting side, with their peers.
 type Events = Rc<RefCell<Vec<(Ipv4Addr, Event)>>>;
 
-fn on_a_fast_network<F: Future<Output = ()>>(test: impl FnOnce(SlowNetwork, Accepted) -> F) {
+fn run_on_fast_network<F: Future<Output = ()>>(test: impl FnOnce(SlowNetwork, Accepted) -> F) {
     run_on_network(FAST, |network| async move {
         let accepted = Accepted::default();
-        let into = accepted.clone();
+        let events = accepted.clone();
         let listener = net::listen((FIRST, PORT).into()).expect("a listener");
         spawn_local(accept_all(listener, move |id| {
-            let into = into.clone();
-            move |event| into.borrow_mut().push((id, event))
+            let events = events.clone();
+            move |event| events.borrow_mut().push((id, event))
         }));
         test(network, accepted).await;
     });
 }
 
-/// Hands the set the events that concern its connections; returns how many there were.
-fn hand_back(peers: &mut PeerConnections, events: &Events) -> usize {
+/// Reports the received events back to the set, and returns their number.
+fn report_events(peers: &mut PeerConnections, events: &Events) -> usize {
     let events: Vec<(Ipv4Addr, Event)> = events.borrow_mut().drain(..).collect();
     let count = events.len();
     for (peer, event) in events {
@@ -57,8 +57,8 @@
 
 fn peers() -> (PeerConnections, Events) {
     let events = Events::default();
-    let into = events.clone();
-    (PeerConnections::new(PORT, move |peer, event| into.borrow_mut().push((peer, event))), events)
+    let received = events.clone();
+    (PeerConnections::new(PORT, move |peer, event| received.borrow_mut().push((peer, event))), events)
 }
 
 fn disconnections(accepted: &Accepted) -> usize {
@@ -67,13 +67,13 @@
 
 #[test]
 fn each_peer_has_one_connection_and_a_sender_once_it_is_connected() {
-    on_a_fast_network(|network, accepted| async move {
+    run_on_fast_network(|network, accepted| async move {
         let (mut peers, events) = peers();
         peers.connect_to([FIRST, SECOND, FIRST]);
         peers.connect_to([SECOND]);
-        assert!(peers.sender(FIRST).is_none(), "not yet");
+        assert!(peers.sender(FIRST).is_none(), "not connected yet");
         sleep(Duration::from_millis(50)).await;
-        assert_eq!(hand_back(&mut peers, &events), 2);
+        assert_eq!(report_events(&mut peers, &events), 2);
         assert_eq!((network.connections(), peers.senders().count()), (2, 2));
         assert_eq!((peers.generation(FIRST), peers.generation(SECOND)), (1, 1));
 
@@ -88,30 +88,30 @@
 }
 
 #[test]
-fn peer_has_no_sender_after_its_connection_ended_and_the_next_is_another_generation() {
-    on_a_fast_network(|network, _| async move {
+fn peer_has_no_sender_while_disconnected_and_a_new_generation_after_a_reconnect() {
+    run_on_fast_network(|network, _| async move {
         let (mut peers, events) = peers();
         peers.connect_to([FIRST]);
         sleep(Duration::from_millis(50)).await;
-        hand_back(&mut peers, &events);
+        report_events(&mut peers, &events);
 
         network.stop();
         sleep(IDLE_TIMEOUT + Duration::from_millis(10)).await;
-        hand_back(&mut peers, &events);
+        report_events(&mut peers, &events);
         assert!(peers.sender(FIRST).is_none());
-        assert_eq!(peers.generation(FIRST), 1, "responses on it may still be told apart");
+        assert_eq!(peers.generation(FIRST), 1, "the generation changes with the next connection");
 
-        network.bits_a_second(FAST);
+        network.set_bits_per_second(FAST);
         sleep(Duration::from_millis(500)).await;
-        hand_back(&mut peers, &events);
+        report_events(&mut peers, &events);
         assert!(peers.sender(FIRST).is_some());
         assert_eq!(peers.generation(FIRST), 2);
     });
 }
 
 #[test]
-fn all_connections_end_with_the_set() {
-    on_a_fast_network(|network, accepted| async move {
+fn dropping_the_set_closes_all_connections_for_good() {
+    run_on_fast_network(|network, accepted| async move {
         let (mut peers, _events) = peers();
         peers.connect_to([FIRST, SECOND]);
         sleep(Duration::from_millis(50)).await;
@@ -121,6 +121,6 @@
         sleep(Duration::from_secs(3)).await;
 
         assert_eq!(disconnections(&accepted), 2);
-        assert_eq!(network.connections(), 2, "none is opened again");
+        assert_eq!(network.connections(), 2, "no connection is reopened");
     });
 }
