--- a/crates/transport/tests/golden/control.rs
+++ b/crates/transport/tests/golden/control.rs
@@ -1,4 +1,4 @@
-//! The control state, and the messages between registries and stores.
+//! Samples of the control state, and of the messages between registries and stores.
 
 use crate::samples::{sample, Sample};
 use crate::{operations, stores, variants};
@@ -33,7 +33,7 @@
     Outcome::NotLeader => "elsewhere",
 });
 
-/// A revision. Its numbers take several bytes.
+/// A revision whose epoch takes several bytes.
 pub(crate) fn revision(sequence: u64) -> Revision {
     Revision { epoch: Epoch(0x0102_0304_0506_0708), sequence }
 }
@@ -95,7 +95,7 @@
 }
 
 pub(crate) fn store_replies() -> Vec<Sample<StoreReply>> {
-    let done = |call, outcome| StoreReply::Completed { request_id: call, outcome };
+    let completed = |request_id, outcome| StoreReply::Completed { request_id, outcome };
     let mut samples = vec![
         sample(
             "store-reply-status",
@@ -117,16 +117,16 @@
         ),
         sample("store-reply-news", StoreReply::State(full_state())),
         sample("store-reply-news-empty", StoreReply::State(ControlState::default())),
-        sample("store-reply-done-acknowledged", done(1, Outcome::Acknowledged)),
-        sample("store-reply-done-read", done(300, Outcome::Read(full_state()))),
-        sample("store-reply-done-version-taken", done(70_000, Outcome::VersionTaken)),
-        sample("store-reply-done-elsewhere", done(u64::MAX, Outcome::NotLeader)),
+        sample("store-reply-done-acknowledged", completed(1, Outcome::Acknowledged)),
+        sample("store-reply-done-read", completed(300, Outcome::Read(full_state()))),
+        sample("store-reply-done-version-taken", completed(70_000, Outcome::VersionTaken)),
+        sample("store-reply-done-elsewhere", completed(u64::MAX, Outcome::NotLeader)),
     ];
     samples.extend(operations::store_replies());
     samples
 }
 
-/// A state that is large enough to be sent deflated.
+/// A state that is large enough to be compressed.
 pub(crate) fn large_state() -> ControlState {
     let text = (0..500).map(|number| format!("{{\"route\": \"route-{number}\"}}\n")).collect();
     ControlState { text, ..full_state() }
--- a/crates/transport/tests/golden/files.rs
+++ b/crates/transport/tests/golden/files.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-/// Where this is set, golden files that do not exist are written; one that exists is never overwritten.
+/// The environment variable with which missing golden files are written. Existing files are never overwritten.
 pub(crate) const WRITE_MISSING: &str = "VIOLETYOKE_WRITE_GOLDEN";
 
 /// The golden files of one kind in a folder.
@@ -24,7 +24,7 @@
     /// The bytes of a golden file.
     ///
     /// # Panics
-    /// Where the file is missing: a message without golden bytes is not covered.
+    /// If the file is missing, because the message would not be checked.
     pub(crate) fn read(&self, name: &str, current: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
         let path = self.path(name);
         if std::env::var_os(WRITE_MISSING).is_some() && !path.exists() {
--- a/crates/transport/tests/golden/frames.rs
+++ b/crates/transport/tests/golden/frames.rs
@@ -1,5 +1,5 @@
-//! Frames, byte by byte: the length of what follows, big-endian in four bytes, and in the first byte of that whether the
-//! message is complete (0), goes on (1) or ends (2) with this frame.
+//! The encoding of frames. A frame starts with the length of the rest as four bytes in big-endian order. The next byte tells
+//! whether the frame contains a complete message (0), a chunk that is followed by others (1), or the last chunk (2).
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_long_message_is_several_frames() {
-    let payload: Vec<u8> = (0..2 * 32_768 + 3).map(|number| (number % 251) as u8).collect();
+    let payload: Vec<u8> = (0..2 * 32_768 + 3).map(|index| (index % 251) as u8).collect();
     let [first, second, last] = [&payload[..32_768], &payload[32_768..65_536], &payload[65_536..]];
     let expected: Vec<u8> =
         [&[0, 0, 0x80, 1, 1], first, &[0, 0, 0x80, 1, 1], second, &[0, 0, 0, 4, 2], last].concat();
--- a/crates/transport/tests/golden/main.rs
+++ b/crates/transport/tests/golden/main.rs
@@ -1,9 +1,9 @@
-//! Messages between the system's own processes, as the builds before wrote them.
+//! The encoding of the messages between processes of the system, which must stay the same in all builds.
 //!
-//! During an upgrade half of the machines run the older build, so each message has to decode from, and encode to, the
-//! very bytes in the files beside this one. Structs go by the position of their fields and enums by the names of their
-//! variants: a variant that is renamed keeps its encoded name with `#[serde(rename = "...")]`. The golden files are never
-//! edited; `VIOLETYOKE_WRITE_GOLDEN=1 cargo test --test golden` writes those of new samples.
+//! During an upgrade, some machines run the older build. Each message must therefore decode from, and encode to, exactly
+//! the bytes in the golden files in this folder. Structs are encoded by the position of their fields and enums by the names
+//! of their variants, so a renamed variant must keep its encoded name with `#[serde(rename = "...")]`. The golden files are
+//! never edited; `VIOLETYOKE_WRITE_GOLDEN=1 cargo test --test golden` writes those of new samples.
 
 #![cfg(test)]
 
@@ -33,10 +33,10 @@
     proxy_id, AcceptedVersions, Command, ControlState, Outcome, PeerMessage, StoreReply, StoreRequest,
 };
 
-const PACKED_CONFIGURATION: &str = "packed-configuration";
-const PACKED_CHANGE: &str = "packed-change";
-const DEFLATED_NEWS: &str = "deflated-store-reply-news";
-const OLDER_NEWS: &str = "older-store-reply-news";
+const COMPRESSED_CONFIGURATION: &str = "packed-configuration";
+const COMPRESSED_CHANGE: &str = "packed-change";
+const COMPRESSED_STATE: &str = "deflated-store-reply-news";
+const OLDER_STATE: &str = "older-store-reply-news";
 
 fn folder() -> GoldenFolder {
     GoldenFolder::of_crate(env!("CARGO_MANIFEST_DIR"), "bin")
@@ -49,17 +49,17 @@
     folder().check(samples, |value| try_encode(value).expect("encoded"), |bytes| decode(bytes));
 }
 
-fn packed<T: serde::Serialize>(name: &str, content: &T) -> Compressed {
-    let current = || try_encode(&Compressed::encode(content).expect("packed")).expect("encoded");
-    decode(&folder().read(name, current)).expect("a packed payload")
+fn compressed<T: serde::Serialize>(name: &str, content: &T) -> Compressed {
+    let current = || try_encode(&Compressed::encode(content).expect("compressed")).expect("encoded");
+    decode(&folder().read(name, current)).expect("a compressed payload")
 }
 
-fn packed_configuration() -> Compressed {
-    packed(PACKED_CONFIGURATION, &payloads::configuration())
+fn compressed_configuration() -> Compressed {
+    compressed(COMPRESSED_CONFIGURATION, &payloads::configuration())
 }
 
-fn packed_change() -> Compressed {
-    packed(PACKED_CHANGE, &payloads::change())
+fn compressed_change() -> Compressed {
+    compressed(COMPRESSED_CHANGE, &payloads::change())
 }
 
 fn configurations() -> Vec<Sample<Configuration>> {
@@ -75,60 +75,61 @@
 }
 
 #[test]
-fn requests_to_stores_keep_their_bytes() {
+fn requests_to_stores_keep_their_encoding() {
     check(&control::store_requests());
 }
 
 #[test]
-fn replies_of_stores_keep_their_bytes() {
+fn replies_of_stores_keep_their_encoding() {
     check(&control::store_replies());
 }
 
 #[test]
-fn requests_to_registries_keep_their_bytes() {
+fn requests_to_registries_keep_their_encoding() {
     check(&proxies::registry_requests());
 }
 
 #[test]
-fn replies_to_proxies_keep_their_bytes() {
-    check(&proxies::proxy_replies(packed_configuration(), packed_change()));
+fn replies_to_proxies_keep_their_encoding() {
+    check(&proxies::proxy_replies(compressed_configuration(), compressed_change()));
 }
 
 #[test]
-fn configurations_and_changes_keep_their_bytes() {
+fn configurations_and_changes_keep_their_encoding() {
     check(&configurations());
     check(&changes());
 }
 
 #[test]
-fn packed_payloads_are_opened() {
+fn compressed_payloads_are_decoded() {
     let configuration = payloads::configuration();
     let change = payloads::change();
 
-    assert_eq!(packed_configuration().decode::<Configuration>().expect("opened"), configuration);
-    assert_eq!(packed_change().decode::<ConfigurationChange>().expect("opened"), change);
-    let again = Compressed::encode(&configuration).expect("packed");
-    assert_eq!(again.decode::<Configuration>().expect("opened"), configuration);
+    assert_eq!(compressed_configuration().decode::<Configuration>().expect("decoded"), configuration);
+    assert_eq!(compressed_change().decode::<ConfigurationChange>().expect("decoded"), change);
+    let compressed = Compressed::encode(&configuration).expect("compressed");
+    assert_eq!(compressed.decode::<Configuration>().expect("decoded"), configuration);
 }
 
 #[test]
-fn the_digest_of_a_configuration_stays() {
+fn the_digest_of_a_configuration_does_not_change() {
     let digest = |configuration| digest(&configuration).expect("a digest");
     assert_eq!(digest(payloads::configuration()), payloads::CONFIGURATION_DIGEST);
     assert_eq!(digest(payloads::keyed_configuration()), payloads::KEYED_CONFIGURATION_DIGEST);
 }
 
 #[test]
-fn the_number_of_a_proxy_stays() {
+fn the_id_of_a_proxy_does_not_change() {
     assert_eq!(proxy_id("proxy-1"), 2_103_902_533);
 }
 
-/// Compared after inflating: another release of the deflate library may write other bytes for the same content.
+/// The bytes are compared after inflating, because another release of the deflate library may write other bytes for the same
+/// content.
 #[test]
 fn deflated_messages_are_decoded() {
     let reply = StoreReply::State(control::large_state());
 
-    let golden = folder().read(DEFLATED_NEWS, || encode_deflated(&reply).to_vec());
+    let golden = folder().read(COMPRESSED_STATE, || encode_deflated(&reply).to_vec());
 
     assert_eq!(golden[0], 0xc1, "the mark of a deflated message");
     assert_eq!(decode::<StoreReply>(&golden).expect("decoded"), reply);
@@ -136,18 +137,18 @@
     assert_eq!(decode::<StoreReply>(&encode_deflated(&reply)).expect("decoded"), reply);
 }
 
-/// The one reply that carries a state as it stands.
+/// The only reply that contains an uncompressed state.
 #[derive(serde::Serialize)]
 enum OlderStoreReply {
     News(OlderControlState),
 }
 
-/// Builds before the history of accepted versions sent states without it.
+/// Builds before the introduction of the history of accepted versions send states without it.
 #[test]
 fn states_of_builds_without_accepted_versions_are_decoded() {
     let older = OlderStoreReply::News(OlderControlState::of(&control::full_state()));
 
-    let golden = folder().read(OLDER_NEWS, || try_encode(&older).expect("encoded"));
+    let golden = folder().read(OLDER_STATE, || try_encode(&older).expect("encoded"));
 
     assert_eq!(try_encode(&older).expect("encoded"), golden);
     let expected = ControlState { accepted: AcceptedVersions::default(), ..control::full_state() };
@@ -156,13 +157,15 @@
 
 #[test]
 fn every_variant_has_a_sample() {
-    let requests: Vec<StoreRequest> = control::store_requests().into_iter().map(|it| it.value).collect();
-    let replies: Vec<StoreReply> = control::store_replies().into_iter().map(|it| it.value).collect();
-    let peer_messages: Vec<PeerMessage> = stores::peer_messages().into_iter().map(|(_, it)| it).collect();
-    let orders: Vec<&Command> = requests
+    let requests: Vec<StoreRequest> =
+        control::store_requests().into_iter().map(|sample| sample.value).collect();
+    let replies: Vec<StoreReply> = control::store_replies().into_iter().map(|sample| sample.value).collect();
+    let peer_messages: Vec<PeerMessage> =
+        stores::peer_messages().into_iter().map(|(_, message)| message).collect();
+    let commands: Vec<&Command> = requests
         .iter()
         .filter_map(|request| match request {
-            StoreRequest::Execute { command: order, .. } => Some(order),
+            StoreRequest::Execute { command, .. } => Some(command),
             StoreRequest::Watch { .. }
             | StoreRequest::Envelope(_)
             | StoreRequest::Operation { .. }
@@ -182,31 +185,35 @@
     });
 
     assert_all_variants(&requests);
-    assert_all_variants(orders);
+    assert_all_variants(commands);
     assert_all_variants(&replies);
     assert_all_variants(outcomes);
     assert_all_variants(&peer_messages);
     assert_all_variants(initial_states);
-    assert_all_variants(proxies::registry_requests().iter().map(|it| &it.value));
-    assert_all_variants(proxies::proxy_requests().iter().map(|(_, it)| it));
-    let replies = proxies::proxy_replies(packed_configuration(), packed_change());
-    assert_all_variants(replies.iter().map(|it| &it.value));
+    assert_all_variants(proxies::registry_requests().iter().map(|sample| &sample.value));
+    assert_all_variants(proxies::proxy_requests().iter().map(|(_, message)| message));
+    let replies = proxies::proxy_replies(compressed_configuration(), compressed_change());
+    assert_all_variants(replies.iter().map(|sample| &sample.value));
     let configurations = [payloads::configuration(), payloads::keyed_configuration()];
-    assert_all_variants(configurations.iter().flat_map(|it| &it.routes).map(|route| &route.route_kind));
+    assert_all_variants(
+        configurations.iter().flat_map(|configuration| &configuration.routes).map(|route| &route.route_kind),
+    );
 }
 
-/// A golden file that no test reads protects nothing.
+/// Guards against golden files that no test reads.
 #[test]
 fn every_golden_file_has_a_sample() {
     let mut names: BTreeSet<String> = BTreeSet::new();
-    names.extend(control::store_requests().iter().map(|it| it.name.to_owned()));
-    names.extend(control::store_replies().iter().map(|it| it.name.to_owned()));
-    names.extend(proxies::registry_requests().iter().map(|it| it.name.to_owned()));
-    let replies = proxies::proxy_replies(packed_configuration(), packed_change());
-    names.extend(replies.iter().map(|it| it.name.to_owned()));
-    names.extend(configurations().iter().map(|it| it.name.to_owned()));
-    names.extend(changes().iter().map(|it| it.name.to_owned()));
-    names.extend([PACKED_CONFIGURATION, PACKED_CHANGE, DEFLATED_NEWS, OLDER_NEWS].map(str::to_owned));
+    names.extend(control::store_requests().iter().map(|sample| sample.name.to_owned()));
+    names.extend(control::store_replies().iter().map(|sample| sample.name.to_owned()));
+    names.extend(proxies::registry_requests().iter().map(|sample| sample.name.to_owned()));
+    let replies = proxies::proxy_replies(compressed_configuration(), compressed_change());
+    names.extend(replies.iter().map(|sample| sample.name.to_owned()));
+    names.extend(configurations().iter().map(|sample| sample.name.to_owned()));
+    names.extend(changes().iter().map(|sample| sample.name.to_owned()));
+    names.extend(
+        [COMPRESSED_CONFIGURATION, COMPRESSED_CHANGE, COMPRESSED_STATE, OLDER_STATE].map(str::to_owned),
+    );
 
     assert_eq!(folder().names(), names);
 }
--- a/crates/transport/tests/golden/older.rs
+++ b/crates/transport/tests/golden/older.rs
@@ -1,5 +1,5 @@
-//! The state as builds before the history of accepted versions encoded it. The shapes here are those builds' and stay. The store's golden
-//! tests include this file.
+//! The control state as older builds encode it, without the history of accepted versions. The types in this file must not
+//! change. The golden tests of the store include this file.
 
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 }
 
 impl OlderControlState {
-    /// What such a build would have had of a state.
+    /// The parts of a state that such a build has.
     pub(crate) fn of(state: &ControlState) -> OlderControlState {
         let ControlState { revision, version, text, evacuated, accepted: _ } = state.clone();
         OlderControlState { revision, version, text, evacuated }
--- a/crates/transport/tests/golden/operations.rs
+++ b/crates/transport/tests/golden/operations.rs
@@ -1,4 +1,4 @@
-//! The messages about operations: between proxies, registries and stores, and among stores.
+//! Samples of the messages about operations: between proxies, registries and stores, and between stores.
 
 use crate::control::revision;
 use crate::samples::{sample, Sample};
@@ -50,7 +50,7 @@
     OperationKey { tenant: "tenant-1".to_owned(), key: "k-5512".to_owned() }
 }
 
-fn response_of_backend() -> RecordedResponse {
+fn recorded_response() -> RecordedResponse {
     let field = |name: &str, value: &[u8]| RecordedField { name: name.to_owned(), value: value.to_vec() };
     RecordedResponse {
         status: 200,
@@ -148,7 +148,7 @@
         ("proxy-request-operation", ProxyRequest::Operation { request_id: u32::MAX, request }),
         ("proxy-request-holder-incarnation", ProxyRequest::HolderIncarnation(u64::MAX)),
         ("proxy-request-read-response", ProxyRequest::ReadResponse { request_id: u32::MAX, holder: HOLDER }),
-        ("proxy-request-response", response(Some(response_of_backend()))),
+        ("proxy-request-response", response(Some(recorded_response()))),
         ("proxy-request-response-missing", response(None)),
     ]
 }
@@ -159,7 +159,7 @@
     let leader = Some(Ipv4Addr::new(10, 0, 200, 255));
     [
         sample("proxy-reply-operation", ProxyReply::Operation { request_id: u32::MAX, reply, leader }),
-        sample("proxy-reply-response", response(Some(response_of_backend()))),
+        sample("proxy-reply-response", response(Some(recorded_response()))),
         sample("proxy-reply-response-missing", response(None)),
         sample(
             "proxy-reply-read-response",
@@ -168,7 +168,6 @@
     ]
 }
 
-/// Each enum within these messages has a sample of each variant.
 #[test]
 fn every_variant_of_the_messages_about_operations_has_a_sample() {
     crate::assert_all_variants(requests().iter().map(|(_, request)| request));
--- a/crates/transport/tests/golden/payloads.rs
+++ b/crates/transport/tests/golden/payloads.rs
@@ -1,4 +1,4 @@
-//! What registries send proxies within a message: a configuration, and what makes one configuration another.
+//! The payloads of messages from registries to proxies: a configuration, and a change of a configuration.
 
 use crate::variants;
 use violetyoke_api::change::{ConfigurationChange, TableChange};
@@ -31,7 +31,7 @@
     }
 }
 
-fn bare_route() -> Route {
+fn minimal_route() -> Route {
     Route {
         name: "route-2".to_owned(),
         host: String::new(),
@@ -59,7 +59,7 @@
     }
 }
 
-fn bare_service() -> Service {
+fn minimal_service() -> Service {
     Service {
         name: "search-next".to_owned(),
         health_path: None,
@@ -81,7 +81,7 @@
     }
 }
 
-fn bare_tenant() -> Tenant {
+fn minimal_tenant() -> Tenant {
     Tenant {
         name: "tenant-2".to_owned(),
         api_keys: Vec::new(),
@@ -96,34 +96,40 @@
     Limits { max_header_bytes: 1.0, max_body_bytes: 2.0, header_timeout_ms: 3.0, idle_timeout_ms: 4.0 }
 }
 
-/// A configuration with each optional field once filled and once empty.
+/// A configuration in which each optional field is once present and once absent.
 pub(crate) fn configuration() -> Configuration {
     Configuration {
         version: 70_000,
-        routes: vec![full_route(), bare_route()],
-        services: vec![full_service(), bare_service()],
-        tenants: vec![full_tenant(), bare_tenant()],
+        routes: vec![full_route(), minimal_route()],
+        services: vec![full_service(), minimal_service()],
+        tenants: vec![full_tenant(), minimal_tenant()],
         limits: limits(),
     }
 }
 
-/// A configuration with what came later: a keyed route, and a service that keeps its own record of keys.
+/// A configuration with features of later builds: a keyed route, and a service that keeps its own record of keys.
 pub(crate) fn keyed_configuration() -> Configuration {
     Configuration {
-        routes: vec![Route { route_kind: RouteKind::Keyed, ..full_route() }, bare_route()],
-        services: vec![Service { self_dedup: true, ..full_service() }, bare_service()],
+        routes: vec![Route { route_kind: RouteKind::Keyed, ..full_route() }, minimal_route()],
+        services: vec![Service { self_dedup: true, ..full_service() }, minimal_service()],
         ..configuration()
     }
 }
 
-/// A change with rows that are new and names that are gone in each table.
+/// A change with upserted rows and removed names in each table.
 pub(crate) fn change() -> ConfigurationChange {
-    let gone = |name: &str| vec![name.to_owned()];
+    let removed = |name: &str| vec![name.to_owned()];
     ConfigurationChange {
         version: 70_001,
-        routes: TableChange { upserted: vec![full_route(), bare_route()], removed: gone("route-3") },
-        services: TableChange { upserted: vec![full_service(), bare_service()], removed: gone("service-3") },
-        tenants: TableChange { upserted: vec![full_tenant(), bare_tenant()], removed: gone("tenant-3") },
+        routes: TableChange { upserted: vec![full_route(), minimal_route()], removed: removed("route-3") },
+        services: TableChange {
+            upserted: vec![full_service(), minimal_service()],
+            removed: removed("service-3"),
+        },
+        tenants: TableChange {
+            upserted: vec![full_tenant(), minimal_tenant()],
+            removed: removed("tenant-3"),
+        },
         limits: limits(),
         digest: u64::MAX,
     }
@@ -132,6 +138,6 @@
 /// The digest of [`keyed_configuration`].
 pub(crate) const KEYED_CONFIGURATION_DIGEST: u64 = 9_459_950_191_974_596_947;
 
-/// The digest of [`configuration`]. A change carries such a digest, and another build compares it with its own, which
-/// covers the encoding of each row.
+/// The digest of [`configuration`]. It covers the encoding of each row. A change contains such a digest, which may be compared
+/// with one that another build has computed.
 pub(crate) const CONFIGURATION_DIGEST: u64 = 10_780_380_243_959_800_687;
--- a/crates/transport/tests/golden/proxies.rs
+++ b/crates/transport/tests/golden/proxies.rs
@@ -1,4 +1,4 @@
-//! The messages between registries and proxies, and between registries.
+//! Samples of the messages between registries and proxies, and between registries.
 
 use crate::control::{address, owners, revision, zones};
 use crate::samples::{sample, Sample};
@@ -39,13 +39,13 @@
     RegistryRequest::Registry(_) => "registry",
 });
 
-fn session(number: u8, ready: bool) -> Session {
+fn session(number: u8, is_ready: bool) -> Session {
     Session {
         node: format!("proxy-{number}"),
         front_address: SocketAddrV4::new(address(number), 8000 + u16::from(number)),
         zone: "zone-a".to_owned(),
         region: "region-1".to_owned(),
-        is_ready: ready,
+        is_ready,
     }
 }
 
@@ -71,11 +71,11 @@
 
 pub(crate) fn proxy_requests() -> Vec<(&'static str, ProxyRequest)> {
     let tenant = || "tenant-1".to_owned();
-    let poll = |lead| ProxyRequest::Poll {
+    let poll = |is_primary| ProxyRequest::Poll {
         revision: revision(300),
         backend_list: ListDigest(u64::MAX),
         membership: MembershipDigest(70_000),
-        is_primary: lead,
+        is_primary,
     };
     let mut requests = vec![
         ("proxy-request-hello", ProxyRequest::Hello(session(1, false))),
@@ -115,12 +115,14 @@
 }
 
 pub(crate) fn registry_requests() -> Vec<Sample<RegistryRequest>> {
-    let proxies = proxy_requests().into_iter().map(|(name, it)| sample(name, RegistryRequest::Proxy(it)));
-    let registries = gossip().into_iter().map(|(name, it)| sample(name, RegistryRequest::Registry(it)));
+    let proxies =
+        proxy_requests().into_iter().map(|(name, message)| sample(name, RegistryRequest::Proxy(message)));
+    let registries =
+        gossip().into_iter().map(|(name, message)| sample(name, RegistryRequest::Registry(message)));
     proxies.chain(registries).collect()
 }
 
-fn members() -> Membership {
+fn membership() -> Membership {
     Membership {
         digest: MembershipDigest(u64::MAX - 1),
         proxies: vec![1, 70_000, u32::MAX],
@@ -131,7 +133,8 @@
     }
 }
 
-/// The packed payloads come as golden bytes themselves: another release of the deflate library may pack them otherwise.
+/// The compressed payloads are read from golden files, because another release of the deflate library may compress them to
+/// other bytes.
 pub(crate) fn proxy_replies(configuration: Compressed, change: Compressed) -> Vec<Sample<ProxyReply>> {
     let list_change = BackendListChange {
         from: ListDigest(1),
@@ -140,7 +143,7 @@
         upserted: vec![backend(3, false)],
         removed: vec!["backend-4".to_owned()],
     };
-    let nobody =
+    let empty_membership =
         Membership { in_contact: false, shard_owners: ShardOwners::default(), ..Membership::default() };
     let mut replies = vec![
         sample(
@@ -160,8 +163,8 @@
         sample("proxy-reply-list", ProxyReply::BackendList(list())),
         sample("proxy-reply-list-empty", ProxyReply::BackendList(BackendList::default())),
         sample("proxy-reply-list-change", ProxyReply::BackendListChange(list_change)),
-        sample("proxy-reply-members", ProxyReply::Membership(members())),
-        sample("proxy-reply-members-empty", ProxyReply::Membership(nobody)),
+        sample("proxy-reply-members", ProxyReply::Membership(membership())),
+        sample("proxy-reply-members-empty", ProxyReply::Membership(empty_membership)),
         sample("proxy-reply-counted", ProxyReply::Counted { request_id: 300, retry_ms: None }),
         sample("proxy-reply-counted-over", ProxyReply::Counted { request_id: 300, retry_ms: Some(70_000) }),
         sample("proxy-reply-not-mine", ProxyReply::NotOwner { request_id: u32::MAX }),
--- a/crates/transport/tests/golden/samples.rs
+++ b/crates/transport/tests/golden/samples.rs
@@ -1,25 +1,25 @@
-//! Tables of values, each compared with a golden file. Other crates' golden tests include this file.
+//! Sample values, each of which is compared with a golden file. The golden tests of other crates include this file.
 
 use crate::files::GoldenFolder;
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-/// A value and the name of the golden file with its bytes.
+/// A value, and the name of the golden file with its encoding.
 pub(crate) struct Sample<T> {
     pub name: &'static str,
     pub value: T,
 }
 
-/// Shortens tables of samples.
+/// Creates a sample.
 pub(crate) fn sample<T>(name: &'static str, value: T) -> Sample<T> {
     Sample { name, value }
 }
 
 impl GoldenFolder {
-    /// Requires that each golden file decodes to its sample, and that the sample encodes to the file's bytes.
+    /// Checks that each golden file decodes to its sample, and that the sample encodes to the bytes of the file.
     ///
     /// # Panics
-    /// With the names of all samples for which one of both does not hold.
+    /// If one of these does not hold, with the names of all such samples.
     pub(crate) fn check<T, E>(
         &self,
         samples: &[Sample<T>],
--- a/crates/transport/tests/golden/stores.rs
+++ b/crates/transport/tests/golden/stores.rs
@@ -1,4 +1,4 @@
-//! The messages between stores.
+//! Samples of the messages between stores.
 
 use crate::control::{address, full_state, revision};
 use crate::samples::{sample, Sample};
@@ -34,7 +34,7 @@
     }
 }
 
-/// A record with a value in each field.
+/// A replica set with a value in each field.
 pub(crate) fn full_config() -> ReplicaConfig {
     ReplicaConfig {
         epoch: Epoch(70_000),
@@ -57,7 +57,7 @@
     }
 }
 
-/// One flag of a heartbeat at a time: flags that change places are found.
+/// Heartbeats with one flag each, so that swapped flags are detected.
 fn heartbeats_by_flag() -> Vec<(&'static str, Heartbeat)> {
     vec![
         ("envelope-heartbeat-active", Heartbeat { is_leader: true, ..Heartbeat::default() }),
@@ -90,8 +90,9 @@
         ("envelope-confirm", PeerMessage::Confirm { epoch, nonce: u64::MAX }),
         ("envelope-confirmed", PeerMessage::Confirmed { epoch, nonce: 300 }),
     ];
-    messages
-        .extend(heartbeats_by_flag().into_iter().map(|(name, beat)| (name, PeerMessage::Heartbeat(beat))));
+    messages.extend(
+        heartbeats_by_flag().into_iter().map(|(name, heartbeat)| (name, PeerMessage::Heartbeat(heartbeat))),
+    );
     messages
 }
 
--- a/crates/transport/tests/golden/variants.rs
+++ b/crates/transport/tests/golden/variants.rs
@@ -1,9 +1,9 @@
-//! Tables of enum variants, each of which needs a golden sample. Other crates' golden tests include this file.
+//! Lists of enum variants, each of which needs a golden sample. The golden tests of other crates include this file.
 
 use std::collections::BTreeSet;
 
-/// An enum that lists its variants. Implemented by [`crate::variants`] alone, whose `match` has no wildcard: a new
-/// variant does not compile until it is listed, and a listed variant without a sample fails its test.
+/// An enum that lists its variants. It must be implemented with [`crate::variants`], whose `match` has no wildcard: a new
+/// variant does not compile until it is listed, and the test fails for a listed variant without a sample.
 pub(crate) trait Variants {
     const NAMES: &'static [&'static str];
     fn variant(&self) -> &'static str;
@@ -23,12 +23,12 @@
     };
 }
 
-/// Requires that the values show every variant of their type.
+/// Checks that there is a value of every variant of the type.
 pub(crate) fn assert_all_variants<'a, T: Variants + 'a>(values: impl IntoIterator<Item = &'a T>) {
-    let shown: BTreeSet<&str> = values.into_iter().map(Variants::variant).collect();
+    let sampled: BTreeSet<&str> = values.into_iter().map(Variants::variant).collect();
     let listed: BTreeSet<&str> = T::NAMES.iter().copied().collect();
     assert_eq!(
-        shown,
+        sampled,
         listed,
         "variants with a golden sample, and variants of {}",
         std::any::type_name::<T>()
