--- a/crates/emulator/tests/change_costs.rs
+++ b/crates/emulator/tests/change_costs.rs
@@ -1,4 +1,4 @@
-//! What configuration changes cost, as the emulator measures it.
+//! The emulator's measurement of the cost of configuration changes.
 
 #![cfg(test)]
 
@@ -15,7 +15,7 @@
     assert_eq!(
         costs.spreads.len(),
         changes,
-        "a proxy's line in the log marks when it has installed a change"
+        "the installation of each change is recognized by the proxies' log lines"
     );
     assert!(costs.late_proxies < changes * costs.edges, "{} of {} proxies", costs.late_proxies, costs.edges);
 }
--- a/crates/emulator/tests/emulated_log.rs
+++ b/crates/emulator/tests/emulated_log.rs
@@ -1,4 +1,4 @@
-//! The emulated append-only log: what is on the disk after a process, the power or the disk was lost.
+//! The emulated append-only log: its contents after a process ends, a power loss, and a wipe of the disk.
 
 #![cfg(test)]
 
@@ -11,7 +11,7 @@
 
 const SYNC: Duration = Duration::from_millis(5);
 
-/// Runs a test with a disk that has one synced entry, and two that are written and not yet synced.
+/// Runs a test with a disk that has one synced entry and two unsynced ones.
 fn with_half_written_log<F: Future<Output = ()>>(test: impl FnOnce(EmulatedDisk) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
@@ -31,7 +31,7 @@
     AppendLog::read(disk).into_iter().map(|entry| String::from_utf8(entry).expect("text")).collect()
 }
 
-// Guards against an emulation under which an append is durable before its sync, and no test of power losses can fail.
+// Guards against an emulation in which an append is durable before its sync, so that no test of power losses can fail.
 #[test]
 fn entries_are_durable_after_their_sync_and_not_before() {
     with_half_written_log(|disk| async move {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn process_that_ends_leaves_its_entries_and_a_power_loss_some_or_none() {
+fn unsynced_entries_survive_a_process_and_partly_or_not_at_all_a_power_loss() {
     with_half_written_log(|disk| async move {
         disk.on_process_ended(false, false);
         assert_eq!(entries(&disk), ["synced", "first", "other"]);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn stalled_disk_appends_late_and_a_lying_one_never() {
+fn stalled_disk_appends_late_and_lying_disk_never() {
     with_half_written_log(|disk| async move {
         disk.stall(Duration::from_secs(1));
         let started = Instant::now();
