--- a/crates/emulator/src/backends/mod.rs
+++ b/crates/emulator/src/backends/mod.rs
@@ -1,5 +1,5 @@
-//! Backends: incarnations with slots and queues of different speeds. They record what reaches them, and fail as days
-//! want it.
+//! Backends: incarnations with slots, queues and different speeds. They record the requests that arrive, and events
+//! make them fail.
 
 mod serving;
 
@@ -20,7 +20,7 @@
 
 /// One incarnation of a backend.
 struct Backend {
-    /// Its index in the records.
+    /// The index of the incarnation in the records.
     index: usize,
     id: String,
     service: usize,
@@ -30,7 +30,7 @@
     slots: Semaphore,
     queue_length: Cell<usize>,
     rng: RefCell<Pcg64Mcg>,
-    /// The part of all responses that is lost on the way; the same for all backends.
+    /// The fraction of responses that is lost, shared by all backends.
     response_loss: Rc<Cell<f64>>,
     process: RefCell<Option<Process>>,
 }
@@ -41,7 +41,7 @@
     recorder: Recorder,
     site: Site,
     running: RefCell<BTreeMap<String, Rc<Backend>>>,
-    /// Entries of the list, as they are now.
+    /// The current entries of the platform's list.
     entries: RefCell<BTreeMap<String, Value>>,
     started: Cell<u32>,
     seed: u64,
@@ -61,15 +61,15 @@
             seed,
             response_loss: Rc::default(),
         });
-        for (service, about) in site.services.iter().enumerate() {
-            for (zone, count) in about.backends.iter().enumerate() {
+        for (service, service_config) in site.services.iter().enumerate() {
+            for (zone, count) in service_config.backends.iter().enumerate() {
                 (0..*count).for_each(|_| backends.start(service, zone, false));
             }
         }
         backends
     }
 
-    /// The list as it is now.
+    /// The current list, without its lag.
     pub(crate) fn list(&self) -> BTreeMap<String, Value> {
         let (mut entries, now) = (self.entries.borrow().clone(), self.recorder.now());
         for (id, backend) in self.running.borrow().iter() {
@@ -80,22 +80,22 @@
         entries
     }
 
-    /// Ids of a service's backends, in their order.
+    /// Ids of a service's backends, sorted.
     pub(crate) fn ids_of_service(&self, service: usize) -> Vec<String> {
         let running = self.running.borrow();
         running.values().filter(|it| it.service == service).map(|it| it.id.clone()).collect()
     }
 
-    /// From now on that part of all responses is lost.
+    /// Sets the fraction of all responses that is lost.
     pub(crate) fn set_response_loss(&self, part: f64) {
         self.response_loss.set(part);
     }
 
-    /// Starts a new incarnation; one that starts during traffic is cold.
+    /// Starts a new incarnation. Those started during the traffic begin with a slow start (`is_cold`).
     pub(crate) fn start(&self, service: usize, zone: usize, is_cold: bool) {
         let number = self.started.get() + 1;
         self.started.set(number);
-        let about = &self.site.services[service];
+        let service_config = &self.site.services[service];
         let ip = Ipv4Addr::new(10, 128, (number / 200) as u8, (number % 200 + 1) as u8);
         self.net.set_location(ip, Location { zone, region: self.site.region(zone) });
         let now = self.recorder.now();
@@ -112,9 +112,9 @@
             id: id.clone(),
             service,
             ip,
-            speed: about.speeds[number as usize % about.speeds.len()],
+            speed: service_config.speeds[number as usize % service_config.speeds.len()],
             cold_until: Cell::new(cold_until),
-            slots: Semaphore::new(about.slots as usize),
+            slots: Semaphore::new(service_config.slots as usize),
             queue_length: Cell::new(0),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(self.seed ^ u64::from(number))),
             response_loss: self.response_loss.clone(),
@@ -122,8 +122,8 @@
         });
         let server = serving::serve(backend.clone(), self.site.clone(), self.recorder.clone());
         *backend.process.borrow_mut() = Some(Process::start(&self.net, ip, server));
-        let entry = json!({"service": about.name, "address": SocketAddr::from((ip, PORT)).to_string(),
-            "zone": self.site.zones[zone].name, "version": "v1", "slots": about.slots, "state": "ready",
+        let entry = json!({"service": service_config.name, "address": SocketAddr::from((ip, PORT)).to_string(),
+            "zone": self.site.zones[zone].name, "version": "v1", "slots": service_config.slots, "state": "ready",
             "cold-left-ms": 0});
         self.entries.borrow_mut().insert(id.clone(), entry);
         self.running.borrow_mut().insert(id, backend);
@@ -133,7 +133,7 @@
         (self.site.services[service].slow_start_s * 1000.0) as Millis
     }
 
-    /// From now on the list shows that it drains; it goes on serving.
+    /// Marks a backend as draining in the list. It continues to serve requests.
     pub(crate) fn drain(&self, id: &str) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(id) {
             entry["state"] = json!("draining");
@@ -141,7 +141,7 @@
         self.record_draining(id);
     }
 
-    /// Its process ends; the list shows it until it is removed there.
+    /// Kills a backend's process. The list shows the backend until it is removed from it.
     pub(crate) fn kill(&self, id: &str) {
         let backend = self.running.borrow_mut().remove(id);
         if let Some(backend) = backend {
@@ -152,13 +152,13 @@
         }
     }
 
-    /// From now on the list does not show it.
+    /// Removes a backend from the list.
     pub(crate) fn remove_from_list(&self, id: &str) {
         self.entries.borrow_mut().remove(id);
         self.record_draining(id);
     }
 
-    /// A zone loses its power, or has it again: then its backends are cold.
+    /// Cuts the power of a zone's backends, or restores it; they then begin with a slow start.
     pub(crate) fn set_zone_power_lost(&self, zone: usize, is_lost: bool) {
         let is_in_zone = |backend: &&Rc<Backend>| {
             self.recorder.with(|records| records.incarnations[backend.index].zone == zone)
@@ -175,7 +175,7 @@
         }
     }
 
-    /// What the list shows now is visible after the list's lag.
+    /// Records when proxies can first see in the list that a backend is draining or gone: after the list's lag.
     fn record_draining(&self, id: &str) {
         let at = self.recorder.now() + self.site.lag_ms;
         self.recorder.with(|records| {
--- a/crates/emulator/src/backends/serving.rs
+++ b/crates/emulator/src/backends/serving.rs
@@ -1,4 +1,4 @@
-//! What a backend does with a request.
+//! How a backend handles a request.
 
 use super::{Backend, PORT};
 use crate::records::{Answer, Arrival, Recorder};
@@ -18,13 +18,13 @@
 use std::time::Duration;
 use violetyoke_transport::net::listen;
 
-/// Requests that wait at a backend, beside those that it executes; one more is never answered.
+/// The maximum number of requests queued at a backend. Further requests get no response.
 const QUEUE_LENGTH: usize = 24;
-/// How far execution times spread (the deviation of their logarithm).
-const SPREAD: f64 = 0.7;
-/// How much slower a cold backend is.
+/// The standard deviation of the logarithm of execution times.
+const TIME_SPREAD: f64 = 0.7;
+/// The factor on a backend's speed during its slow start.
 const COLD_SPEED: f64 = 0.5;
-/// The longest execution, in mean times.
+/// The maximum execution time, as a multiple of the mean.
 const MAX_EXECUTION: f64 = 6.0;
 
 type Reply = Response<Full<Bytes>>;
@@ -81,7 +81,7 @@
     Ok(response)
 }
 
-/// Reads the whole request.
+/// Reads the complete request.
 async fn read_request(
     backend: &Backend,
     recorder: &Recorder,
@@ -97,7 +97,7 @@
     Ok(Arrival { at, incarnation, id, tenant, path, was_executed: false, answer: None, was_misdirected })
 }
 
-/// Takes as long as one execution; whether its response is lost.
+/// Waits for the duration of an execution; returns whether the response is lost.
 async fn execute(backend: &Backend, site: &Site, recorder: &Recorder) -> Result<bool, io::Error> {
     let kind = site.request_kinds.iter().find(|kind| kind.service == backend.service);
     let mean_ms = kind.map_or(50.0, |kind| kind.work_ms);
@@ -105,7 +105,8 @@
     let speed = backend.speed * if is_cold { COLD_SPEED } else { 1.0 };
     let (factor, is_lost) = {
         let rng = &mut *backend.rng.borrow_mut();
-        let spread = LogNormal::new(-SPREAD * SPREAD / 2.0, SPREAD).map_err(io::Error::other)?;
+        let spread =
+            LogNormal::new(-TIME_SPREAD * TIME_SPREAD / 2.0, TIME_SPREAD).map_err(io::Error::other)?;
         (spread.sample(rng), rng.random::<f64>() < backend.response_loss.get())
     };
     let time_ms = (mean_ms * factor / speed).min(MAX_EXECUTION * mean_ms);
--- a/crates/emulator/src/change_costs.rs
+++ b/crates/emulator/src/change_costs.rs
@@ -1,5 +1,5 @@
-//! What configuration changes cost, and how far apart proxies install them: a day of nothing but changes, compared with
-//! the same day without any.
+//! Measures the cost of configuration changes, and the time between the first and the last proxy that installs them:
+//! compares a day that consists only of changes with the same day without any.
 
 use crate::day::Day;
 use crate::event::{Event, EventKind};
@@ -15,40 +15,40 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Between two changes.
+/// The time between two changes (ms).
 const CHANGE_INTERVAL: Millis = 700;
 
-/// What changes cost.
+/// The cost of configuration changes.
 #[derive(Clone, Debug)]
 pub struct ChangeCosts {
-    /// How many changes were sent.
+    /// The number of changes sent.
     pub count: usize,
-    /// How many proxies there are.
+    /// The number of proxies.
     pub edges: usize,
-    /// From the first proxy that has a change in force to the last (ms), sorted.
+    /// The time between the first and the last proxy that installs a change (ms), sorted.
     pub spreads: Vec<f64>,
-    /// From a change's sending to its acknowledgement (ms), sorted.
+    /// The time until a change is acknowledged (ms), sorted.
     pub acknowledgement_times: Vec<f64>,
-    /// Over all changes, proxies that had not installed a change when it was acknowledged.
+    /// The number of proxies that had not installed a change when it was acknowledged, summed over all changes.
     pub late_proxies: usize,
-    /// Bytes between the system's machines, a change.
+    /// Bytes on the network per change.
     pub traffic: Traffic,
-    /// Syncs of all disks, a change.
+    /// Syncs of all disks per change.
     pub syncs: f64,
-    /// Bytes that all disks sync, a change.
+    /// Bytes synced by all disks per change.
     pub synced_bytes: f64,
 }
 
-/// The value below which `part` of the sorted values lie.
+/// The value below which the fraction `part` of the sorted values lies.
 fn percentile(sorted: &[f64], part: f64) -> f64 {
     let index = (sorted.len() as f64 * part) as usize;
     sorted.get(index.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0.0)
 }
 
-/// Plays so many changes: each adds a tenant, or `routes` routes.
+/// Simulates `count` changes. Each adds a tenant or, if `routes` is not 0, that many routes.
 ///
 /// # Errors
-/// When there can be no runtime for it.
+/// If the runtime can't be created.
 pub fn measure(site: &Site, count: usize, routes: usize, seed: u64) -> io::Result<ChangeCosts> {
     let mut site = site.clone();
     site.requests_per_s = 0.0;
@@ -69,7 +69,7 @@
     Ok(costs(&with_changes, &without, &installed, count, site.edge_count()))
 }
 
-/// When proxies have installed each version.
+/// The times at which proxies have installed each version.
 struct Installed(BTreeMap<u64, Vec<Instant>>);
 
 impl Installed {
@@ -83,13 +83,13 @@
         Installed(installed)
     }
 
-    /// From the first proxy to the last (ms).
+    /// The time between the first and the last proxy that installed a version (ms).
     fn spread_ms(&self, version: u64) -> Option<f64> {
         let times = self.0.get(&version)?;
         Some((*times.iter().max()? - *times.iter().min()?).as_secs_f64() * 1000.0)
     }
 
-    /// How many proxies had a version `at` milliseconds after `started_at`.
+    /// The number of proxies that had installed a version `at` milliseconds after `started_at`.
     fn count_at(&self, version: u64, started_at: Instant, at: Millis) -> usize {
         let times = self.0.get(&version).map(Vec::as_slice).unwrap_or_default();
         times.iter().filter(|time| time.duration_since(started_at).as_millis() as Millis <= at).count()
@@ -104,7 +104,7 @@
     edges: usize,
 ) -> ChangeCosts {
     let (mut spreads, mut acknowledgement_times, mut late_proxies) = (Vec::new(), Vec::new(), 0);
-    // The first configuration is no change.
+    // The first configuration is not a change.
     for record in with_changes.records.commands.iter().skip(1) {
         let (Command::Configuration { version, .. }, Some(acknowledged)) =
             (&record.command, record.acknowledged_at)
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,4 +1,4 @@
-//! The rules, checked against what was observed. Those with a time bound are checked outside of spans with faults only.
+//! Checks the rules against the records. Rules with a time bound are checked only outside of fault spans.
 
 mod control;
 mod executions;
@@ -10,12 +10,12 @@
 use std::collections::HashMap;
 use violetyoke_api::configuration::RouteKind;
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The rule's name.
     pub rule: &'static str,
-    /// What broke it.
+    /// What violated the rule.
     pub detail: String,
 }
 
@@ -26,7 +26,7 @@
     violations: Vec<Violation>,
 }
 
-/// Checks a day; empty: it kept all rules.
+/// Checks the records of a day, and returns all violations.
 #[must_use]
 pub fn check(site: &Site, records: &Records) -> Vec<Violation> {
     let attempts = records.attempts.iter().map(|attempt| (attempt.id.as_str(), attempt)).collect();
@@ -41,28 +41,28 @@
     checker.violations
 }
 
-/// The most that fell into any span of some length.
+/// The maximum number of times in any window of a given length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Densest {
+struct WindowMax {
     count: usize,
-    /// When that span begins.
+    /// The start of that window.
     from: Millis,
 }
 
-fn densest(at: &[Millis], span: Millis) -> Densest {
+fn max_in_window(at: &[Millis], span: Millis) -> WindowMax {
     let mut at = at.to_vec();
     at.sort_unstable();
-    let mut densest = Densest { count: 0, from: 0 };
+    let mut max_in_window = WindowMax { count: 0, from: 0 };
     let mut first = 0;
     for last in 0..at.len() {
         while at[last] - at[first] >= span {
             first += 1;
         }
-        if last + 1 - first > densest.count {
-            densest = Densest { count: last + 1 - first, from: at[first] };
+        if last + 1 - first > max_in_window.count {
+            max_in_window = WindowMax { count: last + 1 - first, from: at[first] };
         }
     }
-    densest
+    max_in_window
 }
 
 impl Checker<'_> {
@@ -70,14 +70,15 @@
         self.violations.push(Violation { rule, detail });
     }
 
-    /// No fault at that time, nor for as long before as it takes to be in contact again.
-    fn is_calm(&self, at: Millis) -> bool {
+    /// Whether there is no fault at a time, nor in the time before that machines need to regain contact.
+    fn is_fault_free(&self, at: Millis) -> bool {
         let contact = self.site.bounds.contact_ms as Millis;
         !self.records.fault_spans.iter().any(|(from, to)| at >= *from && at <= to + contact)
     }
 
-    /// Each configuration that may be in force when an attempt was sent: none older than the newest acknowledged by then.
-    fn in_force(&self, sent: Millis, until: Millis) -> Vec<&Command> {
+    /// The configurations that may be in force for an attempt: none older than the newest one that was acknowledged,
+    /// and had to be applied, when the attempt was sent.
+    fn possible_configurations(&self, sent: Millis, until: Millis) -> Vec<&Command> {
         let versions = self.records.commands.iter().filter_map(|record| match &record.command {
             Command::Configuration { version, is_valid: true, .. } => Some((*version, record)),
             _ => None,
@@ -110,7 +111,9 @@
             {
                 self.report("REFUSED", format!("{} ran and was answered {}", attempt.id, attempt.status));
             }
-            if matches!(attempt.status, 401 | 404) && self.is_calm(attempt.sent) && self.is_key_known(attempt)
+            if matches!(attempt.status, 401 | 404)
+                && self.is_fault_free(attempt.sent)
+                && self.is_key_known(attempt)
             {
                 denied += 1;
             }
@@ -120,9 +123,9 @@
         }
     }
 
-    /// Whether each configuration that may be in force knows an attempt's credential.
+    /// Whether all configurations that may be in force contain an attempt's credential.
     fn is_key_known(&self, attempt: &Attempt) -> bool {
         let knows = |command: &&Command| matches!(command, Command::Configuration { keys, .. } if keys.contains(&attempt.key));
-        self.in_force(attempt.sent, attempt.ended.unwrap_or(attempt.sent)).iter().all(knows)
+        self.possible_configurations(attempt.sent, attempt.ended.unwrap_or(attempt.sent)).iter().all(knows)
     }
 }
--- a/crates/emulator/src/checker/control.rs
+++ b/crates/emulator/src/checker/control.rs
@@ -1,4 +1,5 @@
-//! What was acknowledged is there at the end, as it was sent; what was invalid was rejected: the rules CONFIG and LOST.
+//! The rules CONFIG and LOST for commands: acknowledged configurations are still there, unchanged, at the end of the
+//! day, and invalid ones are not acknowledged.
 
 use super::Checker;
 use crate::records::Command;
--- a/crates/emulator/src/checker/executions.rs
+++ b/crates/emulator/src/checker/executions.rs
@@ -1,26 +1,26 @@
-//! What may be executed where: the rules UNASKED, HOME, ROUTE, CONFIG, DRAIN and EVAC.
+//! Which requests may be executed where: the rules UNASKED, HOME, ROUTE, CONFIG, DRAIN and EVAC.
 
 use super::Checker;
 use crate::records::{Arrival, Attempt, Command, Incarnation, Millis};
 use crate::site::owner;
 
-/// What a command says of an execution.
+/// Whether a command permits an execution.
 #[derive(Clone, Copy)]
-struct Allows {
-    /// Its kind of request goes to this service.
+struct Permissions {
+    /// Whether the kind of request is routed to the service.
     service: bool,
-    /// Its credential is known.
+    /// Whether the credential is in the configuration.
     key: bool,
 }
 
-impl Allows {
-    fn of(command: &Command, attempt: &Attempt, incarnation: &Incarnation) -> Allows {
+impl Permissions {
+    fn of(command: &Command, attempt: &Attempt, incarnation: &Incarnation) -> Permissions {
         match command {
-            Command::Configuration { services, keys, .. } => Allows {
+            Command::Configuration { services, keys, .. } => Permissions {
                 service: services.get(attempt.kind) == Some(&incarnation.service),
                 key: keys.contains(&attempt.key),
             },
-            Command::Evacuate { .. } => Allows { service: false, key: false },
+            Command::Evacuate { .. } => Permissions { service: false, key: false },
         }
     }
 }
@@ -56,29 +56,28 @@
     }
 
     fn check_configuration(&mut self, arrival: &Arrival, attempt: &Attempt, incarnation: &Incarnation) {
-        let allows = |command: &Command| Allows::of(command, attempt, incarnation);
-        let commands = self.records.commands.iter().map(|record| allows(&record.command));
-        let ever = commands.fold(Allows { service: false, key: false }, |all, one| Allows {
-            service: all.service || one.service,
-            key: all.key || one.key,
+        let permissions = |command: &Command| Permissions::of(command, attempt, incarnation);
+        let commands = self.records.commands.iter().map(|record| permissions(&record.command));
+        let ever_permitted = commands.fold(Permissions { service: false, key: false }, |all, one| {
+            Permissions { service: all.service || one.service, key: all.key || one.key }
         });
-        if !ever.service || !ever.key {
+        if !ever_permitted.service || !ever_permitted.key {
             self.report("ROUTE", format!("{} ran at service {}", attempt.id, incarnation.service));
         }
-        let allows_both = |command: &&Command| {
-            let Allows { service, key } = allows(command);
+        let permits_both = |command: &&Command| {
+            let Permissions { service, key } = permissions(command);
             service && key
         };
-        let is_allowed = self.in_force(attempt.sent, arrival.at).iter().any(allows_both);
-        if !is_allowed && self.is_calm(attempt.sent) {
+        let is_allowed = self.possible_configurations(attempt.sent, arrival.at).iter().any(permits_both);
+        if !is_allowed && self.is_fault_free(attempt.sent) {
             let detail = format!("{} sent at {} ran by an older version", attempt.id, attempt.sent);
             self.report("CONFIG", detail);
         }
     }
 
-    /// Backends that drain, and zones that are evacuated.
+    /// Checks that draining backends and evacuated zones execute no requests.
     fn check_withdrawn(&mut self, arrival: &Arrival, attempt: &Attempt, incarnation: &Incarnation) {
-        if !self.is_calm(arrival.at) {
+        if !self.is_fault_free(arrival.at) {
             return;
         }
         let drain_ms = self.site.bounds.drain_ms as Millis;
@@ -91,7 +90,7 @@
         }
     }
 
-    /// The zone's evacuation was acknowledged long enough before, and not ended since.
+    /// Whether the zone's evacuation was acknowledged long enough before the arrival, and not ended since.
     fn is_evacuated(&self, arrival: &Arrival, at_zone: usize) -> bool {
         let mut acknowledged = None;
         for record in self.records.commands.iter().filter(|record| record.sent <= arrival.at) {
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they resolve edges, send requests, and retry where the protocol allows it. All of it is recorded.
+//! Clients: they resolve edges, send requests, and retry as far as the protocol allows. All attempts are recorded.
 
 mod client;
 mod repeats;
@@ -21,62 +21,62 @@
 use tokio::time::sleep;
 use violetyoke_api::configuration::RouteKind;
 
-/// Clients of a zone, each with addresses and connections of its own.
+/// The number of clients in each zone, each with its own addresses and connections.
 const CLIENTS_PER_ZONE: usize = 12;
-/// The part of the requests that comes from tenants that have joined on the day.
+/// The fraction of requests that comes from tenants added during the day.
 const NEWCOMER_SHARE: f64 = 0.02;
-/// What is in flight when the traffic ends is waited for.
+/// How long clients wait for requests in flight when the traffic ends.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// How often clients look for operations that are to be sent again.
+/// The interval at which clients check for operations to repeat.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where a registry answers clients, and the zone that it stands in.
+/// The address at which a registry answers clients, and the registry's zone.
 #[derive(Clone, Copy)]
 pub(crate) struct Directory {
     pub(crate) address: SocketAddr,
     pub(crate) zone: usize,
 }
 
-/// What all clients share, and what events change of it.
+/// The workload shared by all clients. Events change it during the day.
 pub(crate) struct Workload {
     pub(crate) site: Site,
     pub(crate) recorder: Recorder,
     pub(crate) directories: Vec<Directory>,
-    /// A tenant that sends many times its usual, and how many.
+    /// A tenant that sends more than usual, and the factor.
     pub(crate) burst: Cell<Option<(usize, f64)>>,
-    /// Tenants that have joined on the day.
+    /// Tenants added during the day.
     pub(crate) joined: RefCell<Vec<String>>,
-    /// Tenants whose credentials were taken away.
+    /// Tenants whose credentials were revoked.
     pub(crate) revoked: RefCell<Vec<usize>>,
-    /// Operations that are to be sent again.
+    /// Operations to be repeated.
     pub(crate) repeats: Repeats,
-    /// No client sends anything new.
+    /// Whether the traffic has ended: clients send no new requests.
     pub(crate) has_ended: Cell<bool>,
 }
 
-/// A request that is to be sent, for the first time or again.
+/// A request to be sent, for the first time or as a repeat.
 #[derive(Clone)]
 struct Submission {
-    /// Its index in the records.
+    /// The index of the request in the records.
     request: usize,
-    /// The credential that it is sent with.
+    /// The credential to send.
     credential: String,
-    /// The zone that it is sent from.
+    /// The zone of the sending client.
     zone: usize,
-    /// It was sent before.
+    /// Whether the request was sent before.
     is_repeat: bool,
 }
 
-/// Who sends a request.
+/// The tenant that sends a request.
 struct Sender {
     tenant: String,
     key: String,
-    /// Requests a second that the tenant usually sends, over all zones.
+    /// The tenant's usual request rate over all zones (requests per second).
     usual_per_s: f64,
 }
 
 impl Workload {
-    /// How often a tenant sends, relative to the others, now.
+    /// The current weight of a tenant's requests relative to other tenants.
     fn weight(&self, number: usize) -> f64 {
         match self.burst.get() {
             Some((burst, factor)) if burst == number => self.site.traffic_share(number) * factor,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// How many times the usual all tenants together send now.
+    /// The current load of all tenants together, as a multiple of the usual load.
     fn load_factor(&self) -> f64 {
         let extra = |(number, factor): (usize, f64)| (factor - 1.0) * self.site.traffic_share(number);
         1.0 + self.burst.get().map_or(0.0, extra)
@@ -108,10 +108,10 @@
         Sender { tenant: tenant(number), key: key(number), usual_per_s }
     }
 
-    /// The index of a kind of request; `drawn` is evenly distributed from 0 to 1.
-    fn choose_kind(&self, drawn: f64) -> usize {
+    /// The index of a kind of request; `fraction` is uniformly distributed from 0 to 1.
+    fn choose_kind(&self, fraction: f64) -> usize {
         let kinds = &self.site.request_kinds;
-        let mut left = drawn * kinds.iter().map(|kind| kind.weight).sum::<f64>();
+        let mut left = fraction * kinds.iter().map(|kind| kind.weight).sum::<f64>();
         let chosen = kinds.iter().position(|kind| {
             left -= kind.weight;
             left <= 0.0
@@ -120,12 +120,12 @@
     }
 }
 
-/// What each tenant has sent in the last second, from one zone.
+/// The requests that each tenant has sent from one zone in the last second.
 #[derive(Default)]
 struct RecentRequests(HashMap<String, VecDeque<Millis>>);
 
 impl RecentRequests {
-    /// Counts one more; how many there are now.
+    /// Adds a request; returns the number in the last second.
     fn add(&mut self, tenant: &str, now: Millis) -> usize {
         let recent = self.0.entry(tenant.to_owned()).or_default();
         recent.push_back(now);
@@ -182,7 +182,7 @@
     }
 }
 
-/// Sends operations again that are due.
+/// Sends the repeats that are due.
 async fn send_repeats(workload: Rc<Workload>, clients: &[Rc<Client>], zone: usize, mut rng: Pcg64Mcg) {
     while !workload.has_ended.get() {
         for submission in workload.repeats.take_due(zone, workload.recorder.now()) {
--- a/crates/emulator/src/clients/client.rs
+++ b/crates/emulator/src/clients/client.rs
@@ -1,4 +1,4 @@
-//! One client: its addresses, its connections, and the attempts of a request.
+//! A client: it resolves edge addresses, keeps connections, and sends the attempts of requests.
 
 use super::{Submission, Workload};
 use crate::http_client::{connect, send, send_once, Connection, Response};
@@ -20,25 +20,25 @@
 
 const MAX_ATTEMPTS: usize = 3;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// With less time left a request is given up.
+/// A request with less time left than this is given up.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
-/// The pause after no edge was found.
+/// The pause before the next attempt if no edge is known.
 const RESOLVE_PAUSE: Duration = Duration::from_millis(100);
-/// How many registries are asked for edges, the nearest first.
+/// The maximum number of registries queried for edges, nearest first.
 const MAX_DIRECTORIES: usize = 3;
 
 /// A client.
 #[derive(Default)]
 pub(super) struct Client {
-    /// The edges that the last answer named.
+    /// The edges in the last answer of a registry.
     edges: RefCell<Vec<SocketAddr>>,
     edges_valid_until: Cell<Option<Instant>>,
-    /// Edges that have failed since.
+    /// Edges that have failed since that answer.
     failed: RefCell<Vec<SocketAddr>>,
     idle: RefCell<HashMap<SocketAddr, Connection>>,
 }
 
-/// One attempt, as it is sent.
+/// The parameters of an attempt.
 struct Outgoing<'a> {
     to: SocketAddr,
     kind: &'a RequestKind,
@@ -46,12 +46,12 @@
     key: &'a str,
     operation_key: Option<&'a str>,
     until: Instant,
-    /// An idle connection may be used, and kept.
+    /// Whether an idle connection may be used, and kept afterwards.
     may_reuse: bool,
 }
 
 impl Client {
-    /// Sends a request, and again as often as the protocol allows; whether it was served.
+    /// Sends a request, with retries as far as the protocol allows; returns whether it was served.
     pub(super) async fn request(
         &self,
         workload: &Workload,
@@ -63,8 +63,8 @@
             let request = &records.requests[*index];
             (request.kind, request.operation_key.clone())
         });
-        let about = &workload.site.request_kinds[kind];
-        let until = Instant::now() + Duration::from_millis(about.deadline_ms);
+        let request_kind = &workload.site.request_kinds[kind];
+        let until = Instant::now() + Duration::from_millis(request_kind.deadline_ms);
         for number in 0..MAX_ATTEMPTS {
             let left = until.saturating_duration_since(Instant::now());
             if left < MIN_ATTEMPT_TIME {
@@ -92,10 +92,10 @@
                 records.attempts.push(attempt);
                 records.attempts.len() - 1
             });
-            let is_idempotent = about.route_kind == RouteKind::Idempotent;
+            let is_idempotent = request_kind.route_kind == RouteKind::Idempotent;
             let may_reuse = number == 0 && is_idempotent;
             let operation_key = operation_key.as_deref();
-            let outgoing = Outgoing { to, kind: about, id: &id, key, operation_key, until, may_reuse };
+            let outgoing = Outgoing { to, kind: request_kind, id: &id, key, operation_key, until, may_reuse };
             let response = self.send_attempt(&outgoing).await;
             record_response(workload, attempt_index, response.as_ref());
             match response.as_ref().map_or(0, |response| response.status) {
@@ -106,7 +106,7 @@
                     let left = until.saturating_duration_since(Instant::now());
                     sleep(retry_after.min(left / 3)).await;
                 }
-                _ if about.route_kind == RouteKind::Nonidempotent => return false,
+                _ if request_kind.route_kind == RouteKind::Nonidempotent => return false,
                 0 => self.failed.borrow_mut().push(to),
                 _ => {}
             }
@@ -114,7 +114,7 @@
         false
     }
 
-    /// A random edge of those that have not failed; edges are resolved again when they are no longer valid.
+    /// A random edge among those that have not failed. Resolves the edges again if the last answer has expired.
     async fn choose_edge(&self, workload: &Workload, zone: usize, rng: &mut Pcg64Mcg) -> Option<SocketAddr> {
         if self.edges_valid_until.get().is_none_or(|until| Instant::now() >= until) {
             self.resolve(workload, zone).await;
@@ -202,13 +202,13 @@
         if is_valid {
             request.served_at.get_or_insert(now);
         }
-        // A credential that was taken away owes its tenant nothing.
+        // The system doesn't have to serve requests with a revoked credential.
         request.is_owed &= status != 401;
     });
 }
 
-/// Whether a response is a backend's, complete, and to this attempt. That to an attempt with an operation key may be from
-/// the execution of another attempt with that key.
+/// Whether a response is from a backend and belongs to this attempt. With an operation key, the answer may come from
+/// the execution of another attempt with the same key.
 fn is_own(response: &Response, attempt: &Attempt) -> bool {
     let is_to_this = match attempt.operation_key {
         Some(_) => {
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -1,4 +1,5 @@
-//! A day: what happens, and when. Drawn by a seed, with no more lost at once than the deployment has to tolerate.
+//! A day: a schedule of events. Random days are generated from a seed, with no more core machines lost at the same time
+//! than the deployment has to tolerate.
 
 use crate::event::{Event, EventKind};
 use crate::records::Millis;
@@ -6,24 +7,24 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Traffic begins so long after the machines.
-pub(crate) const LEAD: Millis = 8_000;
-/// Faults and planned work fall into this span of the traffic; then a closing fault may come.
-const BUSY: std::ops::Range<Millis> = 2_000..16_000;
-const CLOSING: Millis = 20_000;
-/// How long the traffic of a drawn day lasts.
-pub(crate) const LENGTH: Millis = 26_000;
-/// A machine that was lost counts as lost for so long after its return.
-const CATCH_UP: Millis = 4_000;
+/// The time between the start of the machines and the start of the traffic.
+pub(crate) const START_DELAY: Millis = 8_000;
+/// The span of the traffic in which faults and planned work happen. Afterwards there may be a closing fault.
+const FAULT_WINDOW: std::ops::Range<Millis> = 2_000..16_000;
+const CLOSING_FAULT_AT: Millis = 20_000;
+/// The duration of the traffic on a generated day.
+pub(crate) const DAY_LENGTH: Millis = 26_000;
+/// A machine still counts as lost for this time after its return.
+const RECOVERY_TIME: Millis = 4_000;
 
-/// What happens on a day.
+/// A day: the events, and the seed of all other random decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Day {
-    /// All else that is random on it is drawn by this.
+    /// The seed of everything random on the day apart from the events.
     pub seed: u64,
-    /// The events, in the order of their times.
+    /// The events, ordered by time.
     pub events: Vec<Event>,
-    /// How long the traffic lasts.
+    /// The duration of the traffic.
     pub length: Millis,
 }
 
@@ -32,45 +33,46 @@
     #[must_use]
     pub fn quiet(seed: u64) -> Day {
         let kind = EventKind::AddTenant { name: "newcomer-1".into() };
-        Day { seed, events: vec![Event { at: 2_500, kind }], length: LENGTH }
+        Day { seed, events: vec![Event { at: 2_500, kind }], length: DAY_LENGTH }
     }
 
-    /// The day of a seed.
+    /// Generates a day from a seed.
     #[must_use]
-    pub fn drawn(seed: u64, site: &Site) -> Day {
+    pub fn from_seed(seed: u64, site: &Site) -> Day {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let cores = site.core_count();
-        let mut day = Day { seed, events: Vec::new(), length: LENGTH };
-        // Until when a counted loss lasts: the next one waits for its end.
+        let mut day = Day { seed, events: Vec::new(), length: DAY_LENGTH };
+        // The end of the last loss that counts towards the tolerance: no other one starts before it.
         let mut lost_until = 0;
-        let mut at = BUSY.start;
-        while at < BUSY.end {
+        let mut at = FAULT_WINDOW.start;
+        while at < FAULT_WINDOW.end {
             let span = rng.random_range(1_000..5_000);
-            let kind = draw(&mut rng, site, at, span, at >= lost_until);
+            let kind = sample_event(&mut rng, site, at, span, at >= lost_until);
             if kind.is_counted_loss(cores) {
-                lost_until = at + span + CATCH_UP;
+                lost_until = at + span + RECOVERY_TIME;
             }
             day.events.push(Event { at, kind });
             at += rng.random_range(200..2_200);
         }
-        let closing = draw_closing(&mut rng, site, lost_until);
-        day.events.extend(closing.map(|kind| Event { at: CLOSING, kind }));
+        let closing = sample_closing_fault(&mut rng, site, lost_until);
+        day.events.extend(closing.map(|kind| Event { at: CLOSING_FAULT_AT, kind }));
         day
     }
 
-    /// A day of a seed on which one fault of core machines follows another, with no more lost at once than may be.
+    /// Generates a day with one fault of core machines after another, with no more lost at the same time than
+    /// tolerated.
     #[must_use]
-    pub fn of_core_faults(seed: u64, site: &Site) -> Day {
+    pub fn with_core_faults(seed: u64, site: &Site) -> Day {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut day = Day { seed, events: Vec::new(), length: LENGTH };
-        let mut at = BUSY.start;
-        while at < CLOSING {
+        let mut day = Day { seed, events: Vec::new(), length: DAY_LENGTH };
+        let mut at = FAULT_WINDOW.start;
+        while at < CLOSING_FAULT_AT {
             let span = rng.random_range(300..2_500);
-            day.events.push(Event { at, kind: draw_core_fault(&mut rng, site, span) });
-            at += span + rng.random_range(CATCH_UP / 4..CATCH_UP);
+            day.events.push(Event { at, kind: sample_core_fault(&mut rng, site, span) });
+            at += span + rng.random_range(RECOVERY_TIME / 4..RECOVERY_TIME);
         }
-        let closing = draw_closing(&mut rng, site, 0);
-        day.events.extend(closing.map(|kind| Event { at: CLOSING + CATCH_UP, kind }));
+        let closing = sample_closing_fault(&mut rng, site, 0);
+        day.events.extend(closing.map(|kind| Event { at: CLOSING_FAULT_AT + RECOVERY_TIME, kind }));
         day
     }
 
@@ -83,19 +85,23 @@
     }
 }
 
-/// An event of any kind; of those that count as a loss only if another loss may come.
-fn draw(rng: &mut Pcg64Mcg, site: &Site, at: Millis, span: Millis, may_lose: bool) -> EventKind {
+/// A random event. Events that count as the loss of a core machine are chosen only if `may_lose_core`.
+fn sample_event(rng: &mut Pcg64Mcg, site: &Site, at: Millis, span: Millis, may_lose_core: bool) -> EventKind {
     let (cores, edges) = (site.core_count(), site.edge_count());
     let core = rng.random_range(0..cores);
     let edge = cores + rng.random_range(0..edges);
     match rng.random_range(0..24) {
-        0 if may_lose => EventKind::Kill { machines: vec![core], is_power_lost: rng.random(), down: span },
-        1 if may_lose => EventKind::Wipe { machine: core, down: span },
-        2 if may_lose => EventKind::KillAcknowledger { is_wiped: rng.random(), down: span },
-        3 if may_lose => EventKind::Freeze { machine: core, span },
-        4 | 5 if may_lose => EventKind::Partition { machines: vec![core], is_one_way: rng.random(), span },
-        6 if may_lose => EventKind::StallDisk { machine: core, span },
-        7 if may_lose => EventKind::LoseZone { zone: rng.random_range(0..site.zones.len()), span },
+        0 if may_lose_core => {
+            EventKind::Kill { machines: vec![core], is_power_lost: rng.random(), down: span }
+        }
+        1 if may_lose_core => EventKind::Wipe { machine: core, down: span },
+        2 if may_lose_core => EventKind::KillAcknowledger { is_wiped: rng.random(), down: span },
+        3 if may_lose_core => EventKind::Freeze { machine: core, span },
+        4 | 5 if may_lose_core => {
+            EventKind::Partition { machines: vec![core], is_one_way: rng.random(), span }
+        }
+        6 if may_lose_core => EventKind::StallDisk { machine: core, span },
+        7 if may_lose_core => EventKind::LoseZone { zone: rng.random_range(0..site.zones.len()), span },
         8 => {
             let machines = (0..edges).filter(|_| rng.random_range(0..2) == 0).map(|n| cores + n).collect();
             EventKind::Kill { machines, is_power_lost: rng.random(), down: span / 2 }
@@ -111,8 +117,8 @@
         17 => EventKind::Evacuate { zone: rng.random_range(0..site.zones.len()), span: span + 3_000 },
         18 => EventKind::TenantBurst { tenant: rng.random_range(0..site.tenants), factor: 8.0, span },
         19 => EventKind::CrashBackends { service: rng.random_range(0..site.services.len()), count: 1 },
-        20 if may_lose => EventKind::SplitCore { half: (0..cores / 2).collect(), span },
-        21 if may_lose => {
+        20 if may_lose_core => EventKind::SplitCore { half: (0..cores / 2).collect(), span },
+        21 if may_lose_core => {
             EventKind::Kill { machines: (0..cores).collect(), is_power_lost: rng.random(), down: span / 4 }
         }
         22 => EventKind::ReplaceBackends { service: rng.random_range(0..site.services.len()), count: 4 },
@@ -120,7 +126,7 @@
     }
 }
 
-fn draw_core_fault(rng: &mut Pcg64Mcg, site: &Site, span: Millis) -> EventKind {
+fn sample_core_fault(rng: &mut Pcg64Mcg, site: &Site, span: Millis) -> EventKind {
     let cores = site.core_count();
     let core = rng.random_range(0..cores);
     let edge = cores + rng.random_range(0..site.edge_count());
@@ -139,13 +145,15 @@
     }
 }
 
-fn draw_closing(rng: &mut Pcg64Mcg, site: &Site, lost_until: Millis) -> Option<EventKind> {
+fn sample_closing_fault(rng: &mut Pcg64Mcg, site: &Site, lost_until: Millis) -> Option<EventKind> {
     let machines = (0..site.core_count() + site.edge_count()).collect();
     match rng.random_range(0..7) {
         0 => Some(EventKind::Kill { machines, is_power_lost: false, down: 800 }),
         1 => Some(EventKind::Kill { machines, is_power_lost: true, down: 1_200 }),
-        2 if lost_until < CLOSING => Some(EventKind::KillAcknowledger { is_wiped: true, down: 1_400 }),
-        3 | 4 if lost_until < CLOSING => {
+        2 if lost_until < CLOSING_FAULT_AT => {
+            Some(EventKind::KillAcknowledger { is_wiped: true, down: 1_400 })
+        }
+        3 | 4 if lost_until < CLOSING_FAULT_AT => {
             let first = rng.random_range(0..site.core_count());
             let wiped = (0..site.tolerance as usize).map(|n| (first + n) % site.core_count()).collect();
             Some(EventKind::LoseDisksAndPower { wiped, down: 1_200 })
--- a/crates/emulator/src/day_file.rs
+++ b/crates/emulator/src/day_file.rs
@@ -1,7 +1,7 @@
-//! Days in the bench's own form (TOML): a `[[day]]` with `plan`, `faults`, `closing` and `traffic`. What has no
-//! counterpart here is reported, and left out.
+//! Days in the bench's format (TOML): a `[[day]]` with `plan`, `faults`, `closing` and `traffic`. Events without a
+//! counterpart in the emulator are skipped and reported.
 
-use crate::day::{Day, LENGTH};
+use crate::day::{Day, DAY_LENGTH};
 use crate::event::{Event, EventKind};
 use crate::records::Millis;
 use crate::site::Site;
@@ -66,23 +66,23 @@
     zone: Option<String>,
 }
 
-/// A day as it was read.
+/// A day read from a file.
 #[derive(Debug)]
 pub struct ParsedDay {
-    /// Its name in the file.
+    /// The name of the day in the file.
     pub name: String,
     /// The day.
     pub day: Day,
-    /// Requests a second of each zone's clients, where the file says it.
+    /// Requests per second of each zone's clients, if the file sets it.
     pub requests_per_s: Option<f64>,
-    /// Kinds of events that are unknown here and left out.
+    /// Unsupported kinds of events, which were skipped.
     pub unknown_kinds: Vec<String>,
 }
 
-/// Reads the first day of a file, with traffic of at least `length`.
+/// Parses the first day of a file. Its traffic lasts for `length` or longer.
 ///
 /// # Errors
-/// When the text is not TOML, or not in the form of days.
+/// If the text is not valid TOML, or not in the format of days.
 pub fn parse(text: &str, site: &Site, length: Millis) -> Result<ParsedDay, toml::de::Error> {
     let File { day } = toml::from_str(text)?;
     let Some(table) = day.into_iter().next() else {
@@ -108,7 +108,7 @@
     events.sort_by_key(|event| event.at);
     let traffic = &table.traffic;
     let per_s = traffic.iter().map(|it| it.per_s).sum::<f64>() / traffic.len().max(1) as f64;
-    let day = Day { seed: table.seed, events, length: length.max(LENGTH) };
+    let day = Day { seed: table.seed, events, length: length.max(DAY_LENGTH) };
     let requests_per_s = (per_s > 0.0).then_some(per_s);
     Ok(ParsedDay { name: table.name, day, requests_per_s, unknown_kinds })
 }
@@ -128,8 +128,9 @@
     }
 }
 
-/// What an event's random parts come to, drawn whether it uses them or not: so the draws of later events stay the same.
-struct Drawn {
+/// Random targets of an event. All are sampled for every event, used or not, so that the random numbers of later events
+/// don't depend on the kinds of earlier ones.
+struct RandomTargets {
     zone: usize,
     service: usize,
     core: usize,
@@ -137,25 +138,30 @@
 
 fn event_kinds(event: &EventTable, site: &Site, rng: &mut Pcg64Mcg) -> Vec<EventKind> {
     let named = event.zone.as_deref().and_then(|name| site.zones.iter().position(|zone| zone.name == name));
-    let drawn = Drawn {
+    let targets = RandomTargets {
         zone: named.unwrap_or_else(|| rng.random_range(0..site.zones.len())),
         service: rng.random_range(0..site.services.len()),
         core: rng.random_range(0..site.core_count()),
     };
-    let kinds = planned_work(event, site, &drawn, rng);
+    let kinds = planned_work(event, site, &targets, rng);
     if kinds.is_empty() {
-        faults(event, site, &drawn, rng)
+        faults(event, site, &targets, rng)
     } else {
         kinds
     }
 }
 
-/// Changes, and what happens to backends.
-fn planned_work(event: &EventTable, site: &Site, drawn: &Drawn, rng: &mut Pcg64Mcg) -> Vec<EventKind> {
+/// The events for configuration changes, load and backends.
+fn planned_work(
+    event: &EventTable,
+    site: &Site,
+    targets: &RandomTargets,
+    rng: &mut Pcg64Mcg,
+) -> Vec<EventKind> {
     let (span, times) = (millis(event.for_s), event.count.max(1));
-    let backends = site.services[drawn.service].backends.iter().sum::<usize>() as f64;
+    let backends = site.services[targets.service].backends.iter().sum::<usize>() as f64;
     let count = ((backends * event.share) as usize).max(1);
-    let service = drawn.service;
+    let service = targets.service;
     match event.kind.as_str() {
         "config_change" if event.how == "tenant" => vec![EventKind::AddTenant { name: "newcomer".into() }],
         "config_change" => vec![EventKind::Change { moves_searches: false }],
@@ -166,7 +172,7 @@
             let revoke = |_| EventKind::RevokeKey { tenant: rng.random_range(0..site.tenants) };
             (0..times).map(revoke).collect()
         }
-        "evacuate" => vec![EventKind::Evacuate { zone: drawn.zone, span }],
+        "evacuate" => vec![EventKind::Evacuate { zone: targets.zone, span }],
         "hot_tenant" => {
             let tenant = rng.random_range(0..site.tenants);
             vec![EventKind::TenantBurst { tenant, factor: event.x, span }]
@@ -181,22 +187,22 @@
     }
 }
 
-/// What happens to machines, disks and links.
-fn faults(event: &EventTable, site: &Site, drawn: &Drawn, rng: &mut Pcg64Mcg) -> Vec<EventKind> {
-    let (span, machine) = (millis(event.for_s), drawn.core);
+/// The events for faults of machines, disks and links.
+fn faults(event: &EventTable, site: &Site, targets: &RandomTargets, rng: &mut Pcg64Mcg) -> Vec<EventKind> {
+    let (span, machine) = (millis(event.for_s), targets.core);
     let (down, is_power_lost) = (span.max(600), event.how.contains("power"));
     match event.kind.as_str() {
         "node_kill" if event.on == "core" => {
             vec![EventKind::Kill { machines: vec![machine], is_power_lost, down }]
         }
         "node_kill" | "herd_kill" => {
-            vec![EventKind::Kill { machines: some_edges(event, site, rng), is_power_lost, down }]
+            vec![EventKind::Kill { machines: random_edges(event, site, rng), is_power_lost, down }]
         }
         "node_cut" => {
-            vec![EventKind::Partition { machines: some_edges(event, site, rng), is_one_way: false, span }]
+            vec![EventKind::Partition { machines: random_edges(event, site, rng), is_one_way: false, span }]
         }
         "core_cut" => vec![EventKind::Partition { machines: vec![machine], is_one_way: false, span }],
-        "zone_loss" => vec![EventKind::LoseZone { zone: drawn.zone, span }],
+        "zone_loss" => vec![EventKind::LoseZone { zone: targets.zone, span }],
         "disk_stall" => vec![EventKind::StallDisk { machine, span }],
         "after_ack_kill" => vec![EventKind::KillAcknowledger { is_wiped: false, down: span }],
         "after_ack_wipe" => vec![EventKind::KillAcknowledger { is_wiped: true, down: span }],
@@ -204,8 +210,8 @@
     }
 }
 
-/// The event's share of the edge machines, at least one.
-fn some_edges(event: &EventTable, site: &Site, rng: &mut Pcg64Mcg) -> Vec<usize> {
+/// Random edge machines: the event's share of all, and at least one.
+fn random_edges(event: &EventTable, site: &Site, rng: &mut Pcg64Mcg) -> Vec<usize> {
     let (cores, edges) = (site.core_count(), site.edge_count());
     let mut all: Vec<usize> = (cores..cores + edges).collect();
     let count = ((edges as f64 * event.share).round() as usize).max(1);
--- a/crates/emulator/src/emulated_disk/entry_log.rs
+++ b/crates/emulator/src/emulated_disk/entry_log.rs
@@ -1,12 +1,12 @@
-//! The entries of an emulated append-only log, on the disk or on their way to it.
+//! The entries of an emulated append-only log, synced and unsynced.
 
 /// The entries of a log.
 #[derive(Debug, Default)]
 pub(super) struct EntryLog {
     synced: Vec<Vec<u8>>,
-    /// Written, and not yet synced: they are on the disk only if the power stays.
+    /// Entries that are written but not synced. A power loss removes them.
     unsynced: Vec<PendingEntry>,
-    /// How many entries were written.
+    /// The number of entries written.
     written: u64,
 }
 
@@ -17,7 +17,7 @@
 }
 
 impl EntryLog {
-    /// Writes an entry; its number.
+    /// Writes an entry; returns its number.
     pub(super) fn write(&mut self, bytes: Vec<u8>) -> u64 {
         let number = self.written;
         self.written += 1;
@@ -25,7 +25,7 @@
         number
     }
 
-    /// Syncs an entry with all that were written before it; how many bytes that took.
+    /// Syncs an entry and all entries before it; returns the number of bytes synced.
     pub(super) fn sync(&mut self, number: u64) -> u64 {
         let count = self.unsynced.iter().take_while(|entry| entry.number <= number).count();
         let entries: Vec<Vec<u8>> = self.unsynced.drain(..count).map(|entry| entry.bytes).collect();
@@ -34,17 +34,17 @@
         bytes
     }
 
-    /// The complete entries, in order.
+    /// The synced entries, in order.
     pub(super) fn entries(&self) -> Vec<Vec<u8>> {
         self.synced.clone()
     }
 
-    /// Nothing more is written by whoever wrote: the first `kept` entries that are not synced stay.
-    pub(super) fn end_writing(&mut self, kept: usize) {
-        self.synced.extend(self.unsynced.drain(..).take(kept).map(|entry| entry.bytes));
+    /// Handles the end of the writing process: the first `kept_entries` unsynced entries stay, the others are lost.
+    pub(super) fn on_writer_ended(&mut self, kept_entries: usize) {
+        self.synced.extend(self.unsynced.drain(..).take(kept_entries).map(|entry| entry.bytes));
     }
 
-    /// How many entries are not synced.
+    /// The number of unsynced entries.
     pub(super) fn unsynced(&self) -> usize {
         self.unsynced.len()
     }
--- a/crates/emulator/src/emulated_disk/mod.rs
+++ b/crates/emulator/src/emulated_disk/mod.rs
@@ -1,4 +1,5 @@
-//! The emulated disk: two slots and an append-only log, written in time, torn by a power loss, stalled by faults.
+//! The emulated disk: two slots and an append-only log. Syncs take time, faults stall them, and a power loss tears
+//! writes.
 
 mod entry_log;
 
@@ -12,12 +13,12 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use violetyoke_transport::environment::{AppendLog, Disk};
 
-/// What was written to disks.
+/// The writes of disks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskWrites {
-    /// How often something was synced.
+    /// The number of syncs.
     pub syncs: u64,
-    /// How many bytes were synced.
+    /// The number of synced bytes.
     pub bytes: u64,
 }
 
@@ -29,15 +30,15 @@
     log: RefCell<EntryLog>,
     sync_time: Cell<Duration>,
     stalled_until: Cell<Option<Instant>>,
-    /// It reports syncs of slots that it has not done: the negative control.
+    /// Whether the disk reports syncs of slots that it has not done (the negative control).
     is_lying: Cell<bool>,
-    /// The same of the log.
+    /// The same for the log.
     has_lying_log: Cell<bool>,
     writes: Cell<DiskWrites>,
 }
 
 impl State {
-    /// Takes as long as a sync does now.
+    /// Waits for the duration of a sync, and for the end of a stall.
     async fn wait_for_sync(&self) {
         sleep(self.sync_time.get()).await;
         while let Some(until) = self.stalled_until.get().filter(|until| Instant::now() < *until) {
@@ -51,41 +52,41 @@
     }
 }
 
-/// A machine's disk; it outlives the machine's processes.
+/// A machine's disk, which outlives the machine's processes.
 #[derive(Clone, Debug, Default)]
 pub struct EmulatedDisk(Rc<State>);
 
 impl EmulatedDisk {
-    /// How long a sync takes.
+    /// Sets the duration of a sync.
     pub fn set_sync_time(&self, time: Duration) {
         self.0.sync_time.set(time);
     }
 
-    /// Whether it reports syncs of slots that it does not do.
+    /// Sets whether the disk reports syncs of slots that it doesn't do.
     pub fn set_lying(&self, is_lying: bool) {
         self.0.is_lying.set(is_lying);
     }
 
-    /// Whether it reports syncs of the log that it does not do.
+    /// Sets whether the disk reports syncs of the log that it doesn't do.
     pub fn set_lying_log(&self, is_lying: bool) {
         self.0.has_lying_log.set(is_lying);
     }
 
-    /// No sync completes for that long.
+    /// Stalls the disk: no sync completes for this time.
     pub fn stall(&self, time: Duration) {
         self.0.stalled_until.set(Some(Instant::now() + time));
     }
 
-    /// A process has ended: what it wrote stays. With the power, what is not synced is lost; if `is_torn`, half of it
-    /// is there: half a slot, and the first half of the log's entries.
+    /// Handles the end of a process. What it has written stays, unless the power is lost: then data that is not synced
+    /// is lost or, if `is_torn`, half of it stays (half a slot, and the first half of the log's unsynced entries).
     pub fn on_process_ended(&self, is_power_lost: bool, is_torn: bool) {
         let mut log = self.0.log.borrow_mut();
-        let kept = match (is_power_lost, is_torn) {
+        let kept_entries = match (is_power_lost, is_torn) {
             (true, false) => 0,
             (true, true) => log.unsynced().div_ceil(2),
             (false, _) => log.unsynced(),
         };
-        log.end_writing(kept);
+        log.on_writer_ended(kept_entries);
         if let Some((slot, bytes)) = self.0.unsynced.take() {
             let written = match (is_power_lost, is_torn) {
                 (true, false) => return,
@@ -96,14 +97,14 @@
         }
     }
 
-    /// An empty disk takes its place.
+    /// Removes all data, as if the disk were replaced by an empty one.
     pub fn wipe(&self) {
         self.0.unsynced.take();
         self.0.log.take();
         *self.0.slots.borrow_mut() = Default::default();
     }
 
-    /// What was written so far.
+    /// The writes so far.
     #[must_use]
     pub fn writes(&self) -> DiskWrites {
         self.0.writes.get()
--- a/crates/emulator/src/event.rs
+++ b/crates/emulator/src/event.rs
@@ -1,16 +1,17 @@
-//! What can happen on a day.
+//! The events of a day.
 
 use crate::records::Millis;
 use std::fmt;
 
-/// Something that happens. Machines are numbered as the fleet has them, cores first; times are milliseconds.
+/// A kind of event with its parameters. Machines are indices in the fleet, core machines first; times are in
+/// milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventKind {
     /// Processes are killed.
     Kill {
         /// The machines.
         machines: Vec<usize>,
-        /// With the power, what is not synced is lost too.
+        /// Whether the machines lose power, and so all data that is not synced.
         is_power_lost: bool,
         /// How long they are down.
         down: Millis,
@@ -22,40 +23,40 @@
         /// How long it is down.
         down: Millis,
     },
-    /// A configuration is sent, and the machine that acknowledges it loses its power at once.
+    /// A configuration is sent, and the machine that acknowledges it loses its power immediately.
     KillAcknowledger {
-        /// It loses its disk too.
+        /// Whether the machine loses its disk too.
         is_wiped: bool,
         /// How long it is down.
         down: Millis,
     },
-    /// A configuration is sent; once it is acknowledged, some machines lose their disks, and all others, also those that
-    /// have none, lose their power in the same moment.
+    /// A configuration is sent. When it is acknowledged, all machines lose power at the same time, and some of them
+    /// also lose their disks.
     LoseDisksAndPower {
-        /// The machines that lose their disks: no more than may be lost at once.
+        /// The machines that lose their disks: no more than the deployment tolerates.
         wiped: Vec<usize>,
-        /// How long all are down.
+        /// How long all machines are down.
         down: Millis,
     },
-    /// The core machines are cut into two halves, whatever may be lost at once; all others reach both.
+    /// The core machines are partitioned into two halves, whatever the tolerance; all other machines reach both.
     SplitCore {
         /// The machines of one half.
         half: Vec<usize>,
         /// For how long.
         span: Millis,
     },
-    /// A machine's processes stand still.
+    /// A machine's processes are suspended.
     Freeze {
         /// The machine.
         machine: usize,
         /// For how long.
         span: Millis,
     },
-    /// Machines are partitioned from all others of the system.
+    /// Machines are partitioned from all other machines of the system.
     Partition {
         /// The machines.
         machines: Vec<usize>,
-        /// Nothing gets out, but everything in.
+        /// Whether only the outgoing direction is blocked.
         is_one_way: bool,
         /// For how long.
         span: Millis,
@@ -67,7 +68,7 @@
         /// For how long.
         span: Millis,
     },
-    /// A zone loses its power, with its backends.
+    /// All machines and backends of a zone lose power.
     LoseZone {
         /// The zone.
         zone: usize,
@@ -81,12 +82,12 @@
     },
     /// A new version of the configuration is sent.
     Change {
-        /// Searches go to another service from then on.
+        /// Whether the new version routes searches to another service.
         moves_searches: bool,
     },
-    /// Two operators send two versions to two registries at once.
+    /// Two operators send different versions to two registries at the same time.
     ConcurrentChanges,
-    /// A configuration is sent that can't be accepted.
+    /// An invalid configuration is sent.
     InvalidChange,
     /// A tenant is added.
     AddTenant {
@@ -98,7 +99,7 @@
         /// How many.
         count: usize,
     },
-    /// A tenant's credential is taken away.
+    /// A tenant's credential is revoked.
     RevokeKey {
         /// The tenant.
         tenant: usize,
@@ -110,16 +111,16 @@
         /// For how long.
         span: Millis,
     },
-    /// A tenant sends many times its usual.
+    /// A tenant sends more than usual.
     TenantBurst {
         /// The tenant.
         tenant: usize,
-        /// How many times.
+        /// The multiple of the tenant's usual rate.
         factor: f64,
         /// For how long.
         span: Millis,
     },
-    /// Backends of a service end without notice; the list shows them for a while.
+    /// Backends of a service crash; the platform's list still shows them for a while.
     CrashBackends {
         /// The service.
         service: usize,
@@ -133,19 +134,19 @@
         /// How many backends.
         count: usize,
     },
-    /// A part of all responses of backends is lost.
+    /// A fraction of all responses of backends is lost.
     LoseResponses {
-        /// Which part.
+        /// The fraction.
         part: f64,
         /// For how long.
         span: Millis,
     },
 }
 
-/// Something at a time of the traffic.
+/// An event at a time of the traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// Since the traffic began.
+    /// Milliseconds since the start of the traffic.
     pub at: Millis,
     /// What happens.
     pub kind: EventKind,
@@ -158,7 +159,7 @@
 }
 
 impl EventKind {
-    /// Whether it takes away a core machine, of which only so many may be lost at once.
+    /// Whether the event counts towards the number of core machines that may be lost at the same time.
     pub(crate) fn is_counted_loss(&self, cores: usize) -> bool {
         match self {
             EventKind::Kill { machines, .. } | EventKind::Partition { machines, .. } => {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// How long machines or links are faulty by it.
+    /// How long machines or links are faulty because of the event.
     pub(crate) fn fault_span(&self) -> Option<Millis> {
         match self {
             EventKind::Kill { down, .. }
--- a/crates/emulator/src/fault_injection.rs
+++ b/crates/emulator/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! What each event of a day does to the simulation.
+//! Applies the events of a day to the simulation.
 
 use crate::event::EventKind;
 use crate::records::{Command, Millis};
@@ -7,41 +7,41 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long the list shows backends that have crashed.
-const CRASHED_SHOWN: Millis = 2_500;
+/// How long the platform's list still shows crashed backends (ms).
+const CRASHED_LISTED_FOR: Millis = 2_500;
 
 async fn pause(ms: Millis) {
     sleep(Duration::from_millis(ms)).await;
 }
 
-/// How machines go down.
+/// How machines fail.
 #[derive(Clone, Copy)]
-struct Loss {
+struct MachineLoss {
     is_power_lost: bool,
     is_wiped: bool,
     down: Millis,
 }
 
 impl Simulation {
-    /// Lets an event happen, and waits for its end.
+    /// Applies an event, and waits for its end.
     pub(crate) async fn apply(self: &Rc<Self>, event: EventKind) {
         if let Some(span) = event.fault_span() {
             self.record_fault(span);
         }
-        let takes_core = event.is_counted_loss(self.site.core_count());
-        self.let_happen(event).await;
-        if takes_core {
+        let affects_core = event.is_counted_loss(self.site.core_count());
+        self.inject(event).await;
+        if affects_core {
             self.workload.repeat_recent(|| self.random());
         }
     }
 
-    async fn let_happen(self: &Rc<Self>, event: EventKind) {
+    async fn inject(self: &Rc<Self>, event: EventKind) {
         match event {
             EventKind::Kill { machines, is_power_lost, down } => {
-                self.take_down(&machines, Loss { is_power_lost, is_wiped: false, down }).await;
+                self.take_down(&machines, MachineLoss { is_power_lost, is_wiped: false, down }).await;
             }
             EventKind::Wipe { machine, down } => {
-                self.take_down(&[machine], Loss { is_power_lost: true, is_wiped: true, down }).await;
+                self.take_down(&[machine], MachineLoss { is_power_lost: true, is_wiped: true, down }).await;
             }
             EventKind::KillAcknowledger { is_wiped, down } => self.kill_acknowledger(is_wiped, down).await,
             EventKind::LoseDisksAndPower { wiped, down } => self.lose_disks_and_power(&wiped, down).await,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Events of operators and clients, and of backends.
+    /// Applies an event of operators, clients or backends.
     async fn apply_command(&self, event: EventKind) {
         match event {
             EventKind::Change { moves_searches } => {
@@ -105,12 +105,12 @@
                 pause(span).await;
                 self.backends.set_response_loss(0.0);
             }
-            // Faults of machines, which `apply` has handled.
+            // Faults of machines are handled by `inject`.
             _ => {}
         }
     }
 
-    async fn take_down(&self, machines: &[usize], loss: Loss) {
+    async fn take_down(&self, machines: &[usize], loss: MachineLoss) {
         for machine in machines {
             let is_torn = self.random().is_multiple_of(2);
             let fleet = &mut *self.fleet.borrow_mut();
@@ -134,7 +134,7 @@
         if let Some(machine) = registry.and_then(machines) {
             pause(self.random() % 4).await;
             self.record_fault(down + 1_000);
-            self.take_down(&[machine], Loss { is_power_lost: true, is_wiped, down }).await;
+            self.take_down(&[machine], MachineLoss { is_power_lost: true, is_wiped, down }).await;
         }
     }
 
@@ -144,15 +144,15 @@
             let machines = 0..self.fleet.borrow().machines.len();
             machines.filter(|machine| !wiped.contains(machine)).collect()
         };
-        // Recorded as a fault by then, and lasts from here on.
+        // `apply` has recorded a fault from the start of the event; the machines go down only now.
         self.record_fault(down + 2_000);
         tokio::join!(
-            self.take_down(wiped, Loss { is_power_lost: true, is_wiped: true, down }),
-            self.take_down(&others, Loss { is_power_lost: true, is_wiped: false, down }),
+            self.take_down(wiped, MachineLoss { is_power_lost: true, is_wiped: true, down }),
+            self.take_down(&others, MachineLoss { is_power_lost: true, is_wiped: false, down }),
         );
     }
 
-    /// Cuts the core machines of `half` from the other core machines, or joins them again.
+    /// Partitions the core machines of `half` from the other core machines, or ends the partition.
     fn set_core_split(&self, half: &[usize], is_partitioned: bool) {
         let fleet = self.fleet.borrow();
         for one in half.iter().filter_map(|index| fleet.machines.get(*index)) {
@@ -166,7 +166,7 @@
     async fn lose_zone(&self, zone: usize, span: Millis) {
         self.backends.set_zone_power_lost(zone, true);
         let machines = self.fleet.borrow().in_zone(zone);
-        self.take_down(&machines, Loss { is_power_lost: true, is_wiped: false, down: span }).await;
+        self.take_down(&machines, MachineLoss { is_power_lost: true, is_wiped: false, down: span }).await;
         self.backends.set_zone_power_lost(zone, false);
     }
 
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The tenant sends requests once its configuration is acknowledged.
+    /// Adds a tenant, which sends requests once its configuration is acknowledged.
     async fn add_tenant(&self, name: String) {
         let index = self.send_configuration(std::slice::from_ref(&name)).await;
         if self.recorder.with(|records| records.commands[index].acknowledged_at.is_some()) {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Two operators, two versions, at one moment: the higher one prevails, whichever is first.
+    /// Sends two versions by two operators at the same time. The higher version prevails, whichever arrives first.
     async fn send_two_versions(&self) {
         let (lower, higher) = (self.version.get() + 1, self.version.get() + 2);
         self.version.set(higher);
@@ -199,7 +199,7 @@
         tokio::join!(self.operator.send_command(low, one), self.operator.send_command(high, other));
     }
 
-    /// A configuration that names an unknown service: rejected everywhere, and never in force.
+    /// Sends a configuration with an unknown service, which every registry has to reject.
     async fn send_invalid(&self) {
         let version = self.version.get() + 50;
         let Command::Configuration { text, keys, services, .. } = self.configuration(version, &[]) else {
@@ -212,7 +212,7 @@
     async fn crash_backends(&self, service: usize, count: usize) {
         let ids: Vec<String> = self.backends.ids_of_service(service).into_iter().take(count).collect();
         ids.iter().for_each(|id| self.backends.kill(id));
-        pause(CRASHED_SHOWN).await;
+        pause(CRASHED_LISTED_FOR).await;
         for id in &ids {
             self.backends.remove_from_list(id);
             self.backends.start(service, self.random() as usize % self.site.zones.len(), true);
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -1,13 +1,13 @@
-//! What a day was worth to clients.
+//! The service quality that clients experienced on a day.
 
 use crate::records::{Command, Millis, Records};
 use crate::site::Site;
 use std::fmt;
 
-/// Statuses that are counted; 0 stands for no complete response.
+/// The statuses that are counted; 0 means that there was no complete response.
 const STATUSES: [u16; 10] = [200, 401, 404, 409, 429, 500, 502, 503, 504, 0];
 
-/// How often attempts ended with a status.
+/// The number of attempts that ended with a status.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StatusCount {
     /// The status; 0: no complete response in time.
@@ -16,26 +16,26 @@
     pub attempts: usize,
 }
 
-/// What clients had of a day.
+/// Figures of a day's service quality.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
     /// How many requests were sent.
     pub requests: usize,
-    /// The part of the owed requests that had a valid response.
+    /// The fraction of the owed requests (see `ClientRequest::is_owed`) that got a valid response.
     pub served: f64,
-    /// The part of the owed requests that had one within their latency target.
+    /// The fraction of the owed requests that got a valid response within their latency target.
     pub in_time: f64,
-    /// The part of all attempts that was rejected with 429 or 503.
+    /// The fraction of all attempts that was rejected with 429 or 503.
     pub rejected: f64,
-    /// The part of all attempts that ended with another 5xx, or without a response.
+    /// The fraction of all attempts that ended with another 5xx or without a response.
     pub failed: f64,
     /// Attempts by status.
     pub statuses: [StatusCount; STATUSES.len()],
-    /// The median time of served requests (ms).
+    /// The median latency of served owed requests (ms).
     pub p50: Millis,
-    /// The time within which 99 in 100 served requests were (ms).
+    /// The 99th percentile of the latency of served owed requests (ms).
     pub p99: Millis,
-    /// The longest time that an evacuation waited for its acknowledgement outside of spans with faults (ms).
+    /// The longest time until an evacuation was acknowledged, outside of fault spans (ms).
     pub slowest_evacuation: Millis,
 }
 
@@ -64,29 +64,29 @@
                 .map(|status| StatusCount { status, attempts: attempts(&|other| other == status) }),
             p50: percentile(0.5),
             p99: percentile(0.99),
-            slowest_evacuation: calm_evacuations(site, records).into_iter().max().unwrap_or(0),
+            slowest_evacuation: fault_free_evacuations(site, records).into_iter().max().unwrap_or(0),
         }
     }
 }
 
-/// How long each evacuation waited for its acknowledgement, where no machine or link was faulty meanwhile, nor for so long
-/// before as contact takes.
+/// The times until evacuations were acknowledged (ms), without those that overlap a fault span or the time afterwards
+/// that machines need to regain contact.
 #[must_use]
-pub fn calm_evacuations(site: &Site, records: &Records) -> Vec<Millis> {
+pub fn fault_free_evacuations(site: &Site, records: &Records) -> Vec<Millis> {
     let contact = site.bounds.contact_ms as Millis;
-    let is_calm = |from: Millis, until: Millis| {
+    let is_fault_free = |from: Millis, until: Millis| {
         !records.fault_spans.iter().any(|(start, end)| from <= end + contact && until >= *start)
     };
     let evacuations = records.commands.iter().filter(|it| matches!(it.command, Command::Evacuate { .. }));
-    let waits = evacuations.filter_map(|it| Some((it.sent, it.acknowledged_at?)));
-    waits.filter(|(from, until)| is_calm(*from, *until)).map(|(from, until)| until - from).collect()
+    let durations = evacuations.filter_map(|it| Some((it.sent, it.acknowledged_at?)));
+    durations.filter(|(from, until)| is_fault_free(*from, *until)).map(|(from, until)| until - from).collect()
 }
 
 impl fmt::Display for Figures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} requests, served {:.3}, in time {:.3}, tries refused {:.3} and failed {:.3}, p50 {} ms, p99 {} ms",
+            "{} requests, served {:.3}, in time {:.3}, attempts rejected {:.3} and failed {:.3}, p50 {} ms, p99 {} ms",
             self.requests, self.served, self.in_time, self.rejected, self.failed, self.p50, self.p99
         )?;
         let mut counts = self.statuses.iter().filter(|count| count.attempts > 0);
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The system's machines: the shipped daemons as processes, killed, frozen and restarted as days want it.
+//! The system's machines, which run the production daemons as processes. Events kill, freeze and restart them.
 
 use crate::net::{Location, Net};
 use crate::process::Process;
@@ -16,7 +16,7 @@
 const READY_PORT: u16 = 8085;
 const FRONT_PORT: u16 = 8089;
 const INTERNAL_PORTS: [u16; 2] = [7460, 7475];
-/// A process that has ended is restarted after this.
+/// The pause before a process that has ended is restarted.
 pub(crate) const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     name: String,
     processes: Vec<DaemonProcess>,
     is_up: bool,
-    /// How often it was started.
+    /// How often the machine was started.
     starts: u64,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// All machines of the system, the cores first.
+/// All machines of the system, core machines first.
 pub(crate) struct Fleet {
     net: Rc<Net>,
     pub(crate) machines: Vec<Machine>,
@@ -101,7 +101,7 @@
         Fleet { net, machines, site: site.clone(), platform, seed, log, is_first_start: true }
     }
 
-    /// Machines with a registry and a store.
+    /// The core machines, which run a registry and a store.
     pub(crate) fn cores(&self) -> impl Iterator<Item = &Machine> {
         self.machines.iter().filter(|machine| machine.is_core)
     }
@@ -138,7 +138,7 @@
         })
     }
 
-    /// Starts a machine's processes, if it is down.
+    /// Starts a machine's processes, if the machine is down.
     pub(crate) fn start(&mut self, index: usize) {
         let Some(machine) = self.machines.get(index).filter(|machine| !machine.is_up) else { return };
         let settings = self.settings(machine).to_string();
@@ -165,12 +165,12 @@
         DaemonProcess { process: Process::start(&self.net, machine.ip, body), lifecycle: sender }
     }
 
-    /// All machines have started once.
+    /// Records that all machines have been started once.
     pub(crate) fn on_all_started(&mut self) {
         self.is_first_start = false;
     }
 
-    /// Ends a machine's processes; with its power, nothing more comes from it.
+    /// Kills a machine's processes. If the power is lost too, the network delivers nothing more from the machine.
     pub(crate) fn kill(&mut self, index: usize, is_power_lost: bool, is_torn: bool) {
         let Some(machine) = self.machines.get_mut(index) else { return };
         if is_power_lost {
@@ -188,7 +188,7 @@
         self.machines.get(index).into_iter().flat_map(|machine| &machine.processes)
     }
 
-    /// Freezes a machine's processes, or lets them go on.
+    /// Freezes a machine's processes, or resumes them.
     pub(crate) fn set_frozen(&self, index: usize, is_frozen: bool) {
         self.processes(index).for_each(|daemon| daemon.process.set_frozen(is_frozen));
     }
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Machines whose processes have ended by themselves or as they were asked to; they are down from now on.
+    /// Takes the machines whose processes have all ended without being killed, and marks them as down.
     pub(crate) fn take_ended(&mut self) -> Vec<usize> {
         let ended: Vec<usize> =
             (0..self.machines.len()).filter(|index| self.machines[*index].has_ended()).collect();
@@ -215,7 +215,7 @@
     }
 }
 
-/// A number of its own for each start of each daemon, spread as a hash spreads them; never 0.
+/// A unique incarnation number for each start of each daemon, mixed like a hash; never 0.
 fn incarnation(seed: u64, ip: Ipv4Addr, starts: u64, daemon: Daemon) -> u64 {
     let number = seed ^ (u64::from(u32::from(ip)) << 20 | starts << 2 | daemon as u64);
     let spread =
--- a/crates/emulator/src/http_client.rs
+++ b/crates/emulator/src/http_client.rs
@@ -20,16 +20,16 @@
     pub(crate) body: Bytes,
 }
 
-/// Opens a connection; `None` if it did not come up in time.
+/// Opens a connection; `None` if it isn't established in time.
 pub(crate) async fn connect(to: SocketAddr, within: Duration) -> Option<Connection> {
     let stream = timeout(within, violetyoke_transport::net::connect(to)).await.ok()?.ok()?;
     let (sender, connection) = handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await.ok()?;
-    // It ends with the sender; an error in it is seen there.
+    // The task ends with the sender, which also reports its errors.
     tokio::task::spawn_local(async move { drop(connection.await) });
     Some(sender)
 }
 
-/// Sends a request; `None` if there was no complete response by then.
+/// Sends a request; `None` if there is no complete response before `until`.
 pub(crate) async fn send(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -44,7 +44,7 @@
     timeout_at(until, response).await.ok().flatten()
 }
 
-/// One request on a connection of its own.
+/// Sends one request on a new connection.
 pub(crate) async fn send_once(
     to: SocketAddr,
     method: &str,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,14 +1,14 @@
-//! Whole systems in virtual time: the shipped daemons on emulated machines, days of drawn faults, and the rules checked
-//! against what those outside of the system observed.
+//! Emulates complete systems in virtual time: the production daemons run on emulated machines through days (scenarios)
+//! of random faults, and rules are checked against what clients, backends and the operator observed.
 //!
-//! - `net`, `emulated_disk` and `process` are the machines; `fleet` runs the daemons on them.
-//! - `clients`, `backends`, `platform` and `operator` surround them, and record what they observe in [`records`].
-//! - A [`day`] says which [`event`]s happen when (also as a file of the bench, [`day_file`]); `fault_injection` lets it happen in a
-//!   [`simulation`] of a [`site`].
-//! - The [`checker`] finds broken rules; [`trace`] minimizes a day that breaks one; [`figures`] and [`change_costs`] say
-//!   what a day was worth, and what changes cost.
+//! - `net`, `emulated_disk` and `process` emulate the machines; `fleet` runs the daemons on them.
+//! - `clients`, `backends`, `platform` and `operator` are the environment, and record what they observe in [`records`].
+//! - A [`day`] lists [`event`]s and their times; it may be read from a bench file ([`day_file`]). `fault_injection`
+//!   applies the events to a [`simulation`] of a [`site`].
+//! - The [`checker`] finds violated rules; [`trace`] minimizes a day that violates one; [`figures`] has the service
+//!   quality of a day, and [`change_costs`] the cost of configuration changes.
 //!
-//! There is no model of processors: figures come from delays, losses and decisions alone.
+//! Processor time is not modelled: figures depend only on network and disk delays, losses and the daemons' decisions.
 
 mod backends;
 pub mod change_costs;
--- a/crates/emulator/src/log_recorder.rs
+++ b/crates/emulator/src/log_recorder.rs
@@ -1,4 +1,4 @@
-//! A log that keeps its lines: which daemon wrote what, and when, in virtual time.
+//! A log drain that records the daemons' log lines with their virtual times.
 
 use slog::{Drain, Key, OwnedKVList, Record, Serializer, KV};
 use std::fmt::Arguments;
@@ -11,11 +11,11 @@
     pub(crate) at: Instant,
     pub(crate) daemon: String,
     pub(crate) text: String,
-    /// The field `version`, where the line has it.
+    /// The field `version`, if the line has it.
     pub(crate) version: Option<u64>,
 }
 
-/// Keeps all lines.
+/// Records all log lines.
 #[derive(Debug, Default)]
 pub(crate) struct LogRecorder(Mutex<Vec<LogLine>>);
 
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `violetyoke-emulator`: whole systems in virtual time.
+//! `violetyoke-emulator`: emulates complete systems in virtual time.
 
 use lexopt::prelude::*;
 use slog::Logger;
@@ -9,34 +9,35 @@
 use violetyoke_emulator::day::Day;
 use violetyoke_emulator::day_file;
 use violetyoke_emulator::site::Site;
-use violetyoke_emulator::trace::{minimize, play_and_check, PlayedDay};
+use violetyoke_emulator::trace::{minimize, simulate_and_check, SimulatedDay};
 
 const HELP: &str =
     "violetyoke-emulator VERB [--seed N] [--days N] [--routes N] [--file F] [--per-s N] [--edges N] [--five] [--keyed] [--core] [--log]
 
-Whole systems in virtual time: the shipped daemons, and days drawn by a seed.
+Emulates complete systems in virtual time: the production daemons, on days generated from a seed.
 
-  quiet   a day without trouble
-  day     the day of a seed: its events, what it was worth, which rules it broke
-  hunt    many days, from that seed on; one that breaks a rule is shortened to a story
-  changes what changes cost and how far apart ingresses take them: tenants that join, or --routes N each
+  quiet   simulate a day without faults
+  day     simulate the day of a seed; print its events, figures and violated rules
+  hunt    simulate many days, from the given seed on; minimize each day that violates a rule
+  changes measure the cost of configuration changes, and the time between the first and the last ingress that
+          installs them; each change adds a tenant or, with --routes N, N routes
 
-  --file F   a day in the bench's form (TOML) in place of a drawn one
+  --file F   read the day from a file in the bench's format (TOML)
   --seed N   the (first) seed (default: 1)
-  --days N   days of a hunt, or changes (default: 20)
-  --routes N routes that each change adds
-  --per-s N  requests a second of each zone's clients (default: 40)
+  --days N   number of days of a hunt, or of changes (default: 20)
+  --routes N number of routes that each change adds
+  --per-s N  requests per second of each zone's clients (default: 40)
   --edges N  proxies in each zone (default: 2)
-  --five     five core machines, of which two may be lost
-  --keyed    bookings carry operation keys, and are sent again
-  --core     drawn days have one fault of core machines after another
-  --log      what the daemons write, to standard error
+  --five     five core machines, of which two may be lost at the same time
+  --keyed    bookings carry operation keys, and clients repeat them
+  --core     generate days with one fault of core machines after another
+  --log      write the daemons' logs to standard error
 
-Exit status: 0 no rule broken, 1 a rule broken, 2 the command line is wrong.";
+Exit status: 0 no rule violated, 1 a rule violated or an error, 2 invalid command line.";
 
-/// How long the bench's days last (ms).
+/// The duration of the bench's days (ms).
 const BENCH_LENGTH: u64 = 32_000;
-/// How many violations of a day are printed.
+/// The maximum number of violations printed for a day.
 const MAX_PRINTED: usize = 10;
 
 #[derive(Clone, Copy)]
@@ -68,12 +69,12 @@
     routes: usize,
     file: Option<PathBuf>,
     site: Site,
-    /// Draws the day of a seed.
-    draw: fn(u64, &Site) -> Day,
+    /// Generates the day of a seed.
+    generate: fn(u64, &Site) -> Day,
     log: bool,
 }
 
-/// Reads the command line; `None`: help is asked for.
+/// Parses the command line; `None` if help is requested.
 fn parse(mut parser: lexopt::Parser) -> Result<Option<CommandLine>, lexopt::Error> {
     let (mut verb, mut seed, mut days, mut log) = (None, 1, 20, false);
     let (mut file, mut core) = (None, false);
@@ -99,25 +100,25 @@
     let site = if five { site.with_five_cores() } else { site };
     let site = if keyed { site.with_keyed_bookings() } else { site };
     let verb = verb.ok_or("no verb: quiet, day, hunt or changes")?.parse::<Verb>()?;
-    let draw = if core { Day::of_core_faults } else { Day::drawn };
-    Ok(Some(CommandLine { verb, seed, days, routes, file, site, draw, log }))
+    let generate = if core { Day::with_core_faults } else { Day::from_seed };
+    Ok(Some(CommandLine { verb, seed, days, routes, file, site, generate, log }))
 }
 
 fn silent() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
 
-fn print(played: &PlayedDay) {
-    for event in &played.day.events {
+fn print(simulated: &SimulatedDay) {
+    for event in &simulated.day.events {
         println!("  {event}");
     }
-    println!("  {}", played.figures);
-    for violation in played.violations.iter().take(MAX_PRINTED) {
+    println!("  {}", simulated.figures);
+    for violation in simulated.violations.iter().take(MAX_PRINTED) {
         println!("  BROKEN {}: {}", violation.rule, violation.detail);
     }
 }
 
-/// Carries out a verb; whether no rule was broken.
+/// Runs a verb; returns whether no rule was violated.
 fn run(line: &CommandLine) -> io::Result<bool> {
     let mut site = line.site.clone();
     let day = match (line.verb, &line.file) {
@@ -127,17 +128,17 @@
             return Ok(true);
         }
         (Verb::Quiet, _) => Day::quiet(line.seed),
-        (Verb::Day, None) => (line.draw)(line.seed, &line.site),
+        (Verb::Day, None) => (line.generate)(line.seed, &line.site),
         (Verb::Day, Some(file)) => read_day(file, &mut site)?,
     };
     let log =
         if line.log { violetyoke_transport::log::logger("violetyoke-emulator", "world") } else { silent() };
-    let played = play_and_check(&site, day, &log)?;
-    print(&played);
-    Ok(played.violations.is_empty())
+    let simulated = simulate_and_check(&site, day, &log)?;
+    print(&simulated);
+    Ok(simulated.violations.is_empty())
 }
 
-/// Reads a day in the bench's form; the site gets the traffic that it names.
+/// Reads a day in the bench's format, and sets the site's request rate to that of the file.
 fn read_day(file: &Path, site: &mut Site) -> io::Result<Day> {
     let text = std::fs::read_to_string(file)?;
     let parsed = day_file::parse(&text, site, BENCH_LENGTH);
@@ -145,7 +146,7 @@
         io::Error::new(io::ErrorKind::InvalidData, format!("{}: {error}", file.display()))
     })?;
     for kind in &parsed.unknown_kinds {
-        println!("  {kind}: not known here, left out");
+        println!("  {kind}: unsupported kind of event, skipped");
     }
     site.requests_per_s = parsed.requests_per_s.unwrap_or(site.requests_per_s);
     Ok(parsed.day)
@@ -154,15 +155,15 @@
 fn hunt(line: &CommandLine) -> io::Result<bool> {
     let mut days_with_violations = 0;
     for seed in line.seed..line.seed + line.days {
-        let day = (line.draw)(seed, &line.site);
-        let played = play_and_check(&line.site, day, &silent())?;
-        println!("seed {seed}: {} events, {}", played.day.events.len(), played.figures);
-        if !played.violations.is_empty() {
+        let day = (line.generate)(seed, &line.site);
+        let simulated = simulate_and_check(&line.site, day, &silent())?;
+        println!("seed {seed}: {} events, {}", simulated.day.events.len(), simulated.figures);
+        if !simulated.violations.is_empty() {
             days_with_violations += 1;
-            print(&minimize(&line.site, played)?);
+            print(&minimize(&line.site, simulated)?);
         }
     }
-    println!("{} days, {days_with_violations} with a broken rule", line.days);
+    println!("{} days, {days_with_violations} with a violated rule", line.days);
     Ok(days_with_violations == 0)
 }
 
--- a/crates/emulator/src/net/connections.rs
+++ b/crates/emulator/src/net/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: opened after a round trip, each direction delivered with a delay, and ended as machines lose power.
+//! Connections: opened after a round trip, with a delay in each direction, and ended when a machine has lost power.
 
 use super::Net;
 use futures_util::future::pending;
@@ -10,8 +10,9 @@
 use tokio::sync::mpsc::channel;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Bytes in flight in one direction of a connection, and the most that is delivered at once.
+/// The maximum number of bytes in flight in one direction of a connection.
 const WINDOW: usize = 64 << 10;
+/// The maximum number of bytes delivered at once.
 const CHUNK: usize = 16 << 10;
 
 impl Net {
@@ -42,7 +43,7 @@
         Ok(ours)
     }
 
-    /// One direction of a connection, until it ends.
+    /// Delivers the bytes of one direction of a connection until it ends.
     async fn deliver(
         self: Rc<Net>,
         from: Ipv4Addr,
--- a/crates/emulator/src/net/mod.rs
+++ b/crates/emulator/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The emulated network: connections with delays between machines that can lose power or be partitioned, one way or both.
+//! The emulated network: connections with delays. Machines can lose power or be partitioned in one or both directions.
 
 mod connections;
 
@@ -19,25 +19,25 @@
 
 thread_local! {
     /// The machine whose process is running.
-    static RUNNING: Cell<Ipv4Addr> = const { Cell::new(Ipv4Addr::UNSPECIFIED) };
+    static CURRENT_MACHINE: Cell<Ipv4Addr> = const { Cell::new(Ipv4Addr::UNSPECIFIED) };
 }
 
-/// Runs something as a process of that machine: its connections and its disk are those of the machine.
+/// Runs a function as part of a process on a machine: it uses the machine's address and disk.
 pub(crate) fn as_machine<R>(ip: Ipv4Addr, run: impl FnOnce() -> R) -> R {
-    let before = RUNNING.replace(ip);
+    let before = CURRENT_MACHINE.replace(ip);
     let result = run();
-    RUNNING.set(before);
+    CURRENT_MACHINE.set(before);
     result
 }
 
-/// Where a machine stands.
+/// The location of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Location {
     pub(crate) zone: usize,
     pub(crate) region: usize,
 }
 
-/// Delays of one way (ms).
+/// One-way delays (ms).
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
     /// Between machines of one zone.
@@ -48,7 +48,7 @@
     pub between_regions_ms: f64,
 }
 
-/// Bytes on the network.
+/// Bytes carried by the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Between machines of one zone.
@@ -59,8 +59,8 @@
     pub between_regions: u64,
 }
 
-/// Futures that belong to no process, for whoever runs the network.
-pub(crate) type OwnFutures = UnboundedReceiver<LocalBoxFuture<'static, ()>>;
+/// Futures that belong to no process. The creator of the network has to run them.
+pub(crate) type BackgroundTasks = UnboundedReceiver<LocalBoxFuture<'static, ()>>;
 
 /// The network of a simulation, with the disks of its machines.
 pub(crate) struct Net {
@@ -69,23 +69,23 @@
     locations: RefCell<HashMap<Ipv4Addr, Location>>,
     listeners: RefCell<HashMap<SocketAddr, UnboundedSender<(DuplexStream, SocketAddr)>>>,
     without_power: RefCell<HashSet<Ipv4Addr>>,
-    /// How often each machine has lost its power: bytes of connections from before are dropped.
+    /// How often each machine has lost power. Bytes of connections opened before the last loss are dropped.
     power_losses: RefCell<HashMap<Ipv4Addr, u64>>,
-    /// Pairs of machines, from and to, between which nothing is delivered.
+    /// Pairs of sender and receiver between which nothing is delivered.
     partitioned: RefCell<HashSet<(Ipv4Addr, Ipv4Addr)>>,
     changed: Notify,
     disks: RefCell<HashMap<Ipv4Addr, Rc<EmulatedDisk>>>,
     traffic: Cell<Traffic>,
-    /// How many connections were opened: each has a port of its own.
+    /// The number of connections opened, from which client ports are assigned.
     connections: Cell<u64>,
     /// Futures that belong to no process.
-    own_futures: UnboundedSender<LocalBoxFuture<'static, ()>>,
+    background_tasks: UnboundedSender<LocalBoxFuture<'static, ()>>,
 }
 
 impl Net {
-    /// A network, and its own futures, which its caller has to run.
-    pub(crate) fn new(delays: Delays) -> (Rc<Net>, OwnFutures) {
-        let (own_futures, futures) = unbounded_channel();
+    /// Creates a network, and returns its background tasks, which the caller has to run.
+    pub(crate) fn new(delays: Delays) -> (Rc<Net>, BackgroundTasks) {
+        let (background_tasks, futures) = unbounded_channel();
         let net = Rc::new_cyclic(|this| Net {
             this: this.clone(),
             delays,
@@ -98,7 +98,7 @@
             disks: RefCell::default(),
             traffic: Cell::default(),
             connections: Cell::new(0),
-            own_futures,
+            background_tasks,
         });
         (net, futures)
     }
@@ -109,7 +109,7 @@
             clippy::let_underscore_must_use,
             reason = "the receiver ends with the simulation, and so do its futures"
         )]
-        let _ = self.own_futures.send(future);
+        let _ = self.background_tasks.send(future);
     }
 
     pub(crate) fn set_location(&self, ip: Ipv4Addr, location: Location) {
@@ -125,7 +125,8 @@
         self.disks.borrow_mut().entry(ip).or_default().clone()
     }
 
-    /// A machine loses its power: nothing comes from it any more, not even the end of a connection. Or it has power again.
+    /// Cuts a machine's power, or restores it. Without power, nothing is delivered from the machine, not even the end
+    /// of a connection.
     pub(crate) fn set_power_lost(&self, ip: Ipv4Addr, is_lost: bool) {
         if is_lost {
             self.without_power.borrow_mut().insert(ip);
@@ -136,12 +137,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Nothing listens on that machine any more.
+    /// Closes all listeners of a machine.
     pub(crate) fn close_listeners(&self, ip: Ipv4Addr) {
         self.listeners.borrow_mut().retain(|at, _| at.ip() != IpAddr::V4(ip));
     }
 
-    /// Nothing is delivered from one machine to another any more; or again, and what waited is.
+    /// Blocks delivery from one machine to another, or unblocks it; delayed bytes are then delivered.
     pub(crate) fn set_partitioned(&self, from: Ipv4Addr, to: Ipv4Addr, is_partitioned: bool) {
         if is_partitioned {
             self.partitioned.borrow_mut().insert((from, to));
@@ -203,7 +204,7 @@
 
 impl Environment for Net {
     fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'static, io::Result<DuplexStream>> {
-        let from = RUNNING.get();
+        let from = CURRENT_MACHINE.get();
         match self.this.upgrade() {
             Some(net) => net.open(from, to).boxed_local(),
             None => pending().boxed_local(),
@@ -217,10 +218,10 @@
     }
 
     fn disk(&self, _folder: &Path) -> Rc<dyn Disk> {
-        self.disk_of(RUNNING.get())
+        self.disk_of(CURRENT_MACHINE.get())
     }
 
     fn log(&self, _folder: &Path) -> Rc<dyn AppendLog> {
-        self.disk_of(RUNNING.get())
+        self.disk_of(CURRENT_MACHINE.get())
     }
 }
--- a/crates/emulator/src/operator.rs
+++ b/crates/emulator/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator: commands repeated until they are acknowledged, at one registry after the other, and read back at the
-//! end.
+//! The operator: sends commands to one registry after another until they are acknowledged, and reads the configuration
+//! back at the end of the day.
 
 use crate::http_client::send_once;
 use crate::records::{Command, CommandRecord, Recorder};
@@ -11,24 +11,24 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// An operator goes on to another registry after this, and never pauses for longer.
+/// The maximum backoff between attempts; a third of the time-out of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// A command that is not acknowledged for so long is given up.
+/// A command that is not acknowledged within this time is given up.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Sends commands to the registries.
 #[derive(Clone)]
 pub(crate) struct Operator {
     pub(crate) recorder: Recorder,
-    /// Where registries accept commands.
+    /// The addresses at which registries accept commands.
     pub(crate) registries: Rc<[SocketAddr]>,
     /// The names of the zones.
     pub(crate) zones: Rc<[&'static str]>,
 }
 
 impl Operator {
-    /// Sends a command until its outcome is clear, or nobody can wait longer; its index in the records.
+    /// Sends a command until its outcome is known or `COMMAND_TIMEOUT` has passed; returns its index in the records.
     pub(crate) async fn send_command(&self, command: Command, seed: u64) -> usize {
         let sent = self.recorder.now();
         let (target, body) = self.request_of(&command);
@@ -65,7 +65,7 @@
         index
     }
 
-    /// Target and body of a command's request.
+    /// The target and the body of a command's request.
     fn request_of(&self, command: &Command) -> (String, String) {
         match command {
             Command::Configuration { text, .. } => {
@@ -97,7 +97,7 @@
         response.map_or(0, |response| response.status)
     }
 
-    /// Reads the configuration back, and tries for as long as `within`.
+    /// Reads the configuration back, with attempts until `within` has passed.
     pub(crate) async fn read_back(&self, within: Duration) {
         let until = Instant::now() + within;
         for number in 0.. {
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: its list of backends, which lags behind, in pages.
+//! The platform: serves its list of backends in pages, with a lag.
 
 use crate::backends::Backends;
 use crate::net::Net;
@@ -20,15 +20,15 @@
 use violetyoke_api::calls::query_parameter;
 use violetyoke_transport::net::listen;
 
-/// Entries on a page.
+/// The number of entries on a page.
 const PAGE_SIZE: usize = 50;
-/// How often the list is copied.
+/// The interval between copies of the list.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Copies of the list, oldest first: the oldest one is shown.
+/// Copies of the list, oldest first. The oldest one is served.
 type Snapshots = RefCell<VecDeque<BTreeMap<String, Value>>>;
 
-/// Starts the platform at an address; its list shows what was the case `lag_ms` ago.
+/// Starts the platform at an address. It serves the list as it was `lag_ms` ago.
 pub(crate) fn start(
     net: &Net,
     at: SocketAddrV4,
@@ -37,10 +37,10 @@
     recorder: Recorder,
 ) -> Process {
     let snapshots: Rc<Snapshots> = Rc::default();
-    let kept = (lag_ms / SNAPSHOT_INTERVAL.as_millis() as u64) as usize + 1;
+    let snapshot_count = (lag_ms / SNAPSHOT_INTERVAL.as_millis() as u64) as usize + 1;
     Process::start(net, *at.ip(), async move {
         let Ok(listener) = listen(at.into()) else { return };
-        tokio::task::spawn_local(take_snapshots(snapshots.clone(), backends, kept));
+        tokio::task::spawn_local(take_snapshots(snapshots.clone(), backends, snapshot_count));
         while let Ok((stream, _)) = listener.accept().await {
             let (snapshots, recorder) = (snapshots.clone(), recorder.clone());
             tokio::task::spawn_local(async move {
@@ -58,10 +58,10 @@
     })
 }
 
-async fn take_snapshots(snapshots: Rc<Snapshots>, backends: Rc<Backends>, kept: usize) {
+async fn take_snapshots(snapshots: Rc<Snapshots>, backends: Rc<Backends>, snapshot_count: usize) {
     loop {
         snapshots.borrow_mut().push_back(backends.list());
-        while snapshots.borrow().len() > kept {
+        while snapshots.borrow().len() > snapshot_count {
             snapshots.borrow_mut().pop_front();
         }
         tokio::time::sleep(SNAPSHOT_INTERVAL).await;
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of an emulated machine: a future with tasks of its own that can be killed, frozen and thawed from outside.
+//! A process of an emulated machine: a future with its own tasks that can be killed, frozen and resumed from outside.
 
 use crate::net::{as_machine, Net};
 use futures_util::FutureExt;
@@ -45,7 +45,7 @@
         if process.slot.is_frozen.get() {
             return Poll::Pending;
         }
-        // Out of its slot while it runs, so that it can ask for its own state.
+        // The body is taken out of its slot while it runs, so that it can query its own process.
         let Some(mut body) = process.slot.body.take() else { return Poll::Ready(()) };
         let poll = as_machine(process.ip, || body.as_mut().poll(context));
         if poll.is_pending() {
@@ -58,7 +58,8 @@
 }
 
 impl Process {
-    /// Starts a process on a machine, independent of its caller; `body` may spawn local tasks, which end with it.
+    /// Starts a process on a machine, independent of the caller. `body` may spawn local tasks, which end with the
+    /// process.
     pub(crate) fn start(net: &Net, ip: Ipv4Addr, body: impl Future<Output = ()> + 'static) -> Process {
         let body = async move { LocalSet::new().run_until(body).await };
         let slot = Slot { body: RefCell::new(Some(Box::pin(body))), ..Slot::default() };
@@ -71,14 +72,14 @@
         self.slot.body.borrow().is_some()
     }
 
-    /// Ends it at once, with all its tasks.
+    /// Ends the process at once, with all its tasks.
     pub(crate) fn kill(&self) {
         let body = self.slot.body.take();
         as_machine(self.ip, || drop(body));
         self.slot.wake();
     }
 
-    /// Stops it as SIGSTOP does, or lets it go on.
+    /// Suspends the process like SIGSTOP, or resumes it.
     pub(crate) fn set_frozen(&self, is_frozen: bool) {
         self.slot.is_frozen.set(is_frozen);
         self.slot.wake();
--- a/crates/emulator/src/records.rs
+++ b/crates/emulator/src/records.rs
@@ -1,4 +1,4 @@
-//! What those outside the system observed: clients, backends, the operator. Rules are checked by nothing else.
+//! The observations of clients, backends, the platform and the operator. The rules are checked only against these.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 /// Milliseconds since the simulation began.
 pub type Millis = u64;
 
-/// What identifies a backend's answer: no two executions have the same.
+/// A backend's answer, which is unique to an execution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// `X-Server-Seal`.
@@ -24,23 +24,23 @@
     pub id: String,
     /// The index of its request.
     pub request: usize,
-    /// The index of its kind of request.
+    /// The index of the kind of request.
     pub kind: usize,
-    /// The credential that it was sent with.
+    /// The credential that the attempt was sent with.
     pub key: String,
     /// `X-Operation-Key`.
     pub operation_key: Option<String>,
     /// The client's zone.
     pub zone: usize,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent: Millis,
-    /// When it was answered, or given up.
+    /// When the attempt was answered or given up.
     pub ended: Option<Millis>,
-    /// The status of its response; 0: there was no complete one.
+    /// The status of the response; 0 if there was no complete response.
     pub status: u16,
-    /// The response is a success, complete, of a backend, and to this attempt.
+    /// Whether the response is a complete success from a backend and belongs to this attempt.
     pub is_valid: bool,
-    /// What the response was, if it was a success.
+    /// The answer, if the response was a success.
     pub answer: Option<Answer>,
 }
 
@@ -53,20 +53,21 @@
     pub tenant: String,
     /// The client's zone.
     pub zone: usize,
-    /// The key that all its attempts carry.
+    /// The operation key of all its attempts.
     pub operation_key: Option<String>,
     /// When its first attempt was sent.
     pub first_sent: Millis,
-    /// When it had a valid response.
+    /// When the first valid response arrived.
     pub served_at: Option<Millis>,
-    /// It is within an even share of what its tenant may ask, so that the system owes it a response.
+    /// Whether the system has to serve the request: it was within its zone's even share of the tenant's usual rate,
+    /// with a margin, and its credential was not rejected.
     pub is_owed: bool,
 }
 
 /// A request that reached a backend.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it came.
+    /// When the request arrived.
     pub at: Millis,
     /// The index of the backend's incarnation.
     pub incarnation: usize,
@@ -76,11 +77,11 @@
     pub tenant: Option<String>,
     /// The path.
     pub path: String,
-    /// It was executed.
+    /// Whether the request was executed.
     pub was_executed: bool,
-    /// What the backend answered once it had executed it; none: the execution broke off, or its answer was lost.
+    /// The backend's answer after the execution; `None` if the execution was aborted or the answer was lost.
     pub answer: Option<Answer>,
-    /// It was meant for another incarnation, and answered 421.
+    /// Whether the request was addressed to another incarnation, and answered with 421.
     pub was_misdirected: bool,
 }
 
@@ -93,38 +94,38 @@
     pub service: usize,
     /// Its zone.
     pub zone: usize,
-    /// Spans in which it is cold, from and to.
+    /// Spans of slow start, as start and end times.
     pub slow_starts: Vec<(Millis, Millis)>,
-    /// When the platform's list began to show that it drains or is gone.
+    /// When the platform's list first showed the backend as draining, or no longer showed it.
     pub draining_since: Option<Millis>,
 }
 
-/// What an operator commands.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// A configuration is to be in force.
+    /// Replaces the configuration.
     Configuration {
         /// Its version.
         version: u64,
         /// Its text.
         text: String,
-        /// The credentials that it knows.
+        /// The credentials that the configuration contains.
         keys: Vec<String>,
         /// The index of the service that each kind of request goes to.
         services: Vec<usize>,
-        /// Whether it can be accepted.
+        /// Whether the configuration is valid.
         is_valid: bool,
     },
-    /// A zone's backends are to get no requests, or to get requests again.
+    /// Starts or ends the evacuation of a zone, whose backends get no requests meanwhile.
     Evacuate {
         /// The zone.
         zone: usize,
-        /// The evacuation begins; else it ends.
+        /// Whether the evacuation starts; otherwise it ends.
         is_begin: bool,
     },
 }
 
-/// A command and what became of it.
+/// A command and its outcome.
 #[derive(Clone, Debug)]
 pub struct CommandRecord {
     /// The command.
@@ -133,9 +134,9 @@
     pub sent: Millis,
     /// When it was acknowledged.
     pub acknowledged_at: Option<Millis>,
-    /// Which registry acknowledged it.
+    /// The registry that acknowledged the command.
     pub acknowledged_by: Option<SocketAddr>,
-    /// It was rejected.
+    /// Whether the command was rejected.
     pub was_rejected: bool,
 }
 
@@ -152,15 +153,16 @@
     pub incarnations: Vec<Incarnation>,
     /// Commands, in the order in which they were sent.
     pub commands: Vec<CommandRecord>,
-    /// Version and text of the configuration that was read at the end.
+    /// Version and text of the configuration that the operator read at the end of the day.
     pub read_back: Option<(u64, String)>,
-    /// How often the platform was asked for a page of its list.
+    /// The number of requests for a page of the platform's list.
     pub platform_calls: u64,
-    /// Spans in which machines or links were faulty, from and to: rules with a time bound are checked outside them.
+    /// Spans in which machines or links were faulty, as start and end times. Rules with a time bound are not checked in
+    /// them.
     pub fault_spans: Vec<(Millis, Millis)>,
 }
 
-/// A handle to the records, shared by all who observe something.
+/// A handle to the records, shared by all observers.
 #[derive(Clone)]
 pub(crate) struct Recorder {
     records: Rc<RefCell<Records>>,
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,8 +1,9 @@
-//! Plays a day: the shipped daemons, clients, backends, the platform and the operator, in virtual time on one thread.
+//! Simulates a day: the production daemons, clients, backends, the platform and the operator, in virtual time on one
+//! thread.
 
 use crate::backends::Backends;
 use crate::clients::{self, Directory, Repeats, Workload};
-use crate::day::{Day, LEAD};
+use crate::day::{Day, START_DELAY};
 use crate::emulated_disk::DiskWrites;
 use crate::event::Event;
 use crate::fleet::{Fleet, RESTART_DELAY};
@@ -24,16 +25,16 @@
 
 const PLATFORM: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 201, 0, 1), 8082);
 const OPERATOR: Ipv4Addr = Ipv4Addr::new(10, 202, 0, 1);
-/// How often machines are checked for processes that have ended.
+/// The interval at which machines are checked for processes that have ended.
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
-/// Between the end of the traffic and the reading back.
+/// The time between the end of the traffic and reading the configuration back.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// How long the operator tries to read back.
+/// How long the operator tries to read the configuration back.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(10);
-/// The service that searches go to once they have moved.
+/// The index of the service that searches go to after a change that moves them.
 const MOVED_SEARCH_SERVICE: usize = 2;
 
-/// All that a day's events act on.
+/// The state of a simulation, on which events act.
 pub(crate) struct Simulation {
     pub(crate) site: Site,
     pub(crate) net: Rc<Net>,
@@ -42,31 +43,31 @@
     pub(crate) backends: Rc<Backends>,
     pub(crate) workload: Rc<Workload>,
     pub(crate) operator: Operator,
-    /// The newest version that was sent.
+    /// The newest version of the configuration that was sent.
     pub(crate) version: Cell<u64>,
-    /// Searches go to another service.
+    /// Whether searches go to another service.
     pub(crate) moves_searches: Cell<bool>,
-    /// Routes beside those of the site.
+    /// The number of routes in addition to those of the site.
     pub(crate) extra_routes: Cell<usize>,
     seed: Cell<u64>,
 }
 
-/// What came of a day.
+/// The result of a simulated day.
 pub struct SimulationOutcome {
     /// When the simulation began, in virtual time.
     pub started_at: Instant,
-    /// What was observed.
+    /// The observations.
     pub records: Records,
-    /// What the network carried.
+    /// The network traffic.
     pub traffic: Traffic,
-    /// What all disks wrote.
+    /// The writes of all disks.
     pub disk_writes: DiskWrites,
 }
 
-/// Plays a day.
+/// Simulates a day.
 ///
 /// # Errors
-/// When there can be no runtime for it.
+/// If the runtime can't be created.
 pub fn simulate(site: &Site, day: &Day, log: &Logger) -> io::Result<SimulationOutcome> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     let (net, mut futures) = Net::new(site.delays);
@@ -78,20 +79,20 @@
                 spawn_local(future);
             }
         });
-        play(site, day, net, log).await
+        run_day(site, day, net, log).await
     });
     install(None);
     Ok(outcome)
 }
 
-async fn play(site: &Site, day: &Day, net: Rc<Net>, log: &Logger) -> SimulationOutcome {
+async fn run_day(site: &Site, day: &Day, net: Rc<Net>, log: &Logger) -> SimulationOutcome {
     let simulation = start(site, day, net, log);
     let first = simulation.clone();
     let _first = Process::start(&simulation.net, OPERATOR, async move {
         first.send_configuration(&[]).await;
     });
-    spawn_local(restart_ended(simulation.clone()));
-    sleep(Duration::from_millis(LEAD)).await;
+    spawn_local(restart_ended_machines(simulation.clone()));
+    sleep(Duration::from_millis(START_DELAY)).await;
     let clients = start_clients(&simulation, day.seed);
     for event in day.events.clone() {
         schedule(&simulation, event);
@@ -158,7 +159,7 @@
     (0..zones).map(start).collect()
 }
 
-/// Lets an event happen at its time. Commands go out from the operator's machine.
+/// Applies an event at its time. Commands are sent from the operator's machine.
 fn schedule(simulation: &Rc<Simulation>, Event { at, kind }: Event) {
     let acting = simulation.clone();
     Process::start(&simulation.net, OPERATOR, async move {
@@ -167,8 +168,8 @@
     });
 }
 
-/// Processes that have ended are restarted after a pause.
-async fn restart_ended(simulation: Rc<Simulation>) {
+/// Restarts machines whose processes have ended, after a pause.
+async fn restart_ended_machines(simulation: Rc<Simulation>) {
     loop {
         let ended = simulation.fleet.borrow_mut().take_ended();
         for machine in ended {
@@ -190,18 +191,19 @@
         next >> 16
     }
 
-    /// Sends a command; its index in the records.
+    /// Sends a command; returns its index in the records.
     pub(crate) async fn send_command(&self, command: Command) -> usize {
         self.operator.send_command(command, self.random()).await
     }
 
-    /// Sends the next version, with what has changed by now and with `newcomers`; its index in the records.
+    /// Sends the next version of the configuration, with all changes so far and `newcomers`; returns its index in the
+    /// records.
     pub(crate) async fn send_configuration(&self, newcomers: &[String]) -> usize {
         self.version.set(self.version.get() + 1 + self.random() % 4);
         self.send_command(self.configuration(self.version.get(), newcomers)).await
     }
 
-    /// The configuration of a version, with what has changed by now and with `newcomers`.
+    /// The configuration of a version, with all changes so far and `newcomers`.
     pub(crate) fn configuration(&self, version: u64, newcomers: &[String]) -> Command {
         let (joined, revoked) =
             (self.workload.joined.borrow().clone(), self.workload.revoked.borrow().clone());
@@ -211,13 +213,13 @@
             site.request_kinds[0].service = MOVED_SEARCH_SERVICE;
         }
         let text = site.configuration(version, &joined, &revoked, self.extra_routes.get()).to_string();
-        let standing = (0..site.tenants).filter(|number| !revoked.contains(number)).map(key);
-        let keys = standing.chain(joined.iter().map(|name| format!("key-{name}"))).collect();
+        let initial = (0..site.tenants).filter(|number| !revoked.contains(number)).map(key);
+        let keys = initial.chain(joined.iter().map(|name| format!("key-{name}"))).collect();
         let services = site.request_kinds.iter().map(|kind| kind.service).collect();
         Command::Configuration { version, text, keys, services, is_valid: true }
     }
 
-    /// Machines or links are faulty from now on, for that long.
+    /// Records that machines or links are faulty for a span from now on.
     pub(crate) fn record_fault(&self, span: Millis) {
         let now = self.recorder.now();
         self.recorder.with(|records| records.fault_spans.push((now, now + span)));
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! A deployment: machines, services, tenants, what is requested, and the bounds that hold.
+//! A deployment: machines, services, tenants, kinds of requests, and the bounds of the rules.
 
 mod rooms;
 
@@ -12,40 +12,40 @@
 pub struct Service {
     /// Its name.
     pub name: &'static str,
-    /// Backends in each zone.
+    /// The number of backends in each zone.
     pub backends: Vec<usize>,
-    /// Requests that a backend executes at once.
+    /// The number of requests that a backend executes concurrently.
     pub slots: u32,
-    /// How long a new backend is cold (s).
+    /// The duration of a new backend's slow start (s).
     pub slow_start_s: f64,
-    /// Requests a second that all proxies together may send to a cold backend.
+    /// The request rate (per second) that all proxies together may send to a backend during its slow start.
     pub slow_start_rate_per_s: f64,
-    /// How fast backends are, in turn: work divided by it is time.
+    /// The speeds of the backends, assigned in turn. The execution time is the work divided by the speed.
     pub speeds: Vec<f64>,
-    /// Its backends keep a record of operation keys themselves.
+    /// Whether the backends deduplicate operations by key themselves.
     pub self_dedup: bool,
 }
 
 /// A kind of request.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
-    /// Its name, which is its route's.
+    /// Its name, which is also that of its route.
     pub name: &'static str,
     /// The index of the service that it goes to.
     pub service: usize,
     /// The prefix of its paths.
     pub path: &'static str,
-    /// How often it may be executed.
+    /// The kind of route, which decides how often the request may be executed.
     pub route_kind: RouteKind,
-    /// How often it is sent, relative to the others.
+    /// The relative frequency of the kind of request.
     pub weight: f64,
-    /// The mean time of its execution (ms).
+    /// The mean execution time (ms).
     pub work_ms: f64,
-    /// Its latency target (ms).
+    /// The latency target (ms).
     pub target_ms: u64,
-    /// How long clients wait for it (ms).
+    /// The deadline of clients (ms).
     pub deadline_ms: u64,
-    /// Regions that may execute it; none: any.
+    /// The regions that may execute it; empty if all may.
     pub home_regions: Vec<&'static str>,
 }
 
@@ -65,31 +65,31 @@
     pub zones: Vec<Zone>,
     /// The names of the regions.
     pub regions: Vec<&'static str>,
-    /// Edge machines in each zone.
+    /// The number of edge machines in each zone.
     pub edges: Vec<usize>,
-    /// Core machines in each zone.
+    /// The number of core machines in each zone.
     pub cores: Vec<usize>,
-    /// How many core machines may be lost at once.
+    /// The number of core machines that may be lost at the same time.
     pub tolerance: u32,
-    /// Delays of the network.
+    /// The network delays.
     pub delays: Delays,
-    /// How long a sync takes (ms).
+    /// The duration of a disk sync (ms).
     pub sync_ms: f64,
-    /// Disks report syncs that they have not done: the negative control.
+    /// Whether disks report syncs of slots that they have not done (the negative control).
     pub has_lying_disks: bool,
-    /// Disks report syncs of their logs that they have not done: the negative control.
+    /// Whether disks report syncs of logs that they have not done (the negative control).
     pub has_lying_logs: bool,
     /// The services.
     pub services: Vec<Service>,
     /// The kinds of requests.
     pub request_kinds: Vec<RequestKind>,
-    /// How many tenants there are.
+    /// The number of tenants.
     pub tenants: usize,
-    /// Requests a second from each zone's clients.
+    /// Requests per second of each zone's clients.
     pub requests_per_s: f64,
-    /// Tenants' rate limits, as a multiple of what they usually send.
+    /// Tenants' rate limits, as a multiple of their usual rates.
     pub limit_factor: f64,
-    /// How far the platform's list lags behind (ms).
+    /// The lag of the platform's list (ms).
     pub lag_ms: u64,
     /// The bounds of the rules.
     pub bounds: Bounds,
@@ -99,12 +99,12 @@
 pub(crate) const HOST: &str = "rooms.example";
 
 impl Site {
-    /// How many core machines there are.
+    /// The number of core machines.
     pub(crate) fn core_count(&self) -> usize {
         self.cores.iter().sum()
     }
 
-    /// How many edge machines there are.
+    /// The number of edge machines.
     pub(crate) fn edge_count(&self) -> usize {
         self.edges.iter().sum()
     }
@@ -114,20 +114,20 @@
         self.zones.get(zone).map_or(0, |zone| zone.region)
     }
 
-    /// A tenant's part of all requests: a few are large.
+    /// A tenant's fraction of all requests; it decreases with the tenant's number, so that a few are large.
     pub(crate) fn traffic_share(&self, tenant: usize) -> f64 {
         let weight = |n: usize| 1.0 / (n + 1) as f64;
         weight(tenant) / (0..self.tenants).map(weight).sum::<f64>()
     }
 
-    /// A tenant's rate limit a second, and its burst: more than it usually sends.
+    /// A tenant's rate limit (per second) and burst, which exceed its usual rate.
     pub(crate) fn rate_limit(&self, tenant: usize) -> f64 {
         let all = self.requests_per_s * self.zones.len() as f64;
         (all * self.traffic_share(tenant) * self.limit_factor).max(5.0).ceil()
     }
 
-    /// The configuration of a version, with the tenants that have joined and lost their keys by then, and `extra_routes`
-    /// more routes.
+    /// The configuration of a version, with the tenants added (`joined`) and the tenants whose keys were revoked so
+    /// far, and `extra_routes` additional routes.
     pub(crate) fn configuration(
         &self,
         version: u64,
@@ -164,13 +164,13 @@
         };
         let service =
             |it: &Service| json!([it.name, it.slow_start_s, it.slow_start_rate_per_s, 100, it.self_dedup]);
-        let standing = |n: usize| {
+        let initial = |n: usize| {
             let keys: Vec<String> = if revoked.contains(&n) { Vec::new() } else { vec![key(n)] };
             json!([tenant(n), keys, self.rate_limit(n), self.rate_limit(n)])
         };
         let newcomer = |name: &String| json!([name, [format!("key-{name}")], 20, 20]);
         let routes = self.request_kinds.iter().map(route).chain((0..extra_routes).map(extra_route));
-        let tenants = (0..self.tenants).map(standing).chain(joined.iter().map(newcomer));
+        let tenants = (0..self.tenants).map(initial).chain(joined.iter().map(newcomer));
         json!({
             "version": version,
             "routes": {"columns": ["name", "host", "path-prefix", "route-kind", "timeout-ms", "target-ms", "attempts",
@@ -193,7 +193,7 @@
     format!("key-{number}")
 }
 
-/// The credential of a tenant by its name, whether it stands from the start or has joined on the day.
+/// The credential of a tenant by its name, for initial tenants and those added during the day.
 pub(crate) fn credential(tenant: &str) -> String {
     format!("key-{}", tenant.strip_prefix("tenant-").unwrap_or(tenant))
 }
--- a/crates/emulator/src/site/rooms.rs
+++ b/crates/emulator/src/site/rooms.rs
@@ -1,11 +1,11 @@
-//! A small deployment in the manner of guest bookings.
+//! A small deployment of a room booking system.
 
 use super::{RequestKind, Service, Site, Zone};
 use crate::net::Delays;
 use violetyoke_api::configuration::RouteKind;
 use violetyoke_api::settings::Bounds;
 
-/// Repeats are to reach the core, and not to end at their tenants' limits.
+/// Allows for repeats, so that they reach the core machines instead of being rejected by rate limits.
 const KEYED_LIMIT_FACTOR: f64 = 5.0;
 
 fn service(name: &'static str, backends: [usize; 4], speeds: &[f64]) -> Service {
@@ -61,8 +61,8 @@
 }
 
 impl Site {
-    /// A small deployment in the manner of guest bookings: four zones in two regions, three core machines in two zones.
-    /// `requests_per_s` is that of each zone's clients.
+    /// A small deployment of a room booking system: four zones in two regions, three core machines in two zones.
+    /// `requests_per_s` is the request rate of each zone's clients.
     #[must_use]
     pub fn rooms(edges_per_zone: usize, requests_per_s: f64) -> Site {
         let zone = |name, region| Zone { name, region };
@@ -99,7 +99,7 @@
         }
     }
 
-    /// With bookings that carry operation keys, and that clients send again.
+    /// Bookings carry operation keys, and clients repeat them.
     #[must_use]
     pub fn with_keyed_bookings(mut self) -> Site {
         for kind in &mut self.request_kinds {
@@ -111,7 +111,7 @@
         self
     }
 
-    /// With five core machines, of which two may be lost.
+    /// Five core machines, of which two may be lost at the same time.
     #[must_use]
     pub fn with_five_cores(mut self) -> Site {
         self.cores = vec![2, 1, 2, 0];
--- a/crates/emulator/src/trace.rs
+++ b/crates/emulator/src/trace.rs
@@ -1,4 +1,4 @@
-//! Days played and checked, and a day that breaks a rule minimized until none of its events can be left out.
+//! Simulates and checks days, and minimizes a day that violates a rule by removing events.
 
 use crate::checker::{check, Violation};
 use crate::day::Day;
@@ -8,37 +8,37 @@
 use slog::Logger;
 use std::io;
 
-/// A day with what came of it.
-pub struct PlayedDay {
+/// A simulated day and its results.
+pub struct SimulatedDay {
     /// The day.
     pub day: Day,
-    /// What clients had of it.
+    /// The service quality that clients experienced.
     pub figures: Figures,
-    /// The rules that were broken.
+    /// The violations of rules.
     pub violations: Vec<Violation>,
 }
 
-/// Plays a day and checks the rules.
+/// Simulates a day and checks the rules.
 ///
 /// # Errors
-/// When there can be no runtime for it.
-pub fn play_and_check(site: &Site, day: Day, log: &Logger) -> io::Result<PlayedDay> {
+/// If the runtime can't be created.
+pub fn simulate_and_check(site: &Site, day: Day, log: &Logger) -> io::Result<SimulatedDay> {
     let outcome = simulate(site, &day, log)?;
     let violations = check(site, &outcome.records);
-    Ok(PlayedDay { figures: Figures::of(site, &outcome.records), violations, day })
+    Ok(SimulatedDay { figures: Figures::of(site, &outcome.records), violations, day })
 }
 
-/// A shorter day that still breaks the same rule: each event is left out in turn, from the last to the first, and
-/// stays out if the rule is broken without it.
+/// Minimizes a day that violates a rule: tries to remove each event in turn, from the last to the first, and keeps it
+/// removed if the same rule is still violated.
 ///
 /// # Errors
-/// When there can be no runtime for it.
-pub fn minimize(site: &Site, played: PlayedDay) -> io::Result<PlayedDay> {
-    let Some(rule) = played.violations.first().map(|violation| violation.rule) else { return Ok(played) };
+/// If the runtime can't be created.
+pub fn minimize(site: &Site, failed: SimulatedDay) -> io::Result<SimulatedDay> {
+    let Some(rule) = failed.violations.first().map(|violation| violation.rule) else { return Ok(failed) };
     let silent = Logger::root(slog::Discard, slog::o!());
-    let mut shortest = played;
+    let mut shortest = failed;
     for index in (0..shortest.day.events.len()).rev() {
-        let shorter = play_and_check(site, shortest.day.without(index), &silent)?;
+        let shorter = simulate_and_check(site, shortest.day.without(index), &silent)?;
         if shorter.violations.iter().any(|violation| violation.rule == rule) {
             shortest = shorter;
         }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! Whole systems on drawn days: the shipped daemons keep the rules, and lying disks are found out.
+//! Complete systems on generated days: the production daemons violate no rule, and the checker detects lying disks.
 
 #![cfg(test)]
 
@@ -7,67 +7,69 @@
 use violetyoke_emulator::day::Day;
 use violetyoke_emulator::day_file;
 use violetyoke_emulator::event::{Event, EventKind};
-use violetyoke_emulator::figures::{calm_evacuations, Figures};
+use violetyoke_emulator::figures::{fault_free_evacuations, Figures};
 use violetyoke_emulator::records::Records;
 use violetyoke_emulator::simulation::simulate;
 use violetyoke_emulator::site::Site;
-use violetyoke_emulator::trace::{minimize, play_and_check, PlayedDay};
+use violetyoke_emulator::trace::{minimize, simulate_and_check, SimulatedDay};
 
 fn silent() -> Logger {
     Logger::root(Discard, o!())
 }
 
-/// Little traffic: the days are about control.
+/// A site with little traffic, for tests of the control plane.
 fn site() -> Site {
     Site::rooms(1, 4.0)
 }
 
-fn played(site: &Site, day: Day) -> PlayedDay {
-    play_and_check(site, day, &silent()).expect("a runtime")
+fn simulated(site: &Site, day: Day) -> SimulatedDay {
+    simulate_and_check(site, day, &silent()).expect("a runtime")
 }
 
 #[test]
 fn a_quiet_day_is_served_with_its_new_tenant() {
-    let played = played(&Site::rooms(1, 12.0), Day::quiet(1));
-    assert_eq!(played.violations, []);
-    assert!(played.figures.served > 0.97 && played.figures.in_time > 0.95, "{}", played.figures);
-    assert!(played.figures.requests > 250, "{}", played.figures);
+    let simulated = simulated(&Site::rooms(1, 12.0), Day::quiet(1));
+    assert_eq!(simulated.violations, []);
+    assert!(simulated.figures.served > 0.97 && simulated.figures.in_time > 0.95, "{}", simulated.figures);
+    assert!(simulated.figures.requests > 250, "{}", simulated.figures);
 }
 
 #[test]
-fn drawn_days_break_no_rule() {
+fn generated_days_violate_no_rule() {
     for seed in 1..=3 {
-        let played = played(&site(), Day::drawn(seed, &site()));
-        assert_eq!(played.violations, [], "seed {seed}: {:?}", played.day.events);
-        assert!(played.figures.served > 0.5, "seed {seed}: {}", played.figures);
+        let simulated = simulated(&site(), Day::from_seed(seed, &site()));
+        assert_eq!(simulated.violations, [], "seed {seed}: {:?}", simulated.day.events);
+        assert!(simulated.figures.served > 0.5, "seed {seed}: {}", simulated.figures);
     }
     let five = site().with_five_cores();
-    let played = played(&five, Day::drawn(5, &five));
-    assert_eq!(played.violations, [], "{:?}", played.day.events);
+    let simulated = simulated(&five, Day::from_seed(5, &five));
+    assert_eq!(simulated.violations, [], "{:?}", simulated.day.events);
 }
 
-/// A day on which no chance of the runtime decides: where two things are ready at once, as a tick and a message are in a
-/// registry, tokio draws which is first, and a tenant at its limit may be refused another of its requests.
+/// A seed whose day doesn't depend on random decisions of the runtime. When two branches of a `select!` are ready at
+/// the same time, such as a tick and a message in a registry, tokio chooses randomly. On other days, this may change
+/// which requests of a tenant at its rate limit are rejected.
 const REPEATABLE_SEED: u64 = 3;
 
 #[test]
-fn a_seed_plays_the_same_day_each_time() {
-    let day = Day::drawn(REPEATABLE_SEED, &site());
+fn simulation_of_a_seed_is_reproducible() {
+    let day = Day::from_seed(REPEATABLE_SEED, &site());
     assert!(day.events.len() >= 12, "{:?}", day.events);
-    let seen = |records: &Records| -> Vec<(String, u64, u16)> {
+    let attempts = |records: &Records| -> Vec<(String, u64, u16)> {
         records.attempts.iter().map(|one| (one.id.clone(), one.sent, one.status)).collect()
     };
     let first = simulate(&site(), &day, &silent()).expect("a runtime");
     let again = simulate(&site(), &day, &silent()).expect("a runtime");
-    let same = seen(&first.records).iter().zip(seen(&again.records).iter()).filter(|(a, b)| a == b).count();
-    let all = seen(&first.records).len().max(seen(&again.records).len());
+    let same =
+        attempts(&first.records).iter().zip(attempts(&again.records).iter()).filter(|(a, b)| a == b).count();
+    let all = attempts(&first.records).len().max(attempts(&again.records).len());
     assert!(same * 100 >= all * 95, "{same} of {all} attempts are alike");
 }
 
 #[test]
-fn lying_disks_break_a_rule_and_the_day_is_minimized() {
-    let mut cheating = site();
-    cheating.has_lying_disks = true;
+fn lying_disks_are_detected_and_the_day_is_minimized() {
+    let mut lying = site();
+    lying.has_lying_disks = true;
     let mut day = Day::quiet(3);
     day.events.push(Event { at: 5_000, kind: EventKind::Change { moves_searches: false } });
     day.events.push(Event { at: 6_000, kind: EventKind::ConcurrentChanges });
@@ -76,19 +78,19 @@
         at: 20_000,
         kind: EventKind::Kill { machines: all, is_power_lost: true, down: 1_200 },
     });
-    let found = played(&cheating, day.clone());
+    let found = simulated(&lying, day.clone());
     assert!(found.violations.iter().any(|violation| violation.rule == "LOST"), "{:?}", found.violations);
-    let minimized = minimize(&cheating, found).expect("a runtime");
+    let minimized = minimize(&lying, found).expect("a runtime");
     assert!(
         matches!(minimized.day.events[..], [Event { kind: EventKind::Kill { .. }, .. }]),
         "{:?}",
         minimized.day.events
     );
-    // The same day with honest disks.
-    assert_eq!(played(&site(), day).violations, []);
+    // With disks that do their syncs, the same day violates no rule.
+    assert_eq!(simulated(&site(), day).violations, []);
 }
 
-/// The records of a day with little traffic on which these things happen; no rule is broken on it.
+/// Simulates a quiet day with additional events, checks that no rule is violated, and returns the records.
 fn records_of(site: &Site, kinds: Vec<(u64, EventKind)>) -> Records {
     let mut day = Day::quiet(11);
     day.events.extend(kinds.into_iter().map(|(at, kind)| Event { at, kind }));
@@ -97,7 +99,7 @@
     records
 }
 
-/// The commands of operators that were sent within a fault's span, and those of them that were acknowledged within it.
+/// The number of commands that were sent within a fault's span, and the number of those acknowledged within it.
 fn commands_within(records: &Records, (from, until): (u64, u64)) -> (usize, usize) {
     let within = |at: u64| (from..=until).contains(&at);
     let sent = records.commands.iter().filter(|command| within(command.sent));
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn disks_lost_while_all_other_machines_lose_power_take_nothing_acknowledged_along() {
+fn no_acknowledged_command_is_lost_with_the_tolerated_disks_and_the_power_of_all_machines() {
     for site in [site(), site().with_five_cores()] {
         let tolerated = site.tolerance as usize;
         for first in 0..=tolerated {
@@ -119,7 +121,8 @@
                     (20_000, EventKind::LoseDisksAndPower { wiped, down: 1_200 }),
                 ],
             );
-            // The last span of a fault begins when the machines go down: right after the last acknowledgement.
+            // The last fault span begins when the machines go down, which has to be right after the last
+            // acknowledgement.
             let (down_at, _) = *records.fault_spans.last().expect("a fault");
             let last = records.commands.iter().filter_map(|command| command.acknowledged_at).max();
             let landed_after = down_at - last.expect("an acknowledgement");
@@ -130,7 +133,7 @@
 }
 
 #[test]
-fn core_cut_in_halves_loses_nothing_and_shows_nothing_older() {
+fn partitioned_core_loses_no_command_and_serves_no_older_configuration() {
     for site in [site(), site().with_five_cores()] {
         for half in [vec![0], vec![1, 2]] {
             let records = records_of(
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn all_core_machines_without_power_serve_again() {
+fn core_machines_serve_again_after_a_power_loss_of_all() {
     for site in [site(), site().with_five_cores()] {
         let cores = if site.tolerance > 1 { 5 } else { 3 };
         let machines = (0..cores).collect();
@@ -171,8 +174,8 @@
 }
 
 #[test]
-fn evacuations_are_acknowledged_within_a_second_in_calm_times() {
-    let mut waits = Vec::new();
+fn evacuations_without_faults_are_acknowledged_within_a_second() {
+    let mut durations = Vec::new();
     for seed in 1..=4 {
         let evacuate = |n: u64| Event {
             at: 3_000 + n * 700,
@@ -183,11 +186,11 @@
         day.events.push(Event { at: 8_000, kind: EventKind::AddRoutes { count: 200 } });
         let site = site();
         let records = simulate(&site, &day, &silent()).expect("a runtime").records;
-        waits.extend(calm_evacuations(&site, &records));
+        durations.extend(fault_free_evacuations(&site, &records));
     }
-    waits.sort_unstable();
-    assert!(waits.len() >= 180, "{} evacuations", waits.len());
-    assert!(waits.last().is_some_and(|longest| *longest < 1_000), "{waits:?}");
+    durations.sort_unstable();
+    assert!(durations.len() >= 180, "{} evacuations", durations.len());
+    assert!(durations.last().is_some_and(|longest| *longest < 1_000), "{durations:?}");
 }
 
 #[test]
--- a/crates/emulator/tests/operations.rs
+++ b/crates/emulator/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Requests with an operation key: what clients repeat, what the checker finds, and days on which each ran once.
+//! Requests with an operation key: clients repeat them, the checker detects violations, and each is executed once.
 
 #![cfg(test)]
 
@@ -42,7 +42,7 @@
     }
 }
 
-fn run(id: &str, at: Millis, answer: Option<Answer>) -> Arrival {
+fn execution(id: &str, at: Millis, answer: Option<Answer>) -> Arrival {
     Arrival {
         at,
         incarnation: 0,
@@ -55,7 +55,7 @@
     }
 }
 
-/// An operation that ran once, and whose repeat got the answer of that run.
+/// Records of an operation that was executed once, and whose repeat got the answer of that execution.
 fn records() -> Records {
     let command = Command::Configuration {
         version: 1,
@@ -67,7 +67,7 @@
     let acknowledged_at = Some(1);
     Records {
         attempts: vec![attempt("first", 10_000, answer("first")), attempt("again", 12_000, answer("first"))],
-        arrivals: vec![run("first", 10_050, Some(answer("first")))],
+        arrivals: vec![execution("first", 10_050, Some(answer("first")))],
         incarnations: vec![Incarnation {
             id: "i-1".into(),
             service: BOOKINGS,
@@ -93,47 +93,50 @@
     check(site, &records).into_iter().map(|violation| violation.rule).collect()
 }
 
-/// The repeat runs too, at that time, and is answered by its own run.
-fn run_again(records: &mut Records, at: Millis) {
+/// The repeat is executed too, at the given time, and gets the answer of its own execution.
+fn execute_again(records: &mut Records, at: Millis) {
     records.attempts[1] = attempt("again", at - 50, answer("again"));
-    records.arrivals.push(run("again", at, Some(answer("again"))));
+    records.arrivals.push(execution("again", at, Some(answer("again"))));
 }
 
-// Guards against a checker that takes a repeat that ran for a request of its own.
+// Guards against a checker that counts an executed repeat as a separate operation.
 #[test]
-fn second_run_within_the_window_is_found() {
+fn second_execution_within_the_window_is_detected() {
     let site = site();
     let window = (site.bounds.dedup_window_s * 1000.0) as Millis;
     assert_eq!(broken_rules(&site, |_| {}), [""; 0]);
-    assert_eq!(broken_rules(&site, |records| run_again(records, 10_000 + window - 1)), ["TWICE", "MIXED"]);
-    assert_eq!(broken_rules(&site, |records| run_again(records, 10_000 + window)), [""; 0]);
-    // Of another tenant, the same key is another operation.
+    assert_eq!(
+        broken_rules(&site, |records| execute_again(records, 10_000 + window - 1)),
+        ["TWICE", "MIXED"]
+    );
+    assert_eq!(broken_rules(&site, |records| execute_again(records, 10_000 + window)), [""; 0]);
+    // The same key of another tenant is another operation.
     let of_another_tenant = |records: &mut Records| {
-        run_again(records, 12_050);
+        execute_again(records, 12_050);
         records.attempts[1].key = "key-1".into();
         records.arrivals[1].tenant = Some("tenant-1".into());
     };
     assert_eq!(broken_rules(&site, of_another_tenant), [""; 0]);
 }
 
-// Guards against a run without an answer that is forgotten: only a service with a record of its own may run it again.
+// Guards against a checker that ignores aborted executions: only a service that deduplicates may execute again.
 #[test]
-fn run_that_broke_off_counts_unless_the_service_deduplicates() {
+fn aborted_execution_counts_unless_the_service_deduplicates() {
     let mut site = site();
-    let after_a_broken_run = |records: &mut Records| {
-        run_again(records, 12_050);
+    let after_an_aborted_execution = |records: &mut Records| {
+        execute_again(records, 12_050);
         records.arrivals[0].answer = None;
         (records.attempts[0].status, records.attempts[0].answer) = (502, None);
     };
-    assert_eq!(broken_rules(&site, after_a_broken_run), ["TWICE", "MIXED"]);
+    assert_eq!(broken_rules(&site, after_an_aborted_execution), ["TWICE", "MIXED"]);
     site.services[BOOKINGS].self_dedup = true;
-    assert_eq!(broken_rules(&site, after_a_broken_run), [""; 0]);
-    assert_eq!(broken_rules(&site, |records| run_again(records, 12_050)), ["TWICE", "MIXED"]);
+    assert_eq!(broken_rules(&site, after_an_aborted_execution), [""; 0]);
+    assert_eq!(broken_rules(&site, |records| execute_again(records, 12_050)), ["TWICE", "MIXED"]);
 }
 
-// Guards against repeats that are answered with something other than the first run's seal and body.
+// Guards against repeats that get another seal or body than those of the first execution.
 #[test]
-fn success_of_a_repeat_is_the_answer_of_the_first_run() {
+fn successful_repeat_without_the_answer_of_the_first_execution_is_detected() {
     let site = site();
     let mixed = |change: fn(&mut Answer)| {
         broken_rules(&site, |records| records.attempts[1].answer.as_mut().into_iter().for_each(change))
@@ -149,7 +152,7 @@
     assert_eq!(broken_rules(&site, refused), ["REFUSED"]);
 }
 
-/// Operations that were sent again after a success, and those that were sent from several zones.
+/// The number of operations repeated after a success, and the number of those sent from several zones.
 fn repeated(records: &Records) -> (usize, usize) {
     let attempts = |index: usize| records.attempts.iter().filter(move |attempt| attempt.request == index);
     let (mut after_success, mut zones) = (0, 0);
@@ -163,9 +166,9 @@
     (after_success, zones)
 }
 
-// Guards against days that prove nothing, as no operation is ever sent twice.
+// Guards against days on which no operation is ever repeated, so that other tests can't fail.
 #[test]
-fn operations_are_sent_again_after_answers_and_faults_and_from_other_zones() {
+fn operations_are_repeated_after_answers_and_faults_and_from_other_zones() {
     let mut day = Day::quiet(4);
     let quiet = simulate(&site(), &day, &silent()).expect("a runtime").records;
     let operations = quiet.requests.iter().filter(|request| request.operation_key.is_some()).count();
@@ -185,22 +188,22 @@
     assert!(after_fault > after_success + 10 && zones_after_fault > zones + 10);
 }
 
-// Guards against an operation that runs twice while machines are lost, and against repeats with another answer.
+// Guards against operations that are executed twice when machines are lost, and against repeats with another answer.
 #[test]
-fn operations_run_once_on_days_with_faults() {
-    let draw: [fn(u64, &Site) -> Day; 2] = [Day::drawn, Day::of_core_faults];
+fn operations_are_executed_once_on_days_with_faults() {
+    let generate: [fn(u64, &Site) -> Day; 2] = [Day::from_seed, Day::with_core_faults];
     for (site, seeds) in [(site(), 1..=3), (site().with_five_cores(), 5..=6)] {
-        for (seed, draw) in seeds.flat_map(|seed| draw.map(|draw| (seed, draw))) {
-            let day = draw(seed, &site);
+        for (seed, generate) in seeds.flat_map(|seed| generate.map(|generate| (seed, generate))) {
+            let day = generate(seed, &site);
             let records = simulate(&site, &day, &silent()).expect("a runtime").records;
             assert_eq!(check(&site, &records), [], "seed {seed}: {:?}", day.events);
         }
     }
 }
 
-// Guards against days that would pass whether or not a claim is on disk before its request is forwarded.
+// Guards against days that pass even if a request is forwarded before its claim is on disk.
 #[test]
-fn operations_run_twice_if_logs_report_syncs_that_they_have_not_done() {
+fn operations_are_executed_twice_if_logs_report_syncs_that_they_have_not_done() {
     let mut day = Day::quiet(4);
     let kind = EventKind::Kill { machines: (0..7).collect(), is_power_lost: true, down: 1_200 };
     day.events.push(Event { at: 20_000, kind });
@@ -208,8 +211,8 @@
         let records = simulate(site, &day, &silent()).expect("a runtime").records;
         check(site, &records).into_iter().map(|violation| violation.rule).collect()
     };
-    let cheating = Site { has_lying_logs: true, ..site() };
-    let broken = rules(&cheating);
+    let lying = Site { has_lying_logs: true, ..site() };
+    let broken = rules(&lying);
     assert!(broken.contains("TWICE"), "{broken:?}");
     assert_eq!(rules(&site()), BTreeSet::new());
 }
