--- a/crates/lab/benches/speed.rs
+++ b/crates/lab/benches/speed.rs
@@ -25,7 +25,7 @@
             BenchmarkId::new("ingresses", ingresses),
             &experiment,
             |bencher, experiment| {
-                bencher.iter(|| black_box(World::new(experiment, 1, Policy::Module).play()));
+                bencher.iter(|| black_box(World::new(experiment, 1, Policy::Module).run()));
             },
         );
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
 //! The laboratory: a fleet of hundreds of ingresses in virtual time, deterministic by seed, without sockets. Each
-//! emulated ingress runs the shipped decision module and the shipped exchange round it, through one adapter
-//! (`wires`); everything that it meets (nodes, counter, discovery, links, clients, faults) is emulated.
+//! emulated ingress runs the production decision module and exchange through one adapter (`adapter`); its environment
+//! (nodes, counter, discovery, links, clients, faults) is emulated.
 //!
 //! Times are microseconds of the emulated clock, which begins at [`START`].
 
@@ -17,6 +17,7 @@
 )]
 
 pub mod account;
+mod adapter;
 pub mod compare;
 mod counter;
 pub mod demand;
@@ -29,7 +30,6 @@
 pub mod rule_checker;
 pub mod run;
 pub mod table;
-mod wires;
 pub mod world;
 
 /// The emulated clock's first instant: past 0, which stands for "long ago" in lists of nodes.
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -40,18 +40,18 @@
 
 /// Runs one seed under each of the three policies.
 pub fn run_seed(variant: &str, experiment: &Experiment, seed: u64) -> Run {
-    let oracle = World::new(experiment, seed, Policy::Oracle).play();
+    let oracle = World::new(experiment, seed, Policy::Oracle).run();
     let Shares { served, failed, .. } = oracle.shares();
     // It admits as many as the oracle, but blindly.
-    let random = World::new(experiment, seed, Policy::Random((served + failed).clamp(0.0, 1.0))).play();
-    let module = World::new(experiment, seed, Policy::Module).play();
+    let random = World::new(experiment, seed, Policy::Random((served + failed).clamp(0.0, 1.0))).run();
+    let module = World::new(experiment, seed, Policy::Module).run();
     let span = oracle.net - random.net;
     let place = if span.abs() > f64::EPSILON { (module.net - random.net) / span } else { 1.0 };
     Run { variant: variant.to_string(), seed, module, oracle, random, place }
 }
 
-/// Runs all seeds of all variants on the threads of the current pool, and calls `on_completed` after each. The result does
-/// not depend on the number of threads.
+/// Runs all seeds of all variants on the threads of the current pool, and calls `on_completed` after each. The result
+/// does not depend on the number of threads.
 pub fn run_all(variants: &[Variant], on_completed: impl Fn() + Sync) -> Vec<Run> {
     let pairs: Vec<(&str, &Experiment, u64)> = variants
         .iter()
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: tries come, are answered, and come again.
+//! The clients: they send tries, receive answers, and retry.
 
 use super::*;
 use crate::outcome::{reason_name, Loss};
@@ -7,7 +7,7 @@
 
 /// How a try ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Got {
+pub(super) enum TryResult {
     Served,
     Refused {
         retry_after: Micros,
@@ -16,19 +16,19 @@
     Failed {
         why: Option<RejectionReason>,
     },
-    /// Its ingress could not be reached, died, or never answered.
+    /// The ingress was unreachable, died, or never answered.
     Nothing,
 }
 
 impl World<'_> {
-    pub(super) fn arrives(&mut self, client: Option<usize>) {
-        let factor = if self.now < self.cuts.surge.1 { self.cuts.surge.0 } else { 1.0 };
+    pub(super) fn on_arrival(&mut self, client: Option<usize>) {
+        let factor = if self.now < self.network_faults.surge.1 { self.network_faults.surge.0 } else { 1.0 };
         if client.is_none() {
             let at = self.now + self.demand.next_arrival(factor).max(1);
-            self.events.schedule(at, Happens::Arrives(None));
+            self.events.schedule(at, WorldEvent::Arrival(None));
         }
         let demanded = self.demand.next_request();
-        if self.counts() {
+        if self.is_measuring() {
             let worth = self.worth(&demanded);
             self.outcome.asked.add(worth);
             let class = &self.experiment.classes[usize::from(demanded.class)].name;
@@ -38,7 +38,7 @@
             seconds.resize(seconds.len().max(second + 1), (0.0, 0.0));
             seconds[second].0 += worth;
         }
-        self.comes(Coming { demanded, nth: 1, client });
+        self.start_try(PlannedTry { demanded, number_of_try: 1, client });
     }
 
     pub(super) fn worth(&self, demanded: &demand::Demanded) -> f64 {
@@ -47,55 +47,63 @@
             * self.experiment.plans[usize::from(plan)].plan.value
     }
 
-    pub(super) fn comes(&mut self, coming: Coming) {
-        let account = &self.accounts[coming.demanded.account];
-        let class = &self.experiment.classes[usize::from(coming.demanded.class)].class;
+    pub(super) fn start_try(&mut self, planned: PlannedTry) {
+        let account = &self.accounts[planned.demanded.account];
+        let class = &self.experiment.classes[usize::from(planned.demanded.class)].class;
         let all = self.ingresses.len();
-        let drawn = account.set.ingress(coming.demanded.ingress_draw, all);
-        // The front leaves out what it has seen to be dead: the next of the set takes over.
+        let drawn = account.set.ingress(planned.demanded.ingress_draw, all);
+        // Ingresses that are known to be dead are skipped in favour of the next one in the set.
         let set = (0..usize::from(account.set.spread)).map(|next| {
             let place = (drawn + all - usize::from(account.set.first)) % all;
             (usize::from(account.set.first) + (place + next) % usize::from(account.set.spread)) % all
         });
         let known_dead = |ingress: &usize| {
             let ingress = &self.ingresses[*ingress];
-            !ingress.up() && self.now >= ingress.down_since + self.experiment.clients.detection_delay
+            !ingress.is_up() && self.now >= ingress.down_since + self.experiment.clients.detection_delay
         };
         let ingress = set.clone().find(|ingress| !known_dead(ingress)).unwrap_or(drawn);
         let request = self.next_try;
         self.next_try += 1;
         let (arrived, deadline) = (self.now, self.now + class.deadline);
-        self.tries.insert(request, Try { coming, ingress, arrived, deadline, over: false, beyond: 0.0 });
-        self.events.schedule(self.now + self.experiment.clients.delay, Happens::Delivered(request));
-        self.events
-            .schedule(deadline + self.experiment.settings.safety.deadline_slack, Happens::Leaves(request));
+        self.tries.insert(
+            request,
+            Try { planned, ingress, arrived, deadline, is_finished: false, over_quota_units: 0.0 },
+        );
+        self.events.schedule(self.now + self.experiment.clients.delay, WorldEvent::TryDelivered(request));
+        self.events.schedule(
+            deadline + self.experiment.settings.safety.deadline_slack,
+            WorldEvent::ClientTimeout(request),
+        );
     }
 
-    pub(super) fn leaves(&mut self, request: RequestId) {
-        let Some(held) = self.tries.get(&request).filter(|held| !held.over) else { return };
-        let ingress = held.ingress;
+    pub(super) fn on_client_timeout(&mut self, request: RequestId) {
+        let Some(pending) = self.tries.get(&request).filter(|pending| !pending.is_finished) else { return };
+        let ingress = pending.ingress;
         self.abandoned(ingress, request);
-        self.got(request, Got::Nothing);
+        self.on_result(request, TryResult::Nothing);
     }
 
     /// A client has its answer, or none.
-    pub(super) fn got(&mut self, request: RequestId, got: Got) {
-        let Some(held) = self.tries.get_mut(&request).filter(|held| !held.over) else { return };
-        held.over = true;
-        let held = held.clone();
-        let class = &self.experiment.classes[usize::from(held.coming.demanded.class)];
-        let (worth, waited) = (self.worth(&held.coming.demanded), self.now - held.arrived);
-        if self.counts() {
-            self.gauges.ingresses[held.ingress].all += 1;
+    pub(super) fn on_result(&mut self, request: RequestId, result: TryResult) {
+        let Some(pending) = self.tries.get_mut(&request).filter(|pending| !pending.is_finished) else {
+            return;
+        };
+        pending.is_finished = true;
+        let pending = pending.clone();
+        let class = &self.experiment.classes[usize::from(pending.planned.demanded.class)];
+        let (worth, waited) = (self.worth(&pending.planned.demanded), self.now - pending.arrived);
+        if self.is_measuring() {
+            self.gauges.ingresses[pending.ingress].all += 1;
         }
-        if got == Got::Served {
-            let plan =
-                &self.experiment.plans[usize::from(self.accounts[held.coming.demanded.account].plan)].plan;
-            let beyond = held.beyond / held.coming.demanded.units;
-            let earned = worth * (1.0 - beyond * (1.0 - plan.over_quota_value));
-            if self.counts() {
+        if result == TryResult::Served {
+            let plan = &self.experiment.plans
+                [usize::from(self.accounts[pending.planned.demanded.account].plan)]
+            .plan;
+            let over_quota_share = pending.over_quota_units / pending.planned.demanded.units;
+            let earned = worth * (1.0 - over_quota_share * (1.0 - plan.over_quota_value));
+            if self.is_measuring() {
                 self.gauges.record_response(waited);
-                self.gauges.ingresses[held.ingress].served += 1;
+                self.gauges.ingresses[pending.ingress].served += 1;
                 if waited <= class.class.latency_target {
                     self.outcome.served.add(earned);
                     self.outcome.by_class.entry(class.name.clone()).or_default().1.add(earned);
@@ -106,66 +114,73 @@
                     self.outcome.served_late.add(earned * class.class.late_value);
                 }
             }
-            return self.thinks(held.coming.client);
+            return self.schedule_next_request(pending.planned.client);
         }
-        if self.counts() && waited > class.class.deadline / 2 {
+        if self.is_measuring() && waited > class.class.deadline / 2 {
             self.outcome.late_fails += 1;
         }
         let clients = &self.experiment.clients;
-        let again =
-            held.coming.nth < clients.max_tries && self.clients_rng.random::<f64>() < clients.retry_share;
-        if !again {
-            self.lost(&held, got, worth);
-            return self.thinks(held.coming.client);
+        let retries = pending.planned.number_of_try < clients.max_tries
+            && self.clients_rng.random::<f64>() < clients.retry_share;
+        if !retries {
+            self.record_loss(&pending, result, worth);
+            return self.schedule_next_request(pending.planned.client);
         }
         let drawn: f64 = Exp1.sample(&mut self.clients_rng);
-        let heeds = self.clients_rng.random::<f64>() < clients.retry_after_share;
+        let heeds_retry_after = self.clients_rng.random::<f64>() < clients.retry_after_share;
         let pause = clients.retry_pause as f64 * drawn;
-        let pause = match got {
-            Got::Refused { retry_after, .. } if heeds && retry_after > 0 => retry_after as f64 + pause / 4.0,
+        let pause = match result {
+            TryResult::Refused { retry_after, .. } if heeds_retry_after && retry_after > 0 => {
+                retry_after as f64 + pause / 4.0
+            }
             _ => pause,
         };
-        let demanded = demand::Demanded { ingress_draw: self.clients_rng.random(), ..held.coming.demanded };
-        let coming = Coming { demanded, nth: held.coming.nth + 1, client: held.coming.client };
-        self.events.schedule(self.now + pause as Micros + 1, Happens::Comes(Box::new(coming)));
+        let demanded =
+            demand::Demanded { ingress_draw: self.clients_rng.random(), ..pending.planned.demanded };
+        let planned = PlannedTry {
+            demanded,
+            number_of_try: pending.planned.number_of_try + 1,
+            client: pending.planned.client,
+        };
+        self.events.schedule(self.now + pause as Micros + 1, WorldEvent::TryStarts(Box::new(planned)));
     }
 
-    fn thinks(&mut self, client: Option<usize>) {
+    fn schedule_next_request(&mut self, client: Option<usize>) {
         if client.is_some() {
             let at = self.now + self.demand.next_arrival(1.0).max(1);
-            self.events.schedule(at, Happens::Arrives(client));
+            self.events.schedule(at, WorldEvent::Arrival(client));
         }
     }
 
-    /// Notes why a wish came to nothing, and what there was room for.
-    fn lost(&mut self, held: &Try, got: Got, worth: f64) {
-        if !self.counts() {
+    /// Records the reason of an unserved request, and where capacity was available.
+    fn record_loss(&mut self, pending: &Try, result: TryResult, worth: f64) {
+        if !self.is_measuring() {
             return;
         }
         let now = self.now;
-        let account = &mut self.accounts[held.coming.demanded.account];
+        let account = &mut self.accounts[pending.planned.demanded.account];
         let plan = &self.experiment.plans[usize::from(account.plan)].plan;
-        let units = held.coming.demanded.units;
-        let (room, half) = account
+        let units = pending.planned.demanded.units;
+        let (has_quota, has_half_quota) = account
             .quota
             .as_mut()
             .map_or((true, true), |quota| (quota.has(now, units), quota.has(now, plan.burst / 2.0)));
         let idle = |node: &Node| node.is_serving() && !node.is_in_slow_start(now, &self.node_settings);
-        let fleet =
+        let has_idle_worker =
             self.nodes.iter().any(|node| idle(node) && node.working.len() < self.node_settings.workers);
-        let (losses, name): (&mut BTreeMap<String, Loss>, _) = match got {
-            Got::Refused { why, .. } => (&mut self.outcome.refused, reason_name(why)),
-            Got::Failed { why } => (&mut self.outcome.failed, reason_name(why)),
+        let (losses, name): (&mut BTreeMap<String, Loss>, _) = match result {
+            TryResult::Refused { why, .. } => (&mut self.outcome.refused, reason_name(why)),
+            TryResult::Failed { why } => (&mut self.outcome.failed, reason_name(why)),
             _ => (&mut self.outcome.failed, "NoAnswer".into()),
         };
         let loss = losses.entry(name).or_default();
         loss.all.add(worth);
-        for (there, amount) in [
-            (room, &mut loss.quota_had_room),
-            (half, &mut loss.quota_half_unused),
-            (fleet, &mut loss.fleet_had_room),
+        for (applies, amount) in [
+            (has_quota, &mut loss.quota_had_room),
+            (has_half_quota, &mut loss.quota_half_unused),
+            (has_idle_worker, &mut loss.fleet_had_room),
         ] {
-            if there {
+            if applies {
                 amount.add(worth);
             }
         }
--- a/crates/lab/src/world/ingresses.rs
+++ b/crates/lab/src/world/ingresses.rs
@@ -1,36 +1,36 @@
-//! The emulated ingresses: each hands what happens to its decisions, and the world carries out what they ask for.
+//! The emulated ingresses: each passes events to its decision logic, and the world executes the resulting commands.
 
-use super::clients::Got;
+use super::clients::TryResult;
 use super::*;
+use crate::adapter::{Adapter, Command};
 use crate::reference::Reference;
-use crate::wires::{Command, Wires};
 use std::collections::BTreeSet;
 use violetyoke_exchange::{AcceptedRequest, Exchange, FinalResponse};
 
-/// Serials of attempts: so many for each ingress.
-const SERIALS: u32 = 40;
-/// Marks the serial of a second copy.
-const TWIN: u64 = 1 << (SERIALS - 1);
+/// Bits of an attempt's serial; the bits above hold the number of the ingress.
+const SERIAL_BITS: u32 = 40;
+/// Marks the serial of a duplicate attempt.
+const DUPLICATE: u64 = 1 << (SERIAL_BITS - 1);
 
-pub(super) enum Brain {
-    Module(Box<Exchange<Wires>>),
+pub(super) enum DecisionLogic {
+    Module(Box<Exchange<Adapter>>),
     Reference(Box<Reference>),
 }
 
 pub(super) struct Ingress {
     pub zone: u16,
-    /// Rises with each start.
+    /// Incremented when the process dies.
     pub epoch: u32,
     pub down_since: Micros,
-    brain: Option<Brain>,
+    logic: Option<DecisionLogic>,
     next_serial: u64,
-    /// The earliest wake-up that is set.
-    wakes: Micros,
-    /// Its tries that have no answer yet.
+    /// The earliest scheduled wake-up.
+    next_wake_up: Micros,
+    /// Tries without an answer.
     open: BTreeSet<RequestId>,
-    /// What was known of a try before its call to the counter: whether its quota had room.
-    believed: BTreeMap<RequestId, bool>,
-    /// Messages that it can take in, and as of when.
+    /// For each try, whether its quota seemed sufficient before the call to the counter.
+    quota_estimates: BTreeMap<RequestId, bool>,
+    /// Token bucket of incoming messages: tokens, and the time of the last refill.
     intake: (f64, Micros),
 }
 
@@ -40,39 +40,39 @@
             zone: (number % usize::from(experiment.zones)) as u16,
             epoch: 0,
             down_since: 0,
-            brain: None,
-            next_serial: (number as u64) << SERIALS,
-            wakes: Micros::MAX,
+            logic: None,
+            next_serial: (number as u64) << SERIAL_BITS,
+            next_wake_up: Micros::MAX,
             open: BTreeSet::new(),
-            believed: BTreeMap::new(),
+            quota_estimates: BTreeMap::new(),
             intake: (0.0, 0),
         }
     }
 
-    pub fn up(&self) -> bool {
-        self.brain.is_some()
+    pub fn is_up(&self) -> bool {
+        self.logic.is_some()
     }
 
     pub fn idle(&self) -> usize {
-        match &self.brain {
-            Some(Brain::Module(exchange)) => exchange.port.idle(),
-            Some(Brain::Reference(reference)) => reference.wires.idle(),
+        match &self.logic {
+            Some(DecisionLogic::Module(exchange)) => exchange.port.idle(),
+            Some(DecisionLogic::Reference(reference)) => reference.adapter.idle(),
             None => 0,
         }
     }
 
-    /// Its wires; it must be up.
-    pub fn wires(&mut self) -> &mut Wires {
-        match self.brain.as_mut().expect("it is up") {
-            Brain::Module(exchange) => &mut exchange.port,
-            Brain::Reference(reference) => &mut reference.wires,
+    /// The adapter. The ingress must be up.
+    pub fn adapter(&mut self) -> &mut Adapter {
+        match self.logic.as_mut().expect("the ingress is up") {
+            DecisionLogic::Module(exchange) => &mut exchange.port,
+            DecisionLogic::Reference(reference) => &mut reference.adapter,
         }
     }
 
-    /// Whether it takes in one more message: a second's worth at once at most.
-    pub fn takes_message(&mut self, now: Micros, a_second: f64) -> bool {
+    /// Takes a token for a message. Returns false if the rate is exceeded; the burst is one second's worth.
+    pub fn accepts_message(&mut self, now: Micros, rate: f64) -> bool {
         let (level, at) = self.intake;
-        let level = (level + now.saturating_sub(at) as f64 / 1e6 * a_second).min(a_second.max(1.0));
+        let level = (level + now.saturating_sub(at) as f64 / 1e6 * rate).min(rate.max(1.0));
         let takes = level >= 1.0;
         self.intake = (level - if takes { 1.0 } else { 0.0 }, now);
         takes
@@ -80,105 +80,108 @@
 }
 
 impl World<'_> {
-    pub(super) fn ingress_starts(&mut self, number: usize) {
-        if self.ingresses[number].up() {
+    pub(super) fn start_ingress(&mut self, number: usize) {
+        if self.ingresses[number].is_up() {
             return;
         }
         let settings =
             Settings { index: number as u16, zone: self.ingresses[number].zone, ..self.settings.clone() };
         let ingress = &mut self.ingresses[number];
-        let wires = Wires::new(ingress.next_serial);
+        let adapter = Adapter::new(ingress.next_serial);
         let seed = self.seed ^ ((number as u64) << 20) ^ u64::from(ingress.epoch);
-        ingress.brain = Some(match self.policy {
-            Policy::Module => Brain::Module(Box::new(Exchange::new(self.now, settings, seed, wires))),
-            Policy::Oracle | Policy::Random(_) => Brain::Reference(Box::new(Reference::new(wires))),
+        ingress.logic = Some(match self.policy {
+            Policy::Module => {
+                DecisionLogic::Module(Box::new(Exchange::new(self.now, settings, seed, adapter)))
+            }
+            Policy::Oracle | Policy::Random(_) => DecisionLogic::Reference(Box::new(Reference::new(adapter))),
         });
-        ingress.wakes = Micros::MAX;
+        ingress.next_wake_up = Micros::MAX;
         ingress.intake = (0.0, self.now);
         self.checker.on_ingress_started(number);
         let nodes: Vec<usize> = (0..self.nodes.len()).filter(|node| !self.nodes[*node].is_removed).collect();
-        self.tell_nodes(number, ListKind::Full, &nodes);
+        self.send_list(number, ListKind::Full, &nodes);
     }
 
-    /// The process is killed: its connections break, and what it had taken has no answer.
-    pub(super) fn ingress_dies(&mut self, number: usize) {
+    /// Kills the process: its connections close, and its open tries get no answer.
+    pub(super) fn kill_ingress(&mut self, number: usize) {
         let now = self.now;
         let ingress = &mut self.ingresses[number];
-        if !ingress.up() {
+        if !ingress.is_up() {
             return;
         }
-        ingress.wires().close_all();
-        self.perform(number);
+        ingress.adapter().close_all();
+        self.execute_commands(number);
         let ingress = &mut self.ingresses[number];
-        ingress.next_serial = ingress.wires().next_serial();
-        ingress.brain = None;
+        ingress.next_serial = ingress.adapter().next_serial();
+        ingress.logic = None;
         ingress.epoch += 1;
         ingress.down_since = now;
-        ingress.believed.clear();
+        ingress.quota_estimates.clear();
         let open = std::mem::take(&mut ingress.open);
-        let (first, last) = ((number as u64) << SERIALS, ((number as u64) + 1) << SERIALS);
+        let (first, last) = ((number as u64) << SERIAL_BITS, ((number as u64) + 1) << SERIAL_BITS);
         let out: Vec<u64> = self.flights.range(first..last).map(|(serial, _)| *serial).collect();
-        out.into_iter().for_each(|serial| self.withdraw(serial));
+        out.into_iter().for_each(|serial| self.cancel(serial));
         for request in open {
             self.checker.on_orphaned(request);
-            self.got(request, Got::Nothing);
+            self.on_result(request, TryResult::Nothing);
         }
     }
 
-    /// Lets an ingress's decisions have their say, and carries out what they ask for.
-    pub(super) fn drive(&mut self, number: usize, say: impl FnOnce(&mut Exchange<Wires>, Micros)) {
-        if let Some(Brain::Module(exchange)) = &mut self.ingresses[number].brain {
-            say(exchange, self.now);
+    /// Passes an input to the exchange of an ingress and executes the resulting commands.
+    pub(super) fn drive(&mut self, number: usize, input: impl FnOnce(&mut Exchange<Adapter>, Micros)) {
+        if let Some(DecisionLogic::Module(exchange)) = &mut self.ingresses[number].logic {
+            input(exchange, self.now);
             exchange.process_events(self.now);
         }
-        self.perform(number);
+        self.execute_commands(number);
     }
 
-    pub(super) fn wake(&mut self, number: usize, epoch: u32) {
+    pub(super) fn on_wake_up(&mut self, number: usize, epoch: u32) {
         if self.ingresses[number].epoch != epoch {
             return;
         }
-        self.ingresses[number].wakes = Micros::MAX;
+        self.ingresses[number].next_wake_up = Micros::MAX;
         self.drive(number, |exchange, now| exchange.fire_due(now));
     }
 
-    pub(super) fn delivered(&mut self, request: RequestId) {
-        let Some(held) = self.tries.get(&request).filter(|held| !held.over) else { return };
-        let number = held.ingress;
-        if !self.ingresses[number].up() {
-            // Refused at once: nobody listens there.
-            return self.got(request, Got::Nothing);
+    pub(super) fn on_delivery(&mut self, request: RequestId) {
+        let Some(pending) = self.tries.get(&request).filter(|pending| !pending.is_finished) else { return };
+        let number = pending.ingress;
+        if !self.ingresses[number].is_up() {
+            // The connection is refused at once.
+            return self.on_result(request, TryResult::Nothing);
         }
-        let account = &self.accounts[held.coming.demanded.account];
-        let class = &self.experiment.classes[usize::from(held.coming.demanded.class)].class;
-        let patience = if self.sabotage == Some(Sabotage::Patience) { PATIENCE } else { 1 };
-        let words = Request {
+        let account = &self.accounts[pending.planned.demanded.account];
+        let class = &self.experiment.classes[usize::from(pending.planned.demanded.class)].class;
+        let timeout_factor =
+            if self.injected_defect == Some(InjectedDefect::ExtendedDeadlines) { DEADLINE_FACTOR } else { 1 };
+        let request_data = Request {
             id: request,
-            class: held.coming.demanded.class,
+            class: pending.planned.demanded.class,
             plan: account.plan,
-            customer: held.coming.demanded.account as u64 + 1,
-            units: held.coming.demanded.units,
+            customer: pending.planned.demanded.account as u64 + 1,
+            units: pending.planned.demanded.units,
             gateway_count: f64::from(account.set.spread),
             first_gateway: f64::from(account.set.first),
-            timeout: (held.deadline - held.arrived) * patience,
+            timeout: (pending.deadline - pending.arrived) * timeout_factor,
             is_retry: false,
             is_write: class.idempotency != Idempotency::Idempotent,
         };
-        let until = held.deadline + self.experiment.settings.safety.deadline_slack;
-        let (arrived, effect) = (held.arrived, class.idempotency);
+        let until = pending.deadline + self.experiment.settings.safety.deadline_slack;
+        let (arrived, effect) = (pending.arrived, class.idempotency);
         self.checker.on_accepted(request, effect, until);
         self.ingresses[number].open.insert(request);
         if self.policy == Policy::Module {
             let ingress = &mut self.ingresses[number];
-            if let Some(Brain::Module(exchange)) = &ingress.brain {
-                // A customer that nothing is known of is taken to be within its quota.
-                let standing = exchange.gateway().quota_state(words.customer);
-                let believed = standing.is_none_or(|standing| standing.remaining >= words.units);
-                ingress.believed.insert(request, believed);
+            if let Some(DecisionLogic::Module(exchange)) = &ingress.logic {
+                // A customer without known state is assumed to be within its quota.
+                let standing = exchange.gateway().quota_state(request_data.customer);
+                let has_quota = standing.is_none_or(|standing| standing.remaining >= request_data.units);
+                ingress.quota_estimates.insert(request, has_quota);
             }
             self.drive(number, |exchange, now| {
                 let accepted = AcceptedRequest {
-                    request: words,
+                    request: request_data,
                     arrived_at: arrived,
                     is_admission_check: false,
                     claim: None,
@@ -187,82 +190,86 @@
             });
         } else {
             self.reference_takes(number, request);
-            self.perform(number);
+            self.execute_commands(number);
         }
     }
 
     pub(super) fn abandoned(&mut self, number: usize, request: RequestId) {
         self.ingresses[number].open.remove(&request);
-        self.ingresses[number].believed.remove(&request);
-        match &mut self.ingresses[number].brain {
-            Some(Brain::Module(_)) => {
+        self.ingresses[number].quota_estimates.remove(&request);
+        match &mut self.ingresses[number].logic {
+            Some(DecisionLogic::Module(_)) => {
                 self.drive(number, |exchange, now| exchange.abandon_request(now, request));
             }
-            Some(Brain::Reference(reference)) => {
+            Some(DecisionLogic::Reference(reference)) => {
                 reference.abandoned(request);
-                self.perform(number);
+                self.execute_commands(number);
             }
             None => {}
         }
     }
 
-    /// The reference that decides at an ingress which runs none of the module.
+    /// The reference policy of an ingress that doesn't run the decision module.
     pub(crate) fn reference(&mut self, number: usize) -> Option<&mut Reference> {
-        match &mut self.ingresses[number].brain {
-            Some(Brain::Reference(reference)) => Some(reference),
+        match &mut self.ingresses[number].logic {
+            Some(DecisionLogic::Reference(reference)) => Some(reference),
             _ => None,
         }
     }
 
-    /// Carries out what an ingress has asked for, and sets its next wake-up.
-    pub(super) fn perform(&mut self, number: usize) {
-        if !self.ingresses[number].up() {
+    /// Executes the commands of an ingress and schedules its next wake-up.
+    pub(super) fn execute_commands(&mut self, number: usize) {
+        if !self.ingresses[number].is_up() {
             return;
         }
         let epoch = self.ingresses[number].epoch;
-        let mut commands = std::mem::take(&mut self.ingresses[number].wires().out);
+        let mut commands = std::mem::take(&mut self.ingresses[number].adapter().commands);
         for command in commands.drain(..) {
             match command {
                 Command::Attempt { serial, id, node, kept, sent } => {
-                    self.believed(number, id, Some(true));
+                    self.record_quota_decision(number, id, Some(true));
                     self.attempt(number, serial, id, (node, kept, sent.clone()));
-                    if self.sabotage == Some(Sabotage::SendsTwice) {
-                        self.attempt(number, serial | TWIN, id, (node, None, sent));
+                    if self.injected_defect == Some(InjectedDefect::DuplicateAttempts) {
+                        self.attempt(number, serial | DUPLICATE, id, (node, None, sent));
                     }
                 }
-                Command::Withdraw { serial } => self.withdraw(serial),
-                Command::Count { call, name, amount, life } => {
-                    self.call(number, epoch, (call, name, amount, life));
+                Command::Cancel { serial } => self.cancel(serial),
+                Command::CounterCall { call, name, amount, ttl } => {
+                    self.send_call(number, epoch, (call, name, amount, ttl));
                 }
                 Command::Answer { summary, response } => {
-                    // Only this rule speaks of a total.
+                    // Only this reason depends on a total.
                     let refused = (summary.reason == Some(RejectionReason::Quota)).then_some(false);
-                    self.believed(number, AttemptId { request: summary.request, number: 0 }, refused);
+                    self.record_quota_decision(
+                        number,
+                        AttemptId { request: summary.request, number: 0 },
+                        refused,
+                    );
                     self.ingresses[number].open.remove(&summary.request);
                     self.checker.on_answered(self.now, summary.request);
-                    if self.sabotage == Some(Sabotage::AnswersTwice) {
+                    if self.injected_defect == Some(InjectedDefect::DuplicateAnswers) {
                         self.checker.on_answered(self.now, summary.request);
                     }
-                    self.got(
+                    self.on_result(
                         summary.request,
                         match response {
-                            FinalResponse::Served(()) | FinalResponse::Admitted => Got::Served,
+                            FinalResponse::Served(()) | FinalResponse::Admitted => TryResult::Served,
                             FinalResponse::Refused { retry_after } => {
-                                Got::Refused { retry_after, why: summary.reason }
+                                TryResult::Refused { retry_after, why: summary.reason }
                             }
-                            FinalResponse::Failed => Got::Failed { why: summary.reason },
+                            FinalResponse::Failed => TryResult::Failed { why: summary.reason },
                         },
                     );
                 }
-                Command::Close { node, epoch, many } => {
+                Command::Close { node, epoch, connections } => {
                     let node = &mut self.nodes[node];
                     if node.epoch == epoch {
-                        node.connections = node.connections.saturating_sub(many);
+                        node.connections = node.connections.saturating_sub(connections);
                     }
                 }
-                Command::Tell { to, data } => self.send_message(number, to, data),
-                Command::Ended(outcome) => {
-                    if self.counts() {
+                Command::SendMessage { to, data } => self.send_message(number, to, data),
+                Command::AttemptEnded(outcome) => {
+                    if self.is_measuring() {
                         *self.outcome.ends.entry(format!("{outcome:?}")).or_default() += 1;
                     }
                 }
@@ -270,25 +277,26 @@
             }
         }
         let ingress = &mut self.ingresses[number];
-        // Room that was grown once is used again.
-        if ingress.wires().out.is_empty() {
-            ingress.wires().out = commands;
+        // Reuses the allocation.
+        if ingress.adapter().commands.is_empty() {
+            ingress.adapter().commands = commands;
         }
-        if let Some(Brain::Module(exchange)) = &mut ingress.brain {
-            if let Some(at) = exchange.next_due().filter(|at| *at < ingress.wakes) {
-                ingress.wakes = at;
-                self.events.schedule(at.max(self.now), Happens::Wake { ingress: number, epoch });
+        if let Some(DecisionLogic::Module(exchange)) = &mut ingress.logic {
+            if let Some(at) = exchange.next_due().filter(|at| *at < ingress.next_wake_up) {
+                ingress.next_wake_up = at;
+                self.events.schedule(at.max(self.now), WorldEvent::WakeUp { ingress: number, epoch });
             }
         }
     }
 
-    /// A try's quota has been decided. If a total did it, and otherwise than what was known when the try came, its
-    /// call has made a difference. One that is let in and then waits for a node is not seen here.
-    fn believed(&mut self, number: usize, id: AttemptId, passes: Option<bool>) {
+    /// Records the quota decision of a try. If a total led to another decision than the state known when the try arrived,
+    /// the call changed the decision. Tries that are admitted and then wait for a node are not recorded.
+    fn record_quota_decision(&mut self, number: usize, id: AttemptId, passes: Option<bool>) {
         if id.number == 0 {
-            let before = self.ingresses[number].believed.remove(&id.request);
+            let before = self.ingresses[number].quota_estimates.remove(&id.request);
             let differs = before.is_some() && passes.is_some() && before != passes;
-            self.outcome.calls.changed += u64::from(self.by_total && self.counts() && differs);
+            self.outcome.calls.changed +=
+                u64::from(self.is_total_being_processed && self.is_measuring() && differs);
         }
     }
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,12 +1,12 @@
-//! The emulated world: one event after another, in a total order, until the run is over.
+//! The emulated world: processes events one after another, in a total order, until the end of the run.
 
 mod clients;
-mod counting;
-mod hearing;
+mod counter_calls;
+mod deliveries;
+mod faults;
 mod ingresses;
 mod nodes;
-mod seen;
-mod trouble;
+mod oracle_view;
 
 use crate::account::Account;
 use crate::counter::{Call, Counter};
@@ -27,50 +27,50 @@
 use violetyoke_decision::interface::*;
 use violetyoke_exchange::AttemptId;
 
-/// A rule that is taken out of what the ingresses are told or do, to see that the rule checker reports it.
+/// A defect that is injected into the ingresses or their settings, to test that the rule checker reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
-    /// Ingresses take clients to wait far longer than they do.
-    Patience,
-    /// Each answer is given a second time.
-    AnswersTwice,
-    /// Each attempt is sent a second time, beside the first.
-    SendsTwice,
-    /// Unsafe classes pass for safe ones.
-    AllSafe,
-    /// No list says that a node drains.
-    BlindToDrains,
-    /// Nodes pass for warm from their start on.
-    BlindToCold,
-    /// Plans have neither quota nor ceiling.
-    NoCeilings,
+pub enum InjectedDefect {
+    /// Ingresses assume far longer deadlines than clients have.
+    ExtendedDeadlines,
+    /// Each answer is sent a second time.
+    DuplicateAnswers,
+    /// Each attempt is sent a second time while the first one is in flight.
+    DuplicateAttempts,
+    /// All classes are treated as idempotent.
+    AllIdempotent,
+    /// Lists of nodes never report that a node drains.
+    HiddenDrains,
+    /// Nodes get full load from their start, without slow start.
+    NoSlowStart,
+    /// Plans have neither a quota nor a hard limit.
+    NoHardLimits,
 }
 
-impl Sabotage {
-    pub const ALL: [Sabotage; 7] = [
-        Sabotage::Patience,
-        Sabotage::AnswersTwice,
-        Sabotage::SendsTwice,
-        Sabotage::AllSafe,
-        Sabotage::BlindToDrains,
-        Sabotage::BlindToCold,
-        Sabotage::NoCeilings,
+impl InjectedDefect {
+    pub const ALL: [InjectedDefect; 7] = [
+        InjectedDefect::ExtendedDeadlines,
+        InjectedDefect::DuplicateAnswers,
+        InjectedDefect::DuplicateAttempts,
+        InjectedDefect::AllIdempotent,
+        InjectedDefect::HiddenDrains,
+        InjectedDefect::NoSlowStart,
+        InjectedDefect::NoHardLimits,
     ];
 
-    /// What ingresses are told in place of the truth.
-    fn twist(self, settings: &mut Settings) {
+    /// Changes the settings that ingresses receive.
+    fn apply(self, settings: &mut Settings) {
         match self {
-            Sabotage::AllSafe => {
+            InjectedDefect::AllIdempotent => {
                 settings.classes.iter_mut().for_each(|class| class.idempotency = Idempotency::Idempotent);
             }
-            Sabotage::Patience => settings.classes.iter_mut().for_each(|class| {
+            InjectedDefect::ExtendedDeadlines => settings.classes.iter_mut().for_each(|class| {
                 (class.latency_target, class.deadline) =
-                    (class.latency_target * PATIENCE, class.deadline * PATIENCE);
+                    (class.latency_target * DEADLINE_FACTOR, class.deadline * DEADLINE_FACTOR);
             }),
-            Sabotage::BlindToCold => {
+            InjectedDefect::NoSlowStart => {
                 (settings.safety.slow_start_share, settings.safety.slow_start_time) = (1.0, 0);
             }
-            Sabotage::NoCeilings => settings.plans.iter_mut().for_each(|plan| {
+            InjectedDefect::NoHardLimits => settings.plans.iter_mut().for_each(|plan| {
                 (plan.rate, plan.hard_limit_rate) = (0.0, 0.0);
             }),
             _ => {}
@@ -78,74 +78,74 @@
     }
 }
 
-/// By how much clients seem to wait longer than they do.
-const PATIENCE: Micros = 20;
+/// Factor on the deadlines that ingresses assume under `ExtendedDeadlines`.
+const DEADLINE_FACTOR: Micros = 20;
 
-/// Who decides.
+/// How ingresses decide.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// The shipped decisions, an own gateway at each ingress.
+    /// The production decision module, with a gateway at each ingress.
     Module,
-    /// Sees all state at once, and decides greedily by it.
+    /// Sees the whole state of the world and decides greedily.
     Oracle,
-    /// Lets in this part by chance, to any listed node, once.
+    /// Admits a random share of this size and sends each try once, to a random listed node.
     Random(f64),
 }
 
 #[derive(Debug)]
-enum Happens {
-    /// A new wish, of a closed client or of none.
-    Arrives(Option<usize>),
-    /// A try comes again, or for the first time.
-    Comes(Box<Coming>),
-    Delivered(RequestId),
-    /// Its client waits no longer.
-    Leaves(RequestId),
-    Wake {
+enum WorldEvent {
+    /// A new request, from the closed-loop client with this number or from the open load.
+    Arrival(Option<usize>),
+    /// A client sends a try: the first one of a request or a retry.
+    TryStarts(Box<PlannedTry>),
+    TryDelivered(RequestId),
+    /// The client of a try gives up.
+    ClientTimeout(RequestId),
+    WakeUp {
         ingress: usize,
         epoch: u32,
     },
-    Connects(u64),
+    ConnectionRequest(u64),
     Connected(u64),
-    Offered(u64),
-    Done {
+    RequestArrives(u64),
+    JobDone {
         node: usize,
         epoch: u32,
         job: Job,
         took: Micros,
     },
-    Ended {
+    AttemptEnded {
         serial: u64,
-        outcome: Outcome_,
+        outcome: AttemptOutcome,
     },
-    CallComes(Call),
+    CallArrives(Call),
     CallDone(usize),
-    Counted {
+    CallAnswered {
         call: Call,
-        outcome: Outcome_,
+        outcome: AttemptOutcome,
         total: f64,
     },
-    Message {
+    MessageArrives {
         to: usize,
         from: usize,
         data: Vec<u8>,
     },
-    Listed {
+    ListUpdate {
         ingress: usize,
         epoch: u32,
         node: usize,
     },
-    Second,
-    Trouble(usize),
-    Hit {
+    EverySecond,
+    FaultStarts(usize),
+    FaultHits {
         fault: usize,
         victim: usize,
     },
-    Healed {
+    FaultEnds {
         fault: usize,
         victim: usize,
     },
-    Replaced {
+    NodeReplaced {
         node: usize,
     },
     NodeStarts {
@@ -155,68 +155,70 @@
     IngressStarts(usize),
 }
 
-use violetyoke_decision::interface::Outcome as Outcome_;
+use violetyoke_decision::interface::Outcome as AttemptOutcome;
 
-/// A try that is to come.
+/// A try that a client will send.
 #[derive(Clone, Debug)]
-struct Coming {
+struct PlannedTry {
     demanded: demand::Demanded,
-    nth: u8,
+    number_of_try: u8,
     client: Option<usize>,
 }
 
 /// A try that has been sent to an ingress.
 #[derive(Clone, Debug)]
 struct Try {
-    coming: Coming,
+    planned: PlannedTry,
     ingress: usize,
     arrived: Micros,
     deadline: Micros,
-    /// Its client has an answer, or has left.
-    over: bool,
-    /// Units of it that were beyond the quota.
-    beyond: f64,
+    /// Whether the client has an answer or has given up.
+    is_finished: bool,
+    /// Units of the try that exceeded the quota.
+    over_quota_units: f64,
 }
 
-/// An attempt under way.
+/// An attempt in flight.
 #[derive(Debug)]
-struct Flight {
+struct AttemptInFlight {
     id: AttemptId,
     ingress: usize,
     node: usize,
     node_epoch: u32,
     sent: Rc<Cell<bool>>,
-    unused: Option<Micros>,
+    idle_time: Option<Micros>,
     work: f64,
-    withdrawn: bool,
-    /// Counted among the node's connections.
+    is_cancelled: bool,
+    /// Whether its connection is counted among the node's connections.
     connected: bool,
-    /// In hand or in line at the node.
+    /// Whether a worker or the queue of the node has it.
     at_node: bool,
-    errs: bool,
+    fails: bool,
 }
 
-/// What is wrong with the network for a while.
+/// Temporary faults of networks, discovery and load. Times are the ends of the faults, by zone or ingress.
 #[derive(Debug, Default)]
-struct Cuts {
+struct NetworkFaults {
     zones: Vec<Micros>,
     peers: Vec<Micros>,
     counter: Vec<Micros>,
     discovery: Vec<Micros>,
     lists_stopped: Micros,
+    /// Share of lost messages, and until when.
     loss: (f64, Micros),
+    /// Factor on the load, and until when.
     surge: (f64, Micros),
 }
 
 pub struct World<'e> {
     experiment: &'e Experiment,
     policy: Policy,
-    sabotage: Option<Sabotage>,
+    injected_defect: Option<InjectedDefect>,
     settings: Settings,
     node_settings: NodeSettings,
     now: Micros,
     end: Micros,
-    events: EventQueue<Happens>,
+    events: EventQueue<WorldEvent>,
     ingresses: Vec<Ingress>,
     nodes: Vec<Node>,
     counter: Counter,
@@ -224,20 +226,20 @@
     demand: Demand,
     tries: BTreeMap<RequestId, Try>,
     next_try: RequestId,
-    flights: BTreeMap<u64, Flight>,
-    cuts: Cuts,
+    flights: BTreeMap<u64, AttemptInFlight>,
+    network_faults: NetworkFaults,
     nodes_rng: Pcg64Mcg,
     links_rng: Pcg64Mcg,
     clients_rng: Pcg64Mcg,
     faults_rng: Pcg64Mcg,
     random_rng: Pcg64Mcg,
     seed: u64,
-    /// A total of the counter is being heard.
-    by_total: bool,
+    /// Whether an ingress is processing a total of the counter now.
+    is_total_being_processed: bool,
     checker: RuleChecker,
     outcome: Outcome,
     gauges: Gauges,
-    /// Mean work of a try (us), and its mean worth: prices are in parts of that.
+    /// Mean work of a try in microseconds, and its mean value, which is the unit of prices.
     mean_work: f64,
     unit_price: f64,
 }
@@ -273,7 +275,7 @@
         World {
             experiment,
             policy,
-            sabotage: None,
+            injected_defect: None,
             settings: experiment.settings.clone(),
             node_settings,
             now: START,
@@ -291,12 +293,12 @@
             tries: BTreeMap::new(),
             next_try: 1,
             flights: BTreeMap::new(),
-            cuts: Cuts {
+            network_faults: NetworkFaults {
                 zones: vec![0; usize::from(experiment.zones)],
                 peers: vec![0; ingresses],
                 counter: vec![0; ingresses],
                 discovery: vec![0; ingresses],
-                ..Cuts::default()
+                ..NetworkFaults::default()
             },
             nodes_rng: stream(seed, Stream::Nodes),
             links_rng: stream(seed, Stream::Links),
@@ -304,7 +306,7 @@
             faults_rng: stream(seed, Stream::Faults),
             random_rng: stream(seed, Stream::Random),
             seed,
-            by_total: false,
+            is_total_being_processed: false,
             checker: RuleChecker::new(safety.drain_grace + 50_000),
             outcome: Outcome::default(),
             gauges: Gauges::new(ingresses),
@@ -313,117 +315,117 @@
         }
     }
 
-    /// With a rule taken out.
-    pub fn sabotaged(mut self, sabotage: Sabotage) -> World<'e> {
-        sabotage.twist(&mut self.settings);
-        self.sabotage = Some(sabotage);
+    /// Injects a defect.
+    pub fn with_defect(mut self, injected_defect: InjectedDefect) -> World<'e> {
+        injected_defect.apply(&mut self.settings);
+        self.injected_defect = Some(injected_defect);
         self
     }
 
-    /// Plays the whole run.
-    pub fn play(mut self) -> Outcome {
-        self.begin();
+    /// Runs the experiment to its end.
+    pub fn run(mut self) -> Outcome {
+        self.schedule_first_events();
         while let Some((at, event)) = self.events.pop_before(self.end) {
             self.now = at;
-            self.happens(event);
+            self.handle(event);
         }
         self.finish()
     }
 
-    fn begin(&mut self) {
+    fn schedule_first_events(&mut self) {
         for ingress in 0..self.ingresses.len() {
-            self.ingress_starts(ingress);
+            self.start_ingress(ingress);
         }
         match self.demand.arrivals {
             Arrivals::Open { .. } => {
                 let at = self.now + self.demand.next_arrival(1.0);
-                self.events.schedule(at, Happens::Arrives(None));
+                self.events.schedule(at, WorldEvent::Arrival(None));
             }
             Arrivals::Closed { clients, .. } => {
                 for client in 0..clients {
                     let at = self.now + self.demand.next_arrival(1.0);
-                    self.events.schedule(at, Happens::Arrives(Some(client)));
+                    self.events.schedule(at, WorldEvent::Arrival(Some(client)));
                 }
             }
         }
         for (number, fault) in self.experiment.faults.iter().enumerate() {
-            self.events.schedule(START + fault.at, Happens::Trouble(number));
+            self.events.schedule(START + fault.at, WorldEvent::FaultStarts(number));
         }
-        self.events.schedule(self.now + 1_000_000, Happens::Second);
+        self.events.schedule(self.now + 1_000_000, WorldEvent::EverySecond);
     }
 
-    fn happens(&mut self, event: Happens) {
+    fn handle(&mut self, event: WorldEvent) {
         match event {
-            Happens::Arrives(client) => self.arrives(client),
-            Happens::Comes(coming) => self.comes(*coming),
-            Happens::Delivered(request) => self.delivered(request),
-            Happens::Leaves(request) => self.leaves(request),
-            Happens::Wake { ingress, epoch } => self.wake(ingress, epoch),
-            Happens::Connects(serial) => self.connects(serial),
-            Happens::Connected(serial) => self.connected(serial),
-            Happens::Offered(serial) => self.offered(serial),
-            Happens::Done { node, epoch, job, took } => self.done(node, epoch, job, took),
-            Happens::Ended { serial, outcome } => self.ended(serial, outcome),
-            Happens::CallComes(call) => self.call_comes(call),
-            Happens::CallDone(part) => self.call_done(part),
-            Happens::Counted { call, outcome, total } => self.counted(call, outcome, total),
-            Happens::Message { to, from, data } => self.message(to, from, data),
-            Happens::Listed { ingress, epoch, node } => self.listed(ingress, epoch, node),
-            Happens::Second => self.second(),
-            Happens::Trouble(fault) => self.trouble(fault),
-            Happens::Hit { fault, victim } => self.hit(fault, victim),
-            Happens::Healed { fault, victim } => self.healed(fault, victim),
-            Happens::Replaced { node } => self.replaced(node),
-            Happens::NodeStarts { node, epoch } => self.node_starts(node, epoch),
-            Happens::IngressStarts(ingress) => self.ingress_starts(ingress),
+            WorldEvent::Arrival(client) => self.on_arrival(client),
+            WorldEvent::TryStarts(planned) => self.start_try(*planned),
+            WorldEvent::TryDelivered(request) => self.on_delivery(request),
+            WorldEvent::ClientTimeout(request) => self.on_client_timeout(request),
+            WorldEvent::WakeUp { ingress, epoch } => self.on_wake_up(ingress, epoch),
+            WorldEvent::ConnectionRequest(serial) => self.on_connection_request(serial),
+            WorldEvent::Connected(serial) => self.on_connected(serial),
+            WorldEvent::RequestArrives(serial) => self.on_request(serial),
+            WorldEvent::JobDone { node, epoch, job, took } => self.on_job_done(node, epoch, job, took),
+            WorldEvent::AttemptEnded { serial, outcome } => self.on_attempt_ended(serial, outcome),
+            WorldEvent::CallArrives(call) => self.on_call_arrival(call),
+            WorldEvent::CallDone(part) => self.on_call_done(part),
+            WorldEvent::CallAnswered { call, outcome, total } => self.on_call_answered(call, outcome, total),
+            WorldEvent::MessageArrives { to, from, data } => self.on_peer_message(to, from, data),
+            WorldEvent::ListUpdate { ingress, epoch, node } => self.on_list_update(ingress, epoch, node),
+            WorldEvent::EverySecond => self.on_second(),
+            WorldEvent::FaultStarts(fault) => self.start_fault(fault),
+            WorldEvent::FaultHits { fault, victim } => self.inject(fault, victim),
+            WorldEvent::FaultEnds { fault, victim } => self.end_fault(fault, victim),
+            WorldEvent::NodeReplaced { node } => self.on_node_replaced(node),
+            WorldEvent::NodeStarts { node, epoch } => self.start_node(node, epoch),
+            WorldEvent::IngressStarts(ingress) => self.start_ingress(ingress),
         }
     }
 
-    /// What happens in the time that is not counted leaves no trace in the outcome, but for broken rules.
-    fn counts(&self) -> bool {
+    /// Whether the warm-up is over. Events during the warm-up don't count in the outcome, except for violated rules.
+    fn is_measuring(&self) -> bool {
         self.now >= START + self.experiment.warm_up
     }
 
-    fn second(&mut self) {
+    fn on_second(&mut self) {
         self.checker.forget_expired(self.now);
-        if self.counts() {
+        if self.is_measuring() {
             let idle: usize = self.ingresses.iter().map(Ingress::idle).sum();
-            let busy = self.flights.values().filter(|flight| flight.connected && !flight.withdrawn).count();
+            let busy =
+                self.flights.values().filter(|flight| flight.connected && !flight.is_cancelled).count();
             self.gauges.record_connections((idle + busy) as f64 / self.ingresses.len() as f64);
         }
-        // Nothing can come of a try whose client is long gone.
-        let old = self.now.saturating_sub(60_000_000);
-        self.tries.retain(|_, held| !held.over || held.deadline > old);
-        self.events.schedule(self.now + 1_000_000, Happens::Second);
+        // A try whose client gave up long ago has no further effect.
+        let oldest_deadline = self.now.saturating_sub(60_000_000);
+        self.tries.retain(|_, pending| !pending.is_finished || pending.deadline > oldest_deadline);
+        self.events.schedule(self.now + 1_000_000, WorldEvent::EverySecond);
     }
 
-    /// Time of a way between two zones.
-    fn way(&mut self, one: u16, other: u16) -> Micros {
+    /// A random one-way delay between two zones.
+    fn link_delay(&mut self, one: u16, other: u16) -> Micros {
         let links = &self.experiment.links;
         let mean = links.delay + if one == other { 0 } else { links.cross_zone_delay };
-        // Networks are uneven: up to half as much again.
+        // Delays vary by up to 50 %.
         (mean as f64 * self.links_rng.random_range(1.0..1.5)) as Micros
     }
 
-    /// Whether a zone is cut off from another one now.
-    fn apart(&self, one: u16, other: u16) -> bool {
-        let cut = |zone: u16| self.now < self.cuts.zones[usize::from(zone)];
-        one != other && (cut(one) || cut(other))
+    /// Whether two zones are partitioned from each other now.
+    fn is_partitioned(&self, one: u16, other: u16) -> bool {
+        let is_cut_off = |zone: u16| self.now < self.network_faults.zones[usize::from(zone)];
+        one != other && (is_cut_off(one) || is_cut_off(other))
     }
 
     fn second_of_run(&self) -> usize {
         ((self.now - START) / 1_000_000) as usize
     }
 
-    /// The part of its workers' time that a node that is there has worked: a tenth of them, half of them, nine tenths
-    /// are below.
+    /// The utilization of the workers of each present node: 10th, 50th and 90th percentile over the nodes.
     fn node_load(&self) -> [f64; 3] {
-        let there = self.nodes.iter().filter(|node| !node.is_removed);
+        let present = self.nodes.iter().filter(|node| !node.is_removed);
         let load = |node: &Node| {
             let time = self.now.saturating_sub(node.added_at).max(1) as f64;
             node.busy / (self.node_settings.workers as f64 * time)
         };
-        crate::outcome::percentiles(there.map(load).collect())
+        crate::outcome::percentiles(present.map(load).collect())
     }
 
     fn finish(mut self) -> Outcome {
@@ -437,21 +439,21 @@
         let fee = self.experiment.settings.counter.map_or(0.0, |counter| counter.fee);
         let calls = outcome.calls.decide + outcome.calls.give_back + outcome.calls.read;
         let useless = outcome.useless_work / self.mean_work;
-        for (what, price, many) in [
+        for (what, price, quantity) in [
             ("handshakes", prices.handshake, outcome.handshakes as f64),
             ("calls", fee, calls as f64),
             ("messages", prices.peer, outcome.messages as f64),
             ("waste", prices.waste, useless),
             ("late_fails", prices.late_fail, outcome.late_fails as f64),
         ] {
-            *outcome.prices.entry(what.into()).or_default() += price * many * self.unit_price;
+            *outcome.prices.entry(what.into()).or_default() += price * quantity * self.unit_price;
         }
         outcome.settle();
-        let warm = self.experiment.warm_up / 1_000_000;
+        let warm_up = self.experiment.warm_up / 1_000_000;
         let first = self.experiment.faults.iter().map(|fault| fault.at).min();
         let last = self.experiment.faults.iter().map(|fault| fault.at + fault.stagger + fault.duration).max();
         if let (Some(first), Some(last)) = (first, last) {
-            let second = |at: Micros| (at / 1_000_000).saturating_sub(warm) as usize;
+            let second = |at: Micros| (at / 1_000_000).saturating_sub(warm_up) as usize;
             outcome.find_recovery(second(first), second(last));
         }
         outcome
--- a/crates/lab/tests/account.rs
+++ b/crates/lab/tests/account.rs
@@ -5,7 +5,7 @@
 use violetyoke_lab::account::Bucket;
 
 #[test]
-fn units_that_a_bucket_does_not_hold_are_returned_and_it_refills() {
+fn take_returns_the_units_beyond_the_level_and_the_bucket_refills() {
     let mut bucket = Bucket::full(2.0, 10.0, 0);
     assert_eq!(bucket.take(0, 8.0), 0.0);
     assert_eq!(bucket.take(0, 5.0), 3.0);
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A small fleet that tests change.
+//! A small fleet that tests modify.
 
 #![allow(unreachable_pub, reason = "support modules are public to the tests")]
 
 use violetyoke_lab::experiment::{parse, Experiment};
 
-/// 12 ingresses, 8 nodes: a run takes a moment.
+/// 12 ingresses and 8 nodes, so that a run is short.
 pub const BASE: &str = r#"
 name = "small"
 
@@ -65,19 +65,19 @@
 ceiling_burst = 60
 "#;
 
-/// The small fleet with further text, its faults as a rule.
+/// The small fleet with additional text, usually faults.
 #[allow(dead_code, reason = "each file of tests uses its own part")]
 pub fn with(more: &str) -> Experiment {
     parse(&format!("{BASE}\n{more}")).unwrap_or_else(|errors| panic!("{errors}"))
 }
 
-/// The same with some of its words exchanged.
+/// The small fleet with some texts replaced, and with additional text.
 #[allow(dead_code, reason = "each file of tests uses its own part")]
-pub fn changed(words: &[(&str, &str)], more: &str) -> Experiment {
-    let exchange = |text: String, (from, to): &(&str, &str)| {
+pub fn changed(replacements: &[(&str, &str)], more: &str) -> Experiment {
+    let substitute = |text: String, (from, to): &(&str, &str)| {
         assert!(text.contains(from), "{from:?} is not in the base");
         text.replace(from, to)
     };
-    let base = words.iter().fold(BASE.to_string(), exchange);
+    let base = replacements.iter().fold(BASE.to_string(), substitute);
     parse(&format!("{base}\n{more}")).unwrap_or_else(|errors| panic!("{errors}"))
 }
--- a/crates/lab/tests/compare.rs
+++ b/crates/lab/tests/compare.rs
@@ -5,7 +5,7 @@
 use violetyoke_lab::compare::paired;
 
 #[test]
-fn an_interval_holds_a_steady_difference_and_widens_with_noise() {
+fn interval_is_exact_for_a_constant_difference_and_widens_with_noise() {
     let steady: Vec<_> = (0..20).map(|n| (f64::from(n), f64::from(n) + 1.0)).collect();
     let steady = paired(&steady).expect("pairs");
     assert_eq!((steady.mean, steady.low, steady.high), (1.0, 1.0, 1.0));
--- a/crates/lab/tests/node.rs
+++ b/crates/lab/tests/node.rs
@@ -16,11 +16,11 @@
 };
 
 #[test]
-fn a_node_in_slow_start_is_slower_and_falls_over_where_another_one_queues() {
+fn node_in_slow_start_is_slower_and_fails_under_load_that_another_node_accepts() {
     let mut node = Node::new("n0".into(), 0, 1.0, 1_000_000);
     assert_eq!(node.work_time(1_000_000, 10_000.0, &SETTINGS), 40_000);
     assert_eq!(node.work_time(11_000_000, 10_000.0, &SETTINGS), 10_000);
-    // Two workers at a quarter of their speed do 0.5 s of work a second; it bears twice that.
+    // Two workers at a quarter of their speed do 0.5 s of work a second; the node fails above twice that.
     assert!(!node.add_work(1_000_000, 900_000.0, &SETTINGS));
     assert!(node.add_work(1_000_000, 200_000.0, &SETTINGS));
     let mut warm = Node::new("n1".into(), 0, 1.0, 0);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_queue_is_bounded_and_handshakes_go_first() {
+fn queue_is_bounded_and_handshakes_are_queued_first() {
     let mut node = Node::new("n0".into(), 0, 1.0, 0);
     node.working = vec![1, 2];
     assert_eq!(node.place(Job::Attempt(3), &SETTINGS), Placement::Queued);
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -1,11 +1,11 @@
-//! The rule checker: what violates no rule, and each way to violate one.
+//! The rule checker: a run without violations, and each kind of violation.
 
 #![cfg(test)]
 
 use violetyoke_decision::interface::Idempotency;
 use violetyoke_lab::rule_checker::RuleChecker;
 
-/// A try taken at 0 that must be answered by 1,000.
+/// A checker with a try that was accepted at 0 and must be answered by 1,000.
 fn checker(effect: Idempotency) -> RuleChecker {
     let mut checker = RuleChecker::new(250);
     checker.on_accepted(1, effect, 1_000);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_run_that_keeps_all_rules_has_no_violations() {
+fn run_that_obeys_all_rules_has_no_violations() {
     let mut checker = checker(Idempotency::AtMostOnce);
     checker.on_listed(0, 0, 7, true);
     checker.on_attempt_sent(10, 1, 5, 0, 7);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_try_of_a_dead_ingress_needs_no_answer() {
+fn try_of_a_dead_ingress_needs_no_answer() {
     let mut checker = checker(Idempotency::Idempotent);
     checker.on_orphaned(1);
     checker.finish(5_000);
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The tally is shown decisions with one rule taken out at a time, and reports that rule.
+//! The rule checker reports no violation of the production decisions, and each defect that is injected into them.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use violetyoke_lab::experiment::Experiment;
 use violetyoke_lab::outcome::Outcome;
 use violetyoke_lab::rule_checker::Violations;
-use violetyoke_lab::world::{Policy, Sabotage, World};
+use violetyoke_lab::world::{InjectedDefect, Policy, World};
 
-/// Nodes go and come, some answer late or with an error, connections break, and the counter is silent for a while:
-/// each rule has its occasion.
-const TROUBLE: &str = r#"
+/// Nodes are replaced and killed, some answer late or with errors, and the counter doesn't answer for some time, so that
+/// every rule can be violated.
+const FAULTS: &str = r#"
 [[fault]]
 kind = "replace_nodes"
 part = 0.5
@@ -44,39 +44,39 @@
 for_seconds = 3
 "#;
 
-fn play(experiment: &Experiment, sabotage: Option<Sabotage>) -> Outcome {
+fn simulate(experiment: &Experiment, defect: Option<InjectedDefect>) -> Outcome {
     let world = World::new(experiment, 3, Policy::Module);
-    match sabotage {
-        Some(sabotage) => world.sabotaged(sabotage).play(),
-        None => world.play(),
+    match defect {
+        Some(defect) => world.with_defect(defect).run(),
+        None => world.run(),
     }
 }
 
-fn troubled() -> Experiment {
-    with(TROUBLE)
+fn experiment_with_faults() -> Experiment {
+    with(FAULTS)
 }
 
 #[test]
-fn the_shipped_decisions_keep_all_rules_through_it() {
-    let outcome = play(&troubled(), None);
+fn production_decisions_violate_no_rule_during_faults() {
+    let outcome = simulate(&experiment_with_faults(), None);
     assert_eq!(outcome.violations, Violations::default());
     assert!(outcome.served.tries > 250, "{:?}", outcome.shares());
 }
 
 #[test]
-fn each_rule_that_is_taken_out_is_reported_and_no_other_hides_it() {
-    let experiment = troubled();
-    let told = |sabotage| play(&experiment, Some(sabotage)).violations;
-    assert!(told(Sabotage::Patience).unanswered > 0);
-    assert!(told(Sabotage::AnswersTwice).answered_again > 0);
-    assert!(told(Sabotage::SendsTwice).copies > 0);
-    assert!(told(Sabotage::AllSafe).ran_twice > 0);
-    assert!(told(Sabotage::BlindToDrains).after_drain > 0);
-    assert!(told(Sabotage::NoCeilings).past_ceiling > 0.0);
+fn each_injected_defect_is_reported() {
+    let experiment = experiment_with_faults();
+    let violations_with = |defect| simulate(&experiment, Some(defect)).violations;
+    assert!(violations_with(InjectedDefect::ExtendedDeadlines).unanswered > 0);
+    assert!(violations_with(InjectedDefect::DuplicateAnswers).answered_again > 0);
+    assert!(violations_with(InjectedDefect::DuplicateAttempts).copies > 0);
+    assert!(violations_with(InjectedDefect::AllIdempotent).ran_twice > 0);
+    assert!(violations_with(InjectedDefect::HiddenDrains).after_drain > 0);
+    assert!(violations_with(InjectedDefect::NoHardLimits).past_ceiling > 0.0);
 }
 
 #[test]
-fn a_fleet_that_takes_cold_nodes_for_warm_pushes_them_over() {
+fn nodes_in_slow_start_are_overloaded_only_without_slow_start_limits() {
     let seconds = |seconds: Micros| seconds * 1_000_000;
     let mut experiment = changed(
         &[
@@ -95,7 +95,7 @@
     experiment.settings.safety.slow_start_share = 0.2;
     experiment.settings.safety.slow_start_time = seconds(8);
     experiment.settings.safety.overload_multiple = 1.2;
-    let own = play(&experiment, None).violations;
-    let blind = play(&experiment, Some(Sabotage::BlindToCold)).violations;
-    assert_eq!((own.pushed_over, blind.pushed_over > 0), (0, true), "{blind:?}");
+    let correct = simulate(&experiment, None).violations;
+    let defective = simulate(&experiment, Some(InjectedDefect::NoSlowStart)).violations;
+    assert_eq!((correct.pushed_over, defective.pushed_over > 0), (0, true), "{defective:?}");
 }
--- a/crates/lab/tests/standing.rs
+++ b/crates/lab/tests/standing.rs
@@ -1,9 +1,9 @@
-//! The standing experiments' files are good, and are the same fleet at two sizes.
+//! The standing experiments can be parsed and describe the same fleet at two sizes.
 
 use violetyoke_lab::experiment::{parse, variants};
 
 #[test]
-fn every_standing_experiment_can_be_read_at_both_sizes() {
+fn every_standing_experiment_can_be_parsed_at_both_sizes() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/experiments");
     let mut names = Vec::new();
     for file in std::fs::read_dir(folder).expect("the experiments' folder") {
--- a/xtask/src/prove_lab.rs
+++ b/xtask/src/prove_lab.rs
@@ -77,7 +77,7 @@
             let experiment = script.experiment(2)?;
             // Without the defence: an emulator whose nodes have half of the real ones' workers.
             let emulated = script.experiment(if defence { 2 } else { 1 })?;
-            let lab = World::new(&emulated, seed, Policy::Module).play();
+            let lab = World::new(&emulated, seed, Policy::Module).run();
             let real = LocalSet::new().block_on(&runtime, play(&program, &experiment, seed, script))?;
             figures.tell(&format!("{name}_{seed}_tries"), real.iter().sum::<u64>());
             let all = real.iter().sum::<u64>().max(1) as f64;
