--- a/crates/lab/src/world/ingresses.rs
+++ b/crates/lab/src/world/ingresses.rs
@@ -289,8 +289,8 @@
         }
     }
 
-    /// Records the quota decision of a try. If a total led to another decision than the state known when the try arrived,
-    /// the call changed the decision. Tries that are admitted and then wait for a node are not recorded.
+    /// Records the quota decision of a try. If a total led to another decision than the state known when the try
+    /// arrived, the call changed the decision. Tries that are admitted and then wait for a node are not recorded.
     fn record_quota_decision(&mut self, number: usize, id: AttemptId, passes: Option<bool>) {
         if id.number == 0 {
             let before = self.ingresses[number].quota_estimates.remove(&id.request);
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -9,8 +9,8 @@
 use violetyoke_lab::rule_checker::Violations;
 use violetyoke_lab::world::{InjectedDefect, Policy, World};
 
-/// Nodes are replaced and killed, some answer late or with errors, and the counter doesn't answer for some time, so that
-/// every rule can be violated.
+/// Nodes are replaced and killed, some answer late or with errors, and the counter doesn't answer for some time, so
+/// that every rule can be violated.
 const FAULTS: &str = r#"
 [[fault]]
 kind = "replace_nodes"
