--- a/crates/lab/src/account.rs
+++ b/crates/lab/src/account.rs
@@ -1,8 +1,8 @@
-//! The true use of accounts over all ingresses together, by which decisions are judged. No ingress knows it.
+//! The actual usage of accounts over all ingresses, against which decisions are checked. No ingress knows it.
 
 use violetyoke_decision::interface::{Micros, Plan};
 
-/// Errors of sums of floating-point numbers, in units.
+/// Tolerance for floating-point rounding, in units.
 const ROUNDING: f64 = 1e-9;
 
 /// A token bucket that is full at first.
@@ -54,15 +54,15 @@
     pub plan: u16,
     /// The ingresses that its tries go to.
     pub set: IngressSet,
-    /// Its quota; none: unlimited.
+    /// The quota; `None`: unlimited.
     pub quota: Option<Bucket>,
-    /// Its ceiling; none: unlimited.
+    /// The hard limit; `None`: unlimited.
     pub ceiling: Option<Bucket>,
-    /// The quota as the oracle spends it, at the moment of its decision.
+    /// The quota as charged by the oracle, at the time of its decision.
     pub oracle: Option<Bucket>,
 }
 
-/// Ingresses in a row, around the end to the first, and how tries fall on them.
+/// Consecutive ingresses (wrapping around to the first), and the distribution of tries over them.
 #[derive(Clone, Debug)]
 pub struct IngressSet {
     /// The number of the first one.
@@ -82,8 +82,8 @@
 }
 
 impl Account {
-    /// An account whose buckets are full. The ceiling is judged with the slack of its plan and of this time, as what the
-    /// ingresses know of it is that old.
+    /// An account whose buckets are full. The hard limit gets the slack of its plan, and the units of `slack_ms`,
+    /// because the totals that ingresses know may be that old.
     pub fn new(plan_number: u16, plan: &Plan, slack_ms: f64, set: IngressSet) -> Account {
         let now = crate::START;
         let quota = (plan.rate > 0.0).then(|| Bucket::full(plan.rate, plan.burst, now));
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -14,11 +14,11 @@
     pub seed: u64,
     /// Where the run stands between the random policy (0) and the oracle (1).
     pub place: f64,
-    /// Worth served less all prices, as a share of the worth asked.
+    /// Value served minus all costs, as a share of the value requested.
     pub net: f64,
-    /// Worth served, as a share of the worth asked.
+    /// Value served, as a share of the value requested.
     pub served: f64,
-    /// Units beyond quotas, as a share of the units sent on.
+    /// Units beyond quotas, as a share of the units forwarded to nodes.
     pub beyond: f64,
 }
 
@@ -39,7 +39,7 @@
 /// Why a report cannot be compared.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// It is no JSON.
+    /// The report is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A key is missing.
--- a/crates/lab/src/counter.rs
+++ b/crates/lab/src/counter.rs
@@ -1,30 +1,30 @@
-//! The shared counter: parts of fixed capacity, each with a bounded queue. A part also works on calls whose callers have given
-//! up waiting.
+//! The shared counter: parts of fixed capacity, each with a bounded queue. A part also works on calls whose callers
+//! have given up waiting.
 
 use std::collections::{HashMap, VecDeque};
 use violetyoke_decision::interface::Micros;
 
-/// A part looks for expired totals once in this many calls.
+/// A part removes expired totals once in this many calls.
 const CALLS_BETWEEN_CLEANUPS: u64 = 4096;
 
-/// A call on its way or in a queue.
+/// A call in flight or in a queue.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call {
     /// The caller.
     pub(crate) ingress: usize,
-    /// The caller's epoch: after a restart it does not wait for the answer.
+    /// The caller's epoch: after a restart, the caller ignores the answer.
     pub(crate) epoch: u32,
     /// The caller's number of the call.
     pub(crate) number: u64,
     /// The name of the total.
     pub(crate) name: u64,
     pub(crate) amount: f64,
-    /// How long a new total lives.
+    /// Time to live of a new total.
     pub(crate) lifetime: Micros,
     pub(crate) sent_at: Micros,
 }
 
-/// What becomes of a call that arrives at a part.
+/// The result of a call's arrival at a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Arrival {
     /// The part was idle, and will have answered it at this time.
@@ -32,17 +32,17 @@
     Queued,
     /// Refused: the queue is full, and nothing is added.
     QueueFull,
-    /// Nobody is there.
+    /// The part is unreachable.
     Lost,
 }
 
-/// A call that a part has worked on.
+/// A call that a part has completed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Completion {
     pub(crate) call: Call,
-    /// The new total; none: the answer is lost.
+    /// The new total; `None` if the answer is lost.
     pub(crate) total: Option<f64>,
-    /// When the next call of the queue will be completed; none: the part is idle.
+    /// When the next call of the queue will be completed; `None` if the queue is empty.
     pub(crate) next: Option<Micros>,
 }
 
@@ -63,11 +63,11 @@
 pub(crate) struct Part {
     queue: VecDeque<Call>,
     totals: HashMap<u64, Total>,
-    /// Until then calls do not arrive.
+    /// Calls are lost until then.
     pub(crate) silent_until: Micros,
-    /// Until then calls are added and their answers are lost.
+    /// Until then calls change totals, but their answers are lost.
     pub(crate) answers_lost_until: Micros,
-    /// On the time for a call.
+    /// Factor on the time for a call.
     pub(crate) slowdown: Slowdown,
     completed: u64,
 }
@@ -98,7 +98,7 @@
         (self.call_time * if now < until { factor } else { 1.0 }).max(1.0) as Micros
     }
 
-    /// A call arrives; the part it belongs to, and what becomes of it.
+    /// Handles the arrival of a call. Returns the number of its part and the result.
     pub(crate) fn arrive(&mut self, now: Micros, call: Call) -> (usize, Arrival) {
         let number = self.part(call.name);
         let call_time = self.call_time(number, now);
@@ -118,7 +118,7 @@
         (number, arrival)
     }
 
-    /// A part has worked on the first call of its queue; none: the queue is empty.
+    /// Completes the first call in the queue of a part; `None` if the queue is empty.
     pub(crate) fn complete(&mut self, now: Micros, number: usize) -> Option<Completion> {
         let call_time = self.call_time(number, now);
         let part = &mut self.parts[number];
--- a/crates/lab/src/counter/tests.rs
+++ b/crates/lab/src/counter/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_part_works_on_one_call_after_another_and_refuses_what_its_queue_does_not_hold() {
+fn part_completes_calls_in_order_and_refuses_calls_beyond_its_queue() {
     let mut counter = Counter::new(2, 1_000.0, 2);
     assert_eq!(counter.arrive(0, call(2, 3.0)), (0, Arrival::Started(2_000)));
     assert_eq!(counter.arrive(1, call(2, 4.0)), (0, Arrival::Queued));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_answer_can_be_lost_while_its_units_are_added() {
+fn call_whose_answer_is_lost_still_adds_its_units() {
     let mut counter = Counter::new(1, 1_000.0, 8);
     counter.parts[0].answers_lost_until = 2_000;
     counter.arrive(0, call(7, 1.0));
--- a/crates/lab/src/demand.rs
+++ b/crates/lab/src/demand.rs
@@ -1,5 +1,5 @@
-//! Which account asks for what, when, and through which ingress. Demand has a stream of random numbers of its own, so that
-//! every policy meets the same tries at the same times; retries depend on the policy and have another stream.
+//! Requests: account, class, size, arrival time and ingress. Demand has its own stream of random numbers, so that every
+//! policy receives the same requests at the same times; retries depend on the policy and use another stream.
 
 use crate::account::{Account, IngressSet};
 use crate::experiment::{Arrivals, Experiment};
@@ -8,10 +8,10 @@
 use rand_pcg::Pcg64Mcg;
 use violetyoke_decision::interface::Micros;
 
-/// How old the counter's totals may be that ingresses decide by.
+/// Maximum age of the counter totals on which ingresses decide.
 const COUNTER_SLACK_MS: f64 = 150.0;
 
-/// Streams of random numbers: what is drawn from one does not change another. Their order is part of what a seed means.
+/// Independent streams of random numbers. The order of the variants determines the seeds, so it must not change.
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
     /// Arrivals and what they ask for.
@@ -35,7 +35,7 @@
     Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(stream as u64))
 }
 
-/// A request as its client means it, before it goes to an ingress.
+/// A request before its client sends it to an ingress.
 #[derive(Clone, Debug)]
 pub struct Demanded {
     /// The number of the account.
@@ -70,7 +70,7 @@
     /// When the experiment has not been checked by [`parse`](crate::experiment::parse).
     pub fn new(experiment: &Experiment, seed: u64) -> Demand {
         let work = experiment.classes.iter().map(|class| {
-            // The mean stays what it is, whatever the spread.
+            // The mean doesn't depend on the spread.
             let spread = class.work_spread;
             LogNormal::new(class.mean_work.ln() - spread * spread / 2.0, spread).expect("a checked spread")
         });
--- a/crates/lab/src/event_queue/tests.rs
+++ b/crates/lab/src/event_queue/tests.rs
@@ -3,7 +3,7 @@
 use super::EventQueue;
 
 #[test]
-fn events_of_one_time_come_in_the_order_in_which_they_were_scheduled() {
+fn events_of_the_same_time_are_popped_in_scheduling_order() {
     let mut queue = EventQueue::default();
     for (at, event) in [(5, "b"), (3, "a"), (5, "c"), (9, "late"), (5, "d")] {
         queue.schedule(at, event);
--- a/crates/lab/src/fault.rs
+++ b/crates/lab/src/fault.rs
@@ -13,7 +13,7 @@
 pub enum FaultKind {
     /// Nodes' processes die: connections break, new ones are refused; they are restarted with slow start.
     KillNodes,
-    /// Nodes' machines vanish: nothing is heard of them; they are restarted with slow start.
+    /// Nodes' machines become unreachable; they are restarted with slow start.
     SilenceNodes,
     /// Nodes are drained and end, and new ones take their places.
     ReplaceNodes,
@@ -21,11 +21,11 @@
     SlowNodes,
     /// Nodes answer this share of requests with an error at once.
     FailNodes,
-    /// Nodes stand still, and go on where they were.
+    /// Nodes are paused and continue afterwards.
     PauseNodes,
     /// Ingresses' processes die and are restarted.
     KillIngresses,
-    /// Connections between a zone and the others are silent.
+    /// A zone is partitioned from the others.
     CutZone,
     /// Ingresses reach no other ingress.
     CutPeers,
@@ -41,7 +41,7 @@
     EmptyCounter,
     /// Answers of parts of the counter are lost, while calls are added.
     DeafCounter,
-    /// Nobody receives lists of nodes.
+    /// No ingress receives lists of nodes.
     StopDiscovery,
     /// This share of messages between ingresses is lost.
     LoseMessages,
@@ -51,7 +51,7 @@
     Surge,
 }
 
-/// What one victim of a fault is.
+/// The kind of component that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VictimKind {
     /// A node.
@@ -64,7 +64,7 @@
     System,
 }
 
-/// Which victims are hit.
+/// Which components of that kind are affected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Target {
     /// A random share of all.
@@ -94,7 +94,7 @@
     pub magnitude: f64,
 }
 
-/// How many possible victims an experiment has.
+/// The number of components of each kind in an experiment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Population {
     pub(crate) nodes: usize,
@@ -135,7 +135,7 @@
 }
 
 impl FaultKind {
-    /// What it hits.
+    /// The kind of component that the fault affects.
     pub fn victims(self) -> VictimKind {
         match self {
             FaultKind::KillNodes
@@ -174,7 +174,7 @@
     }
 }
 
-/// Reads a `[[fault]]`; what is wrong becomes an error of the section.
+/// Reads a `[[fault]]` table; problems become errors of the section.
 pub(crate) fn read(section: Section<'_>, population: &Population) -> Fault {
     if !section.has("kind") {
         section.error("kind", "is missing");
@@ -201,12 +201,12 @@
     let victims = kind.victims();
     let mut target = Target::Share(section.number("part", 1.0, 0.0..=1.0));
     let mut given = usize::from(section.has("part"));
-    for (key, of, count) in [
+    for (key, victim_kind, count) in [
         ("node", VictimKind::Node, population.nodes),
         ("ingress", VictimKind::Ingress, population.ingresses),
         ("counter_part", VictimKind::CounterPart, population.counter_parts),
     ] {
-        if let Some(number) = read_number(section, key, kind, victims == of, count) {
+        if let Some(number) = read_number(section, key, kind, victims == victim_kind, count) {
             target = Target::One(number);
             given += 1;
         }
@@ -225,7 +225,8 @@
     target
 }
 
-/// The number of a victim, if the key is there; whether this kind has such victims, and how many there are, is checked.
+/// The number of the affected component, if the key is present. Reports an error if the fault doesn't affect this
+/// kind of component or the number is out of range.
 fn read_number(
     section: &Section<'_>,
     key: &'static str,
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,5 +1,5 @@
-//! An emulated node: workers, a queue, connections, slow start, and its faults. It completes what it has started, also when
-//! nobody waits for it any more.
+//! An emulated node: workers, a queue, connections, slow start and faults. A node completes the work that it has
+//! started, even if the attempt was cancelled.
 
 use std::collections::VecDeque;
 use violetyoke_decision::interface::Micros;
@@ -28,9 +28,9 @@
     pub initial_speed: f64,
     /// How long its slow start takes.
     pub slow_start: Micros,
-    /// It falls over during its slow start under more than this multiple of the work that it can do.
+    /// During its slow start a node fails under more than this multiple of its capacity.
     pub overload_factor: f64,
-    /// The time over which the work that comes is averaged for that.
+    /// The window over which incoming work is averaged for that.
     pub overload_window: Micros,
 }
 
@@ -59,13 +59,13 @@
     pub slowdown: f64,
     /// Share of its requests that it fails at once.
     pub failure_share: f64,
-    /// Until then it completes nothing.
+    /// The node completes no work until then.
     pub paused_until: Micros,
     /// Open connections, with those whose handshake is not complete.
     pub connections: u32,
     /// Serials that workers work on.
     pub working: Vec<u64>,
-    /// Jobs that wait.
+    /// Waiting jobs.
     pub queue: VecDeque<Job>,
     recent_work: RecentWork,
     /// When it was added.
@@ -74,7 +74,7 @@
     pub busy: f64,
 }
 
-/// Work that has come, in microseconds, decayed exponentially since then.
+/// Incoming work in microseconds, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecentWork {
     work: f64,
@@ -144,7 +144,7 @@
         self.recent_work.work * (-(now.saturating_sub(self.recent_work.at) as f64) / window).exp()
     }
 
-    /// Recent work and `more`, as a multiple of the most that it bears without falling over; 0 after its slow start.
+    /// Recent work plus `more`, as a multiple of the load under which the node fails; 0 after the slow start.
     pub fn pressure(&self, now: Micros, more: f64, settings: &NodeSettings) -> f64 {
         if !self.is_in_slow_start(now, settings) {
             return 0.0;
@@ -156,14 +156,14 @@
         (self.recent_work(now, settings) + more) / (settings.overload_factor * capacity)
     }
 
-    /// Adds work that has come. Whether that is more than it bears in its slow start.
+    /// Adds incoming work. Returns whether the load makes the node fail in its slow start.
     #[must_use]
     pub fn add_work(&mut self, now: Micros, work: f64, settings: &NodeSettings) -> bool {
         self.recent_work = RecentWork { work: self.recent_work(now, settings) + work, at: now };
         self.pressure(now, 0.0, settings) > 1.0
     }
 
-    /// Finds a place for a job. A handshake goes to the front of the queue, also of a full one.
+    /// Starts or queues a job. A handshake goes to the front of the queue, even if the queue is full.
     #[must_use]
     pub fn place(&mut self, job: Job, settings: &NodeSettings) -> Placement {
         if self.working.len() < settings.workers {
@@ -203,8 +203,8 @@
 pub enum Placement {
     /// A worker is free, and must be given the job.
     Started,
-    /// It waits.
+    /// The job is queued.
     Queued,
-    /// Refused.
+    /// The job is refused because the queue is full.
     QueueFull,
 }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,4 +1,5 @@
-//! The outcome of a run: worth served and lost, by reason, and what it has cost. Field names are the keys of the JSON report.
+//! The outcome of a run: the value of served and lost tries by reason, and the costs. Field names are the keys of the
+//! JSON report, in which `worth` is the value of tries.
 
 use crate::rule_checker::Violations;
 use hdrhistogram::Histogram;
@@ -8,17 +9,17 @@
 
 /// Longer response times are recorded as this: ten minutes.
 const MAX_RESPONSE_TIME: Micros = 600_000_000;
-/// Service has recovered at this share of what it was.
+/// Service has recovered when it reaches this share of its level before the first fault.
 const RECOVERED: f64 = 0.95;
-/// Seconds together in which it must have.
+/// Length of the window, in seconds, over which recovered service is measured.
 const RECOVERY_WINDOW: usize = 3;
 
-/// Tries and their worth.
+/// Tries and their value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Amount {
-    /// How many.
+    /// The number of tries.
     pub tries: u64,
-    /// Their worth together.
+    /// Their total value.
     pub worth: f64,
 }
 
@@ -30,20 +31,20 @@
     }
 }
 
-/// Tries lost for one reason, and which of them there was room for at that instant.
+/// Tries lost for one reason, and for which of them capacity was available at that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Loss {
-    /// All.
+    /// All of these tries.
     pub all: Amount,
     /// Those whose account's quota held their units.
     pub quota_had_room: Amount,
     /// Those whose account's quota was half unused.
     pub quota_half_unused: Amount,
-    /// Those at whose time a worker was idle at a node past its slow start.
+    /// Those for which a node past its slow start had an idle worker.
     pub fleet_had_room: Amount,
 }
 
-/// Calls to the counter by their purpose and fate.
+/// Calls to the counter by purpose and result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Calls {
     /// Those that add units, to decide on a try.
@@ -58,7 +59,7 @@
     pub lost: u64,
     /// Those answered after the time-out.
     pub late: u64,
-    /// Those whose total led to another decision than what was known before.
+    /// Those whose total led to another decision than the state known before.
     pub changed: u64,
 }
 
@@ -67,7 +68,7 @@
 pub struct Outcome {
     /// All requests.
     pub asked: Amount,
-    /// Those served within their aim.
+    /// Those served within their latency target.
     pub served: Amount,
     /// Those served later.
     pub served_late: Amount,
@@ -77,7 +78,7 @@
     pub refused: BTreeMap<String, Loss>,
     /// Those failed, by the decision module's reason; `NoAnswer`: no ingress has answered.
     pub failed: BTreeMap<String, Loss>,
-    /// Units sent on.
+    /// Units of tries that were forwarded to nodes.
     pub units: f64,
     /// Those of them that were beyond quotas.
     pub beyond_units: f64,
@@ -87,7 +88,7 @@
     pub ends: BTreeMap<String, u64>,
     /// Time that workers worked, in microseconds.
     pub work: f64,
-    /// That for attempts nobody waited for any more.
+    /// The part of `work` for cancelled attempts.
     pub useless_work: f64,
     /// Handshakes of new connections.
     pub handshakes: u64,
@@ -101,17 +102,18 @@
     pub messages_dropped: u64,
     /// Changes of lists that ingresses have received.
     pub lists: u64,
-    /// Requests that were not served and learned it after half of their deadline.
+    /// Unserved requests whose clients learned it after half of their deadline.
     pub late_fails: u64,
     /// Nodes that fell over during their slow start.
     pub falls: u64,
-    /// What each kind of cost took off the worth served.
+    /// Costs by kind, which are subtracted from the value served.
     pub prices: BTreeMap<String, f64>,
-    /// Worth served less all prices.
+    /// Value served minus all costs.
     pub net: f64,
-    /// Worth asked and worth served, by second of the run.
+    /// Value requested and value served, by second of the run.
     pub seconds: Vec<(f64, f64)>,
-    /// Seconds from the end of the last fault until service is as good as before the first; none: not in this run.
+    /// Seconds from the end of the last fault until service has recovered to its level before the first fault; `None`
+    /// if it did not recover in this run.
     pub recovered_after: Option<f64>,
     /// Served share of an ingress's tries: 10th, 50th and 90th percentile over the ingresses.
     pub spread: [f64; 3],
@@ -200,12 +202,12 @@
 }
 
 impl Outcome {
-    /// The net worth, as a share of the worth asked.
+    /// The net value, as a share of the value requested.
     pub fn net_share(&self) -> f64 {
         self.net / self.asked.worth.max(f64::MIN_POSITIVE)
     }
 
-    /// The worth served, as a share of the worth asked.
+    /// The value served, as a share of the value requested.
     pub fn served_share(&self) -> f64 {
         self.served.worth / self.asked.worth.max(f64::MIN_POSITIVE)
     }
@@ -222,13 +224,13 @@
         }
     }
 
-    /// Computes the net worth.
+    /// Computes the net value.
     pub(crate) fn settle(&mut self) {
         self.net = self.served.worth + self.served_late.worth - self.prices.values().sum::<f64>();
     }
 
-    /// Computes the time from second `until`, after the last fault, to the first window that is served as well as all before
-    /// second `from`, of the first fault.
+    /// Computes the time from the end of the last fault (second `until`) to the first window whose served share has
+    /// recovered to that before the first fault (second `from`).
     pub(crate) fn find_recovery(&mut self, from: usize, until: usize) {
         let share = |seconds: &[(f64, f64)]| {
             let (asked, served) =
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -1,4 +1,4 @@
-//! Checks the rules by what the emulated world observes; what the decision module says of itself does not count here.
+//! Checks the rules on events in the emulated world, independently of the state of the decision module.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,9 +20,9 @@
     pub copies: u64,
     /// Attempts sent to a draining node after its grace period.
     pub after_drain: u64,
-    /// Nodes overloaded during their slow start so that they fell over.
+    /// Nodes that failed because of overload during their slow start.
     pub pushed_over: u64,
-    /// Units beyond a ceiling with its slack.
+    /// Units beyond a hard limit including its slack.
     pub past_ceiling: f64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// What is known of a try.
+/// The observed state of a try.
 #[derive(Clone, Debug)]
 struct Try {
     effect: Idempotency,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The ingress of a try has died: nobody can answer it any more.
+    /// The ingress of a try has died, so the try can't be answered any more.
     pub fn on_orphaned(&mut self, request: RequestId) {
         if let Some(observed) = self.tries.get_mut(&request) {
             observed.answers = observed.answers.max(1);
@@ -134,17 +134,17 @@
         self.drains.retain(|(other, _), _| *other != ingress);
     }
 
-    /// A node has fallen over during its slow start.
+    /// A node has failed because of overload during its slow start.
     pub fn on_pushed_over(&mut self) {
         self.violations.pushed_over += 1;
     }
 
-    /// A try has used units beyond its ceiling.
+    /// A try has used units beyond its hard limit.
     pub fn on_past_ceiling(&mut self, units: f64) {
         self.violations.past_ceiling += units;
     }
 
-    /// Forgets tries of which nothing can come any more; one that was never answered is a violation.
+    /// Removes tries that can have no further events. One that was never answered is a violation.
     pub fn forget_expired(&mut self, now: Micros) {
         let violations = &mut self.violations;
         self.tries.retain(|_, observed| {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -19,7 +19,7 @@
     pub oracle: Outcome,
     /// Under the random policy, which admits as many tries as the oracle.
     pub random: Outcome,
-    /// Where the module's net worth stands between the random policy (0) and the oracle (1).
+    /// The module's net value on a scale from the random policy (0) to the oracle (1).
     pub place: f64,
 }
 
@@ -42,7 +42,7 @@
 pub fn run_seed(variant: &str, experiment: &Experiment, seed: u64) -> Run {
     let oracle = World::new(experiment, seed, Policy::Oracle).run();
     let Shares { served, failed, .. } = oracle.shares();
-    // It admits as many as the oracle, but blindly.
+    // The random policy admits the same share as the oracle.
     let random = World::new(experiment, seed, Policy::Random((served + failed).clamp(0.0, 1.0))).run();
     let module = World::new(experiment, seed, Policy::Module).run();
     let span = oracle.net - random.net;
