--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -24,5 +24,5 @@
 pub use backend::Backend;
 pub use platform::Platform;
 pub use programs::{Daemon, Programs};
-pub use replacement::Place;
+pub use replacement::ProcessRef;
 pub use system::{CoreMachine, EdgeMachine, Placement, System, Topology};
--- a/crates/local/src/replacement.rs
+++ b/crates/local/src/replacement.rs
@@ -12,7 +12,7 @@
 
 /// One process of a system: which daemon, and the index of its machine among the core or the edge machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Place {
+pub enum ProcessRef {
     /// The store of a core machine.
     Store(usize),
     /// The registry of a core machine.
@@ -21,12 +21,12 @@
     Proxy(usize),
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for ProcessRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Store(core) => write!(f, "core-{} store", core + 1),
-            Place::Registry(core) => write!(f, "core-{} registry", core + 1),
-            Place::Proxy(edge) => write!(f, "edge-{} proxy", edge + 1),
+            ProcessRef::Store(core) => write!(f, "core-{} store", core + 1),
+            ProcessRef::Registry(core) => write!(f, "core-{} registry", core + 1),
+            ProcessRef::Proxy(edge) => write!(f, "edge-{} proxy", edge + 1),
         }
     }
 }
@@ -37,16 +37,21 @@
     ///
     /// # Errors
     /// When the process has not ended within `grace`, or the new one can't be started.
-    pub fn replace(&mut self, place: Place, programs: &Programs, grace: Duration) -> io::Result<Process> {
-        let (daemon, settings) = match place {
-            Place::Store(core) => (Daemon::Store, self.cores[core].settings.clone()),
-            Place::Registry(core) => (Daemon::Registry, self.cores[core].settings.clone()),
-            Place::Proxy(edge) => (Daemon::Proxy, self.edges[edge].settings.clone()),
+    pub fn replace(
+        &mut self,
+        process_ref: ProcessRef,
+        programs: &Programs,
+        grace: Duration,
+    ) -> io::Result<Process> {
+        let (daemon, settings) = match process_ref {
+            ProcessRef::Store(core) => (Daemon::Store, self.cores[core].settings.clone()),
+            ProcessRef::Registry(core) => (Daemon::Registry, self.cores[core].settings.clone()),
+            ProcessRef::Proxy(edge) => (Daemon::Proxy, self.edges[edge].settings.clone()),
         };
-        let process = self.process_mut(place);
+        let process = self.process_mut(process_ref);
         process.terminate()?;
         if !wait_until(grace, || process.has_ended()) {
-            let message = format!("{place} has not ended within {grace:?} of SIGTERM");
+            let message = format!("{process_ref} has not ended within {grace:?} of SIGTERM");
             return Err(io::Error::new(io::ErrorKind::TimedOut, message));
         }
         Ok(mem::replace(process, Process::start(programs.command(daemon, &settings))?))
@@ -66,22 +71,23 @@
         std::fs::write(&machine.settings, settings.to_string())
     }
 
-    /// The process at a place.
+    /// The process that a reference names.
     ///
     /// # Panics
     /// When the system has no such machine.
-    pub fn process_mut(&mut self, place: Place) -> &mut Process {
-        match place {
-            Place::Store(core) => &mut self.cores[core].store,
-            Place::Registry(core) => &mut self.cores[core].registry,
-            Place::Proxy(edge) => &mut self.edges[edge].proxy,
+    pub fn process_mut(&mut self, process_ref: ProcessRef) -> &mut Process {
+        match process_ref {
+            ProcessRef::Store(core) => &mut self.cores[core].store,
+            ProcessRef::Registry(core) => &mut self.cores[core].registry,
+            ProcessRef::Proxy(edge) => &mut self.edges[edge].proxy,
         }
     }
 
-    /// The places of all processes.
+    /// References to all processes.
     #[must_use]
-    pub fn places(&self) -> Vec<Place> {
-        let cores = (0..self.cores.len()).flat_map(|core| [Place::Store(core), Place::Registry(core)]);
-        cores.chain((0..self.edges.len()).map(Place::Proxy)).collect()
+    pub fn process_refs(&self) -> Vec<ProcessRef> {
+        let cores =
+            (0..self.cores.len()).flat_map(|core| [ProcessRef::Store(core), ProcessRef::Registry(core)]);
+        cores.chain((0..self.edges.len()).map(ProcessRef::Proxy)).collect()
     }
 }
--- a/crates/local/src/soak/deployment.rs
+++ b/crates/local/src/soak/deployment.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::Execution;
 use crate::client::{send_command, send_request};
-use crate::{Backend, Place, Placement, Platform, Programs, System, Topology};
+use crate::{Backend, Placement, Platform, ProcessRef, Programs, System, Topology};
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
@@ -88,11 +88,11 @@
 
     /// What the stores have logged, a line each with the store's place.
     pub(super) fn store_logs(&mut self) -> Vec<String> {
-        let places = (0..self.system.cores.len()).map(Place::Store);
+        let process_refs = (0..self.system.cores.len()).map(ProcessRef::Store);
         let mut logs = Vec::new();
-        for place in places {
-            let lines = self.system.process_mut(place).lines();
-            logs.extend(lines.into_iter().map(|line| format!("{place}: {line}")));
+        for process_ref in process_refs {
+            let lines = self.system.process_mut(process_ref).lines();
+            logs.extend(lines.into_iter().map(|line| format!("{process_ref}: {line}")));
         }
         logs
     }
@@ -100,13 +100,13 @@
     /// Processes that have ended though nobody ended them, and those that have panicked.
     pub(super) fn failed_processes(&mut self) -> Vec<String> {
         let mut failures = Vec::new();
-        for place in self.system.places() {
-            let process = self.system.process_mut(place);
+        for process_ref in self.system.process_refs() {
+            let process = self.system.process_mut(process_ref);
             if process.has_ended() {
-                failures.push(format!("{place} has ended by itself: {:?}", process.lines().last()));
+                failures.push(format!("{process_ref} has ended by itself: {:?}", process.lines().last()));
             }
             let panics = process.lines().into_iter().filter(|line| line.contains("panicked at"));
-            failures.extend(panics.map(|line| format!("{place}: {line}")));
+            failures.extend(panics.map(|line| format!("{process_ref}: {line}")));
         }
         failures
     }
--- a/crates/local/src/soak/injector.rs
+++ b/crates/local/src/soak/injector.rs
@@ -3,7 +3,7 @@
 use super::deployment::Deployment;
 use super::plan::{Plan, PlannedFault, ProcessFault, Strike};
 use crate::backend::Fault;
-use crate::Place;
+use crate::ProcessRef;
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -57,13 +57,15 @@
                 self.deployment.backends[backend].set_fault(fault);
                 Ok(())
             }
-            Strike::Process(place, fault) => {
+            Strike::Process(process_ref, fault) => {
                 let system = &mut self.deployment.system;
-                match (fault, place) {
-                    (ProcessFault::DiskLost, Place::Store(core)) => system.lose_disk(core),
-                    (ProcessFault::Killed | ProcessFault::DiskLost, _) => system.process_mut(place).kill(),
-                    (ProcessFault::Frozen, _) => system.process_mut(place).pause(),
-                    (ProcessFault::Terminated, _) => system.process_mut(place).terminate(),
+                match (fault, process_ref) {
+                    (ProcessFault::DiskLost, ProcessRef::Store(core)) => system.lose_disk(core),
+                    (ProcessFault::Killed | ProcessFault::DiskLost, _) => {
+                        system.process_mut(process_ref).kill()
+                    }
+                    (ProcessFault::Frozen, _) => system.process_mut(process_ref).pause(),
+                    (ProcessFault::Terminated, _) => system.process_mut(process_ref).terminate(),
                 }
             }
         }
@@ -75,8 +77,8 @@
                 self.deployment.backends[backend].set_fault(Fault::None);
                 Ok(())
             }
-            Strike::Process(place, fault) => {
-                let process = self.deployment.system.process_mut(place);
+            Strike::Process(process_ref, fault) => {
+                let process = self.deployment.system.process_mut(process_ref);
                 match fault {
                     ProcessFault::Frozen => process.resume(),
                     ProcessFault::Killed | ProcessFault::Terminated | ProcessFault::DiskLost => {
--- a/crates/local/src/soak/plan.rs
+++ b/crates/local/src/soak/plan.rs
@@ -1,7 +1,7 @@
 //! Faults drawn from a seed: series for proxies, registries, stores and backends that overlap each other.
 
 use crate::backend::Fault;
-use crate::Place;
+use crate::ProcessRef;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 /// What is struck, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Strike {
-    Process(Place, ProcessFault),
+    Process(ProcessRef, ProcessFault),
     Backend(usize, Fault),
 }
 
@@ -84,9 +84,9 @@
             busy: HashMap::new(),
             faults: Vec::new(),
         };
-        let stores: Vec<Place> = (0..machines.cores).map(Place::Store).collect();
-        let registries: Vec<Place> = (0..machines.cores).map(Place::Registry).collect();
-        let proxies: Vec<Place> = (0..machines.edges).map(Place::Proxy).collect();
+        let stores: Vec<ProcessRef> = (0..machines.cores).map(ProcessRef::Store).collect();
+        let registries: Vec<ProcessRef> = (0..machines.cores).map(ProcessRef::Registry).collect();
+        let proxies: Vec<ProcessRef> = (0..machines.edges).map(ProcessRef::Proxy).collect();
         draft.draw_disk_losses(&stores);
         draft.draw_herds(&stores);
         draft.draw_store_faults(&stores);
@@ -100,8 +100,8 @@
     /// The faults of stores, a line each.
     pub(super) fn store_faults(&self) -> Vec<String> {
         let line = |fault: &PlannedFault| match fault.strike {
-            Strike::Process(place @ Place::Store(_), what) => {
-                Some(format!("{:?} {place}: {what:?} for {:?}", fault.at, fault.lasts))
+            Strike::Process(process_ref @ ProcessRef::Store(_), what) => {
+                Some(format!("{:?} {process_ref}: {what:?} for {:?}", fault.at, fault.lasts))
             }
             Strike::Process(..) | Strike::Backend(..) => None,
         };
@@ -113,7 +113,7 @@
     random: Pcg64Mcg,
     end: Duration,
     /// When a place has its faults: two of one place do not overlap.
-    busy: HashMap<Place, Vec<Range<Duration>>>,
+    busy: HashMap<ProcessRef, Vec<Range<Duration>>>,
     faults: Vec<PlannedFault>,
 }
 
@@ -133,67 +133,67 @@
         beginnings
     }
 
-    fn draw_disk_losses(&mut self, stores: &[Place]) {
+    fn draw_disk_losses(&mut self, stores: &[ProcessRef]) {
         for at in self.beginnings(&DISK_LOSS_PAUSES) {
-            for place in stores {
+            for process_ref in stores {
                 let quiet = at.saturating_sub(QUIET_BEFORE_DISK_LOSS)..at;
-                self.busy.entry(*place).or_default().push(quiet);
+                self.busy.entry(*process_ref).or_default().push(quiet);
             }
-            let place = stores[self.random.random_range(0..stores.len())];
+            let process_ref = stores[self.random.random_range(0..stores.len())];
             let lasts = self.seconds(KILLED);
-            self.add(place, ProcessFault::DiskLost, at, lasts);
+            self.add(process_ref, ProcessFault::DiskLost, at, lasts);
         }
     }
 
-    fn draw_herds(&mut self, stores: &[Place]) {
+    fn draw_herds(&mut self, stores: &[ProcessRef]) {
         for at in self.beginnings(&HERD_PAUSES) {
-            for place in stores {
+            for process_ref in stores {
                 let lasts = self.seconds(KILLED);
-                self.add(*place, ProcessFault::Killed, at, lasts);
+                self.add(*process_ref, ProcessFault::Killed, at, lasts);
             }
         }
     }
 
-    fn draw_series(&mut self, places: &[Place], pauses: Range<f64>) {
+    fn draw_series(&mut self, process_refs: &[ProcessRef], pauses: Range<f64>) {
         for at in self.beginnings(&pauses) {
-            let place = places[self.random.random_range(0..places.len())];
+            let process_ref = process_refs[self.random.random_range(0..process_refs.len())];
             let (fault, lasts) = self.draw_process_fault();
-            self.add(place, fault, at, lasts);
+            self.add(process_ref, fault, at, lasts);
         }
     }
 
-    fn draw_store_faults(&mut self, stores: &[Place]) {
+    fn draw_store_faults(&mut self, stores: &[ProcessRef]) {
         for at in self.beginnings(&STORE_PAUSES) {
-            let place = stores[self.random.random_range(0..stores.len())];
+            let process_ref = stores[self.random.random_range(0..stores.len())];
             match self.random.random_range(0..3) {
-                0 => self.draw_left_behind(stores, place, at),
-                1 => self.draw_went_on_alone(stores, place, at),
+                0 => self.draw_left_behind(stores, process_ref, at),
+                1 => self.draw_went_on_alone(stores, process_ref, at),
                 _ => {
                     let (fault, lasts) = self.draw_process_fault();
-                    self.add(place, fault, at, lasts);
+                    self.add(process_ref, fault, at, lasts);
                 }
             }
         }
     }
 
     /// A store misses claims; it returns, and the others, which have them, are gone before they can tell it.
-    fn draw_left_behind(&mut self, stores: &[Place], left_behind: Place, at: Duration) {
+    fn draw_left_behind(&mut self, stores: &[ProcessRef], left_behind: ProcessRef, at: Duration) {
         let lasts = self.seconds(LEFT_BEHIND);
         let fault = self.draw_absence();
         self.add(left_behind, fault, at, lasts);
         let gone_at = at + lasts + self.seconds(CAUGHT_UP_FOR);
-        for place in stores.iter().filter(|place| **place != left_behind) {
+        for process_ref in stores.iter().filter(|process_ref| **process_ref != left_behind) {
             let lasts = self.seconds(KILLED);
-            self.add(*place, ProcessFault::Killed, gone_at, lasts);
+            self.add(*process_ref, ProcessFault::Killed, gone_at, lasts);
         }
     }
 
     /// A store goes on alone, perhaps as the leader, and is lost at the moment in which the others go on.
-    fn draw_went_on_alone(&mut self, stores: &[Place], alone: Place, at: Duration) {
+    fn draw_went_on_alone(&mut self, stores: &[ProcessRef], alone: ProcessRef, at: Duration) {
         let lasts = self.seconds(WENT_ON_ALONE);
         let fault = self.draw_absence();
-        for place in stores.iter().filter(|place| **place != alone) {
-            self.add(*place, fault, at, lasts);
+        for process_ref in stores.iter().filter(|process_ref| **process_ref != alone) {
+            self.add(*process_ref, fault, at, lasts);
         }
         let killed_for = self.seconds(KILLED_AFTERWARDS);
         self.add(alone, ProcessFault::Killed, at + lasts, killed_for);
@@ -217,13 +217,13 @@
     }
 
     /// Adds a fault unless the place has another one at the time.
-    fn add(&mut self, place: Place, fault: ProcessFault, at: Duration, lasts: Duration) {
-        let busy = self.busy.entry(place).or_default();
+    fn add(&mut self, process_ref: ProcessRef, fault: ProcessFault, at: Duration, lasts: Duration) {
+        let busy = self.busy.entry(process_ref).or_default();
         if busy.iter().any(|other| at < other.end && other.start < at + lasts) {
             return;
         }
         busy.push(at..at + lasts);
-        self.faults.push(PlannedFault { strike: Strike::Process(place, fault), at, lasts });
+        self.faults.push(PlannedFault { strike: Strike::Process(process_ref, fault), at, lasts });
     }
 
     fn draw_backend_faults(&mut self, backends: usize) {
--- a/crates/local/src/soak/report.rs
+++ b/crates/local/src/soak/report.rs
@@ -5,7 +5,7 @@
 use super::injector::InjectedFault;
 use super::plan::{ProcessFault, Strike};
 use crate::backend::Execution;
-use crate::Place;
+use crate::ProcessRef;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 use std::time::Instant;
@@ -114,20 +114,20 @@
 /// A fault of a proxy concerns its own requests, others concern all.
 fn concerns(strike: Strike, request: &ClientRequest) -> bool {
     match strike {
-        Strike::Process(Place::Proxy(edge), _) => request.edge == edge,
+        Strike::Process(ProcessRef::Proxy(edge), _) => request.edge == edge,
         Strike::Process(..) | Strike::Backend(..) => true,
     }
 }
 
 fn kind(strike: Strike) -> String {
-    let (place, fault) = match strike {
+    let (process_ref, fault) = match strike {
         Strike::Backend(_, fault) => return format!("backend {fault:?}"),
-        Strike::Process(place, fault) => (place, fault),
+        Strike::Process(process_ref, fault) => (process_ref, fault),
     };
-    let daemon = match place {
-        Place::Store(_) => "store",
-        Place::Registry(_) => "registry",
-        Place::Proxy(_) => "proxy",
+    let daemon = match process_ref {
+        ProcessRef::Store(_) => "store",
+        ProcessRef::Registry(_) => "registry",
+        ProcessRef::Proxy(_) => "proxy",
     };
     let fault = match fault {
         ProcessFault::Killed => "killed",
--- a/crates/local/src/upgrade/mod.rs
+++ b/crates/local/src/upgrade/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::backend::executions_by_attempt;
 use crate::client::{resolve_edges, send_command, send_request};
-use crate::{Backend, EdgeMachine, Place, Placement, Platform, Programs, System, Topology};
+use crate::{Backend, EdgeMachine, Placement, Platform, ProcessRef, Programs, System, Topology};
 use clients::Clients;
 use logs::Logs;
 use operator::Operator;
@@ -100,12 +100,12 @@
     ///
     /// # Errors
     /// Where the process does not end after SIGTERM, or the new one does not start.
-    pub fn step(&mut self, place: Place, to: &Programs, name: String) -> io::Result<StepReport> {
+    pub fn step(&mut self, process_ref: ProcessRef, to: &Programs, name: String) -> io::Result<StepReport> {
         let (counts, orders) = (self.clients.counts(), self.operator.orders());
         let begun = Instant::now();
-        let ended = self.system.replace(place, to, GRACE)?;
+        let ended = self.system.replace(process_ref, to, GRACE)?;
         let replaced = begun.elapsed();
-        let mut faults = self.logs.warnings_of_ended(place, &ended);
+        let mut faults = self.logs.warnings_of_ended(process_ref, &ended);
         faults.extend(self.toggle_evacuation());
         std::thread::sleep(DWELL);
         let applied = self.newest_is_served(&mut faults);
@@ -163,10 +163,10 @@
 
     fn ended_processes(&mut self) -> Vec<String> {
         let mut faults = Vec::new();
-        for place in self.system.places() {
-            let process = self.system.process_mut(place);
+        for process_ref in self.system.process_refs() {
+            let process = self.system.process_mut(process_ref);
             if process.has_ended() {
-                faults.push(format!("{place} has ended: {:?}", process.lines().last()));
+                faults.push(format!("{process_ref} has ended: {:?}", process.lines().last()));
             }
         }
         faults
--- a/crates/local/tests/upgrade.rs
+++ b/crates/local/tests/upgrade.rs
@@ -4,16 +4,17 @@
 
 use std::path::PathBuf;
 use violetyoke_local::upgrade::Rehearsal;
-use violetyoke_local::{Place, Programs};
+use violetyoke_local::{ProcessRef, Programs};
 
 #[test]
 fn orders_and_requests_go_on_while_each_kind_of_process_is_replaced() {
     let programs = Programs::Single(PathBuf::from(env!("CARGO_BIN_EXE_violetyoke-local")));
     let mut rehearsal = Rehearsal::start(&programs).expect("a system that serves");
 
-    for place in [Place::Store(0), Place::Registry(0), Place::Proxy(0)] {
-        let step = rehearsal.step(place, &programs, place.to_string()).expect("a replaced process");
-        assert_eq!(step.faults(), Vec::<String>::new(), "{place}");
+    for process_ref in [ProcessRef::Store(0), ProcessRef::Registry(0), ProcessRef::Proxy(0)] {
+        let step =
+            rehearsal.step(process_ref, &programs, process_ref.to_string()).expect("a replaced process");
+        assert_eq!(step.faults(), Vec::<String>::new(), "{process_ref}");
     }
 
     let report = rehearsal.finish();
--- a/xtask/src/prove_system_upgrade.rs
+++ b/xtask/src/prove_system_upgrade.rs
@@ -5,11 +5,11 @@
 use crate::process::{build_system, Result};
 use std::path::Path;
 use violetyoke_local::upgrade::{Rehearsal, StepReport};
-use violetyoke_local::{Daemon, Place, Programs};
+use violetyoke_local::{Daemon, ProcessRef, Programs};
 use Build::{After, Before};
 
 /// One process that is ended, and the build that is started in its place.
-type Step = (Place, Build);
+type Step = (ProcessRef, Build);
 
 #[derive(Clone, Copy)]
 enum Build {
@@ -21,30 +21,30 @@
 /// states, and does so here while all processes that can send it one are of the other build.
 const UPGRADE: [Step; 10] = [
     // A proxy among registries of the build before, and a registry among such stores.
-    (Place::Proxy(0), After),
-    (Place::Registry(0), After),
-    (Place::Store(0), After),
-    (Place::Store(1), After),
-    (Place::Store(2), After),
+    (ProcessRef::Proxy(0), After),
+    (ProcessRef::Registry(0), After),
+    (ProcessRef::Store(0), After),
+    (ProcessRef::Store(1), After),
+    (ProcessRef::Store(2), After),
     // A registry of the build before among stores of the other.
-    (Place::Registry(1), Before),
-    (Place::Registry(1), After),
-    (Place::Registry(2), After),
+    (ProcessRef::Registry(1), Before),
+    (ProcessRef::Registry(1), After),
+    (ProcessRef::Registry(2), After),
     // A proxy of the build before among registries of the other.
-    (Place::Proxy(1), Before),
-    (Place::Proxy(1), After),
+    (ProcessRef::Proxy(1), Before),
+    (ProcessRef::Proxy(1), After),
 ];
 
 /// The way back, machine by machine.
 const ROLLBACK: [Step; 8] = [
-    (Place::Store(0), Before),
-    (Place::Registry(0), Before),
-    (Place::Proxy(0), Before),
-    (Place::Registry(1), Before),
-    (Place::Store(1), Before),
-    (Place::Store(2), Before),
-    (Place::Registry(2), Before),
-    (Place::Proxy(1), Before),
+    (ProcessRef::Store(0), Before),
+    (ProcessRef::Registry(0), Before),
+    (ProcessRef::Proxy(0), Before),
+    (ProcessRef::Registry(1), Before),
+    (ProcessRef::Store(1), Before),
+    (ProcessRef::Store(2), Before),
+    (ProcessRef::Registry(2), Before),
+    (ProcessRef::Proxy(1), Before),
 ];
 
 /// `before`: the folder with the programs of the build before. `after`: that of the other build; none: this tree's,
@@ -67,12 +67,12 @@
     let mut rehearsal = Rehearsal::start(&before)?;
     println!("{}", StepReport::HEADER);
     let mut faults = 0;
-    for (place, build) in UPGRADE.into_iter().chain(ROLLBACK) {
+    for (process_ref, build) in UPGRADE.into_iter().chain(ROLLBACK) {
         let (programs, name) = match build {
             Before => (&before, "before"),
             After => (&after, "after"),
         };
-        let step = rehearsal.step(place, programs, format!("{place} {name}"))?;
+        let step = rehearsal.step(process_ref, programs, format!("{process_ref} {name}"))?;
         println!("{step}");
         for fault in step.faults() {
             println!("  fault: {fault}");
