--- a/crates/local/src/backend.rs
+++ b/crates/local/src/backend.rs
@@ -1,4 +1,5 @@
-//! Stand-in backends: each has an id and a number of slots, records what it executes, and fails as it is told.
+//! Stub backends. Each has an id and a number of slots, records the requests that it executes, and can be made to
+//! fail.
 
 mod server;
 
@@ -12,12 +13,12 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
 
-/// How many requests a backend says that it can execute at once.
+/// Number of requests that a backend reports to be able to execute at once.
 const SLOTS: u32 = 8;
-/// The largest response body that a request can ask for.
+/// Maximum size of a response body that a request can ask for, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// A request that a backend has begun to execute.
+/// A request that a backend has started to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Execution {
     /// The id of the backend.
@@ -34,13 +35,13 @@
     pub deadline_ms: Option<u64>,
     /// The complete body.
     pub body: Bytes,
-    /// When it began.
-    pub begun_at: Instant,
+    /// When the execution started.
+    pub started_at: Instant,
 }
 
 impl Execution {
-    /// The body of the answer: so many bytes as a path that ends in `/bytes/100000` asks for, else which backend has
-    /// executed which attempt.
+    /// The body of the response. A path that ends in `/bytes/100000` asks for that many bytes; otherwise the body
+    /// names the backend and the attempt.
     #[must_use]
     pub fn response_body(&self) -> Vec<u8> {
         let size = self.path.split_once("/bytes/").and_then(|(_, size)| size.parse().ok());
@@ -54,18 +55,18 @@
 /// How a backend fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It answers each request.
+    /// It responds to each request.
     #[default]
     None,
-    /// It executes requests and closes the connection without an answer.
+    /// It executes requests and closes the connection without a response.
     DropsResponses,
-    /// It answers under the attempt id of another request.
+    /// It responds with the attempt id of another request.
     AnswersOtherAttempt,
-    /// It rejects requests with 503, and says that they were not executed.
+    /// It rejects requests with 503 and marks them as not executed.
     Rejects,
-    /// It executes requests and answers 503, without saying whether they were executed.
+    /// It executes requests and responds with 503, without telling whether they were executed.
     FailsAfterExecution,
-    /// It executes requests and never answers.
+    /// It executes requests and never responds.
     Hangs,
     /// It closes the connection in the middle of a response body.
     TruncatesResponses,
@@ -74,15 +75,15 @@
 /// A backend. Its server is a task of the runtime that it was started on, and ends with that runtime.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its id in the platform's list, and in `X-Instance-Id` of its answers.
+    /// Its id in the platform's list, and in `X-Instance-Id` of its responses.
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
-    /// The zone that it stands in.
+    /// The zone of the backend.
     pub zone: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// How long it executes a request.
+    /// The execution time of a request.
     service_time: Duration,
     state: Arc<State>,
 }
@@ -126,13 +127,13 @@
         Ok(backend)
     }
 
-    /// All requests that it has begun to execute, oldest first.
+    /// All requests that it has started to execute, oldest first.
     #[must_use]
     pub fn executions(&self) -> Vec<Execution> {
         lock(&self.state.executions).clone()
     }
 
-    /// How it fails from the next request on.
+    /// Sets how the backend fails from the next request on.
     pub fn set_fault(&self, fault: Fault) {
         *lock(&self.state.fault) = fault;
     }
@@ -147,7 +148,7 @@
     }
 }
 
-/// How often each attempt was executed, over all of these backends.
+/// The number of executions of each attempt, over all of these backends.
 #[must_use]
 pub fn executions_by_attempt(backends: &[Backend]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
--- a/crates/local/src/backend/server.rs
+++ b/crates/local/src/backend/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of a stand-in backend.
+//! The HTTP server of a stub backend.
 
 use super::{lock, Backend, Execution, Fault, SLOTS};
 use bytes::Bytes;
@@ -66,7 +66,7 @@
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-/// Reads the whole request, before it is decided whether it is executed.
+/// Reads the complete request before it is decided whether to execute it.
 async fn read_request(
     backend: &Backend,
     request: Request<Incoming>,
@@ -81,7 +81,7 @@
         path: parts.uri.path().to_owned(),
         deadline_ms: header(&parts.headers, "x-deadline-ms").and_then(|ms| ms.parse().ok()),
         body: body.collect().await.map_err(io::Error::other)?.to_bytes(),
-        begun_at: Instant::now(),
+        started_at: Instant::now(),
     })
 }
 
--- a/crates/local/src/client.rs
+++ b/crates/local/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests of clients and operators, each on a connection of its own.
+//! Requests of clients and operators, each on its own connection.
 
 use serde_json::Value;
 use std::io::{BufReader, Write};
@@ -8,7 +8,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an operator repeats a command.
+/// How long an operator's client repeats a command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Sends one request and reads its response; `None` if there was none in time.
@@ -51,12 +51,12 @@
     None
 }
 
-/// Whether a response says what has become of a command. A 5xx, and a 408, leave it open.
+/// Whether a response tells the outcome of a command. After a 5xx or a 408 the outcome is unknown.
 fn is_conclusive(response: &HttpMessage) -> bool {
     response.status() < 500 && response.status() != 408
 }
 
-/// The edges that a client of a zone should send its requests to; none if the directory names none.
+/// The edges that a client of a zone should send its requests to; empty if the directory names none.
 pub fn resolve_edges(directory: SocketAddr, region: &str, zone: &str) -> Vec<SocketAddr> {
     let target = format!("/api/resolve?name=rooms.example&region={region}&zone={zone}");
     let response = send_request(directory, "GET", &target, &[], b"");
--- a/crates/local/src/demo.rs
+++ b/crates/local/src/demo.rs
@@ -9,7 +9,7 @@
 use violetyoke_rig::runtime_thread::RuntimeThread;
 use violetyoke_rig::wait_until;
 
-/// How long the edges may take to be ready.
+/// Time limit for the edges to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 const SERVICES: [(&str, Duration); 2] =
@@ -17,7 +17,7 @@
 const CORES: [Placement<'_>; 1] = [Placement::new("a", "west")];
 const EDGES: [Placement<'_>; 2] = [Placement::new("a", "west"), Placement::new("a", "west")];
 
-/// Why the demonstration has ended.
+/// Why the demonstration has failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DemoError {
     #[error("the system can't be started")]
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,16 +1,16 @@
-//! The whole system on one machine, to try it and to test it.
+//! Runs the complete system on one machine, for demonstrations and tests.
 //!
-//! [`System`] runs the three programs as real processes: each machine of a [`Topology`] has a loopback address of its
-//! own. [`Platform`] stands in for the platform's list of backends, and [`Backend`] for what serves requests;
-//! [`client`] sends what clients and operators send.
+//! [`System`] runs the three programs as real processes; each machine of a [`Topology`] has its own loopback address.
+//! [`Platform`] is a stub of the platform's list of backends, and [`Backend`] a stub of a backend; [`client`] sends
+//! requests as clients and operators do.
 //!
-//! [`upgrade`] replaces the processes of a system by those of another build ([`Programs`]), one after the other, while
-//! clients and an operator use it.
+//! [`upgrade`] replaces the processes of a system by those of another build ([`Programs`]), one after the other,
+//! while clients and an operator use it.
 //!
-//! [`soak`] runs clients whose requests have to be executed once, while processes are killed, frozen and restarted.
+//! [`soak`] runs clients whose operations must be executed only once, while processes are killed, paused and
+//! restarted.
 //!
-//! The crate checks nothing else itself: its tests hold what a request or a change must find, and the program
-//! `violetyoke-local` prints what to try.
+//! Other checks are in the crate's tests. The program `violetyoke-local` starts a system and prints commands to try.
 
 pub mod backend;
 pub mod client;
--- a/crates/local/src/platform.rs
+++ b/crates/local/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: its list of backends, in pages.
+//! A stub of the platform: its list of backends, in pages.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -15,10 +15,10 @@
 use tokio::runtime::Handle;
 use violetyoke_api::calls::query_parameter;
 
-/// Entries on a page, unless another number is given.
+/// Default number of entries on a page.
 const PAGE_SIZE: usize = 4;
 
-/// A stand-in for the platform. Its server is a task of the runtime that it was started on, and ends with that runtime.
+/// A stub of the platform. Its server is a task of the runtime that it was started on, and ends with that runtime.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// Where it listens.
@@ -36,7 +36,7 @@
         Platform::with_page_size(runtime, PAGE_SIZE)
     }
 
-    /// The same, with `page_size` entries on each page of the list.
+    /// Starts a platform like [`Platform::start`], with `page_size` entries on each page of the list.
     ///
     /// # Errors
     /// When no port can be opened.
@@ -63,7 +63,7 @@
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The page that `token` stands for: the first one without a token.
+    /// The page for `token`, or the first one without a token.
     fn page(&self, token: Option<&str>) -> String {
         let entries = self.entries();
         let from = token.and_then(|token| token.strip_prefix("p-")?.parse().ok()).unwrap_or(0);
--- a/crates/local/src/programs.rs
+++ b/crates/local/src/programs.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Where the programs of one build are.
+/// The location of the programs of one build.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Programs {
     /// One program that runs each daemon by its name as the first argument.
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The command that runs a daemon on a file of settings.
+    /// The command that runs a daemon with a settings file.
     #[must_use]
     pub fn command(&self, daemon: Daemon, settings: &Path) -> Command {
         let mut command = Command::new(self.path(daemon));
--- a/crates/local/src/replacement.rs
+++ b/crates/local/src/replacement.rs
@@ -1,4 +1,4 @@
-//! The replacement of single processes of a running system, as an upgrade does it.
+//! Replaces single processes of a running system, as an upgrade does.
 
 use crate::programs::{Daemon, Programs};
 use crate::system::System;
@@ -10,7 +10,7 @@
 use violetyoke_rig::process::Process;
 use violetyoke_rig::wait_until;
 
-/// One process of a system: which daemon, and the index of its machine among the core or the edge machines.
+/// Names one process of a system: the daemon, and the index of its machine among the core or the edge machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProcessRef {
     /// The store of a core machine.
@@ -32,8 +32,8 @@
 }
 
 impl System {
-    /// Ends one process by SIGTERM and starts the same daemon of these programs in its place. Returns the ended process,
-    /// whose output can still be read.
+    /// Ends one process by SIGTERM, and starts the same daemon from these programs instead. Returns the ended
+    /// process, whose output can still be read.
     ///
     /// # Errors
     /// When the process has not ended within `grace`, or the new one can't be started.
@@ -57,8 +57,8 @@
         Ok(mem::replace(process, Process::start(programs.command(daemon, &settings))?))
     }
 
-    /// Kills the store of a core machine and takes its disk away: started again, it finds an empty folder, and settings that
-    /// don't speak of a first start.
+    /// Kills the store of a core machine and removes its disk. When the store is started again, it finds an empty
+    /// folder, and settings that do not allow a first start of the system.
     ///
     /// # Errors
     /// Those of the signal, and of files that can't be removed or written.
--- a/crates/local/src/soak/report.rs
+++ b/crates/local/src/soak/report.rs
@@ -10,14 +10,14 @@
 use std::fmt;
 use std::time::Instant;
 
-/// How often a kind of fault was injected, and at which moments of claims.
+/// How often a kind of fault was injected, and at which stages of operations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultCounts {
-    /// All.
+    /// The total.
     pub injected: usize,
-    /// Those that fell between the sending of a request that was executed later, and its execution.
+    /// Faults between the sending of a request that was executed later and the start of its execution.
     pub while_claiming: usize,
-    /// Those that fell between the execution of a request and the moment at which its client had the response or gave up.
+    /// Faults between the start of a request's execution and the time when its client had the response or gave up.
     pub while_executing: usize,
 }
 
@@ -30,19 +30,19 @@
     pub requests: usize,
     /// Executions by backends.
     pub executions: usize,
-    /// Successes that were recorded responses of another request.
+    /// Successful responses that were recorded for another request.
     pub replays: usize,
     /// Requests by status; 0: no response.
     pub statuses: BTreeMap<u16, usize>,
     /// Faults by kind.
     pub faults: BTreeMap<String, FaultCounts>,
-    /// What broke a rule.
+    /// The violations of rules.
     pub violations: Vec<String>,
-    /// What the stores have logged, where a rule was broken.
+    /// The stores' logs, if a rule was violated.
     pub logs: Vec<String>,
 }
 
-/// The violations that are printed.
+/// Maximum number of violations that are printed.
 const PRINTED: usize = 20;
 
 impl SoakReport {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Faults that fell between the sending of a request and the end of its execution.
+    /// Number of faults between the sending of a request and the end of its execution.
     #[must_use]
     pub fn faults_within_claims(&self) -> usize {
         self.faults.values().map(|counts| counts.while_claiming + counts.while_executing).sum()
@@ -91,11 +91,11 @@
     executions: &[Execution],
     injected: &[InjectedFault],
 ) -> BTreeMap<String, FaultCounts> {
-    let begun_at: HashMap<&str, Instant> =
-        executions.iter().map(|execution| (execution.attempt.as_str(), execution.begun_at)).collect();
+    let started_at: HashMap<&str, Instant> =
+        executions.iter().map(|execution| (execution.attempt.as_str(), execution.started_at)).collect();
     let executed: Vec<(&ClientRequest, Instant)> = history
         .iter()
-        .filter_map(|request| Some((request, *begun_at.get(request.attempt.as_str())?)))
+        .filter_map(|request| Some((request, *started_at.get(request.attempt.as_str())?)))
         .collect();
     let mut counts = BTreeMap::<String, FaultCounts>::new();
     for fault in injected {
@@ -105,13 +105,13 @@
             .collect();
         let of_kind = counts.entry(kind(fault.strike)).or_default();
         of_kind.injected += 1;
-        of_kind.while_claiming += usize::from(open.iter().any(|(_, begun)| fault.at < *begun));
-        of_kind.while_executing += usize::from(open.iter().any(|(_, begun)| *begun <= fault.at));
+        of_kind.while_claiming += usize::from(open.iter().any(|(_, started)| fault.at < *started));
+        of_kind.while_executing += usize::from(open.iter().any(|(_, started)| *started <= fault.at));
     }
     counts
 }
 
-/// A fault of a proxy concerns its own requests, others concern all.
+/// Whether a fault affects a request: a fault of a proxy affects only the requests sent to it, others affect all.
 fn concerns(strike: Strike, request: &ClientRequest) -> bool {
     match strike {
         Strike::Process(ProcessRef::Proxy(edge), _) => request.edge == edge,
--- a/crates/local/src/soak_command.rs
+++ b/crates/local/src/soak_command.rs
@@ -8,10 +8,10 @@
 
 const DEFAULT: SoakOptions =
     SoakOptions { seed: 1, duration: Duration::from_secs(60), route_kind: RouteKind::Keyed };
-/// The command line is wrong.
+/// Exit status if the command line is wrong.
 const USAGE: u8 = 2;
 
-/// Runs a soak with this program; fails where a rule was broken.
+/// Runs a soak with this program; fails if a rule was violated.
 pub(crate) fn run(arguments: lexopt::Parser) -> ExitCode {
     let options = match parse(arguments) {
         Ok(options) => options,
--- a/crates/local/src/system.rs
+++ b/crates/local/src/system.rs
@@ -1,4 +1,4 @@
-//! A running system: each machine is a loopback address of its own, with real processes and a file of settings.
+//! A running system. Each machine has its own loopback address, real processes and a settings file.
 
 use crate::programs::{Daemon, Programs};
 use serde_json::{json, Map, Value};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use violetyoke_rig::process::Process;
 
-/// Ports that each machine has for itself, from its first one on: four that others call, and the internal ones.
+/// Number of ports of each machine, counted from its first port: four public ones and the internal ones.
 const PORTS: u16 = 20;
 const CONTROL_PORT: u16 = 0;
 const DIRECTORY_PORT: u16 = 1;
@@ -16,10 +16,10 @@
 const READY_PORT: u16 = 3;
 const INTERNAL_PORT: u16 = 5;
 
-/// How many of the core machines are seeds.
+/// Maximum number of core machines that are seeds.
 const SEEDS: usize = 3;
 
-/// Where a machine stands.
+/// The zone and region of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement<'a> {
     /// The zone.
@@ -43,9 +43,9 @@
     pub cores: &'a [Placement<'a>],
     /// Machines with a proxy.
     pub edges: &'a [Placement<'a>],
-    /// Where the platform's list of backends is.
+    /// The address of the platform's list of backends.
     pub platform: SocketAddr,
-    /// How many machines may be lost at once.
+    /// Number of machines that may be lost at once.
     pub tolerated_machine_losses: u32,
 }
 
@@ -53,13 +53,13 @@
 pub struct CoreMachine {
     /// Its address.
     pub ip: Ipv4Addr,
-    /// Where its registry accepts commands of operators.
+    /// The address at which its registry accepts operators' commands.
     pub control: SocketAddr,
-    /// Where its registry answers clients that look for an edge.
+    /// The address at which its registry answers clients that look for an edge.
     pub directory: SocketAddr,
     /// The file of its settings.
     pub settings: PathBuf,
-    /// The folder of what its store keeps.
+    /// The folder of its store's files.
     pub data: PathBuf,
     /// The process of its registry.
     pub registry: Process,
@@ -71,9 +71,9 @@
 pub struct EdgeMachine {
     /// Its name in the settings.
     pub name: String,
-    /// Where its proxy accepts requests of clients.
+    /// The address at which its proxy accepts clients' requests.
     pub front: SocketAddr,
-    /// Where its proxy says whether it is ready.
+    /// The address at which its proxy reports whether it is ready.
     pub ready: SocketAddr,
     /// The file of its settings.
     pub settings: PathBuf,
@@ -83,7 +83,7 @@
 
 /// A running system. Dropping it ends its processes and removes its folder.
 pub struct System {
-    /// Where the settings and the stores' files are.
+    /// The folder of the settings and the stores' files.
     pub folder: PathBuf,
     /// The core machines, in the order of the topology.
     pub cores: Vec<CoreMachine>,
@@ -119,7 +119,7 @@
         Ok(system)
     }
 
-    /// Where each registry accepts commands of operators.
+    /// The addresses at which the registries accept operators' commands.
     #[must_use]
     pub fn control_addresses(&self) -> Vec<SocketAddr> {
         self.cores.iter().map(|core| core.control).collect()
@@ -133,12 +133,12 @@
     }
 }
 
-/// What the start of each process needs.
+/// The values that the start of each process needs.
 struct Launcher<'a> {
     programs: &'a Programs,
     topology: &'a Topology<'a>,
     folder: PathBuf,
-    /// The address of each machine, the cores first.
+    /// The address of each machine, core machines first.
     hosts: Vec<Ipv4Addr>,
     /// The first port of each machine.
     first_port: u16,
@@ -206,11 +206,11 @@
     }
 }
 
-/// Hosts that this process has given out.
+/// Number of hosts that this process has allocated.
 static HOSTS_IN_USE: AtomicU32 = AtomicU32::new(0);
 
-/// Loopback addresses that no other test of this machine uses, and a first port from which on [`PORTS`] are free on
-/// all of them.
+/// Allocates loopback addresses that no other test on this machine uses, and a first port from which [`PORTS`] ports
+/// are free on all of them.
 fn free_hosts(count: usize) -> io::Result<(Vec<Ipv4Addr>, u16)> {
     let process = std::process::id();
     let (b, c) = ((251 + process / 250 % 4) as u8, (1 + process % 250) as u8);
