--- a/crates/local/src/soak/checker.rs
+++ b/crates/local/src/soak/checker.rs
@@ -1,12 +1,14 @@
-//! What must hold of a run, whatever was struck: from what backends executed and what clients got, and nothing else.
+//! The rules that each run must satisfy whatever faults were injected, checked only from the executions of backends
+//! and the responses to clients.
 
 use super::history::{ClientRequest, Operation};
 use crate::backend::Execution;
 use std::collections::{HashMap, HashSet};
 
-/// Statuses that promise that the request was not executed and never will be, and 409: another one is being executed.
+/// Statuses that promise that the request was not executed and never will be, or (409) that another request of the
+/// operation is being executed.
 const NOT_EXECUTED: [u16; 3] = [409, 429, 503];
-/// Statuses without a promise: of the proxy, or of a backend.
+/// Statuses of the proxy or a backend that leave open whether the request was executed.
 const UNKNOWN: [u16; 2] = [502, 504];
 
 /// The executions of each operation.
@@ -22,7 +24,7 @@
     found
 }
 
-/// All that broke a rule, a line each.
+/// All violations of rules, a line each.
 pub(super) fn violations(history: &[ClientRequest], executions: &[Execution]) -> Vec<String> {
     let by_operation = by_operation(executions);
     let mut found = repeated_executions(&by_operation);
@@ -62,7 +64,8 @@
     broken.map(|request| format!("{} was answered {}, and ran", request.attempt, request.status())).collect()
 }
 
-/// A success is the response of the one execution; other statuses are those that a keyed request may get.
+/// Checks that a success is the response of the one execution, and that any other status is one that a keyed request
+/// may get.
 fn wrong_response(request: &ClientRequest, by_operation: &ExecutionsByOperation<'_>) -> Option<String> {
     let response = request.response.as_ref()?;
     if response.status != 200 {
@@ -79,7 +82,7 @@
     (!is_right).then(|| format!("{} was answered for another request than {execution:?}", request.attempt))
 }
 
-/// Operations of which it is not known what became of them, though nothing is struck any more.
+/// Operations whose outcome is still unknown although all faults have ended.
 pub(super) fn undecided(repeats: &[ClientRequest]) -> Vec<String> {
     let last: HashMap<&Operation, &ClientRequest> =
         repeats.iter().map(|request| (&request.operation, request)).collect();
--- a/crates/local/src/soak/clients.rs
+++ b/crates/local/src/soak/clients.rs
@@ -1,4 +1,5 @@
-//! Clients with keyed requests: new operations, repeats after failures, and repeats of operations of any client.
+//! Clients with keyed requests: new operations, retries after failures, and repeats of operations that any client has
+//! sent.
 
 use super::connection::{Connections, WireRequest};
 use super::history::{ClientRequest, Operation};
@@ -12,24 +13,24 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 24;
-/// The part of all requests that repeat an operation which any client has sent.
+/// Fraction of all requests that repeat an operation which any client has sent.
 const REPEATED: f64 = 0.33;
-/// Of these, the part that repeats one of the very newest, whose first request is often still open.
+/// Fraction of these that repeat one of the newest operations, whose first request is often still in flight.
 const REPEATED_AT_ONCE: f64 = 0.4;
 const NEWEST: usize = 4;
-/// The part of the operations whose response is too large to be kept.
+/// Fraction of the operations whose response is too large to be recorded.
 const LARGE: f64 = 0.01;
-/// Repeats of one operation after failures.
+/// Number of retries of one operation after failures.
 const RETRIES: usize = 3;
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// A proxy that left a client without a response is rarely asked by it for so long.
+/// For how long a client rarely chooses a proxy that has not responded to it.
 const AVOIDED_FOR: Duration = Duration::from_secs(2);
 const SILENT_CHOSEN: f64 = 0.05;
 const PAUSE: Duration = Duration::from_millis(8);
 const DEADLINE_MS: &str = "1500";
-/// Operations are repeated for so long: well within the window in which they run once (60 s).
+/// Operations are repeated for this time: well within the window in which they run only once (60 s).
 const MAX_AGE: Duration = Duration::from_secs(40);
-/// After all faults, operations are repeated until it is known what became of them, or for so long.
+/// After all faults, operations are repeated until their outcome is known, or for this time.
 const DECIDED_WITHIN: Duration = Duration::from_secs(10);
 const DECIDED_OPERATIONS: usize = 300;
 const TENANTS: [&str; 2] = ["kolkheti", "svaneti"];
@@ -71,7 +72,7 @@
         Clients { shared, threads }
     }
 
-    /// Waits for the last requests' ends; all requests.
+    /// Waits for the last requests to end. Returns all requests.
     pub(super) fn finish(mut self) -> Vec<ClientRequest> {
         self.stop();
         std::mem::take(&mut *lock(&self.shared.requests))
@@ -80,7 +81,7 @@
     fn stop(&mut self) {
         self.shared.is_stopped.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            // A client that panics has recorded what it sent before.
+            // A client that panics has already recorded what it sent.
             drop(thread.join());
         }
     }
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Any proxy, but seldom one that has just been silent: else all clients would wait for the one that is frozen.
+    /// Chooses any proxy, but rarely one that has recently not responded: otherwise all clients would wait for a
+    /// paused proxy.
     fn choose_edge(&mut self) -> usize {
         loop {
             let edge = self.random.random_range(0..self.silent_at.len());
@@ -149,7 +151,7 @@
             }
         }
         let number = next_number();
-        // Two operations have the same key, of two tenants.
+        // Each key is used by two operations, of different tenants.
         let tenant = TENANTS[number % TENANTS.len()];
         let route = ROUTES[self.random.random_range(0..ROUTES.len())];
         let is_large = self.random.random_bool(LARGE);
@@ -187,7 +189,7 @@
     ClientRequest { operation, path, attempt, edge, sent_at, ended_at: Instant::now(), response }
 }
 
-/// Sends the newest operations again, once all faults have ended, until it is known of each what became of it.
+/// Sends the newest operations again after all faults have ended, until the outcome of each is known.
 pub(super) fn repeat_until_decided(fronts: &[SocketAddr], history: &[ClientRequest]) -> Vec<ClientRequest> {
     let mut connections = Connections::new(fronts);
     let mut first_sent_at = HashMap::new();
--- a/crates/local/src/soak/connection.rs
+++ b/crates/local/src/soak/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connections to proxies, which are kept until the proxy's process is gone.
+//! A client's connections to proxies. They are kept until the proxy's process has ended.
 
 use super::history::ClientResponse;
 use std::io::{BufReader, Write};
@@ -7,9 +7,10 @@
 use violetyoke_standin::http::read_http;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a response is waited for: longer than the requests' own deadline.
+/// Time limit for a response: longer than the deadline of the requests.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// Connections whose response was waited for in vain are kept open: a proxy that was frozen finds its client still there.
+/// Maximum number of connections that stay open after their response has timed out, so that a proxy which was paused
+/// finds its clients still connected.
 const MAX_ABANDONED: usize = 16;
 
 /// A request on the wire.
@@ -30,7 +31,7 @@
     }
 }
 
-/// The connections of one client: one to each proxy.
+/// The connections of one client, one to each proxy.
 pub(super) struct Connections {
     fronts: Vec<SocketAddr>,
     kept: Vec<Option<BufReader<TcpStream>>>,
@@ -43,7 +44,7 @@
         Connections { fronts: fronts.to_vec(), kept, abandoned: Vec::new() }
     }
 
-    /// Sends a request to a proxy and waits for its response; none where there is none in time.
+    /// Sends a request to a proxy and waits for its response. Returns `None` if there is none in time.
     pub(super) fn exchange(&mut self, edge: usize, request: &WireRequest<'_>) -> Option<ClientResponse> {
         let mut connection = match self.kept[edge].take() {
             Some(kept) => kept,
--- a/crates/local/src/soak/deployment.rs
+++ b/crates/local/src/soak/deployment.rs
@@ -1,4 +1,4 @@
-//! The system that is soaked, with its backends and its list.
+//! The system under test, with its backends and the list of backends.
 
 use crate::backend::Execution;
 use crate::client::{send_command, send_request};
@@ -20,15 +20,15 @@
     Placement::new("d", "east"),
 ];
 const BACKENDS: usize = 4;
-/// How long a backend executes a request: long enough for faults to fall into it.
+/// How long a backend executes a request: long enough for faults to occur during executions.
 const SERVICE_TIME: Duration = Duration::from_millis(40);
 const READY: Duration = Duration::from_secs(30);
 
-/// A running system, and what surrounds it.
+/// A running system with its backends.
 pub(super) struct Deployment {
     pub(super) system: System,
     pub(super) backends: Vec<Backend>,
-    // Last: the platform and the backends run on it.
+    // Last, because the platform and the backends run on it.
     _runtime: RuntimeThread,
 }
 
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Where each proxy takes requests.
+    /// The addresses at which the proxies accept requests.
     pub(super) fn fronts(&self) -> Vec<SocketAddr> {
         self.system.edges.iter().map(|edge| edge.front).collect()
     }
 
-    /// Whether all proxies are ready within a time that suffices for the slowest restart.
+    /// Waits until all proxies are ready; the time limit suffices for the slowest restart.
     pub(super) fn wait_until_ready(&self) -> bool {
         let is_ready = |ready: SocketAddr| {
             send_request(ready, "GET", "/api/readiness", &[], b"").is_some_and(|it| it.status() == 200)
@@ -86,7 +86,7 @@
         self.backends.iter().flat_map(Backend::executions).collect()
     }
 
-    /// What the stores have logged, a line each with the store's place.
+    /// The logs of the stores, each line prefixed with its process.
     pub(super) fn store_logs(&mut self) -> Vec<String> {
         let process_refs = (0..self.system.cores.len()).map(ProcessRef::Store);
         let mut logs = Vec::new();
@@ -97,7 +97,7 @@
         logs
     }
 
-    /// Processes that have ended though nobody ended them, and those that have panicked.
+    /// Processes that have ended although no fault ended them, and those that have panicked.
     pub(super) fn failed_processes(&mut self) -> Vec<String> {
         let mut failures = Vec::new();
         for process_ref in self.system.process_refs() {
--- a/crates/local/src/soak/history.rs
+++ b/crates/local/src/soak/history.rs
@@ -1,8 +1,8 @@
-//! What clients sent and what they got.
+//! The requests of clients and their responses.
 
 use std::time::Instant;
 
-/// What a request is about: requests of one tenant with the same key are one operation.
+/// The operation of a request: requests of one tenant with the same key are one operation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Operation {
     pub(super) tenant: &'static str,
@@ -23,23 +23,23 @@
 pub(super) struct ClientRequest {
     pub(super) operation: Operation,
     pub(super) path: String,
-    /// Its own id.
+    /// The attempt id of this request.
     pub(super) attempt: String,
     /// The index of the proxy that it was sent to.
     pub(super) edge: usize,
     pub(super) sent_at: Instant,
     pub(super) ended_at: Instant,
-    /// None where the client waited in vain.
+    /// `None` if the client received no response in time.
     pub(super) response: Option<ClientResponse>,
 }
 
 impl ClientRequest {
-    /// The status; 0 where there is no response.
+    /// The status; 0 if there is no response.
     pub(super) fn status(&self) -> u16 {
         self.response.as_ref().map_or(0, |response| response.status)
     }
 
-    /// Whether it was open at a moment.
+    /// Whether the client was waiting for the response at that time.
     pub(super) fn is_open_at(&self, at: Instant) -> bool {
         self.sent_at <= at && at < self.ended_at
     }
--- a/crates/local/src/soak/injector.rs
+++ b/crates/local/src/soak/injector.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a plan, and ends each when its time is over.
+//! Injects the faults of a plan, and ends each after its duration.
 
 use super::deployment::Deployment;
 use super::plan::{Plan, PlannedFault, ProcessFault, Strike};
@@ -33,14 +33,14 @@
         Injector { deployment, injected: Vec::new() }
     }
 
-    /// Returns when all faults have ended.
+    /// Injects all faults. Returns when all have ended.
     ///
     /// # Errors
     /// Those of signals and of starting processes.
     pub(super) fn run(mut self, plan: &Plan) -> io::Result<Vec<InjectedFault>> {
-        let begun = Instant::now();
+        let started = Instant::now();
         for step in steps(plan) {
-            std::thread::sleep((begun + step.at).saturating_duration_since(Instant::now()));
+            std::thread::sleep((started + step.at).saturating_duration_since(Instant::now()));
             if step.is_beginning {
                 self.injected.push(InjectedFault { strike: step.fault.strike, at: Instant::now() });
                 self.begin(step.fault.strike)?;
--- a/crates/local/src/soak/mod.rs
+++ b/crates/local/src/soak/mod.rs
@@ -1,9 +1,9 @@
-//! A soak of operations that run once: clients with keyed requests, a good part of them repeated, while processes are
-//! killed, frozen, terminated and restarted in overlapping series that are drawn from a seed.
+//! A soak test of operations that must run only once: clients send keyed requests, many of them repeated, while
+//! processes are killed, paused, terminated and restarted in overlapping series that are drawn from a seed.
 //!
-//! What backends executed and what clients got is checked afterwards: each key ran once at most, each repeat of a success got
-//! the same response, and no response promised that a request had not run which did. The faults are the same for the same
-//! seed; how they meet with requests is up to the machine.
+//! Afterwards the executions of backends and the responses to clients are checked: each key was executed at most
+//! once, each repeat of a success got the same response, and no response promised that a request was not executed
+//! which was. The same seed gives the same faults; their timing relative to requests depends on the machine.
 
 mod checker;
 mod clients;
@@ -27,18 +27,18 @@
 /// How the soak is run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoakOptions {
-    /// What the faults are drawn from.
+    /// The seed from which the faults are drawn.
     pub seed: u64,
     /// How long faults are injected.
     pub duration: Duration,
-    /// The kind of the routes. With any other than keyed ones, operations run twice: the negative control.
+    /// The kind of the routes. With any kind other than keyed, operations run more than once, which serves as the
+    /// negative control.
     pub route_kind: RouteKind,
 }
 
-/// Runs the whole system with the faults of a seed, and checks what has come of it.
+/// Runs the complete system with the faults of a seed, and checks the results.
 ///
-/// # Errors
-/// Where the system does not start, or a process can't be signalled or restarted.
+/// If the system does not start, or a process can't be signalled or restarted.
 pub fn run(programs: &Programs, options: SoakOptions) -> io::Result<SoakReport> {
     let mut deployment = Deployment::start(programs, options.route_kind)?;
     let machines = Machines {
--- a/crates/local/src/upgrade/logs.rs
+++ b/crates/local/src/upgrade/logs.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use violetyoke_rig::process::Process;
 
-/// How many lines of each running process have been looked at.
+/// The number of lines of each running process that have been checked.
 #[derive(Default)]
 pub(super) struct Logs {
     lines_seen: HashMap<ProcessRef, usize>,
@@ -22,14 +22,14 @@
         warnings
     }
 
-    /// Warnings of a process that has ended, since the last call. Another one has its place.
+    /// Warnings of a process that has ended, since the last call. Another process has replaced it.
     pub(super) fn warnings_of_ended(&mut self, process_ref: ProcessRef, ended: &Process) -> Vec<String> {
         let seen = self.lines_seen.remove(&process_ref).unwrap_or(0);
         warnings_in(process_ref, &ended.lines()[seen..])
     }
 }
 
-/// Each different warning once, with its number.
+/// Each distinct warning once, with its number of occurrences.
 fn warnings_in(process_ref: ProcessRef, lines: &[String]) -> Vec<String> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for line in lines.iter().filter(|line| is_warning(line)) {
