--- a/crates/local/src/soak/plan.rs
+++ b/crates/local/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed: series for proxies, registries, stores and backends that overlap each other.
+//! Draws the faults of a run from a seed: overlapping series for proxies, registries, stores and backends.
 
 use crate::backend::Fault;
 use crate::ProcessRef;
@@ -8,7 +8,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How many there are of each.
+/// The number of machines and backends of each kind.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Machines {
     pub(super) cores: usize,
@@ -19,24 +19,24 @@
 /// What happens to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ProcessFault {
-    /// SIGKILL; it is started again afterwards.
+    /// SIGKILL; the process is started again at the end of the fault.
     Killed,
-    /// SIGSTOP, and SIGCONT afterwards.
+    /// SIGSTOP, and SIGCONT at the end of the fault.
     Frozen,
-    /// SIGTERM; it is started again afterwards, killed if it has not ended by then.
+    /// SIGTERM; the process is started again at the end of the fault, and killed first if it has not ended by then.
     Terminated,
-    /// SIGKILL, and what a store has kept is gone; it is started again afterwards.
+    /// SIGKILL, and the store's files are removed; the process is started again at the end of the fault.
     DiskLost,
 }
 
-/// What is struck, and how.
+/// The target of a fault, and its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Strike {
     Process(ProcessRef, ProcessFault),
     Backend(usize, Fault),
 }
 
-/// One fault: from when on, and for how long.
+/// One fault: its target, its start in the run, and its duration.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlannedFault {
     pub(super) strike: Strike,
@@ -44,39 +44,44 @@
     pub(super) lasts: Duration,
 }
 
-/// All faults of a run, in the order of their beginnings.
+/// All faults of a run, ordered by their start.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub(super) faults: Vec<PlannedFault>,
 }
 
-/// Clients have sent their first requests by then.
+/// No fault starts before this time, so that clients have sent their first requests.
 const FIRST_FAULT: Duration = Duration::from_millis(500);
-/// Pauses between the beginnings of two faults of a series (s). Stores rest longest: an election takes about a second.
+/// Pauses between the starts of two faults of a series (s). Those of stores are longest, because an election takes
+/// about a second.
 const PROXY_PAUSES: Range<f64> = 0.1..0.8;
 const REGISTRY_PAUSES: Range<f64> = 0.5..2.0;
 const STORE_PAUSES: Range<f64> = 1.5..4.0;
 const BACKEND_PAUSES: Range<f64> = 0.3..1.5;
-/// How often all stores are killed in one moment (s).
+/// Pauses between two faults that kill all stores at once (s).
 const HERD_PAUSES: Range<f64> = 7.0..12.0;
-/// How often a disk is lost (s). Before that, no store is struck for so long that the one before has all records again: one
-/// disk may be lost at a time, whatever else happens.
+/// Pauses between two losses of a disk (s). Before each loss, stores have no faults for [`QUIET_BEFORE_DISK_LOSS`],
+/// so that the store which lost its disk before has all records again: the system tolerates the loss of only one disk
+/// at a time.
 const DISK_LOSS_PAUSES: Range<f64> = 8.0..14.0;
 const QUIET_BEFORE_DISK_LOSS: Duration = Duration::from_secs(5);
-/// How long faults last (s). Some freezes outlast every claim: the route's time-out and the margin.
+/// Durations of faults (s). Some pauses of a process outlast every claim, which lasts for the route's time-out and a
+/// margin.
 const KILLED: Range<f64> = 0.02..1.0;
 const FROZEN: Range<f64> = 0.05..4.0;
 const TERMINATED: Range<f64> = 0.5..3.0;
 const BACKEND_FAULT: Range<f64> = 0.1..0.6;
-/// A store that is left behind misses claims of so long, and the others are killed so soon after its return.
+/// For how long a store that is left behind misses claims (s), and how soon after its return the others are killed
+/// (s).
 const LEFT_BEHIND: Range<f64> = 0.8..2.0;
 const CAUGHT_UP_FOR: Range<f64> = 0.0..0.2;
-/// Both other stores are absent for so long, less than it takes to suspect them, before the store that went on is killed.
+/// For how long both other stores are absent (s), less than the time to suspect them, before the store that continued
+/// is killed; and for how long it stays killed (s).
 const WENT_ON_ALONE: Range<f64> = 0.1..0.6;
 const KILLED_AFTERWARDS: Range<f64> = 0.8..2.5;
 
 impl Plan {
-    /// Draws the faults of a seed.
+    /// Draws the faults for a seed.
     pub(super) fn draw(seed: u64, duration: Duration, machines: Machines) -> Plan {
         let mut draft = Draft {
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -112,7 +117,7 @@
 struct Draft {
     random: Pcg64Mcg,
     end: Duration,
-    /// When a place has its faults: two of one place do not overlap.
+    /// The times of the faults of each process. Faults of one process do not overlap.
     busy: HashMap<ProcessRef, Vec<Range<Duration>>>,
     faults: Vec<PlannedFault>,
 }
@@ -122,7 +127,7 @@
         Duration::from_secs_f64(self.random.random_range(range))
     }
 
-    /// The beginnings of a series.
+    /// The start times of the faults of a series.
     fn beginnings(&mut self, pauses: &Range<f64>) -> Vec<Duration> {
         let mut beginnings = Vec::new();
         let mut at = FIRST_FAULT + self.seconds(pauses.clone());
@@ -176,19 +181,20 @@
         }
     }
 
-    /// A store misses claims; it returns, and the others, which have them, are gone before they can tell it.
+    /// A store misses claims. Soon after it returns, the others, which have these claims, are killed before it has
+    /// caught up.
     fn draw_left_behind(&mut self, stores: &[ProcessRef], left_behind: ProcessRef, at: Duration) {
         let lasts = self.seconds(LEFT_BEHIND);
         let fault = self.draw_absence();
         self.add(left_behind, fault, at, lasts);
-        let gone_at = at + lasts + self.seconds(CAUGHT_UP_FOR);
+        let killed_at = at + lasts + self.seconds(CAUGHT_UP_FOR);
         for process_ref in stores.iter().filter(|process_ref| **process_ref != left_behind) {
             let lasts = self.seconds(KILLED);
-            self.add(*process_ref, ProcessFault::Killed, gone_at, lasts);
+            self.add(*process_ref, ProcessFault::Killed, killed_at, lasts);
         }
     }
 
-    /// A store goes on alone, perhaps as the leader, and is lost at the moment in which the others go on.
+    /// A store continues alone, perhaps as the leader, and is killed at the moment when the others return.
     fn draw_went_on_alone(&mut self, stores: &[ProcessRef], alone: ProcessRef, at: Duration) {
         let lasts = self.seconds(WENT_ON_ALONE);
         let fault = self.draw_absence();
@@ -199,7 +205,8 @@
         self.add(alone, ProcessFault::Killed, at + lasts, killed_for);
     }
 
-    /// A store that was frozen finds in its sockets what it was sent meanwhile; one that was killed does not.
+    /// Chooses how a store is absent. A paused store finds in its sockets the messages that were sent meanwhile; a
+    /// killed one does not.
     fn draw_absence(&mut self) -> ProcessFault {
         if self.random.random_bool(0.5) {
             ProcessFault::Killed
@@ -216,7 +223,7 @@
         }
     }
 
-    /// Adds a fault unless the place has another one at the time.
+    /// Adds a fault, unless the process has another one at that time.
     fn add(&mut self, process_ref: ProcessRef, fault: ProcessFault, at: Duration, lasts: Duration) {
         let busy = self.busy.entry(process_ref).or_default();
         if busy.iter().any(|other| at < other.end && other.start < at + lasts) {
--- a/crates/local/src/upgrade/clients.rs
+++ b/crates/local/src/upgrade/clients.rs
@@ -1,4 +1,5 @@
-//! Clients who go where the directory sends them: searches, bookings, and a tenant past its limit.
+//! Clients that send searches, bookings and the requests of a tenant with a limit to the proxies that the directory
+//! lists.
 
 use crate::client::{resolve_edges, send_request};
 use std::net::SocketAddr;
@@ -7,33 +8,34 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long addresses are used before they are asked for again.
+/// For how long the addresses from a directory are used.
 const REFRESH: Duration = Duration::from_millis(500);
-/// How long a search is repeated until it is lost.
+/// For how long a search is repeated before it counts as lost.
 const PATIENCE: Duration = Duration::from_secs(5);
 
-/// What became of requests.
+/// The results of requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Counts {
-    /// How long each served search took, with its repetitions.
+    /// The duration of each served search, including its repetitions.
     pub(super) searches: Vec<Duration>,
-    /// Searches that were sent more than once.
+    /// Number of searches that were sent more than once.
     pub(super) repeated: usize,
-    /// Searches that were served nowhere in time.
+    /// Number of searches that no proxy served in time.
     pub(super) lost: usize,
-    /// Ids of all bookings, and of those that were answered with 200.
+    /// Ids of all bookings, and of those with a response 200.
     pub(super) bookings: Vec<String>,
     pub(super) confirmed: Vec<String>,
-    /// Requests of the tenant with a limit: served, past the limit, answered otherwise or not at all.
+    /// Numbers of requests of the tenant with a limit: served, refused because of the limit, and with any other
+    /// response or none.
     pub(super) limited_served: usize,
     pub(super) limited_refused: usize,
     pub(super) limited_failed: usize,
-    /// How long requests have been sent.
+    /// The time since the clients were started.
     pub(super) elapsed: Duration,
 }
 
 impl Counts {
-    /// What has come since an earlier state of the same.
+    /// The results since an earlier call, whose counts are `before`.
     pub(super) fn since(&self, before: &Counts) -> Counts {
         Counts {
             searches: self.searches[before.searches.len()..].to_vec(),
@@ -102,7 +104,7 @@
         Counts { elapsed: self.started.elapsed(), ..lock(&self.counts).clone() }
     }
 
-    /// Waits for the last requests' ends.
+    /// Waits for the last requests to end.
     pub(super) fn finish(mut self) -> Counts {
         self.stop();
         self.counts()
@@ -138,11 +140,11 @@
 }
 
 impl Client {
-    /// The next of the listed proxies; none where no directory lists any.
+    /// The next of the listed proxies; `None` if no directory lists any.
     fn next_proxy(&mut self) -> Option<SocketAddr> {
         if self.refreshed.is_none_or(|at| at.elapsed() > REFRESH) {
             let mut lists = self.directories.iter().map(|directory| resolve_edges(*directory, "west", "a"));
-            // Without an answer the old list goes on being used.
+            // Without a response, the previous list stays in use.
             if let Some(proxies) = lists.find(|list| !list.is_empty()) {
                 self.proxies = proxies;
                 self.refreshed = Some(Instant::now());
@@ -154,7 +156,7 @@
         self.proxies.first().copied()
     }
 
-    /// The status of the answer; 0: there is none.
+    /// Sends a request. Returns the status of the response; 0 if there is none.
     fn request(&mut self, id: &str, target: &str, key: &str, body: &[u8]) -> u16 {
         let Some(proxy) = self.next_proxy() else { return 0 };
         let fields = [
@@ -175,16 +177,16 @@
         }
     }
 
-    /// A search may be repeated, so it has to be served somewhere.
+    /// Searches are idempotent, so they are repeated until a proxy serves them.
     fn search(&mut self) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut tries = 0;
         let served = loop {
             tries += 1;
             if self.request(&new_id("search"), "/search/1", "key-1", b"") == 200 {
                 break true;
             }
-            if begun.elapsed() > PATIENCE {
+            if started.elapsed() > PATIENCE {
                 break false;
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -192,12 +194,12 @@
         let mut counts = lock(&self.counts);
         counts.repeated += usize::from(tries > 1);
         match served {
-            true => counts.searches.push(begun.elapsed()),
+            true => counts.searches.push(started.elapsed()),
             false => counts.lost += 1,
         }
     }
 
-    /// A booking is sent once, whatever comes of it.
+    /// A booking is sent only once, whatever the response.
     fn book(&mut self) {
         let id = new_id("booking");
         let status = self.request(&id, "/book/1", "key-1", b"one room");
--- a/crates/local/src/upgrade/mod.rs
+++ b/crates/local/src/upgrade/mod.rs
@@ -1,10 +1,11 @@
-//! A rolling upgrade of a whole system from one build to another, with orders and requests going on throughout.
+//! A rolling upgrade of a complete system from one build to another under load: an operator replaces and reads the
+//! configuration, and clients send requests throughout.
 //!
-//! One process after the other is ended by SIGTERM and started again from the other build. After each step the newest
-//! acknowledged configuration has to be served by every proxy, and an evacuation that was acknowledged has to hold. Each
-//! order has to be acknowledged, and each read has to give the newest acknowledged configuration or a newer one. No process
-//! may log a warning: a message that another build sent and that can't be decoded is one, also where the same came from
-//! another process as well.
+//! One process after the other is ended by SIGTERM and started again from the other build. After each step, every
+//! proxy has to serve the newest acknowledged configuration, and an acknowledged evacuation has to be in effect.
+//! Every command has to be acknowledged, and every read has to return the newest acknowledged configuration or a
+//! newer one. No process may log a warning. A message of another build that can't be decoded is logged as one, even
+//! if the same content also arrived from another process.
 
 mod clients;
 mod logs;
@@ -25,25 +26,25 @@
 use violetyoke_rig::runtime_thread::RuntimeThread;
 use violetyoke_rig::wait_until;
 
-/// How long a process may take to end after SIGTERM: the settings' `grace-s`, and a second for a busy machine.
+/// Time limit for a process to end after SIGTERM: the settings' `grace-s`, and a second for a busy machine.
 const GRACE: Duration = Duration::from_secs(7);
-/// How long a proxy may take until it serves an acknowledged configuration: the pages give 2.5 s.
+/// Time limit until a proxy serves an acknowledged configuration; the documentation promises 2.5 s.
 const APPLIED: Duration = Duration::from_secs(10);
 /// How long the system runs between two steps.
 const DWELL: Duration = Duration::from_secs(3);
-/// The zone that is evacuated and filled again in turn.
+/// The zone whose evacuation is started and finished in turn.
 const EVACUATED_ZONE: &str = "b";
-/// How long backends of an evacuated zone may still be sent requests: the pages give 5 s.
+/// Time limit until the backends of an evacuated zone get no more requests; the documentation promises 5 s.
 const EVACUATED: Duration = Duration::from_secs(5);
 const CORES: [Placement<'_>; 3] =
     [Placement::new("a", "west"), Placement::new("b", "west"), Placement::new("c", "west")];
 const EDGES: [Placement<'_>; 2] = [Placement::new("a", "west"), Placement::new("a", "west")];
-/// The service and zone of each backend. The annex is in the evacuated zone alone, so its answers tell whether that zone
-/// is used.
+/// The service and zone of each backend. The annex has backends only in the evacuated zone, so its responses show
+/// whether that zone is in use.
 const PLACED: [(&str, &str); 5] =
     [("finder", "a"), ("finder", "b"), ("ledger", "a"), ("ledger", "b"), ("annex", EVACUATED_ZONE)];
 
-/// A system that is upgraded, and those who use it meanwhile.
+/// A system that is upgraded, with its operator and clients.
 pub struct Rehearsal {
     system: System,
     backends: Vec<Backend>,
@@ -51,15 +52,14 @@
     clients: Clients,
     logs: Logs,
     evacuated: bool,
-    // Last: the platform and the backends run on it.
+    // Last, because the platform and the backends run on it.
     _runtime: RuntimeThread,
 }
 
 impl Rehearsal {
     /// Starts three stores, three registries and two proxies of one build, and the load on them.
     ///
-    /// # Errors
-    /// Where a process does not start, or the system does not serve within 20 s.
+    /// If a process does not start, or the system does not serve within 20 s.
     pub fn start(programs: &Programs) -> io::Result<Rehearsal> {
         let runtime = RuntimeThread::start()?;
         let platform = Platform::start(runtime.handle())?;
@@ -96,15 +96,14 @@
         })
     }
 
-    /// Replaces one process, lets the system run for a while, and checks what has to hold.
+    /// Replaces one process, lets the system run for 3 s, and checks the rules.
     ///
-    /// # Errors
-    /// Where the process does not end after SIGTERM, or the new one does not start.
+    /// If the process does not end after SIGTERM, or the new one does not start.
     pub fn step(&mut self, process_ref: ProcessRef, to: &Programs, name: String) -> io::Result<StepReport> {
         let (counts, orders) = (self.clients.counts(), self.operator.orders());
-        let begun = Instant::now();
+        let started = Instant::now();
         let ended = self.system.replace(process_ref, to, GRACE)?;
-        let replaced = begun.elapsed();
+        let replaced = started.elapsed();
         let mut faults = self.logs.warnings_of_ended(process_ref, &ended);
         faults.extend(self.toggle_evacuation());
         std::thread::sleep(DWELL);
@@ -122,7 +121,7 @@
         })
     }
 
-    /// Orders the evacuation of a zone, or its end.
+    /// Begins the evacuation of a zone, or finishes it.
     fn toggle_evacuation(&mut self) -> Vec<String> {
         self.evacuated = !self.evacuated;
         let verb = if self.evacuated { "begin" } else { "finish" };
@@ -133,7 +132,7 @@
         fault.into_iter().collect()
     }
 
-    /// Proxies use the zone's backends where it is not evacuated, and only there.
+    /// Checks that proxies use the zone's backends if and only if the zone is not evacuated.
     fn evacuation_holds(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for edge in &self.system.edges {
@@ -147,18 +146,18 @@
         faults
     }
 
-    /// How long it takes until every proxy serves the newest acknowledged configuration.
+    /// Waits until every proxy serves the newest acknowledged configuration. Returns how long that took.
     fn newest_is_served(&mut self, faults: &mut Vec<String>) -> Duration {
         let version = self.operator.orders().newest;
-        let begun = Instant::now();
+        let started = Instant::now();
         let path = operator::path_of(version);
         for edge in &self.system.edges {
-            // The routes of the versions before are in force as well: another order may come meanwhile.
+            // The routes of earlier versions are also in force, because another command may be applied meanwhile.
             if !wait_until(APPLIED, || probe(edge, &path) == 200) {
                 faults.push(format!("{} does not serve version {version}", edge.name));
             }
         }
-        begun.elapsed()
+        started.elapsed()
     }
 
     fn ended_processes(&mut self) -> Vec<String> {
@@ -172,7 +171,7 @@
         faults
     }
 
-    /// Ends the load and says what was lost.
+    /// Ends the load and reports the results.
     pub fn finish(self) -> Report {
         let orders = self.operator.finish();
         let counts = self.clients.finish();
@@ -184,7 +183,7 @@
     }
 }
 
-/// The status of one more request to a proxy; 0: there is no answer.
+/// Sends a request to a proxy and returns the status; 0 if there is no response.
 fn probe(edge: &EdgeMachine, path: &str) -> u16 {
     let id = clients::new_id("probe");
     let fields = [
--- a/crates/local/src/upgrade/operator.rs
+++ b/crates/local/src/upgrade/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who replaces the configuration again and again, and reads it back after each acknowledgement.
+//! An operator that replaces the configuration repeatedly, and reads it back after each acknowledgement.
 
 use crate::client::send_command;
 use serde_json::{json, Value};
@@ -13,10 +13,11 @@
 const REPLACE: &str = "/api/rpc?call=configuration.replace";
 const READ: &str = "/api/rpc?call=configuration.read";
 const PAUSE: Duration = Duration::from_millis(200);
-/// Versions whose routes are in force at once, so that one that was acknowledged can still be probed after the next.
+/// Number of versions whose routes are in force at once, so that an acknowledged version can still be probed after
+/// the next one.
 const ROUTES: u64 = 60;
 
-/// The path of the service that has backends in one zone alone.
+/// The path of the service that has backends only in one zone.
 pub(super) const ANNEX: &str = "/annex/";
 
 /// The path that only configurations from `version` on serve.
@@ -24,13 +25,13 @@
     format!("/versions/{version}/")
 }
 
-/// Requests a second, and at once, of the tenant with a limit.
+/// The rate limit (requests per second) and the burst of the tenant with a limit.
 const LIMIT: (f64, f64) = (20.0, 20.0);
-/// What the settings allow beyond the limit: `quota-overshoot`, and `quota-slack` requests.
+/// What the settings allow beyond the limit: the fraction `quota-overshoot`, and `quota-slack` requests.
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
 
-/// The most requests of the tenant with a limit that may be served in a time.
+/// Maximum number of requests of the tenant with a limit that may be served in a time.
 pub(super) fn allowed(elapsed: Duration) -> f64 {
     let (rate, burst) = LIMIT;
     (1.0 + OVERSHOOT) * (rate * elapsed.as_secs_f64() + burst) + SLACK
@@ -57,20 +58,20 @@
     })
 }
 
-/// What became of orders and reads.
+/// The results of commands and reads.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Orders {
     /// The newest version that was acknowledged.
     pub(super) newest: u64,
-    /// How long each order took until it was acknowledged.
+    /// The time from sending each command to its acknowledgement.
     pub(super) acknowledged: Vec<Duration>,
     pub(super) reads: usize,
-    /// Orders and reads that were answered otherwise than they have to be.
+    /// Commands and reads with a wrong response or none.
     pub(super) faults: Vec<String>,
 }
 
 impl Orders {
-    /// What has come since an earlier state of the same.
+    /// The results since an earlier call, whose results are `before`.
     pub(super) fn since(&self, before: &Orders) -> Orders {
         Orders {
             newest: self.newest,
@@ -85,7 +86,7 @@
     }
 }
 
-/// Runs on a thread of its own until it is finished or dropped.
+/// An operator on its own thread, until it is finished or dropped.
 pub(super) struct Operator {
     orders: Arc<Mutex<Orders>>,
     stopped: Arc<AtomicBool>,
@@ -97,10 +98,9 @@
 }
 
 impl Operator {
-    /// Begins once the first configuration is acknowledged.
+    /// Starts the operator once the first configuration is acknowledged.
     ///
-    /// # Errors
-    /// Where it is not, within the 20 s that an order is repeated for.
+    /// If it is not acknowledged within the 20 s for which a command is repeated.
     pub(super) fn start(controls: Vec<SocketAddr>) -> io::Result<Operator> {
         let mut work = Work { controls, version: 0, texts: BTreeMap::new(), orders: Arc::default() };
         let orders = work.orders.clone();
@@ -124,7 +124,7 @@
         lock(&self.orders).clone()
     }
 
-    /// Waits for the last order's end.
+    /// Waits for the last command to end.
     pub(super) fn finish(mut self) -> Orders {
         self.stop();
         self.orders()
@@ -149,13 +149,13 @@
 struct Work {
     controls: Vec<SocketAddr>,
     version: u64,
-    /// What was sent under each version.
+    /// The text that was sent under each version.
     texts: BTreeMap<u64, String>,
     orders: Arc<Mutex<Orders>>,
 }
 
 impl Work {
-    /// The registries, from another one on each time.
+    /// The registries, starting with another one on each call.
     fn rotate(&mut self) -> &[SocketAddr] {
         self.controls.rotate_left(1);
         &self.controls
@@ -165,12 +165,12 @@
         self.version += 1;
         let (version, text) = (self.version, configuration(self.version).to_string());
         self.texts.insert(version, text.clone());
-        let begun = Instant::now();
+        let started = Instant::now();
         let status = send_command(self.rotate(), REPLACE, text.as_bytes()).map(|answer| answer.status());
         let mut orders = lock(&self.orders);
         match status {
             Some(200) => {
-                orders.acknowledged.push(begun.elapsed());
+                orders.acknowledged.push(started.elapsed());
                 orders.newest = version;
             }
             other => orders.faults.push(format!("version {version} was answered {other:?}")),
@@ -191,7 +191,7 @@
         orders.faults.extend(fault);
     }
 
-    /// A read gives the text of the newest acknowledged version, or of one that was sent since.
+    /// The fault of a read that returns neither the text of the newest acknowledged version nor that of a newer one.
     fn fault_of(&self, newest: u64, text: &str) -> Option<String> {
         let value: Value = serde_json::from_str(text).unwrap_or_default();
         match value["version"].as_u64() {
--- a/crates/local/src/upgrade/report.rs
+++ b/crates/local/src/upgrade/report.rs
@@ -1,17 +1,17 @@
-//! What a rehearsal has found, step by step and in all.
+//! The results of a rehearsal, for each step and in total.
 
 use super::clients::Counts;
 use super::operator::{self, Orders};
 use std::fmt;
 use std::time::Duration;
 
-/// One process replaced, and what came of orders and requests until the next step.
+/// The replacement of one process, and the results of commands and requests until the next step.
 pub struct StepReport {
-    /// The process and the build that it was replaced by.
+    /// The replaced process, and the build that replaced it.
     pub name: String,
-    /// From SIGTERM until the new process was started.
+    /// The time from SIGTERM until the new process was started.
     pub replaced: Duration,
-    /// Until every proxy served the newest acknowledged configuration.
+    /// The time until every proxy served the newest acknowledged configuration.
     pub applied: Duration,
     pub(super) orders: Orders,
     pub(super) counts: Counts,
@@ -24,7 +24,7 @@
         "step                       end ms  apply ms  orders slowest  reads  searches \
                                       again slowest lost  bookings ok  limited 200 429 other";
 
-    /// What is wrong; nothing, where all that was acknowledged holds and requests were served.
+    /// The violations of rules; empty if all acknowledged commands are in effect and requests were served.
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> = self.faults.iter().chain(&self.orders.faults).cloned().collect();
         let served = [
@@ -68,29 +68,29 @@
     }
 }
 
-/// The whole rehearsal.
+/// The results of the complete rehearsal.
 pub struct Report {
-    /// Replacements of the configuration that were acknowledged.
+    /// Number of acknowledged replacements of the configuration.
     pub acknowledged: usize,
-    /// Reads of the configuration, each after a replacement.
+    /// Number of reads of the configuration, each after a replacement.
     pub reads: usize,
-    /// Replacements and reads that were answered otherwise than they have to be.
+    /// Replacements and reads with a wrong response or none.
     pub order_faults: Vec<String>,
-    /// Searches that were served.
+    /// Number of searches that were served.
     pub searches: usize,
-    /// Searches that were served nowhere in time.
+    /// Number of searches that no proxy served in time.
     pub searches_lost: usize,
-    /// All bookings; each is sent once.
+    /// Number of bookings; each is sent once.
     pub bookings: usize,
-    /// Bookings that were answered with 200.
+    /// Number of bookings with a response 200.
     pub bookings_confirmed: usize,
-    /// Bookings that ran more than once.
+    /// Number of bookings that were executed more than once.
     pub bookings_repeated: usize,
-    /// Bookings that were answered with 200 and ran nowhere.
+    /// Number of bookings with a response 200 that were never executed.
     pub bookings_missing: usize,
-    /// Requests of the tenant with a limit that were served.
+    /// Number of served requests of the tenant with a limit.
     pub limited_served: usize,
-    /// The most of them that the limit allows in the time.
+    /// Maximum number of such requests that the limit allows in the time.
     pub limited_allowed: f64,
 }
 
