--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 messages as they are on the wire, read without a library: a test must see what was really sent.
+//! HTTP/1.1 messages as they are on the wire. They are read without a library, so that a test sees what was really
+//! sent.
 
 use std::collections::HashMap;
 use std::io::BufRead;
@@ -8,20 +9,20 @@
 pub struct HttpMessage {
     /// The request line or the status line, without its end.
     pub start_line: String,
-    /// Values by the names of their fields in lower case; the last one of several.
+    /// Values by header names in lower case; of several fields with the same name, the last one.
     pub headers: HashMap<String, String>,
     /// The body, without the framing of chunks.
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// The status code of a response; 0 where the first line has none.
+    /// The status code of a response; 0 if the first line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message; none at the end of the stream, in the middle of a message, or for a malformed one.
+/// Reads one message. Returns `None` at the end of the stream, even within a message, and for a malformed message.
 pub fn read_http(reader: &mut impl BufRead) -> Option<HttpMessage> {
     let mut line = String::new();
     let mut message = HttpMessage::default();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,13 +1,15 @@
-//! Stubs for what an ingress talks to, each as a library for tests and as a subcommand of `violetyoke-standin`.
+//! Stubs of the processes that an ingress communicates with, each as a library for tests and as a subcommand of
+//! `violetyoke-standin`.
 //!
-//! - [`node`] does work with workers and a queue, and fails on request; [`scripted`] replies with bytes that a test chooses.
+//! - [`node`] executes requests with workers and a queue, and fails on request; [`scripted`] replies with bytes that a test
+//!   chooses.
 //! - [`discovery`] serves a list of nodes and a watch on its changes.
-//! - [`counter`] adds numbers over RESP2; [`rate_limit_server`] is an outside rate limit server over gRPC.
+//! - [`counter`] adds numbers over RESP2; [`rate_limit_server`] is an external rate limit server over gRPC.
 //! - [`sink`] receives the fleet's reports and probes, and records them in order.
 //! - [`http`] reads HTTP messages as they are on the wire.
 //!
-//! They listen on loopback addresses only, run on threads that end with the process, and keep everything in memory. They are
-//! made for tests and demonstrations: no deployed program uses them.
+//! The stubs listen on loopback addresses only, run on threads that end with the process, and keep everything in
+//! memory. They are for tests and demonstrations: no deployed program uses them.
 
 pub mod counter;
 pub mod discovery;
@@ -39,13 +41,13 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Locks it also after a panic of another thread: stubs keep no state that a panic leaves half changed.
+/// Locks a mutex even if another thread has panicked while holding it: a panic leaves no stub's state partly changed.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The peer sees a reset and not an orderly close, once the stream is dropped.
+/// Makes the peer see a reset instead of an orderly close when the stream is dropped.
 fn reset_on_drop(stream: &TcpStream) {
-    // It fails only for a socket that is closed already.
+    // Setting the option fails only for a socket that is closed already.
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap_or_default();
 }
--- a/crates/standin/src/node/connection.rs
+++ b/crates/standin/src/node/connection.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::sync::PoisonError;
 
-/// The head of a response with what differs from others.
+/// The parts of a response's head that differ between responses.
 struct Head {
     status: &'static str,
     /// Header fields, each ended by CRLF.
@@ -43,18 +43,19 @@
                 }
             }
         }
-        // The peer sends no more, but may still read what has been written: the connection stays until it ends it.
+        // The peer sends no more requests, but may still read responses: the connection stays open until the peer
+        // closes it.
         reader.read(&mut [0; 1]).map(drop)
     }
 
-    /// Records a complete request; the fault that applies to it.
+    /// Records a complete request. Returns the fault that applies to it.
     fn record(&self, id: &str) -> Fault {
         let mut state = lock(&self.state);
         state.received.push(id.to_string());
         state.fault
     }
 
-    /// Nobody reads on meanwhile: that a peer gives up is noticed only afterwards.
+    /// Waits until the fault ends. The connection is not read meanwhile, so that its end is noticed only afterwards.
     fn wait_for_end_of_hang(&self) {
         let waited = self.changed.wait_while(lock(&self.state), |state| state.fault == Fault::Hang);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
--- a/crates/standin/src/node/fault.rs
+++ b/crates/standin/src/node/fault.rs
@@ -5,10 +5,10 @@
 /// How a node fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Declines every request without working on it.
+    /// Declines every request without executing it.
     Decline,
     /// Accepts requests and never responds.
     Hang,
@@ -16,13 +16,13 @@
     Reset,
     /// Responds with bytes that are not HTTP.
     Spoil,
-    /// Does the work and responds 500.
+    /// Executes requests and responds with 500.
     Error,
     /// Resets new connections, as a port without a listener refuses them.
     Closed,
 }
 
-/// A name that is none of a fault.
+/// A name of no fault.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is none of none, decline, hang, reset, spoil, error, closed")]
 pub struct UnknownFault(pub String);
--- a/crates/standin/src/node/mod.rs
+++ b/crates/standin/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node that does work: workers, a queue before them, a set time for each request, slow start, and faults that a test or an
+//! A node that executes requests: workers, a queue, a fixed service time, slow start, and faults that a test or an
 //! operator injects.
 
 mod connection;
@@ -14,20 +14,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a node is like.
+/// The capacity and speed of a node.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Requests worked on at once.
+    /// Number of requests that are executed at once.
     pub workers: usize,
-    /// Requests that may wait for a worker; more are declined.
+    /// Maximum number of requests that wait for a worker; further ones are declined.
     pub queue: usize,
-    /// How long a worker takes for a request at full speed.
+    /// The time that a worker takes for a request at full speed.
     pub service: Duration,
-    /// The part of its full speed that it starts with, from 0 (excluded) to 1.
+    /// The fraction of its full speed at which the node starts, from 0 (excluded) to 1.
     pub initial_speed: f64,
-    /// How long after its start it reaches full speed.
+    /// The time from the start until the node reaches full speed.
     pub slow_start: Duration,
-    /// Bodies of successful responses are filled up to this many bytes.
+    /// Minimum size of the bodies of successful responses, which are padded to it.
     pub min_body_bytes: usize,
 }
 
@@ -49,16 +49,16 @@
 pub struct Execution {
     /// The request's `Req-Id`.
     pub id: String,
-    /// When the work began.
+    /// When the execution started.
     pub started: Instant,
 }
 
-/// Requests that wait or are worked on.
+/// Number of requests that wait or are executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlight {
     /// Now.
     pub now: usize,
-    /// The most so far.
+    /// The maximum so far.
     pub peak: usize,
 }
 
@@ -74,7 +74,7 @@
     shape: Shape,
     name: String,
     state: Mutex<State>,
-    /// A worker is free, or the fault has changed.
+    /// Signals that a worker is free, or that the fault has changed.
     changed: Condvar,
 }
 
@@ -119,7 +119,7 @@
                 lock(&shared.state).connections += 1;
                 let shared = Arc::clone(&shared);
                 thread::spawn(move || {
-                    // A failed connection has ended like any other: its requests are recorded already.
+                    // Errors are ignored: the requests of a failed connection have been recorded.
                     shared.serve(stream).unwrap_or_default();
                     lock(&shared.state).connections -= 1;
                 });
@@ -128,13 +128,13 @@
         Ok(Node { address, server })
     }
 
-    /// Fails like this from now on. Requests that hang end with a reset once the fault does.
+    /// Sets the fault from now on. Requests that hang end with a reset when the fault does.
     pub fn inject(&self, fault: Fault) {
         lock(&self.server.state).fault = fault;
         self.server.changed.notify_all();
     }
 
-    /// Begins its slow start anew, as after a restart.
+    /// Begins the slow start again, as after a restart.
     pub fn restart(&self) {
         lock(&self.server.state).started = Instant::now();
     }
--- a/crates/standin/src/node/work.rs
+++ b/crates/standin/src/node/work.rs
@@ -1,4 +1,4 @@
-//! Workers and the queue before them.
+//! The workers of a node, and their queue.
 
 use super::{Execution, Server};
 use crate::lock;
@@ -6,11 +6,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The queue is full.
+/// The request was declined, because the queue is full.
 pub(super) struct Declined;
 
 impl Server {
-    /// Waits for a worker, and works on the request for its service time.
+    /// Waits for a worker, and executes the request for its service time.
     pub(super) fn execute(&self, id: &str) -> Result<(), Declined> {
         self.acquire_worker()?;
         lock(&self.state).executions.push(Execution { id: id.to_string(), started: Instant::now() });
@@ -41,7 +41,7 @@
         self.changed.notify_all();
     }
 
-    /// How long a request takes now: speed rises evenly from the initial speed to full speed.
+    /// The present service time of a request. The speed rises linearly from the initial speed to full speed.
     fn service_time(&self) -> Duration {
         let shape = &self.shape;
         let age = lock(&self.state).started.elapsed();
--- a/crates/standin/src/rate_limit_server/behavior.rs
+++ b/crates/standin/src/rate_limit_server/behavior.rs
@@ -1,4 +1,4 @@
-//! How the server answers calls, and the names of that on the command line.
+//! How the server answers calls, and the names of these behaviors on the command line.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     Silent,
     /// Answers UNAVAILABLE and counts nothing.
     Error,
-    /// Answers a code that is neither OK nor OVER_LIMIT, and counts nothing.
+    /// Answers with a code that is neither OK nor OVER_LIMIT, and counts nothing.
     UnknownCode,
     /// Admits every call.
     AdmitAll,
@@ -26,10 +26,10 @@
 /// A text that names no behavior.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownBehavior {
-    /// The time of a delay is no number.
+    /// The time of a delay is not a number.
     #[error("{0:?} is no number of milliseconds")]
     Delay(String),
-    /// None of the names.
+    /// The text is none of the names.
     #[error("{0:?} is none of answer, delay MS, silent, error, garble, lenient, strict")]
     Name(String),
 }
--- a/crates/standin/src/rate_limit_server/counting.rs
+++ b/crates/standin/src/rate_limit_server/counting.rs
@@ -1,4 +1,4 @@
-//! The service that counts.
+//! The rate limit service that counts calls.
 
 use super::{Behavior, Entries, ReceivedCall, State, Window};
 use crate::lock;
@@ -12,7 +12,7 @@
 /// The decision on a call.
 struct Decision {
     is_admitted: bool,
-    /// Until the last of its descriptors' windows ends.
+    /// The time until the windows of all its descriptors have ended.
     until_reset: Duration,
 }
 
--- a/crates/standin/src/rate_limit_server/minimal.rs
+++ b/crates/standin/src/rate_limit_server/minimal.rs
@@ -1,4 +1,4 @@
-//! A server that does as little as possible: it shows what a call costs at least.
+//! A server that does as little as possible, to measure the minimum cost of a call.
 
 use crate::listen;
 use std::io;
@@ -11,8 +11,8 @@
 use tonic::{Request, Response, Status};
 use violetyoke_ratelimit_proto as proto;
 
-/// Starts a server on tonic's own transport that answers OK to every call, and neither counts nor records; returns where it
-/// listens. Its thread ends with the process.
+/// Starts a server on tonic's own transport that answers OK to every call, and neither counts nor records calls.
+/// Returns its address. Its thread ends with the process.
 ///
 /// # Errors
 /// Those of the listener and of the runtime.
--- a/crates/standin/src/rate_limit_server/mod.rs
+++ b/crates/standin/src/rate_limit_server/mod.rs
@@ -1,5 +1,5 @@
-//! An outside rate limit server (`envoy.service.ratelimit.v3`): it counts each descriptor in fixed windows, records the calls,
-//! and misbehaves on request.
+//! A stub of an external rate limit server (`envoy.service.ratelimit.v3`). It counts each descriptor in fixed
+//! windows, records the calls, and misbehaves on request.
 
 mod behavior;
 mod counting;
@@ -32,24 +32,24 @@
 /// A call that the server has received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedCall {
-    /// When.
+    /// When it was received.
     pub at: Instant,
     /// The domain.
     pub domain: String,
     /// The entries of its first descriptor.
     pub entries: Entries,
-    /// How many units it asks for.
+    /// The number of units that it requests.
     pub units: u64,
-    /// Whether its units were counted: not if it was over the limit, nor if the behavior says so.
+    /// Whether its units were counted. They are not if the call was over the limit, or if the behavior excludes it.
     pub is_counted: bool,
 }
 
-/// What open connections are told.
+/// How open connections are to be closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Closing {
     #[default]
     None,
-    /// Finish calls that have come, and accept no more: GOAWAY.
+    /// GOAWAY: received calls are finished, and no new ones are accepted.
     Graceful,
     Abrupt,
 }
@@ -80,7 +80,7 @@
 }
 
 impl RateLimitServer {
-    /// Starts it with `limit` units of each descriptor in each window.
+    /// Starts a server that admits `limit` units of each descriptor in each window.
     ///
     /// # Errors
     /// Those of the listener and of the runtime.
@@ -106,12 +106,12 @@
         Ok(server)
     }
 
-    /// Behaves like this from now on.
+    /// Sets the behavior from now on.
     pub fn set(&self, behavior: Behavior) {
         *lock(&self.state.behavior) = behavior;
     }
 
-    /// Ends all connections that are open now by GOAWAY: calls that have come are answered.
+    /// Ends all connections that are open now by GOAWAY: received calls are answered.
     pub fn close_gracefully(&self) {
         self.state.closing.send_replace(Closing::Graceful);
     }
@@ -121,12 +121,12 @@
         self.state.closing.send_replace(Closing::Abrupt);
     }
 
-    /// All calls so far, in their order.
+    /// All calls so far, in order.
     pub fn received(&self) -> Vec<ReceivedCall> {
         lock(&self.state.received).clone()
     }
 
-    /// How many connections have been opened.
+    /// The number of connections opened so far.
     pub fn connections(&self) -> u64 {
         *lock(&self.state.connections)
     }
@@ -140,7 +140,7 @@
         stream.set_nodelay(true)?;
         *lock(&state.connections) += 1;
         let mut closing = state.closing.subscribe();
-        // Only what is sent from now on concerns this connection.
+        // Only changes from now on apply to this connection.
         closing.mark_unchanged();
         tokio::task::spawn_local(serve(stream, service.clone(), closing));
     }
@@ -160,7 +160,7 @@
     let mut connection = pin!(connection);
     loop {
         tokio::select! {
-            // However it has ended: calls are recorded as they come.
+            // The result is not needed: calls are recorded when they arrive.
             _ = connection.as_mut() => return,
             changed = closing.changed() => {
                 let now = *closing.borrow_and_update();
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,4 +1,4 @@
-//! A node whose every reply is chosen by a test, to the byte.
+//! A node whose replies are chosen by a test, byte by byte.
 
 use crate::http::{read_http, HttpMessage};
 use crate::{any_port, listen, lock};
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long after the first bytes of [`Reply::Later`] the others are written.
+/// The time between the two parts of a [`Reply::Later`].
 const LATER: Duration = Duration::from_millis(5);
 
 /// What a scripted node does with a request.
@@ -19,35 +19,35 @@
     Raw(Vec<u8>),
     /// Writes these bytes and closes.
     Close(Vec<u8>),
-    /// Writes the first bytes, and the others 5 ms later.
+    /// Writes the first part, and the second part 5 ms later.
     Later(Vec<u8>, Vec<u8>),
-    /// Writes these one by one with a pause after each.
+    /// Writes these pieces one by one, with a pause after each.
     Pieces {
         /// The bytes to write.
         pieces: Vec<Vec<u8>>,
         /// The time after each.
         pause: Duration,
-        /// Whether the connection is closed then.
+        /// Whether the connection is closed after the last piece.
         closes: bool,
     },
-    /// Writes nothing, and holds the connection until the peer ends it or sends more.
+    /// Writes nothing, and keeps the connection open until the peer closes it or sends more.
     Hold,
 }
 
-/// A complete response 200 with this body.
+/// A complete response with status 200 and this body.
 pub fn ok(body: &[u8]) -> Reply {
     let mut bytes = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
     Reply::Raw(bytes)
 }
 
-/// This text as it is.
+/// A reply of exactly this text.
 pub fn raw(text: &str) -> Reply {
     Reply::Raw(text.as_bytes().to_vec())
 }
 
-/// The key of an entry that is added to the headers of each request: its number on its connection, from 1. No header that
-/// was sent can have this name, as it has spaces.
+/// The key of an entry that is added to the headers of each request: the number of the request on its connection,
+/// from 1. It can't be the name of a received header, because it contains spaces.
 pub const NTH: &str = "nth of its connection";
 
 /// A running scripted node; its threads end with the process.
@@ -68,7 +68,7 @@
 }
 
 impl Backend {
-    /// Starts it on any port; the script is called for each request, one at a time.
+    /// Starts the node on any port. The script is called for each request, one at a time.
     ///
     /// # Panics
     /// When it cannot listen on a loopback address.
@@ -89,7 +89,7 @@
                 shared.connections.fetch_add(1, Ordering::SeqCst);
                 let shared = Arc::clone(&shared);
                 thread::spawn(move || {
-                    // A failed connection has ended, which is all that is counted.
+                    // Errors are ignored: only the end of the connection is counted.
                     shared.serve(stream).unwrap_or_default();
                     shared.ended_connections.fetch_add(1, Ordering::SeqCst);
                 });
@@ -98,17 +98,17 @@
         Backend { address, state }
     }
 
-    /// All requests so far, in their order.
+    /// All requests so far, in order.
     pub fn requests(&self) -> Vec<HttpMessage> {
         lock(&self.state.requests).clone()
     }
 
-    /// How many requests have come.
+    /// The number of requests so far.
     pub fn request_count(&self) -> usize {
         lock(&self.state.requests).len()
     }
 
-    /// How many connections have been opened.
+    /// The number of connections opened so far.
     pub fn connections(&self) -> u32 {
         self.state.connections.load(Ordering::SeqCst)
     }
@@ -118,7 +118,7 @@
         self.state.late_replies.load(Ordering::SeqCst)
     }
 
-    /// How many connections have ended, whoever ended them.
+    /// The number of connections that were ended by either side.
     pub fn ended_connections(&self) -> u32 {
         self.state.ended_connections.load(Ordering::SeqCst)
     }
@@ -134,8 +134,8 @@
             request.headers.insert(NTH.into(), number.to_string());
             lock(&self.requests).push(request.clone());
             let reply = (lock(&self.script))(&request);
-            // A peer may have gone before the reply, and its requests still count: failed writes do not end the loop, the
-            // next read does.
+            // Failed writes are ignored, because the peer may have closed the connection: its requests still count,
+            // and the next read ends the loop.
             match reply {
                 Reply::Raw(bytes) => stream.write_all(&bytes).unwrap_or_default(),
                 Reply::Close(bytes) => return stream.write_all(&bytes),
--- a/crates/standin/src/sink.rs
+++ b/crates/standin/src/sink.rs
@@ -1,5 +1,5 @@
-//! A receiver of the fleet's reports and probes. It accepts each span of a shard once and in order, refuses effects of epochs
-//! older than the newest it has seen, and records everything it receives in order.
+//! A receiver of the fleet's reports and probes. It accepts each span of a shard once and in order, rejects effects
+//! of epochs older than the newest one that it has seen, and records everything that it receives in order.
 
 use crate::http::{read_http, HttpMessage};
 use crate::{listen, lock};
@@ -12,7 +12,7 @@
 use std::time::Instant;
 use violetyoke_ownership::{Epoch, FencingGuard, ShardId};
 
-/// A report or probe that the sink has received. `GET /history?from=NUMBER` returns them from that place on.
+/// A report or probe that the sink has received. `GET /history?from=NUMBER` returns them from that index on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedEffect {
     /// Microseconds since the start of the sink.
@@ -23,31 +23,31 @@
     pub epoch: u64,
     /// The sender's name.
     pub owner: String,
-    /// The number of the reported span; none: a probe.
+    /// The number of the reported span; `None` for a probe.
     pub span: Option<u64>,
-    /// Tries by tenant in the span.
+    /// Attempts by tenant in the span.
     pub tries: Value,
-    /// What the sink made of it.
+    /// The sink's decision on the effect.
     pub verdict: Verdict,
 }
 
-/// What the sink made of an effect.
+/// The sink's decision on an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// New, and in order.
+    /// Accepted: the effect is new and in order.
     Accepted,
     /// The span has been accepted before.
     Duplicate,
-    /// Refused: a newer epoch has been seen.
+    /// Rejected: a newer epoch has been seen.
     Stale,
-    /// Refused: spans before it are missing.
+    /// Rejected: spans before it are missing.
     Gap,
 }
 
 impl Verdict {
     const ALL: [Verdict; 4] = [Verdict::Accepted, Verdict::Duplicate, Verdict::Stale, Verdict::Gap];
 
-    /// Its name in the history.
+    /// The name of the decision in the history.
     fn name(self) -> &'static str {
         match self {
             Verdict::Accepted => "taken",
@@ -87,7 +87,7 @@
     body: Value,
 }
 
-/// The effect that a request carries.
+/// The effect in a request.
 struct Effect {
     shard: ShardId,
     epoch: u64,
@@ -100,7 +100,7 @@
 struct InvalidField(&'static str);
 
 impl Sink {
-    /// Starts it. Without fencing it accepts effects of older epochs, which is a fault for tests to find.
+    /// Starts the sink. Without fencing it accepts effects of older epochs, a fault that tests have to find.
     ///
     /// # Errors
     /// Those of the listener.
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// The received effects from the place that the query begins with.
+    /// The received effects from the index on with which the query begins.
     fn history(&self, query: &str) -> Response {
         let from = query.split(' ').next().and_then(|from| from.parse().ok()).unwrap_or(0);
         let state = lock(&self.state);
@@ -192,7 +192,7 @@
         };
         let epoch = header("vy-epoch").and_then(|text| text.parse::<u64>().ok()).filter(|epoch| *epoch > 0);
         let epoch = epoch.ok_or(InvalidField("vy-epoch"))?;
-        // A probe has no body; a report whose body is no JSON has no span, and is refused for that.
+        // A probe has no body. A report whose body is not JSON has no span, and is rejected for that.
         let body: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
         let span = body["span"].as_u64();
         if span.is_none() && !request.start_line.starts_with("GET ") {
@@ -211,7 +211,7 @@
     })
 }
 
-/// Decodes the response of `GET /history`; none if it is malformed.
+/// Decodes the response of `GET /history`; `None` if it is malformed.
 pub fn parse(history: &Value) -> Option<Vec<ReceivedEffect>> {
     let decode = |effect: &Value| {
         Some(ReceivedEffect {
--- a/crates/standin/tests/node.rs
+++ b/crates/standin/tests/node.rs
@@ -30,7 +30,7 @@
     stream
 }
 
-/// Whether the node resets the connection of a request, be it before all of the request is written or after.
+/// Whether the node resets the connection of a request, before or after the complete request is written.
 fn is_reset(address: SocketAddr, id: usize) -> bool {
     let mut stream = connect(address);
     let ended = write_request(&mut stream, id).and_then(|()| stream.read(&mut [0; 1]));
@@ -83,7 +83,7 @@
         assert_eq!(call(node.address, 1).unwrap().status(), 200);
         began.elapsed()
     };
-    // At a quarter to a half of its speed.
+    // The node works at a quarter to a half of its full speed.
     assert!(time() >= Duration::from_millis(40));
     wait_until(|| time() < Duration::from_millis(35));
     node.restart();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn each_fault_shows_as_its_name_says_until_it_ends() {
+fn each_fault_has_its_effect_until_it_ends() {
     let node = node(Shape::default());
     node.inject(Fault::Decline);
     assert_eq!(call(node.address, 1).unwrap().headers["srv-declined"], "1");
@@ -111,7 +111,7 @@
     assert!([io::ErrorKind::WouldBlock, io::ErrorKind::TimedOut].contains(&silent.kind()));
     node.inject(Fault::None);
     assert_eq!(call(node.address, 6).unwrap().status(), 200);
-    // Declined, spoilt, reset and hung requests were not worked on.
+    // Requests that were declined, reset, left hanging or answered with invalid bytes were not executed.
     assert_eq!(node.executed(), ["r2", "r6"]);
 }
 
