--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -1,10 +1,10 @@
-//! Checks of what a sink has received. Pure functions: the same history gives the same findings.
+//! Checks of the history of a sink. They are pure functions: the same history gives the same results.
 
 use std::collections::{BTreeMap, BTreeSet};
 use violetyoke_ownership::ShardId;
 use violetyoke_standin::sink::{ReceivedEffect, Verdict};
 
-/// Effects of an older epoch that the sink let through after one of a newer epoch of the same shard.
+/// Effects of an older epoch that the sink accepted after an effect of a newer epoch of the same shard.
 pub fn accepted_after_newer(history: &[ReceivedEffect]) -> Vec<&ReceivedEffect> {
     let mut newest: BTreeMap<&ShardId, u64> = BTreeMap::new();
     let mut found = Vec::new();
@@ -18,7 +18,7 @@
     found
 }
 
-/// Effects that the sink refused as stale, without those of epochs whose actions the test itself has delayed.
+/// Effects that the sink rejected as stale, except those of epochs whose operations the test itself has delayed.
 pub fn unexpected_refusals<'a>(
     history: &'a [ReceivedEffect],
     delayed_epochs: &BTreeSet<u64>,
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Epochs of a shard under which more than one owner has acted.
+/// Epochs of a shard under which more than one owner has sent effects.
 pub fn epochs_with_two_owners(history: &[ReceivedEffect]) -> Vec<u64> {
     let mut owners: BTreeMap<(&ShardId, u64), BTreeSet<&str>> = BTreeMap::new();
     for effect in history {
@@ -55,7 +55,7 @@
     violations
 }
 
-/// Spans that were sent again with other figures than the first time.
+/// Spans that were sent again with other counts than the first time.
 pub fn changed_spans(history: &[ReceivedEffect]) -> Vec<String> {
     let mut first: BTreeMap<(&ShardId, u64), &ReceivedEffect> = BTreeMap::new();
     let mut changed = Vec::new();
@@ -71,13 +71,13 @@
     changed
 }
 
-/// The sum of a tenant's tries over all accepted spans.
+/// The sum of a tenant's attempts over all accepted spans.
 pub fn total_tries(history: &[ReceivedEffect], tenant: &str) -> u64 {
     let accepted = history.iter().filter(|effect| effect.verdict == Verdict::Accepted);
     accepted.filter_map(|effect| effect.tries[tenant].as_u64()).sum()
 }
 
-/// The longest time without an effect of the shard that was let through, in microseconds, between two moments; the whole
+/// The longest time (µs) between `from_us` and `to_us` without an effect of the shard that was not stale; the entire
 /// time if there is none.
 pub fn longest_gap_us(history: &[ReceivedEffect], shard: &ShardId, from_us: u64, to_us: u64) -> u64 {
     let times = history
@@ -89,7 +89,7 @@
     longest.max(to_us - last)
 }
 
-/// The newest effect of the shard under its newest epoch that was let through.
+/// The newest effect of the shard under its newest epoch that was not stale.
 pub fn newest_effect<'a>(history: &'a [ReceivedEffect], shard: &ShardId) -> Option<&'a ReceivedEffect> {
     let effects = history.iter().filter(|effect| effect.shard == *shard && effect.verdict != Verdict::Stale);
     effects.max_by_key(|effect| (effect.epoch, effect.at_us))
--- a/crates/rig/src/http_client.rs
+++ b/crates/rig/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 requests, each on a connection of its own.
+//! HTTP/1.1 requests, each on its own connection.
 
 use serde_json::Value;
 use std::io::{BufReader, Write};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use violetyoke_standin::http::read_http;
 
-/// How long to wait for bytes of a response.
+/// Time limit for the next bytes of a response.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A request.
@@ -27,11 +27,11 @@
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The body; null if it is no JSON.
+    /// The body; `Null` if it is not JSON.
     pub body: Value,
 }
 
-/// Sends the request; none if no complete response came in time.
+/// Sends the request. Returns `None` if no complete response arrived in time.
 pub(crate) fn send(to: SocketAddr, request: Request<'_>) -> Option<Response> {
     let Request { method, path, fields, body } = request;
     let mut stream = TcpStream::connect(to).ok()?;
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process whose output is kept, and which can be paused, resumed, killed and restarted.
+//! A child process whose output is recorded, and which can be paused, resumed, killed and restarted.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{self, BufRead, BufReader, Read};
@@ -7,19 +7,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a process may take to stand still after SIGSTOP.
+/// Time limit for a process to stop after SIGSTOP.
 const PAUSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 type Lines = Arc<Mutex<Vec<String>>>;
 
-/// Killed when dropped, also while it is paused.
+/// A child process. It is killed when dropped, even while it is paused.
 pub struct Process {
     command: Command,
     child: Option<Child>,
     lines: Lines,
 }
 
-/// Appends what is read to the lines. The thread ends with the output.
+/// Appends the lines of an output to `lines`, on a thread that ends with the output.
 fn collect_lines(output: impl Read + Send + 'static, lines: Lines) {
     thread::spawn(move || {
         for line in BufReader::new(output).lines().map_while(Result::ok) {
@@ -29,19 +29,19 @@
 }
 
 impl Process {
-    /// Starts it. Its standard output and standard error are kept as lines.
+    /// Starts the process. Its standard output and standard error are recorded as lines.
     ///
     /// # Errors
     /// Those of spawning the command.
     pub fn start(mut command: Command) -> io::Result<Process> {
-        // Stand-ins end when their input does: the pipe is held open for the life of the child.
+        // Stubs end when their standard input does, so the pipe is kept open while the child runs.
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut process = Process { command, child: None, lines: Lines::default() };
         process.restart()?;
         Ok(process)
     }
 
-    /// Kills it if it runs, and starts the same command again.
+    /// Kills the process if it runs, and starts the same command again.
     ///
     /// # Errors
     /// Those of killing and of spawning.
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// The process id; none after [`Process::kill`].
+    /// The process id; `None` after [`Process::kill`].
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -72,22 +72,21 @@
         Ok(kill_process(self.pid()?, signal)?)
     }
 
-    /// Sends SIGSTOP, and returns once the process stands still.
+    /// Sends SIGSTOP, and returns once the process has stopped.
     ///
-    /// # Errors
-    /// When it has ended, or does not stand still within 5 s.
+    /// If the process has ended, or does not stop within 5 s.
     pub fn pause(&self) -> io::Result<()> {
         let stat = format!("/proc/{}/stat", self.pid()?.as_raw_nonzero());
         self.signal(Signal::STOP)?;
         let is_paused = || {
-            // The state follows the program's name, which is in parentheses and may hold any sign.
+            // The state follows the program's name, which is in parentheses and may contain any character.
             std::fs::read_to_string(&stat)
                 .is_ok_and(|text| text.rsplit_once(") ").is_some_and(|(_, state)| state.starts_with('T')))
         };
         if crate::wait_until(PAUSE_TIMEOUT, is_paused) {
             return Ok(());
         }
-        Err(io::Error::new(io::ErrorKind::TimedOut, "the process does not stand still"))
+        Err(io::Error::new(io::ErrorKind::TimedOut, "the process has not stopped after SIGSTOP"))
     }
 
     /// Sends SIGCONT.
@@ -98,7 +97,7 @@
         self.signal(Signal::CONT)
     }
 
-    /// Sends SIGTERM, and does not wait for the end.
+    /// Sends SIGTERM without waiting for the process to end.
     ///
     /// # Errors
     /// When it has ended.
@@ -106,7 +105,7 @@
         self.signal(Signal::TERM)
     }
 
-    /// Kills it and waits for its end; nothing if it was killed before.
+    /// Kills the process and waits for its end. Does nothing if it was killed before.
     ///
     /// # Errors
     /// Those of the signal and of the wait.
@@ -118,17 +117,18 @@
         Ok(())
     }
 
-    /// Whether it has ended, by itself or killed.
+    /// Whether the process has ended, by itself or by a signal.
     pub fn has_ended(&mut self) -> bool {
         self.child.as_mut().is_none_or(|child| child.try_wait().is_ok_and(|status| status.is_some()))
     }
 
-    /// All lines of output so far, those from before restarts too.
+    /// All lines of output so far, including those from before restarts.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Waits until more than `seen_before` lines contain the pattern, and returns the newest of them; none after the timeout.
+    /// Waits until more than `seen_before` lines contain the pattern. Returns the newest of them, or `None` after the
+    /// time-out.
     pub fn wait_for_line(&self, pattern: &str, seen_before: usize, timeout: Duration) -> Option<String> {
         let mut newest = None;
         crate::wait_until(timeout, || {
@@ -139,7 +139,7 @@
         newest
     }
 
-    /// How many lines so far contain the pattern.
+    /// The number of lines so far that contain the pattern.
     pub fn count_lines(&self, pattern: &str) -> usize {
         self.lines().iter().filter(|line| line.contains(pattern)).count()
     }
@@ -147,7 +147,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It fails only for a process that has ended already.
+        // Killing fails only for a process that has ended already.
         self.kill().unwrap_or_default();
     }
 }
--- a/crates/rig/src/runtime_thread.rs
+++ b/crates/rig/src/runtime_thread.rs
@@ -1,11 +1,11 @@
-//! A single-threaded tokio runtime on a thread of its own, for links and stand-ins used from synchronous tests.
+//! A single-threaded tokio runtime on its own thread, for links and stubs that are used from synchronous tests.
 
 use std::io;
 use std::thread::JoinHandle;
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// Owns the thread; dropping it ends the runtime with all its tasks and joins the thread.
+/// Owns the thread. Dropping it ends the runtime with all its tasks, and joins the thread.
 pub struct RuntimeThread {
     handle: Handle,
     shutdown: Option<oneshot::Sender<()>>,
@@ -22,7 +22,7 @@
         let handle = runtime.handle().clone();
         let (shutdown, stopped) = oneshot::channel::<()>();
         let thread = std::thread::Builder::new().name("links".into()).spawn(move || {
-            // The sender is dropped, never used: the receiver's error is the signal.
+            // The sender is never used but dropped, so that the receiver's error is the signal to end.
             runtime.block_on(stopped).unwrap_or_default();
         })?;
         Ok(RuntimeThread { handle, shutdown: Some(shutdown), thread: Some(thread) })
@@ -38,7 +38,8 @@
     fn drop(&mut self) {
         drop(self.shutdown.take());
         if let Some(thread) = self.thread.take() {
-            // A panic in the thread has been printed by the panic hook; a second one here would abort the test.
+            // A panic of the thread has already been printed by the panic hook; a second panic here would abort the
+            // test.
             thread.join().unwrap_or_default();
         }
     }
