--- a/crates/standin/src/bin/violetyoke-standin.rs
+++ b/crates/standin/src/bin/violetyoke-standin.rs
@@ -1,5 +1,5 @@
-//! Stubs from the command line: `violetyoke-standin node`, `discovery`, `counter`, `limiter` or `sink`. Each prints its address,
-//! serves until its standard input ends, and takes commands from there, one a line.
+//! Stubs on the command line: `violetyoke-standin node`, `discovery`, `counter`, `limiter` or `sink`. Each prints its
+//! address, serves until its standard input ends, and takes commands from there, one per line.
 
 use clap::{Args, Parser, Subcommand};
 use std::io::{self, BufRead};
@@ -12,7 +12,7 @@
 use violetyoke_standin::rate_limit_server::{start_minimal, RateLimitServer, UnknownBehavior};
 use violetyoke_standin::sink::Sink;
 
-/// Stand-ins for what an ingress meets, on loopback addresses.
+/// Stubs of the processes that an ingress communicates with, on loopback addresses.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -22,8 +22,8 @@
 
 #[derive(Subcommand)]
 enum Stub {
-    /// An HTTP node with workers and a queue. A line on standard input switches a fault on: none, decline,
-    /// hang, reset, spoil, error or closed.
+    /// An HTTP node with workers and a queue. A line on standard input sets its fault: none, decline, hang, reset,
+    /// spoil, error or closed.
     Node(NodeOptions),
     /// A discovery with a list of nodes, given as ID=ADDRESS. A line on standard input changes one:
     /// ID=ADDRESS PHASE, with in_service, terminating or terminated.
@@ -32,15 +32,15 @@
         listen: SocketAddr,
         nodes: Vec<String>,
     },
-    /// An outside rate limit server. A line on standard input says how it answers: answer, delay MS, silent, error,
+    /// An external rate limit server. A line on standard input sets how it answers: answer, delay MS, silent, error,
     /// garble, lenient or strict; or ends its connections: goaway or break.
     #[command(name = "limiter")]
     RateLimitServer(RateLimitServerOptions),
-    /// A receiver of reports and probes, which refuses those of older epochs. GET /history tells what came.
+    /// A receiver of reports and probes, which rejects those of older epochs. GET /history returns what was received.
     Sink {
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// It refuses none: to see what that would cost.
+        /// Reject nothing, to show the effect of missing fencing.
         #[arg(long)]
         without_fence: bool,
     },
@@ -64,7 +64,7 @@
     /// How long a worker takes for a request.
     #[arg(long, default_value_t = 2.0)]
     service_ms: f64,
-    /// Part of its speed that it works at when it has just started.
+    /// Fraction of the full speed at which the node starts.
     #[arg(long, default_value_t = 1.0)]
     cold_share: f64,
     #[arg(long, default_value_t = 0)]
@@ -82,7 +82,7 @@
     limit: u64,
     #[arg(long, default_value_t = 1_000)]
     window_ms: u64,
-    /// Always OK, and nothing is counted or noted: to measure beside it.
+    /// Answer OK to every call, and neither count nor record calls: for comparison in measurements.
     #[arg(long)]
     bare: bool,
 }
--- a/crates/standin/src/counter.rs
+++ b/crates/standin/src/counter.rs
@@ -1,4 +1,4 @@
-//! A counter server: `ADDGET NAME AMOUNT LIFETIME_MS` over RESP2, answered in the order of the calls.
+//! A stub of the counter server: `ADDGET NAME AMOUNT LIFETIME_MS` over RESP2, answered in the order of the calls.
 
 use crate::{any_port, listen, lock};
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
     Disconnect,
     /// Answers after 120 ms, well after the caller's time-out.
     Late,
-    /// Adds, and answers something that is no number.
+    /// Adds, and answers with text that is not a number.
     Malformed,
     /// Adds and does not answer.
     AddSilently,
@@ -48,7 +48,7 @@
 #[derive(Default)]
 struct ScheduledMode {
     mode: Mode,
-    /// Calls that are answered before the mode applies.
+    /// Number of calls that are still answered before the mode applies.
     answered_before: u32,
 }
 
@@ -57,16 +57,16 @@
     expires: Instant,
 }
 
-/// What a call leads to.
+/// The reaction to a call.
 enum Reaction {
     Answer(String),
     Silence,
     Disconnect,
 }
 
-/// Longest lifetime of a name.
+/// Maximum lifetime of a name.
 const MAX_LIFETIME: Duration = Duration::from_secs(60);
-/// How late answers are in [`Mode::Late`].
+/// The delay of answers in [`Mode::Late`].
 const LATENESS: Duration = Duration::from_millis(120);
 const MAX_ARGUMENTS: usize = 16;
 const MAX_ARGUMENT_BYTES: usize = 1024;
@@ -99,27 +99,27 @@
         Ok(counter)
     }
 
-    /// Answers like this from now on.
+    /// Sets the mode from now on.
     pub fn set(&self, mode: Mode) {
         self.set_after(0, mode);
     }
 
-    /// Answers this many more calls before the mode applies.
+    /// Sets a mode that applies after this many more calls have been answered.
     pub fn set_after(&self, calls: u32, mode: Mode) {
         *lock(&self.state.mode) = ScheduledMode { mode, answered_before: calls };
     }
 
-    /// How many connections have been opened.
+    /// The number of connections opened so far.
     pub fn connections(&self) -> u32 {
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    /// Name and amount of each call, in their order.
+    /// Name and amount of each call, in order.
     pub fn calls(&self) -> Vec<(String, f64)> {
         lock(&self.state.calls).clone()
     }
 
-    /// The name of each call, in their order.
+    /// The name of each call, in order.
     pub fn names(&self) -> Vec<String> {
         lock(&self.state.calls).iter().map(|(name, _)| name.clone()).collect()
     }
@@ -186,7 +186,7 @@
         Mode::Answer
     }
 
-    /// Adds to a name, from zero if it is new or has expired; the new total.
+    /// Adds to the total of a name, which starts from zero if it is new or has expired. Returns the new total.
     fn add(&self, name: &str, amount: f64, lifetime: Duration) -> f64 {
         let now = Instant::now();
         let mut totals = lock(&self.totals);
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery: a list of nodes over HTTP, and a watch on its changes (`GET /?index=REVISION&wait=MS`).
+//! A stub of service discovery: a list of nodes over HTTP, and a watch on its changes (`GET
+//! /?index=REVISION&wait=MS`).
 
 use crate::http::{read_http, HttpMessage};
 use crate::{any_port, listen, lock};
@@ -9,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest time that a watch waits for a change.
+/// Maximum time that a watch waits for a change (ms).
 const MAX_WAIT_MS: u64 = 60_000;
 
 /// A running discovery; its threads end with the process.
@@ -42,9 +43,9 @@
     member: Value,
 }
 
-/// The parameters of a call that matter.
+/// The parameters of a call.
 struct Query {
-    /// The revision that the caller knows; none: it asks for the whole list.
+    /// The revision that the caller knows; `None` if it requests the complete list.
     known: Option<u64>,
     wait: Duration,
 }
@@ -65,7 +66,7 @@
         Discovery::start_at(any_port(), members).expect("a loopback address")
     }
 
-    /// Starts it with these entries at revision 1.
+    /// Starts the discovery with these entries at revision 1.
     ///
     /// # Errors
     /// Those of the listener.
@@ -95,23 +96,23 @@
         self.state.changed.notify_all();
     }
 
-    /// Whether calls stay without an answer from now on.
+    /// Sets whether calls get no response from now on.
     pub fn set_silent(&self, is_silent: bool) {
         lock(&self.state.list).is_silent = is_silent;
         self.state.changed.notify_all();
     }
 
-    /// Whether calls are answered 503 at once from now on.
+    /// Sets whether calls get a response 503 at once from now on.
     pub fn set_overloaded(&self, is_overloaded: bool) {
         lock(&self.state.list).is_overloaded = is_overloaded;
     }
 
-    /// How many calls have come.
+    /// The number of calls so far.
     pub fn calls(&self) -> u32 {
         lock(&self.state.list).calls
     }
 
-    /// How many of them asked for the whole list.
+    /// The number of calls so far that requested the complete list.
     pub fn full_list_calls(&self) -> u32 {
         lock(&self.state.list).full_list_calls
     }
@@ -119,7 +120,7 @@
 
 impl State {
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
-        // Pipelined answers must not wait for the peer's acknowledgements.
+        // Pipelined responses must not wait for the peer's acknowledgements.
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
         while let Some(request) = read_http(&mut reader) {
@@ -144,7 +145,7 @@
         Ok(())
     }
 
-    /// Waits until the list is newer than the caller knows, or the caller's time is over.
+    /// Waits until the list is newer than the caller's revision, or the caller's time limit has passed.
     fn wait_for_change<'a>(&'a self, mut list: MutexGuard<'a, List>, query: &Query) -> MutexGuard<'a, List> {
         let deadline = Instant::now() + query.wait;
         while query.known.is_some_and(|known| list.revision <= known) && Instant::now() < deadline {
@@ -156,7 +157,7 @@
 }
 
 impl List {
-    /// The whole list, or the changes since the known revision.
+    /// The complete list, or the changes since the known revision.
     fn response(&self, known: Option<u64>) -> Value {
         let members: Vec<&Value> = match known {
             None => self.members.iter().collect(),
