--- a/crates/api/src/calls.rs
+++ b/crates/api/src/calls.rs
@@ -1,14 +1,14 @@
-//! The HTTP calls of the system, in one table: what operators and clients call at its processes, and what it calls at
-//! the platform. Then the headers that requests and responses carry.
+//! The table of the HTTP calls of operators and clients to the system, and of the system to the platform; and the headers of
+//! requests and responses.
 
-/// Who takes a call.
+/// The receiver of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallTarget {
-    /// A registry, at the address for operators (`network.listen.control`).
+    /// A registry, on the address for operators (`network.listen.control`).
     Controller,
-    /// A registry, at the address for clients that ask where to send requests (`network.listen.directory`).
+    /// A registry, on the address on which clients look up proxies (`network.listen.directory`).
     Locator,
-    /// A proxy, at the address for the platform and for monitoring (`network.listen.ready`).
+    /// A proxy, on the address for the platform and for monitoring (`network.listen.ready`).
     Edge,
     /// The platform's interface.
     Platform,
@@ -21,32 +21,32 @@
     ConfigurationReplace,
     /// Reads the configuration in force.
     ConfigurationRead,
-    /// Begins the evacuation of a zone.
+    /// Starts the evacuation of a zone.
     EvacuationBegin,
     /// Ends the evacuation of a zone.
     EvacuationFinish,
-    /// Asks for the addresses of proxies.
+    /// Looks up the addresses of proxies.
     Resolve,
-    /// Asks whether a proxy takes requests.
+    /// Checks whether a proxy accepts requests.
     Readiness,
-    /// Reads a proxy's counters.
+    /// Reads a proxy's metrics.
     Figures,
-    /// Reads what a proxy knows of backends.
+    /// Reads the state of the backends at a proxy.
     Backends,
     /// Reads a page of the platform's list of backends.
     Instances,
 }
 
-/// Where a call goes and how it looks.
+/// An entry of the table of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallEntry {
-    /// Who takes it.
+    /// The receiver.
     pub target: CallTarget,
     /// The HTTP method.
     pub method: &'static str,
     /// The path, without a query.
     pub path: &'static str,
-    /// The value of `call` in the query, for calls of operators.
+    /// The value of `call` in the query; only for calls of operators.
     pub name: Option<&'static str>,
 }
 
@@ -74,7 +74,7 @@
         Call::Instances,
     ];
 
-    /// The call's line of the table.
+    /// The entry of the call.
     #[must_use]
     pub const fn entry(self) -> CallEntry {
         match self {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Which call a request is that has come to `target`; `query` is the part of its URI after the question mark.
+    /// Finds the call of a request that was received by `target`. `query` is the part of the URI after the question mark.
     #[must_use]
     pub fn find(target: CallTarget, method: &str, path: &str, query: Option<&str>) -> Option<Call> {
         let name = query_parameter(query, "call");
@@ -104,7 +104,7 @@
     }
 }
 
-/// The first value of a parameter in a query, as it stands: names of zones and calls need no decoding.
+/// The first value of a parameter in a query. It is not decoded, as names of zones and calls need no encoding.
 #[must_use]
 pub fn query_parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?
@@ -114,24 +114,24 @@
         .map(|(_, value)| value)
 }
 
-/// Headers of clients' requests and of the calls at backends, in lower case.
+/// Header names of clients' requests and of requests to backends, in lower case.
 pub mod header {
-    /// The client's id of a request; a backend returns it with the response.
+    /// The id that the client assigns to a request. A backend repeats it in the response.
     pub const ATTEMPT: &str = "x-attempt-id";
-    /// How long the sender waits for a response (ms).
+    /// The time for which the sender waits for a response (ms).
     pub const DEADLINE: &str = "x-deadline-ms";
-    /// The backend's seal on a success.
+    /// The seal of the backend on a successful response.
     pub const SEAL: &str = "x-server-seal";
-    /// Name of the tenant, set by the proxy.
+    /// The name of the tenant, set by the proxy.
     pub const TENANT: &str = "x-tenant";
-    /// Id of the backend that the request is for; another instance at its address answers 421.
+    /// The id of the backend that the request is sent to. Another instance on the same address replies with status 421.
     pub const TARGET: &str = "x-target-instance";
-    /// A backend's load: `running, waiting, slots` (requests).
+    /// A backend's load: `running, waiting, slots` (numbers of requests).
     pub const LOAD: &str = "x-server-load";
-    /// The backend did not execute the request and will not.
+    /// The backend has not executed the request and never will.
     pub const NOT_EXECUTED: &str = "x-not-executed";
-    /// The client's key of an operation: of the same tenant, requests with the same key are one operation.
+    /// The client's key of an operation. Requests of the same tenant with the same key are one operation.
     pub const OPERATION_KEY: &str = "x-operation-key";
-    /// A tenant's key; not forwarded.
+    /// A tenant's API key; not forwarded.
     pub const CREDENTIAL: &str = "x-credential";
 }
--- a/crates/api/src/change.rs
+++ b/crates/api/src/change.rs
@@ -1,31 +1,31 @@
-//! The difference between two configurations. Most changes are a few rows of many, and a proxy that holds the one
-//! before needs no more to hold the next.
+//! The difference between two configurations. Most changes affect few rows, so a proxy that has the previous configuration
+//! needs only the difference.
 
 use crate::configuration::{Configuration, Limits, Route, Service, Tenant};
 use crate::digest::{digest, DigestError};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// Why there is no change between two configurations, or why one can't be applied.
+/// Why a change can't be computed or applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
-    /// Rows are matched by name, so names have to be unique.
+    /// Rows are matched by name, so names must be unique.
     #[error("two rows of {table} have the same name")]
     DuplicateName {
-        /// Name of the table.
+        /// The name of the table.
         table: &'static str,
     },
-    /// The change was made from another configuration than the one it was applied to.
+    /// The change is based on another configuration than the one it was applied to.
     #[error(
         "the change leads to digest {expected:016x}, and was applied to another configuration: {found:016x}"
     )]
     DigestMismatch {
-        /// Digest of the configuration that the change leads to.
+        /// The digest of the configuration that should result.
         expected: u64,
-        /// Digest of the result.
+        /// The digest of the actual result.
         found: u64,
     },
-    /// A configuration has no digest.
+    /// The digest of a configuration can't be computed.
     #[error(transparent)]
     Digest(#[from] DigestError),
 }
@@ -33,26 +33,26 @@
 /// The difference between two tables.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct TableChange<T> {
-    /// Rows that are new or differ.
+    /// New and changed rows.
     pub upserted: Vec<T>,
-    /// Names of the rows that are gone.
+    /// The names of removed rows.
     pub removed: Vec<String>,
 }
 
-/// The difference between two configurations. It is sent between processes, by the position of its fields.
+/// The difference between two configurations. It is sent between processes, and encoded by the position of its fields.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct ConfigurationChange {
-    /// The operators' number of the configuration that it leads to.
+    /// The version of the resulting configuration.
     pub version: u64,
-    /// Routes that differ.
+    /// The change of the routes.
     pub routes: TableChange<Route>,
-    /// Services that differ.
+    /// The change of the services.
     pub services: TableChange<Service>,
-    /// Tenants that differ.
+    /// The change of the tenants.
     pub tenants: TableChange<Tenant>,
-    /// The limits of the configuration that it leads to.
+    /// The limits of the resulting configuration.
     pub limits: Limits,
-    /// [`digest`] of the configuration that it leads to.
+    /// The [`digest`] of the resulting configuration.
     pub digest: u64,
 }
 
@@ -97,15 +97,15 @@
     Ok(TableChange { upserted, removed })
 }
 
-/// Changed rows stay at their place, and new ones come last.
+/// Applies a change to a table. Changed rows keep their positions, and new rows are appended.
 fn apply_to_table<T: NamedRow>(change: &TableChange<T>, rows: &mut Vec<T>) {
     let removed: HashSet<&str> = change.removed.iter().map(String::as_str).collect();
     rows.retain(|row| !removed.contains(row.name()));
-    let places: HashMap<String, usize> =
-        rows.iter().enumerate().map(|(place, row)| (row.name().to_owned(), place)).collect();
+    let indices: HashMap<String, usize> =
+        rows.iter().enumerate().map(|(index, row)| (row.name().to_owned(), index)).collect();
     for row in &change.upserted {
-        match places.get(row.name()) {
-            Some(place) => rows[*place] = row.clone(),
+        match indices.get(row.name()) {
+            Some(index) => rows[*index] = row.clone(),
             None => rows.push(row.clone()),
         }
     }
@@ -120,10 +120,10 @@
 }
 
 impl ConfigurationChange {
-    /// What leads from `old` to `new`.
+    /// Computes the change from `old` to `new`.
     ///
     /// # Errors
-    /// Rows of a table share a name, or a row can't be encoded: `new` has to be sent in full.
+    /// If rows of a table have the same name, or a row can't be encoded. Then `new` must be sent in full.
     pub fn between(old: &Configuration, new: &Configuration) -> Result<ConfigurationChange, ChangeError> {
         Ok(ConfigurationChange {
             version: new.version,
@@ -135,10 +135,10 @@
         })
     }
 
-    /// The configuration that this leads to from `old`.
+    /// Applies the change to `old`, and returns the resulting configuration.
     ///
     /// # Errors
-    /// The change was not made from `old`, or a row can't be encoded: the configuration is needed in full.
+    /// If the change is not based on `old`, or a row can't be encoded. Then the full configuration is needed.
     pub fn apply(&self, old: &Configuration) -> Result<Configuration, ChangeError> {
         let mut next = old.clone();
         next.version = self.version;
--- a/crates/api/src/configuration.rs
+++ b/crates/api/src/configuration.rs
@@ -1,8 +1,9 @@
-//! The configuration of the whole system: routes, services, tenants and limits. It is applied whole or refused whole.
+//! The configuration of the system: routes, services, tenants and limits. It is accepted or rejected as a unit.
 //!
-//! Fields have the names of the operators' document (`schema/configuration.schema.json`), in snake case. Between
-//! processes the types are encoded by the position of their fields, so that fields must not be removed or moved. A new one
-//! comes last, and is left out where it has its default: such rows keep their bytes and digests, and older builds read them.
+//! Fields have the names of the operators' document (`schema/configuration.schema.json`), in snake case. Between processes,
+//! the types are encoded by the position of their fields, so fields must not be removed or moved. A new field must be the
+//! last one, and must not be encoded when it has its default value: rows without the field then keep their encoding and
+//! their digest, and older builds can decode them.
 //!
 //! ```
 //! use violetyoke_api::Configuration;
@@ -22,18 +23,18 @@
 /// The largest [`Route::timeout_ms`]: ten minutes.
 pub const MAX_TIMEOUT_MS: f64 = 600_000.0;
 
-/// A configuration; [`Configuration::parse`] reads and checks one.
+/// A configuration. [`Configuration::parse`] parses and validates one.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Configuration {
-    /// The operators' number of this configuration.
+    /// The version, which operators assign.
     pub version: u64,
-    /// Which requests go to which service.
+    /// The routes, which map requests to services.
     pub routes: Vec<Route>,
-    /// What backends are grouped by.
+    /// The services, which consist of backends.
     pub services: Vec<Service>,
-    /// Who sends requests; empty: nobody has to name a tenant.
+    /// The tenants, which send requests. If there are none, requests need no API key.
     pub tenants: Vec<Tenant>,
-    /// What holds for the clients' connections.
+    /// The limits of clients' connections and requests.
     pub limits: Limits,
 }
 
@@ -43,116 +44,117 @@
 pub enum RouteKind {
     /// Any number of times.
     Idempotent,
-    /// Once at most.
+    /// At most once.
     Nonidempotent,
-    /// Once at most for each operation key ([`OPERATION_KEY`](crate::calls::header::OPERATION_KEY)) of a tenant, however
+    /// At most once for each operation key ([`OPERATION_KEY`](crate::calls::header::OPERATION_KEY)) of a tenant, no matter how
     /// often the request is sent.
     Keyed,
 }
 
-/// Which requests go to which service, and how they are treated.
+/// Maps requests to a service, and defines how they are handled.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct Route {
-    /// Unique among routes.
+    /// The name, which is unique among routes.
     pub name: String,
-    /// Host of the requests, without a port; upper and lower case are the same.
+    /// The host of the requests, without a port. Not case-sensitive.
     pub host: String,
-    /// The requests' paths begin with this; it begins with a slash. The longest prefix decides.
+    /// The prefix of the requests' paths, which starts with a slash. The route with the longest matching prefix applies.
     pub path_prefix: String,
     /// How often its requests may be executed.
     pub route_kind: RouteKind,
-    /// How long a request may take (ms): above 0, and [`MAX_TIMEOUT_MS`] at most.
+    /// The time-out of requests (ms): above 0, and at most [`MAX_TIMEOUT_MS`].
     pub timeout_ms: f64,
-    /// A response within this time has its full value (ms); left out: `timeout_ms`.
+    /// The latency target (ms): a response within this time has its full value. The default is `timeout_ms`.
     #[serde(default)]
     pub target_ms: Option<f64>,
-    /// Of its requests where the tenant has none; 0 is the highest.
+    /// The priority of requests whose tenant has none; 0 is the highest.
     #[serde(default)]
     pub priority: i64,
-    /// Services among which its requests are divided.
+    /// The services among which its requests are divided.
     #[serde(default)]
     pub split: Option<Vec<WeightedService>>,
-    /// Backends that one request may be sent to.
+    /// The maximum number of backends that one request is sent to.
     #[serde(default = "one")]
     pub attempts: u32,
-    /// Its requests need no key.
+    /// Whether its requests need no API key.
     #[serde(default)]
     pub public: bool,
-    /// Regions whose backends may execute its requests; empty: all.
+    /// The regions whose backends may execute its requests; all regions if empty.
     #[serde(default)]
     pub home_regions: Vec<String>,
-    /// The service of its requests, where there is no split.
+    /// The service of its requests if there is no split.
     #[serde(default)]
     pub service: Option<String>,
 }
 
-/// A service's part of a route.
+/// A service in the split of a route.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct WeightedService {
-    /// Name of the service.
+    /// The name of the service.
     pub service: String,
-    /// Its part in proportion to the other weights; not below 0.
+    /// Its share of the requests relative to the other weights; 0 or more.
     pub weight: f64,
 }
 
-/// What holds for the backends of a service.
+/// A service and the settings of its backends.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct Service {
-    /// Unique among services.
+    /// The name, which is unique among services.
     pub name: String,
-    /// Path of the backends' health check.
+    /// The path of the backends' health check.
     #[serde(default)]
     pub health_path: Option<String>,
-    /// Connections that a backend takes from all proxies together; left out: any number.
+    /// The maximum number of connections of all proxies to one backend; unlimited if absent.
     #[serde(default)]
     pub max_conns: Option<f64>,
-    /// How long a backend warms up after its start (s).
+    /// The duration of a backend's slow start (s).
     #[serde(default)]
     pub cold_s: f64,
-    /// What a backend that warms up takes from all proxies together (requests a second).
+    /// The maximum rate of requests from all proxies to a backend during its slow start (requests per second).
     #[serde(default)]
     pub cold_rate_s: f64,
-    /// Its backends keep a record of operation keys themselves: an operation whose execution broke off may be sent again.
+    /// Whether its backends keep their own record of operation keys, so that an operation whose execution was interrupted may
+    /// be sent again.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub self_dedup: bool,
 }
 
-/// Who sends requests, as told by a key.
+/// A sender of requests, identified by an API key.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct Tenant {
-    /// Unique among tenants.
+    /// The name, which is unique among tenants.
     pub name: String,
-    /// Values of the credential header that belong to it; each to one tenant alone.
+    /// The values of the credential header that identify the tenant. A value belongs to only one tenant.
     #[serde(default)]
     pub api_keys: Vec<String>,
     /// Overrides the route's priority; 0 is the highest.
     #[serde(default)]
     pub priority: Option<i64>,
-    /// Its rate limit (requests a second); 0: no limit.
+    /// The rate limit (requests per second); 0 means no limit.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// Requests that it may send at once (requests).
+    /// The burst of the rate limit (requests).
     #[serde(default)]
     pub burst: f64,
-    /// Regions whose backends may execute its requests; empty: all.
+    /// The regions whose backends may execute its requests; all regions if empty.
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
 
-/// What clients' connections and requests may take.
+/// The limits of clients' connections and requests.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Size of a request's head (bytes).
+    /// The maximum size of a request's head (bytes).
     pub max_header_bytes: f64,
-    /// Size of a request's body (bytes).
+    /// The maximum size of a request's body (bytes).
     pub max_body_bytes: f64,
-    /// How long a request's head may take from its first byte (ms).
+    /// The maximum time from the first byte of a request's head to its end (ms).
     pub header_timeout_ms: f64,
-    /// How long a connection may be silent between requests (ms).
+    /// The maximum idle time of a connection between requests (ms).
     pub idle_timeout_ms: f64,
 }
 
@@ -167,7 +169,7 @@
     }
 }
 
-/// The version that a document names, however invalid the rest of it is.
+/// The version of a document, even if the rest of the document is invalid.
 #[must_use]
 pub fn document_version(text: &[u8]) -> Option<u64> {
     let document: serde_json::Value = serde_json::from_slice(text).ok()?;
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,15 +1,14 @@
-//! What comes to the system from outside: the settings of a process, the configuration of the whole system, and the
-//! table of HTTP calls.
+//! The external interfaces of the system: the settings of a process, the configuration of the system, and the table of HTTP
+//! calls.
 //!
-//! Everything is checked here, once: against the schema files in `schema/`, and for what a schema can't express. Other
-//! crates take the types of this crate for valid. Nothing here does I/O but [`Settings::read`], and nothing decides
-//! about requests or stores a configuration.
+//! All input is validated in this crate: against the schema files in `schema/`, and by further checks that a schema can't
+//! express. Other crates rely on the types of this crate being valid. Only [`Settings::read`] does I/O.
 //!
-//! - [`Settings`]: the file that the platform hands to a process.
-//! - [`Configuration`]: routes, services and tenants as operators send them; [`ValidationError`] names a wrong field.
-//! - [`change::ConfigurationChange`]: the difference between two configurations, checked by [`digest::digest`].
-//! - [`routing::RoutingTable`]: a configuration prepared for looking up requests.
-//! - [`Execution`]: whether a request may have been executed, and the status that follows.
+//! - [`Settings`]: the file that the platform provides to a process.
+//! - [`Configuration`]: routes, services and tenants, as operators send them. [`ValidationError`] names an invalid field.
+//! - [`change::ConfigurationChange`]: the difference between two configurations, verified with [`digest::digest`].
+//! - [`routing::RoutingTable`]: a configuration, indexed for the lookup of requests.
+//! - [`Execution`]: whether a request may have been executed, and the resulting status.
 //! - [`calls::Call`]: the HTTP calls, and the headers of requests.
 
 pub mod calls;
--- a/crates/api/src/routing.rs
+++ b/crates/api/src/routing.rs
@@ -1,4 +1,4 @@
-//! The table that requests are looked up in: an immutable snapshot of one configuration, replaced as a whole.
+//! The routing table: an immutable index of one configuration, which is replaced as a unit.
 
 use crate::configuration::{Configuration, Limits, Route, RouteKind, Service, Tenant};
 use std::collections::HashMap;
@@ -6,63 +6,63 @@
 /// A route, prepared for lookups.
 #[derive(Debug)]
 pub struct RouteEntry {
-    /// The operators' name of the route.
+    /// The name of the route.
     pub name: String,
     /// How often its requests may be executed.
     pub kind: RouteKind,
-    /// How long a request may take (ms).
+    /// The time-out of requests (ms).
     pub timeout_ms: f64,
-    /// A response within this time has its full value (ms).
+    /// The latency target (ms): a response within this time has its full value.
     pub target_ms: f64,
-    /// Of requests whose tenant has none; 0 is the highest.
+    /// The priority of requests whose tenant has none; 0 is the highest.
     pub priority: i64,
-    /// Backends that one request may be sent to; at least 1.
+    /// The maximum number of backends that one request is sent to; at least 1.
     pub max_attempts: u32,
-    /// Its requests need no key.
+    /// Whether its requests need no API key.
     pub is_public: bool,
-    /// Regions whose backends may execute its requests; empty: all.
+    /// The regions whose backends may execute its requests; all regions if empty.
     pub home_regions: Vec<String>,
     split: Vec<SplitTarget>,
 }
 
-/// A service of a route's split.
+/// A service in the split of a route.
 #[derive(Clone, Copy, Debug)]
 struct SplitTarget {
-    /// Index in [`RoutingTable::services`].
+    /// The index in [`RoutingTable::services`].
     service: usize,
-    /// Sum of the weights up to this one, this one included.
+    /// The sum of the weights of this service and of those before it.
     cumulative_weight: f64,
 }
 
 /// Routes by host and path prefix, and tenants by key.
 #[derive(Debug)]
 pub struct RoutingTable {
-    /// What holds for clients' connections.
+    /// The limits of clients' connections and requests.
     pub limits: Limits,
-    /// All services; a route names them by index.
+    /// All services. Routes refer to them by index.
     pub services: Vec<Service>,
-    /// All tenants; a caller is named by index.
+    /// All tenants. Callers refer to them by index.
     pub tenants: Vec<Tenant>,
     routes: Vec<RouteEntry>,
-    /// Index of a route, by host (in lower case) and path prefix.
+    /// The indices of routes, by host (in lower case) and path prefix.
     routes_by_host: HashMap<String, HashMap<String, usize>>,
-    /// Index of a tenant, by key.
+    /// The indices of tenants, by API key.
     tenants_by_key: HashMap<String, usize>,
 }
 
-/// Who sends a request, by its key.
+/// The sender of a request, identified by its API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// No tenant, where none is needed.
+    /// There is no tenant, and none is required.
     Anonymous,
-    /// Index of the tenant in [`RoutingTable::tenants`].
+    /// The index of the tenant in [`RoutingTable::tenants`].
     Tenant(usize),
-    /// No tenant, where one is needed.
+    /// There is no tenant, although one is required.
     Unknown,
 }
 
 impl RoutingTable {
-    /// Prepares a configuration that has been checked.
+    /// Creates the table of a valid configuration.
     #[must_use]
     pub fn new(configuration: &Configuration) -> RoutingTable {
         RoutingTable {
@@ -75,12 +75,12 @@
         }
     }
 
-    /// The route of a request: of those for its host, the one with the longest prefix that begins the path. `host` may
-    /// carry a port. Prefixes end with a slash.
+    /// Finds the route of a request: the route for its host with the longest matching path prefix. `host` may contain a port.
+    /// Prefixes end with a slash.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteEntry> {
         let host = without_port(host);
-        // The first lookup spares the copy in lower case in most cases.
+        // Most hosts are in lower case already, so the first lookup usually avoids a copy.
         let by_prefix =
             self.routes_by_host.get(host).or_else(|| self.routes_by_host.get(&host.to_ascii_lowercase()))?;
         let mut end = path.len();
@@ -93,7 +93,7 @@
         None
     }
 
-    /// Who sends a request to `route` with `key`. Without tenants everybody is anonymous.
+    /// The sender of a request to `route` with an API key. If there are no tenants, all senders are anonymous.
     #[must_use]
     pub fn caller(&self, route: &RouteEntry, key: Option<&str>) -> Caller {
         if self.tenants.is_empty() {
@@ -139,7 +139,7 @@
 }
 
 impl RouteEntry {
-    /// `services`: index of each service by its name.
+    /// `services` contains the index of each service, by name.
     fn new(route: &Route, services: &HashMap<&str, usize>) -> RouteEntry {
         RouteEntry {
             name: route.name.clone(),
@@ -160,7 +160,7 @@
         self.kind == RouteKind::Idempotent
     }
 
-    /// The index of the service that gets a request; `sample` is uniform in `0.0..1.0`.
+    /// Selects the service of a request, and returns its index. `sample` must be uniformly distributed in `0.0..1.0`.
     #[must_use]
     pub fn service(&self, sample: f64) -> Option<usize> {
         let last = self.split.last()?;
@@ -170,7 +170,7 @@
     }
 }
 
-/// The route's split, or its one service where there is no split with a weight above 0.
+/// The split of a route. If it has no weights above 0, the split consists of the route's service.
 fn split_targets(route: &Route, services: &HashMap<&str, usize>) -> Vec<SplitTarget> {
     let mut cumulative_weight = 0.0;
     let mut targets = Vec::new();
