--- a/crates/api/src/digest.rs
+++ b/crates/api/src/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of a configuration's content, by which two processes find that they hold the same.
+//! The digest of a configuration, with which processes check that they have the same configuration.
 
 use crate::configuration::Configuration;
 use serde::Serialize;
@@ -6,13 +6,13 @@
 use std::hash::Hasher;
 use std::io;
 
-/// A row could not be encoded, so there is no digest. Taken for an empty row, it would hide a difference.
+/// A row could not be encoded, so there is no digest. If the row counted as empty, the digest would hide differences.
 #[derive(Debug, thiserror::Error)]
 #[error("a row of the configuration can't be encoded")]
 pub struct DigestError(#[from] rmp_serde::encode::Error);
 
-/// What a row is of: equal rows of two kinds differ in their digests. The numbers are part of each digest, and digests
-/// are compared across versions.
+/// The kind of a row, so that equal rows of different kinds have different digests. The numbers must not change, as they are
+/// part of the digests, which different builds compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum RowKind {
@@ -24,14 +24,14 @@
     Tenant = 3,
     /// The [`Limits`](crate::configuration::Limits).
     Limits = 4,
-    /// The version's number.
+    /// The version of the configuration.
     Version = 5,
 }
 
-/// The digest of a configuration: the same for two with the same rows, in whatever order.
+/// The digest of a configuration. It does not depend on the order of rows.
 ///
 /// # Errors
-/// A row can't be encoded.
+/// If a row can't be encoded.
 pub fn digest(configuration: &Configuration) -> Result<u64, DigestError> {
     let limits = row_digest(RowKind::Limits, &configuration.limits)?;
     let version = row_digest(RowKind::Version, &configuration.version)?;
@@ -48,11 +48,11 @@
     Ok(sum)
 }
 
-/// The digest of one row: SipHash-1-3 over its kind and its MessagePack encoding. [`digest`] is the sum of those of all
-/// rows.
+/// The digest of one row: SipHash-1-3 of its kind and its MessagePack encoding. [`digest`] returns the sum of the digests of
+/// all rows.
 ///
 /// # Errors
-/// The row can't be encoded.
+/// If the row can't be encoded.
 pub fn row_digest<T: Serialize>(kind: RowKind, row: &T) -> Result<u64, DigestError> {
     let mut writer = HashWriter(SipHasher13::new());
     writer.0.write_u8(kind as u8);
@@ -60,7 +60,7 @@
     Ok(writer.0.finish())
 }
 
-/// Hashes what is written to it.
+/// A writer that hashes the written bytes.
 struct HashWriter(SipHasher13);
 
 impl io::Write for HashWriter {
--- a/crates/api/src/error.rs
+++ b/crates/api/src/error.rs
@@ -1,24 +1,24 @@
-//! The error of a document that an operator sent.
+//! Errors of documents that operators send.
 
 use std::fmt;
 
-/// What is wrong with a document, and where.
+/// An invalid field of a document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct ValidationError {
-    /// Path of the field in the document, such as `routes.rows[0].timeout-ms`.
+    /// The path of the field in the document, such as `routes.rows[0].timeout-ms`.
     pub field: String,
-    /// What is wrong with it, in words that follow the field's name.
+    /// Why the field is invalid, as the continuation of a sentence that starts with the field.
     pub reason: String,
 }
 
 impl ValidationError {
-    /// An error in `field`; `reason` is often the error of a parser.
+    /// Creates an error of `field`.
     pub fn new(field: impl Into<String>, reason: impl fmt::Display) -> ValidationError {
         ValidationError { field: field.into(), reason: reason.to_string() }
     }
 
-    /// The same error in a field of `parent`.
+    /// Prepends `parent` to the path of the field.
     pub(crate) fn within(self, parent: impl fmt::Display) -> ValidationError {
         ValidationError { field: format!("{parent}.{}", self.field), ..self }
     }
--- a/crates/api/src/parse.rs
+++ b/crates/api/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration from the document that an operator sends.
+//! Parses the configuration document that an operator sends.
 
 use crate::configuration::{Configuration, Limits};
 use crate::error::ValidationError;
@@ -7,10 +7,10 @@
 use serde_json::Value;
 
 impl Configuration {
-    /// Reads and checks a whole configuration. Fields that are not known are ignored, and null counts as left out.
+    /// Parses and validates a configuration. Unknown fields are ignored, and null counts as absent.
     ///
     /// # Errors
-    /// The document is refused as a whole; the error names the first field that is wrong.
+    /// If any part of the document is invalid. The error names the first invalid field.
     pub fn parse(text: &[u8]) -> Result<Configuration, ValidationError> {
         let document: Value =
             serde_json::from_slice(text).map_err(|error| ValidationError::new("document", error))?;
--- a/crates/api/src/schema.rs
+++ b/crates/api/src/schema.rs
@@ -1,4 +1,4 @@
-//! Checks documents against the schema files in `schema/`.
+//! Validates documents against the schema files in `schema/`.
 
 use jsonschema::Validator;
 use serde_json::Value;
@@ -6,16 +6,16 @@
 const SETTINGS: &str = include_str!("../schema/settings.schema.json");
 const CONFIGURATION: &str = include_str!("../schema/configuration.schema.json");
 
-/// Which schema a document is checked against.
+/// The schema of a kind of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Schema {
     /// The settings file of one process.
     Settings,
-    /// The configuration of the whole system.
+    /// The configuration of the system.
     Configuration,
 }
 
-/// Why a document has not passed.
+/// Why a document can't be validated, or is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SchemaError {
     /// A schema file of this crate is not JSON.
@@ -24,24 +24,24 @@
     /// A schema file of this crate is not a schema; the text is the library's reason.
     #[error("the schema file is not a schema: {0}")]
     NotASchema(String),
-    /// The document breaks the schema.
+    /// The document violates the schema.
     #[error("{path}: {reason}")]
     Violation {
-        /// Path of the field, such as `network.seeds`; `document` for the whole.
+        /// The path of the field, such as `network.seeds`; `document` for the root.
         path: String,
-        /// What is wrong with it.
+        /// Why the field is invalid.
         reason: String,
     },
 }
 
-/// Checks documents of one kind; building it costs more than a check.
+/// Validates documents of one kind. Its construction takes more time than a validation.
 pub struct SchemaValidator(Validator);
 
 impl SchemaValidator {
-    /// Reads the schema file, which is part of the program.
+    /// Compiles the schema file, which is embedded in the program.
     ///
     /// # Errors
-    /// The file is not a schema; a test reads each.
+    /// If the file is not a valid schema. A test checks all schema files.
     pub fn new(schema: Schema) -> Result<SchemaValidator, SchemaError> {
         let text = match schema {
             Schema::Settings => SETTINGS,
@@ -52,10 +52,10 @@
         validator.map(SchemaValidator).map_err(|error| SchemaError::NotASchema(error.to_string()))
     }
 
-    /// Checks a document.
+    /// Validates a document.
     ///
     /// # Errors
-    /// The first violation.
+    /// Returns the first violation.
     pub fn check(&self, document: &Value) -> Result<(), SchemaError> {
         match self.0.iter_errors(document).next() {
             None => Ok(()),
@@ -67,7 +67,7 @@
     }
 }
 
-/// `/network/seeds` as `network.seeds`.
+/// Converts a JSON pointer such as `/network/seeds` to `network.seeds`.
 fn dotted(pointer: &str) -> String {
     let path = pointer.trim_start_matches('/').replace('/', ".");
     if path.is_empty() {
--- a/crates/api/src/settings.rs
+++ b/crates/api/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands to each process (`$VIOLETYOKE_CONFIG`). Unknown fields are ignored.
+//! The settings file that the platform provides to each process (`$VIOLETYOKE_CONFIG`). Unknown fields are ignored.
 
 use crate::schema::{Schema, SchemaValidator};
 use error_stack::{Report, ResultExt};
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// The settings can't be read or are not valid. The report says which file and which field, and holds the cause.
+/// The settings can't be read or are invalid. The report contains the file, the field and the cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the settings can't be used")]
 pub struct SettingsError;
@@ -20,10 +20,10 @@
     pub local: LocalNode,
     /// Addresses and ports.
     pub network: Network,
-    /// How the platform is reached.
+    /// The interfaces of the platform.
     #[serde(default)]
     pub platform: Platform,
-    /// The rules that the operators hold the system to.
+    /// The operators' requirements on the system.
     pub terms: Terms,
 }
 
@@ -31,21 +31,21 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct LocalNode {
-    /// Its name, unique in the system.
+    /// The name of the machine, which is unique in the system.
     pub node: String,
-    /// Its address.
+    /// The address of the machine.
     pub ip: Ipv4Addr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// Its region.
+    /// The region of the machine.
     pub region: String,
-    /// It is one of those of which [`Tolerance::machines`] may be lost.
+    /// Whether it is one of the machines of which [`Tolerance::machines`] may be lost.
     #[serde(default)]
     pub counted: bool,
-    /// The whole system starts for the first time, with its disks empty.
+    /// Whether this is the first start of the system, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Folder on the machine's disk for what the process stores; left out where it has no disk.
+    /// The folder in which the process stores data; absent if the machine has no disk.
     pub data_dir: Option<PathBuf>,
 }
 
@@ -53,34 +53,34 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct Network {
-    /// Where this process listens for others than the system's own processes.
+    /// The addresses on which this process listens for clients, operators and the platform.
     pub listen: Listen,
-    /// The first and the last port that the system's own processes may use on every machine.
+    /// The first and the last port that the processes of the system may use between each other, on every machine.
     pub internal_ports: (u16, u16),
-    /// Addresses of `controller` on up to three machines.
+    /// The addresses of `controller` on up to three machines.
     pub seeds: Vec<SocketAddr>,
     /// The region of each zone.
     pub zones: BTreeMap<String, String>,
 }
 
-/// Where a process listens; each has those of its kind.
+/// The addresses on which a process listens. Each kind of process has its own addresses.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 pub struct Listen {
-    /// A proxy: requests of clients.
+    /// Of a proxy, for requests of clients.
     pub front: Option<SocketAddr>,
-    /// A proxy: readiness and figures, asked by the platform and by monitoring.
+    /// Of a proxy, for readiness checks of the platform and for metrics.
     pub ready: Option<SocketAddr>,
-    /// A registry: operators' calls.
+    /// Of a registry, for calls of operators.
     pub control: Option<SocketAddr>,
-    /// A registry: clients that ask for the addresses of proxies.
+    /// Of a registry, for clients that look up the addresses of proxies.
     pub directory: Option<SocketAddr>,
 }
 
-/// How the platform is reached.
+/// The interfaces of the platform.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct Platform {
-    /// The interface that lists backends, where there is one.
+    /// The interface that lists backends, if there is one.
     pub cloud_api: Option<CloudApi>,
 }
 
@@ -88,12 +88,12 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct CloudApi {
-    /// Where it is called.
+    /// The address of the interface.
     pub address: SocketAddr,
-    /// Calls a second that it takes from all processes together.
+    /// The maximum rate of calls from all processes together (per second).
     #[serde(default = "ten")]
     pub rate_per_s: f64,
-    /// How far the list runs behind (ms).
+    /// How far the list lags behind the real state (ms).
     #[serde(default)]
     pub lag_ms: f64,
 }
@@ -102,64 +102,64 @@
     10.0
 }
 
-/// The rules that the operators hold the system to.
+/// The operators' requirements on the system.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Terms {
-    /// What may be lost at once with all rules kept.
+    /// The losses that the system must tolerate.
     pub fault_tolerance: Tolerance,
-    /// The figures of the rules.
+    /// The numbers in the requirements.
     pub bounds: Bounds,
 }
 
-/// What may be lost at once with all rules kept: so many machines, or zones, or regions.
+/// The losses that the system must tolerate: this number of machines, or of zones, or of regions at once.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Tolerance {
-    /// Machines that are [`LocalNode::counted`].
+    /// The number of machines that are [`LocalNode::counted`].
     pub machines: u32,
-    /// Whole zones.
+    /// The number of complete zones.
     pub zones: u32,
-    /// Whole regions.
+    /// The number of complete regions.
     pub regions: u32,
 }
 
-/// The figures of the operators' rules (RULES.md), as far as the system and its emulator use them. Times are in the
-/// unit of their name.
+/// The numbers in the operators' rules (RULES.md) that the system and its emulator use. The names of times contain their
+/// unit.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Bounds {
-    /// After a fault, machines count as in contact with the others once they have been so for this long.
+    /// The time after a fault from which reconnected machines count as in contact with the others.
     pub contact_ms: f64,
-    /// An order is acknowledged within this.
+    /// The maximum time until a command is acknowledged.
     pub ack_ms: f64,
-    /// A draining backend serves on for this long from when the list says so.
+    /// The time for which a draining backend still serves requests after the list marks it as draining.
     pub drain_ms: f64,
-    /// From SIGTERM to SIGKILL of a process.
+    /// The time from SIGTERM to SIGKILL of a process.
     pub grace_s: f64,
-    /// A new configuration is in force everywhere within this from its acknowledgement.
+    /// The maximum time from the acknowledgement of a configuration until it is in force everywhere.
     pub config_apply_ms: f64,
-    /// Retries of a service per request, within [`Self::retry_window_s`].
+    /// The maximum ratio of retries to requests of a service within [`Self::retry_window_s`].
     pub retry_ratio: f64,
-    /// Window of the retry budget.
+    /// The window of the retry budget.
     pub retry_window_s: f64,
-    /// Retries in a window on top of the ratio.
+    /// The number of retries in a window that are allowed in addition to the ratio.
     pub retry_slack: f64,
-    /// From when an operation is first sent, no other request with its key is executed for this long.
+    /// The time after an operation is first sent in which no other request with its key may be executed.
     pub dedup_window_s: f64,
-    /// Window in which a tenant's executed requests are counted.
+    /// The window in which a tenant's executed requests are counted.
     pub quota_window_s: f64,
-    /// By this fraction they may exceed the tenant's limit.
+    /// The fraction by which they may exceed the tenant's limit.
     pub quota_overshoot: f64,
-    /// And by so many requests.
+    /// The number of requests by which they may exceed the limit in addition.
     pub quota_slack: f64,
-    /// The multiple of `cold-rate-s` that a backend that warms up may get in a second.
+    /// The multiple of `cold-rate-s` that a backend may get per second during its slow start.
     pub cold_overshoot: f64,
-    /// And so many requests on top.
+    /// The number of requests that it may get in addition.
     pub cold_slack: f64,
-    /// An evacuated zone gets no request after this from the acknowledgement.
+    /// The time after the acknowledgement from which an evacuated zone gets no requests.
     pub evacuate_ms: f64,
-    /// Clients keep the addresses of proxies for this long at most.
+    /// The maximum time for which clients cache the addresses of proxies.
     #[serde(rename = "ttl_max_s")]
     pub ttl_max_s: f64,
 }
@@ -191,10 +191,10 @@
     /// The variable that names the settings file.
     pub const VARIABLE: &'static str = "VIOLETYOKE_CONFIG";
 
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file can't be read or is not valid; the report names the file and the field.
+    /// If the file can't be read or is invalid. The report names the file and the field.
     pub fn read(path: &Path) -> Result<Settings, Report<SettingsError>> {
         let text = std::fs::read_to_string(path)
             .change_context(SettingsError)
@@ -202,10 +202,10 @@
         Settings::parse(&text).attach_with(|| format!("settings file {}", path.display()))
     }
 
-    /// Checks and reads the text of a settings file. Unknown fields are ignored.
+    /// Parses and validates the text of a settings file. Unknown fields are ignored.
     ///
     /// # Errors
-    /// The text is not JSON, or a field is not valid; the report names the field.
+    /// If the text is not JSON or a field is invalid. The report names the field.
     pub fn parse(text: &str) -> Result<Settings, Report<SettingsError>> {
         let document: serde_json::Value = serde_json::from_str(text).change_context(SettingsError)?;
         let validator = SchemaValidator::new(Schema::Settings).change_context(SettingsError)?;
@@ -213,14 +213,14 @@
         serde_json::from_value(document).change_context(SettingsError)
     }
 
-    /// The port that a kind of process listens at on every machine, for the system's own processes.
+    /// The port on which a kind of process listens for other processes of the system, on every machine.
     #[must_use]
     pub fn internal_port(&self, process: Process) -> u16 {
         let (first, last) = self.network.internal_ports;
         (first + process as u16).min(last)
     }
 
-    /// The machines that `network.seeds` names.
+    /// The addresses of the machines in `network.seeds`.
     #[must_use]
     pub fn seeds(&self) -> Vec<Ipv4Addr> {
         let seeds = self.network.seeds.iter().filter_map(|seed| match seed.ip() {
@@ -230,14 +230,15 @@
         seeds.collect()
     }
 
-    /// The region of a zone; empty, which no region is called, where the zone is unknown.
+    /// The region of a zone; an empty name, which no region has, if the zone is unknown.
     #[must_use]
     pub fn region_of(&self, zone: &str) -> &str {
         self.network.zones.get(zone).map_or("", String::as_str)
     }
 }
 
-/// Kinds of processes that others of the system connect to; the value is added to the first internal port.
+/// The kinds of processes to which other processes of the system connect. The value is the offset of the port from the first
+/// internal port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Process {
     /// A store.
--- a/crates/api/src/table.rs
+++ b/crates/api/src/table.rs
@@ -1,12 +1,12 @@
-//! Decodes tables in columnar form: `columns` (names of fields) and `rows` (lists of values in that order; null: left
-//! out).
+//! Decodes tables that consist of `columns` (names of fields) and `rows` (lists of values in the same order, where null means
+//! absent).
 
 use crate::error::ValidationError;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// Decodes the rows of a table of the document; none where the document has no such table. The error names the table,
-/// the row, and what is wrong with which column.
+/// Decodes the rows of a table. There are no rows if the document has no such table. The error contains the table, the row,
+/// and the invalid column.
 pub(crate) fn decode_rows<T: DeserializeOwned>(
     document: &Value,
     table: &str,
--- a/crates/api/src/validation.rs
+++ b/crates/api/src/validation.rs
@@ -1,10 +1,10 @@
-//! What no schema can check in a configuration: references between tables, keys that must be unique, and ranges.
+//! Validates what a schema can't check in a configuration: references between tables, unique keys, and ranges.
 
 use crate::configuration::{Configuration, Route, Tenant, WeightedService, MAX_TIMEOUT_MS};
 use crate::error::ValidationError;
 use std::collections::{HashMap, HashSet};
 
-/// Checks a whole configuration; the error names the first field that is wrong.
+/// Validates a configuration. The error names the first invalid field.
 pub(crate) fn validate(configuration: &Configuration) -> Result<(), ValidationError> {
     let services: HashSet<&str> =
         configuration.services.iter().map(|service| service.name.as_str()).collect();
@@ -20,7 +20,7 @@
     Ok(())
 }
 
-/// `key_owners`: the tenants of the keys seen so far.
+/// Validates a tenant. `key_owners` contains the API keys of the tenants before it, with their tenants.
 fn validate_tenant<'a>(
     tenant: &'a Tenant,
     key_owners: &mut HashMap<&'a str, &'a str>,
@@ -30,7 +30,7 @@
             return Err(ValidationError::new("api-keys", format_args!("holds a key of {other} too")));
         }
     }
-    // Written so that NaN fails too.
+    // The condition is negated so that NaN is rejected too.
     if !(tenant.rate_per_s >= 0.0 && tenant.burst >= 0.0) {
         return Err(ValidationError::new("rate-per-s", "is below 0"));
     }
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// A route has to lead to a service, and all that it names have to exist.
+/// Checks that a route has a service or a split, and that all services that it names exist.
 fn validate_targets(route: &Route, services: &HashSet<&str>) -> Result<(), ValidationError> {
     let split: &[WeightedService] = route.split.as_deref().unwrap_or_default();
     if let Some(target) = split.iter().find(|target| target.weight.is_nan() || target.weight < 0.0) {
