--- a/crates/api/tests/calls.rs
+++ b/crates/api/tests/calls.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn first_value_of_a_query_parameter_is_taken_as_it_stands() {
+fn first_value_of_a_query_parameter_is_returned_without_decoding() {
     assert_eq!(query_parameter(Some("of=b&of=c&call=x%20y"), "of"), Some("b"));
     assert_eq!(query_parameter(Some("of=b&call=x%20y"), "call"), Some("x%20y"));
     assert_eq!(query_parameter(Some("of"), "of"), None);
--- a/crates/api/tests/change.rs
+++ b/crates/api/tests/change.rs
@@ -1,4 +1,4 @@
-//! The difference between two configurations: only rows that differ are part of it, and its result is checked.
+//! The difference between two configurations: it must contain only the rows that differ, and its result must be verified.
 
 #![cfg(test)]
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn change_holds_the_rows_that_differ_and_leads_to_the_next_configuration() {
+fn change_contains_only_the_rows_that_differ_and_results_in_the_new_configuration() {
     let old = configuration(1, &[("a", 100), ("b", 100), ("c", 100)], &["key-1"]);
     let new = configuration(4, &[("d", 100), ("c", 200), ("a", 100)], &["key-1", "key-2"]);
 
@@ -31,19 +31,19 @@
     let names: Vec<&str> = change.routes.upserted.iter().map(|route| route.name.as_str()).collect();
     assert_eq!((names, change.routes.removed.as_slice()), (vec!["d", "c"], ["b".to_owned()].as_slice()));
     assert!(change.services.upserted.is_empty());
-    let result = change.apply(&old).expect("the next");
+    let result = change.apply(&old).expect("the new configuration");
     assert_eq!(digest(&result).expect("a digest"), digest(&new).expect("a digest"));
     assert_eq!((result.version, result.routes.len()), (4, 3));
 }
 
 #[test]
-fn change_from_another_configuration_is_refused() {
+fn change_based_on_another_configuration_is_rejected() {
     let old = configuration(1, &[("a", 100), ("b", 100)], &["key-1"]);
     let new = configuration(2, &[("a", 100), ("b", 200)], &["key-1"]);
     let change = ConfigurationChange::between(&old, &new).expect("names are distinct");
     let other = configuration(1, &[("a", 150), ("b", 100)], &["key-1"]);
 
-    let error = change.apply(&other).expect_err("refused");
+    let error = change.apply(&other).expect_err("rejected");
 
     let expected = change.digest;
     assert!(matches!(error, ChangeError::DigestMismatch { expected: digest, .. } if digest == expected));
@@ -52,9 +52,9 @@
 #[test]
 fn there_is_no_change_between_tables_with_duplicate_names() {
     let old = configuration(1, &[("a", 100)], &[]);
-    let doubled = configuration(2, &[("a", 100), ("a", 200)], &[]);
-    for (from, to) in [(&old, &doubled), (&doubled, &old)] {
-        let error = ConfigurationChange::between(from, to).expect_err("refused");
+    let duplicated = configuration(2, &[("a", 100), ("a", 200)], &[]);
+    for (from, to) in [(&old, &duplicated), (&duplicated, &old)] {
+        let error = ConfigurationChange::between(from, to).expect_err("rejected");
         assert!(matches!(error, ChangeError::DuplicateName { table: "routes" }), "{error}");
     }
 }
--- a/crates/api/tests/configuration.rs
+++ b/crates/api/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations as operators send them: each kind of invalid one is refused with its field's name.
+//! Configurations that operators send. Each kind of invalid configuration must be rejected with the name of the field.
 
 #![cfg(test)]
 
@@ -35,7 +35,7 @@
     })
 }
 
-fn refusal(change: impl Fn(&mut Value)) -> String {
+fn rejection(change: impl Fn(&mut Value)) -> String {
     let mut document = document();
     change(&mut document);
     match Configuration::parse(document.to_string().as_bytes()) {
@@ -45,32 +45,32 @@
 }
 
 #[test]
-fn invalid_configuration_is_refused_with_the_name_of_its_field() {
-    insta::assert_snapshot!(refusal(|_| {}), @"taken");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][2][11] = json!("nobody")),
+fn invalid_configuration_is_rejected_with_the_name_of_the_field() {
+    insta::assert_snapshot!(rejection(|_| {}), @"taken");
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][2][11] = json!("nobody")),
         @"routes.rows[2].service: nobody is no service of this configuration");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][0][7][1]["service"] = json!("nobody")),
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][0][7][1]["service"] = json!("nobody")),
         @"routes.rows[0].service: nobody is no service of this configuration");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][0][2] = json!("search/")),
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][0][2] = json!("search/")),
         @"routes.rows[0].path-prefix: begins with no slash");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][0][4] = json!(0)),
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][0][4] = json!(0)),
         @"routes.rows[0].timeout-ms: is not above 0");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][1][4] = json!(600_001)),
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][1][4] = json!(600_001)),
         @"routes.rows[1].timeout-ms: is over ten minutes");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][0][7][0]["weight"] = json!(-1)),
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][0][7][0]["weight"] = json!(-1)),
         @"routes.rows[0].split: gives finder a weight below 0");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][0][3] = json!("maybe")),
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][0][3] = json!("maybe")),
         @"routes.rows[0]: unknown variant `maybe`, expected one of `idempotent`, `nonidempotent`, `keyed`");
-    insta::assert_snapshot!(refusal(|document| document["tenants"]["rows"][1][1] = json!(["key-2"])),
+    insta::assert_snapshot!(rejection(|document| document["tenants"]["rows"][1][1] = json!(["key-2"])),
         @"tenants.rows[1].api-keys: holds a key of kolkheti too");
-    insta::assert_snapshot!(refusal(|document| document["version"] = json!("seven")), @"version: is no whole number");
-    insta::assert_snapshot!(refusal(|document| drop(document["routes"]["rows"][0].as_array_mut().map(Vec::pop))),
+    insta::assert_snapshot!(rejection(|document| document["version"] = json!("seven")), @"version: is no whole number");
+    insta::assert_snapshot!(rejection(|document| drop(document["routes"]["rows"][0].as_array_mut().map(Vec::pop))),
         @"routes.rows[0]: has 11 values for 12 columns");
-    insta::assert_snapshot!(refusal(|document| document["routes"]["rows"][2][11] = Value::Null),
+    insta::assert_snapshot!(rejection(|document| document["routes"]["rows"][2][11] = Value::Null),
         @"routes.rows[2].service: is missing, and there is no split");
 }
 
-/// The form of configurations for systems whose operations carry keys.
+/// A configuration with keyed routes.
 fn keyed_document() -> Value {
     json!({
         "version": 7,
@@ -90,14 +90,15 @@
     })
 }
 
-// Guards against the refusal of every configuration with a `keyed` route, after which no request was served.
+// Guards against the rejection of every configuration with a `keyed` route, after which no requests were served.
 #[test]
 fn configuration_with_keyed_routes_is_accepted() {
-    let accepted = Configuration::parse(keyed_document().to_string().as_bytes()).map(|it| it.version);
+    let accepted = Configuration::parse(keyed_document().to_string().as_bytes())
+        .map(|configuration| configuration.version);
     assert_eq!(accepted.map_err(|error| error.to_string()), Ok(7));
 }
 
-// Guards against a keyed route that is treated as idempotent, and against a lost `self-dedup`.
+// Guards against keyed routes that are treated as idempotent, and against the loss of `self-dedup`.
 #[test]
 fn keyed_route_is_not_idempotent_and_services_keep_self_dedup() {
     let configuration = Configuration::parse(keyed_document().to_string().as_bytes()).expect("accepted");
@@ -110,15 +111,15 @@
 }
 
 #[test]
-fn truncated_configuration_is_refused() {
+fn truncated_configuration_is_rejected() {
     let text = document().to_string();
     for end in 0..text.len() {
-        assert!(Configuration::parse(&text.as_bytes()[..end]).is_err(), "taken when cut at {end}");
+        assert!(Configuration::parse(&text.as_bytes()[..end]).is_err(), "accepted when truncated at {end}");
     }
 }
 
 #[test]
-fn unknown_fields_are_ignored_and_null_counts_as_left_out() {
+fn unknown_fields_are_ignored_and_null_counts_as_absent() {
     let mut document = document();
     document["colour"] = json!("blue");
     let tenants = &mut document["tenants"];
@@ -126,7 +127,7 @@
     for row in tenants["rows"].as_array_mut().expect("rows") {
         row.as_array_mut().expect("a row").push(json!("hello"));
     }
-    let configuration = Configuration::parse(document.to_string().as_bytes()).expect("taken");
+    let configuration = Configuration::parse(document.to_string().as_bytes()).expect("accepted");
     assert_eq!(configuration.tenants[0].priority, Some(0));
     assert_eq!(configuration.tenants[1].priority, None);
 }
--- a/crates/api/tests/digest.rs
+++ b/crates/api/tests/digest.rs
@@ -1,4 +1,5 @@
-//! The digest of a configuration: its values are compared across versions, and a row without an encoding has none.
+//! The digest of a configuration. Its values must not change, as different builds compare them, and a row that can't be
+//! encoded must be an error.
 
 #![cfg(test)]
 
@@ -43,9 +44,9 @@
     assert_eq!(digest(&Configuration::default()).expect("a digest"), 0x7df1_c6ef_e090_6dd9);
 }
 
-// Guards against a digest that hides that one process takes operations for deduplicated by the service, and another not.
+// Guards against equal digests of configurations that differ only in fields that were added later, such as `self-dedup`.
 #[test]
-fn fields_that_were_added_count_in_the_digest() {
+fn digest_covers_fields_that_were_added_later() {
     let mut changed = configuration();
     changed.services[2].self_dedup = true;
     assert_ne!(digest(&changed).expect("a digest"), digest(&configuration()).expect("a digest"));
--- a/crates/api/tests/settings.rs
+++ b/crates/api/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: all fields are read, errors name the field's path, unknown fields are ignored.
+//! The settings file: all fields must be parsed, errors must contain the path of the field, and unknown fields are ignored.
 
 #![cfg(test)]
 
@@ -21,14 +21,14 @@
     })
 }
 
-fn refusal(change: impl Fn(&mut Value)) -> String {
+fn rejection(change: impl Fn(&mut Value)) -> String {
     let mut document = document();
     change(&mut document);
-    format!("{:?}", Settings::parse(&document.to_string()).expect_err("refused"))
+    format!("{:?}", Settings::parse(&document.to_string()).expect_err("rejected"))
 }
 
 #[test]
-fn settings_are_read() {
+fn settings_are_parsed() {
     let settings = Settings::parse(&document().to_string()).expect("settings");
     assert_eq!(settings.internal_port(Process::Registry), 7461);
     assert_eq!(settings.region_of("b"), "east");
@@ -40,22 +40,22 @@
 }
 
 #[test]
-fn invalid_field_is_named_by_its_path() {
-    assert!(refusal(|document| document["network"]["internal-ports"] = json!([70000, 70001]))
+fn error_contains_the_path_of_the_invalid_field() {
+    assert!(rejection(|document| document["network"]["internal-ports"] = json!([70000, 70001]))
         .contains("network.internal-ports.0"));
-    assert!(refusal(|document| drop(document["self"].as_object_mut().map(|local| local.remove("ip"))))
+    assert!(rejection(|document| drop(document["self"].as_object_mut().map(|local| local.remove("ip"))))
         .contains("self: \"ip\""));
-    assert!(refusal(|document| document["platform"]["cloud-api"]["rate-per-s"] = json!(0))
+    assert!(rejection(|document| document["platform"]["cloud-api"]["rate-per-s"] = json!(0))
         .contains("platform.cloud-api.rate-per-s"));
-    assert!(refusal(|document| document["self"]["ip"] = json!(7)).contains("self.ip"));
+    assert!(rejection(|document| document["self"]["ip"] = json!(7)).contains("self.ip"));
     assert!(Settings::parse("{\"self\":").is_err());
 }
 
 #[test]
-fn schema_files_are_schemas() {
+fn schema_files_are_valid_schemas() {
     for schema in [Schema::Settings, Schema::Configuration] {
         let validator = SchemaValidator::new(schema).expect("a schema");
-        let error = validator.check(&json!([])).expect_err("a list is no document");
+        let error = validator.check(&json!([])).expect_err("a list is not a document");
         assert!(matches!(error, SchemaError::Violation { path, .. } if path == "document"), "{schema:?}");
     }
     let validator = SchemaValidator::new(Schema::Settings).expect("a schema");
