--- a/crates/decision/src/counter.rs
+++ b/crates/decision/src/counter.rs
@@ -1,6 +1,6 @@
 //! Health of the counter service, which sets how often it is called, and decisions without its totals.
 
-use crate::{interface::*, peer_updates::UPDATES_LAST, primitives::DecayingSum, state::Stage, Gateway};
+use crate::{interface::*, peer_updates::UPDATE_DURATION, primitives::DecayingSum, state::Stage, Gateway};
 
 /// Part of the time from the counter's best response time to its time-out after which a response is late:
 /// before that, queues still drain, and a distant counter is not taken for an overloaded one.
@@ -18,7 +18,7 @@
 const ALONE_PART: f64 = 1.5; // of its share of the quota, for a gateway alone: shares are estimates
 
 impl Gateway {
-    /// Time between a customer's calls from which on each of its requests makes one (us); 0: each does.
+    /// Time after a call until a request of a customer at its limit makes one for certain (us); 0: each does.
     pub(crate) fn query_interval(&self) -> f64 {
         let decay = if self.uses_homes() { HOME_INTERVAL_DECAY } else { INTERVAL_DECAY };
         let interval = self.counter.query_interval.value_at(self.now, decay);
@@ -67,7 +67,7 @@
                 health.query_interval.value = (interval * INTERVAL_UP).clamp(min, MAX_INTERVAL);
                 let informs_peers = limits.peer_messages && limits.peer_message_rate > 0.0 && !homes;
                 if informs_peers && health.query_interval.value > timeout {
-                    self.peer_updates.until = self.now + UPDATES_LAST as Micros;
+                    self.peer_updates.until = self.now + UPDATE_DURATION as Micros;
                 }
             }
         }
--- a/crates/decision/src/handover.rs
+++ b/crates/decision/src/handover.rs
@@ -8,7 +8,7 @@
 use crate::backends::{Backend, Fleet};
 use crate::idle_connections::IdleConnections;
 use crate::interface::*;
-use crate::peer_updates::UPDATES_LAST;
+use crate::peer_updates::UPDATE_DURATION;
 use crate::state::{CounterHealth, Customer};
 use crate::Gateway;
 use serde::{Deserialize, Serialize};
@@ -209,7 +209,7 @@
             self.counter = state.counter;
         }
         // Peer messages go to the process that has the gateway's address, which is this one from now on.
-        self.peer_updates.until = state.peer_updates_until.min(self.now + UPDATES_LAST as Micros);
+        self.peer_updates.until = state.peer_updates_until.min(self.now + UPDATE_DURATION as Micros);
         self.actions.extend(state.idle_connections.action());
         self.idle_connections = state.idle_connections;
         let plans = self.settings.plans.len();
--- a/crates/decision/src/peer_updates.rs
+++ b/crates/decision/src/peer_updates.rs
@@ -4,24 +4,24 @@
 use crate::{interface::*, state::Customer, Gateway};
 use std::collections::VecDeque;
 
-/// Steps of the share of requests rejected without a total, after a rejection and an admission by a total: it
-/// rests at one rejection in five, so that decisions by totals fill the quota first.
-const REJECTED_STEP: f64 = 0.32;
-const ADMITTED_STEP: f64 = -0.08;
-const UPDATE_PART: f64 = 0.5; // of the messages a gateway takes in, for updates while counter calls are rare
-pub(crate) const UPDATES_LAST: f64 = 5e6; // us, from the last overload of the counter
+/// Changes of `excess_share` per decision by a total, here or at a home. The share is stable when one of five
+/// is a rejection (0.2 * 0.32 = 0.8 * 0.08), so that decisions by totals fill the quota first.
+const STEP_AFTER_REJECTION: f64 = 0.32;
+const STEP_AFTER_ADMISSION: f64 = -0.08;
+const UPDATE_SHARE: f64 = 0.5; // of the message rate that peers accept, while counter calls are rare
+pub(crate) const UPDATE_DURATION: f64 = 5e6; // us, since the last overload of the counter
 
 #[derive(Default)]
 pub(crate) struct PeerUpdates {
-    /// Customers with units that peers are not yet informed of, time of the next update, and end of updates.
+    /// Customers with units not yet announced to peers; time of the next update; time at which updates end.
     pub(crate) queue: VecDeque<CustomerId>,
     pub(crate) next_at: Micros,
     pub(crate) until: Micros,
 }
 
 /// The next share of requests rejected without a total, after a decision by a total here or at a home.
-pub(crate) fn step_excess_share(share: f64, within: bool) -> f64 {
-    (share + if within { ADMITTED_STEP } else { REJECTED_STEP }).clamp(0.0, 1.0)
+pub(crate) fn step_excess_share(share: f64, within_quota: bool) -> f64 {
+    (share + if within_quota { STEP_AFTER_ADMISSION } else { STEP_AFTER_REJECTION }).clamp(0.0, 1.0)
 }
 
 impl Gateway {
@@ -40,8 +40,8 @@
         if self.peer_updates.queue.is_empty() || self.now < self.peer_updates.next_at {
             return;
         }
-        let senders = f64::from(self.settings.gateways - 1);
-        let interval = senders * 1e6 / (UPDATE_PART * self.settings.limits.peer_message_rate);
+        let peer_count = f64::from(self.settings.gateways - 1);
+        let interval = peer_count * 1e6 / (UPDATE_SHARE * self.settings.limits.peer_message_rate);
         self.peer_updates.next_at = self.now + interval as Micros;
         let mut records = Vec::new();
         while records.len() < MAX_RECORDS {
@@ -82,6 +82,7 @@
                         first_gateway,
                         ..Request::default()
                     });
+                    // `load_customer` counts an open request, but this one is open at the peer.
                     self.quota.customers.get_mut(&customer_id).expect("just loaded").open_requests -= 1;
                     self.count_for_peer(from as u16, id, customer_id, units);
                 }
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -5,25 +5,25 @@
 use crate::{interface::*, peer_updates::step_excess_share, primitives::mix, Gateway};
 use std::collections::VecDeque;
 
-const MAX_TTL: f64 = 60e6; // us, of a name at the counter service
-const MAX_WINDOW: f64 = 0.4; // of MAX_TTL: two windows and late reads fit in
-const MIN_WINDOW_TICKS: f64 = 50.0; // in a shorter window, the time that a call to the counter takes matters
-const SHARE_WEIGHT: f64 = 0.5; // of the newest window in this gateway's share: that shifts in about 2 windows
-const ROUNDING: f64 = 0.9; // least part of this gateway's units that a total holds, which has seven digits
-const MIN_NEARNESS: f64 = 0.2; // to the limit, by which a customer's chance of a call is scaled
-/// Most gateways of a customer for which the units here are scaled up to all: beyond, a burst here would be
-/// taken for one everywhere.
+const MAX_TTL: f64 = 60e6; // us, time to live of a counter at the service
+const MAX_WINDOW: f64 = 0.4; // longest window, as a share of MAX_TTL: two windows and late reads fit in
+const MIN_WINDOW_TICKS: f64 = 50.0; // shortest window: in less, the time of a counter call matters
+const SHARE_WEIGHT: f64 = 0.5; // weight of the newest window in `share`, which shifts in about 2 windows
+const MIN_OWN_SHARE: f64 = 0.9; // share of own units below which a total, of seven digits, lacks data
+const MIN_QUOTA_USAGE: f64 = 0.2; // least share of the quota by which the chance of a call is scaled
+/// Most gateways of a customer for which the units here are scaled up to all: with more, a burst here would
+/// be mistaken for a burst at all gateways.
 pub(crate) const MAX_SCALED_GATEWAYS: f64 = 6.0;
-const SWEPT_PER_REQUEST: usize = 4; // customers
-const FORGET_AFTER: f64 = 6.0; // windows without a request: the quota is full again
+const SWEPT_PER_REQUEST: usize = 4; // customers checked for removal with each request
+const FORGET_AFTER: f64 = 6.0; // windows without a request until removal: the quota is full again
 
 impl Settings {
     /// Length of a plan's windows (us), and the quota for one window (units).
     pub(crate) fn window(&self, plan: usize) -> (f64, f64) {
         let plan = &self.plans[plan];
         let shortest = MIN_WINDOW_TICKS * self.tick as f64;
-        let natural = (plan.burst / plan.rate * 1e6).clamp(shortest, MAX_TTL * MAX_WINDOW).round();
-        let length = if plan.rate > 0.0 { natural } else { MAX_TTL };
+        let clamped = (plan.burst / plan.rate * 1e6).clamp(shortest, MAX_TTL * MAX_WINDOW).round();
+        let length = if plan.rate > 0.0 { clamped } else { MAX_TTL };
         (length, plan.rate * length / 1e6)
     }
 }
@@ -135,24 +135,24 @@
             || (customer.bucket - refilled).max(0.0) + units <= plan.burst
     }
 
-    /// Adds the request's units to the current window. An overloaded counter is called at random, more rarely
-    /// after a recent call; units wait meanwhile. A customer's home counts requests without a call.
+    /// Adds the request's units to the current window. An overloaded counter is queried at random, more
+    /// rarely after a recent call; other units wait in `unreported`. A home gateway counts without a query.
     pub(crate) fn count_request(&mut self, id: RequestId, customer_id: CustomerId) {
         let (units, customer) = (self.requests.open[&id].request.units, &self.quota.customers[&customer_id]);
         let (length, limit) = self.settings.window(customer.plan);
         let (since_query, interval) = ((self.now - customer.queried_at) as f64, self.query_interval());
-        let nearness = ((self.estimate(customer, self.current_units(customer)) + units) / limit)
-            .clamp(MIN_NEARNESS, 1.0);
-        let earned = nearness * since_query.min(MAX_SINCE_QUERY * length) / interval.max(1.0);
+        let quota_usage = ((self.estimate(customer, self.current_units(customer)) + units) / limit)
+            .clamp(MIN_QUOTA_USAGE, 1.0);
+        let unclamped_chance = quota_usage * since_query.min(MAX_SINCE_QUERY * length) / interval.max(1.0);
         let (has_home, timeout) =
             (self.has_home(customer_id), self.settings.counter.map_or(0, |counter| counter.timeout));
         let chance = match interval > self.settings.tick as f64 {
             // Its home is queried instead, and the counter only often enough to detect its recovery.
             true if has_home => (timeout as f64 / interval).min(1.0),
-            true => earned.clamp(1e-3, 1.0),
+            true => unclamped_chance.clamp(1e-3, 1.0),
             false => 1.0,
         };
-        // Under a hard limit the allowance is small: past it, only a total can admit what the quota holds.
+        // The allowance under a hard limit is small: once it is used up, only a counter total can admit.
         let chance =
             if chance < 1.0 && !has_home && self.hard_limited(customer_id, units) { 1.0 } else { chance };
         let queries = self.settings.counter.is_some() && self.rng.sample() < chance;
@@ -202,7 +202,7 @@
         self.update_counter_health(outcome, elapsed);
         let Some(customer) = self.quota.customers.get(&call.customer) else { return };
         let (length, limit) = self.settings.window(customer.plan);
-        let share = self.scale(customer);
+        let scale = self.scale(customer);
         let customer = self.quota.customers.get_mut(&call.customer).expect("just read");
         let undecided = |call: &&Call| call.request.is_some_and(|id| customer.awaiting_total.contains(&id));
         let other_calls = self.quota.calls.get(&counter_id).into_iter().flatten();
@@ -213,25 +213,25 @@
         let new_units = match outcome {
             Outcome::Ok if is_current => {
                 // A counter that lost its data shows less than this gateway alone has added: add it again.
-                // Where a counter only expired early, old units then count twice for a window.
-                let lost =
-                    if total < ROUNDING * (customer.added + call.amount) { customer.added } else { 0.0 };
-                customer.unreported += lost;
-                customer.added += call.amount - lost;
-                let left = (customer.unreported - lost + pending).max(0.0);
-                let assumed = (customer.unconfirmed - left) / share;
+                // If the counter merely expired early, these units are counted twice for one window.
+                let missing =
+                    if total < MIN_OWN_SHARE * (customer.added + call.amount) { customer.added } else { 0.0 };
+                customer.unreported += missing;
+                customer.added += call.amount - missing;
+                let still_unconfirmed = (customer.unreported - missing + pending).max(0.0);
+                let estimated = (customer.unconfirmed - still_unconfirmed) / scale;
                 // Units that a total contains need no allowance any more.
                 customer.allowance +=
-                    if customer.scaled { (customer.unconfirmed - left).max(0.0) } else { 0.0 };
-                let new_units = if lost > 0.0 { units } else { total - customer.total - assumed };
-                (customer.total, customer.unconfirmed) = (total + lost, left);
+                    if customer.scaled { (customer.unconfirmed - still_unconfirmed).max(0.0) } else { 0.0 };
+                let new_units = if missing > 0.0 { units } else { total - customer.total - estimated };
+                (customer.total, customer.unconfirmed) = (total + missing, still_unconfirmed);
                 if let Some(open) = call.request.and_then(|id| self.requests.open.get_mut(&id)) {
                     open.total = Some(customer.total);
                 }
                 new_units
             }
             Outcome::Ok if is_previous && !customer.previous_known => {
-                // Units that were carried into a window are not in its total.
+                // The total lacks units that were carried into the window on a change of settings.
                 let total =
                     total.max(if customer.carried_in == call.window { customer.previous } else { total });
                 customer.previous_known = true;
@@ -258,7 +258,7 @@
         let mut others = new_units - own;
         if has_total {
             customer.total_at = self.now;
-            // Units of other gateways in the total are first taken for those of peer updates.
+            // Units of other gateways in the total are first matched against those that peers have reported.
             let remaining = (customer.peer_units - others).max(-limit);
             others += remaining.max(0.0) - std::mem::replace(&mut customer.peer_units, remaining).max(0.0);
         }
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Takes back units of a rejected request: else a customer far over its quota would get none of it.
+    /// Takes back a rejected request's units, which would use up the quota of a customer far over it.
     pub(crate) fn refund(&mut self, request: &Request, home: Option<u16>, window: u64, units: f64) {
         let customer_id = request.customer;
         if let Some(home) = home {
--- a/crates/decision/src/requests.rs
+++ b/crates/decision/src/requests.rs
@@ -4,8 +4,8 @@
 use crate::{interface::*, Gateway};
 use std::{cmp::Reverse, ops::Bound};
 
-const MAX_QUEUEING: f64 = 0.3; // of the latency target: the rest must suffice for the work
-const RESPONSE_TICKS: u64 = 2; // of the latency target, for a response on its way to the client
+const MAX_QUEUEING: f64 = 0.3; // share of the latency target: the rest must suffice for the work
+const RESPONSE_TICKS: u64 = 2; // subtracted from the latency target, for delivery to the client
 
 impl Gateway {
     pub(crate) fn class(&self, open: &OpenRequest) -> &Class {
@@ -29,23 +29,23 @@
         }
     }
 
-    /// Time from which on a response is worth no more than a rejection.
+    /// Time after which a response has no more value than a rejection.
     pub(crate) fn useful_until(&self, open: &OpenRequest) -> Micros {
         let (class, tick) = (self.class(open), self.settings.tick);
         let abandoned_at = open.arrived + open.request.timeout.saturating_sub(tick);
-        let late_counts = class.late_value > 0.0 || class.streamed || class.latency_target_stretch > 0.0;
+        let late_has_value = class.late_value > 0.0 || class.streamed || class.latency_target_stretch > 0.0;
         let target = open.arrived + class.latency_target.saturating_sub(RESPONSE_TICKS * tick);
-        abandoned_at.min(if late_counts { Micros::MAX } else { target })
+        abandoned_at.min(if late_has_value { Micros::MAX } else { target })
     }
 
-    /// Queues a request: highest value for its work first, in steps of a factor 1.5, lest near-equals swap.
+    /// Queues a request: highest value per work first, in powers of 1.5, so that small changes don't reorder.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         let (open, class) = (&self.requests.open[&id], self.class(&self.requests.open[&id]));
         let max_wait = open.arrived + (MAX_QUEUEING * class.latency_target as f64) as Micros;
         let deadline = max_wait.max(self.now + self.settings.tick).min(self.useful_until(open));
         let value = class.value * self.settings.plans[usize::from(open.request.plan)].value;
-        let density = value / self.fleet.best[usize::from(open.request.class)];
-        let rank = Reverse((1e3 + density.max(1e-12).log(1.5)).round() as u64);
+        let value_per_work = value / self.fleet.best[usize::from(open.request.class)];
+        let rank = Reverse((1e3 + value_per_work.max(1e-12).log(1.5)).round() as u64); // 1e3: kept positive
         let open = self.requests.open.get_mut(&id).expect("open");
         (open.stage, open.position) = (Stage::Queued, (rank, deadline, id));
         self.requests.queue.insert(open.position);
@@ -78,7 +78,7 @@
                     self.requests.queue.remove(&position);
                     self.send(position.2, backend);
                 }
-                None if self.requests.open[&position.2].may_have_run.is_some() => {}
+                None if self.requests.open[&position.2].may_have_run.is_some() => {} // bound to some backends
                 None => break,
             }
             next = self.requests.queue.range((Bound::Excluded(position), Bound::Unbounded)).next().copied();
@@ -88,7 +88,7 @@
     pub(crate) fn send(&mut self, id: RequestId, backend_id: BackendId) {
         let expires = self.useful_until(&self.requests.open[&id]);
         let (now, span, capacity) = (self.now, self.rate_span(), self.fleet_capacity());
-        // Raised over the same time: attempts may have gone to backends that have left since.
+        // Decays like the attempt count, which may include attempts to backends that have left since.
         self.fleet.capacity.raise_to(now, span, capacity);
         self.fleet.attempts.add(now, span, 1.0);
         let decay_time = self.attempt_decay();
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -2,26 +2,26 @@
 
 use crate::{backends::Backend, interface::*, Gateway};
 
-const DECAY_GAPS: f64 = 2.0; // mean gaps between two attempts to a backend over which recent attempts decay
-const RATE_SPAN: f64 = 2.0; // overload times over which this gateway's rate of attempts is measured
-const MIN_FLEET_CAPACITY: f64 = 0.75; // of a warm fleet's: one that is all warming up can't take its load
-const MAX_AHEAD: f64 = 0.6; // of the overload multiple: how far responses may raise the capacity for an age
+const DECAY_GAPS: f64 = 2.0; // decay time of recent attempts, in mean intervals between two to a backend
+const RATE_SPAN: f64 = 2.0; // time over which this gateway's attempt rate is measured, in overload times
+const MIN_FLEET_CAPACITY: f64 = 0.75; // least, of a warm fleet's: one that warms up can't take the full load
+const MAX_CAPACITY_FACTOR: f64 = 0.6; // of overload_multiple times the minimum for an age: the most estimated
 
 impl Gateway {
-    /// A backend that warms up gets an attempt once the capacity since its last one has earned a gap between
-    /// attempts. `gap` is only called for such a backend, as it iterates over the fleet.
+    /// A backend that warms up gets an attempt once its capacity, integrated since its last one, reaches a
+    /// mean attempt gap. `gap` is only called for such a backend, as it iterates over the fleet.
     pub(crate) fn slow_start_permits(&self, backend: &Backend, gap: impl Fn() -> f64) -> bool {
         let age = self.age(backend, self.now);
         if age >= self.settings.safety.slow_start_time as f64 {
             return true;
         }
-        let earned_at = |at: Micros| {
+        let ramp_area = |at: Micros| {
             let age = self.age(backend, at);
             age * (self.settings.safety.slow_start_share + self.min_capacity(age)) / 2.0
         };
-        let earned = (earned_at(self.now) - earned_at(backend.attempts.updated_at)) * self.capacity(backend)
+        let accrued = (ramp_area(self.now) - ramp_area(backend.attempts.updated_at)) * self.capacity(backend)
             / self.min_capacity(age);
-        earned >= gap() * backend.gaps_needed
+        accrued >= gap() * backend.gaps_needed
     }
 
     /// Time since a backend's start (us), at most the time that warming up takes.
@@ -38,10 +38,10 @@
     }
 
     /// Estimate of the part of its full capacity that a backend has: more than the minimum for its age if it
-    /// responds fast, but no more than it survives if only the minimum holds.
+    /// responds fast, but never so much that it would be overloaded if it only had the minimum.
     fn capacity(&self, backend: &Backend) -> f64 {
         let min = self.min_capacity(self.age(backend, self.now));
-        let max = MAX_AHEAD * self.settings.safety.overload_multiple * min;
+        let max = MAX_CAPACITY_FACTOR * self.settings.safety.overload_multiple * min;
         backend.speed.min(max).min(1.0).max(min)
     }
 
@@ -54,7 +54,7 @@
     pub(crate) fn attempt_gap(&self) -> f64 {
         let gap = self.attempt_decay() / DECAY_GAPS / self.ready_count()
             * self.fleet.capacity.value.max(self.fleet_capacity());
-        // Half an attempt at a time, over all gateways, is safe: else a fleet that is all warming up starves.
+        // Half an attempt in flight per backend is safe; else a fleet that is all warming up gets no traffic.
         let latency = self.fleet.typical.iter().copied().fold(1.0, f64::max);
         gap.min(DECAY_GAPS * latency * f64::from(self.settings.gateways))
     }
--- a/crates/decision/src/view.rs
+++ b/crates/decision/src/view.rs
@@ -1,4 +1,4 @@
-//! Read-only views of a gateway's state. Nothing is decided here, and nothing changed.
+//! Read-only views of a gateway's state. They have no side effects.
 
 use crate::interface::*;
 use crate::Gateway;
@@ -8,7 +8,7 @@
 pub struct QuotaState {
     /// Units that may be used in a burst.
     pub burst: f64,
-    /// Units a second that refill the burst.
+    /// Refill rate (units per second).
     pub rate: f64,
     /// Units left, by the one of the two estimates (sliding window, leaky bucket) that admits more.
     pub remaining: f64,
@@ -25,8 +25,8 @@
     pub in_flight: usize,
     /// Mean latency relative to the fleet's best.
     pub relative_latency: f64,
-    /// Time between a customer's counter calls from which on each of its requests makes one (us); 0: each
-    /// does.
+    /// Time after the last counter call from which a customer at its limit queries the counter with its next
+    /// request (us); before it, requests query at random. 0: every request queries.
     pub counter_query_interval: f64,
     /// Failed counter calls in a row.
     pub counter_failures: u32,
@@ -41,11 +41,11 @@
     pub unavailable: bool,
     /// Ejected for a time, or limited to one attempt at a time after that.
     pub ejected: bool,
-    /// In slow start.
+    /// Warming up: in slow start.
     pub warming_up: bool,
     /// Mean latency relative to the fleet's mean.
     pub relative_latency: f64,
-    /// Decaying share of attempts that failed.
+    /// Exponentially weighted failure rate; time-outs do not count.
     pub failure_rate: f64,
     /// Attempts in flight.
     pub in_flight: u32,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Numbers of customers and backends that it has state of.
+    /// Numbers of tracked customers and backends.
     pub fn entry_counts(&self) -> (usize, usize) {
         (self.quota.customers.len(), self.fleet.backends.len())
     }
