--- a/crates/store/src/consensus/replica/proposal.rs
+++ b/crates/store/src/consensus/replica/proposal.rs
@@ -47,7 +47,7 @@
         let newest = preparing.newest_config()?;
         let base = if newest.epoch == Epoch::default() { &self.durable.config } else { newest };
         let is_promised = is_joint_majority(base, |id| preparing.has_promise(id));
-        (is_promised && preparing.has_waited_enough(&base.voters, self.now)).then(|| base.clone())
+        (is_promised && preparing.promise_wait_is_over(&base.voters, self.now)).then(|| base.clone())
     }
 
     fn choose_proposal(&self, preparing: &Preparing, base: &ReplicaConfig) -> Option<Proposal> {
@@ -67,7 +67,7 @@
             config: ReplicaConfig { epoch, voters, data_replicas, previous_voters },
             state,
             promised_revision,
-            has_state: preparing.ids_with(promised_revision),
+            has_state: preparing.voters_at_revision(promised_revision),
             base_voters: base.previous_voters.iter().chain([&base.voters]).cloned().collect(),
         })
     }
--- a/crates/store/src/consensus/role.rs
+++ b/crates/store/src/consensus/role.rs
@@ -7,7 +7,7 @@
 
 /// How long a candidate waits for promises, and then for acceptances.
 pub(super) const PHASE_TIMEOUT: Millis = 600;
-/// After a majority has promised, a candidate waits this long for the others.
+/// How long after the start of the first phase a candidate that has a majority still waits for further promises.
 const PROMISE_GRACE: Millis = 30;
 
 /// The role of a store.
@@ -87,13 +87,13 @@
     }
 
     /// Ids of the voters whose state had this revision when they promised.
-    pub(super) fn ids_with(&self, revision: Revision) -> BTreeSet<StoreId> {
+    pub(super) fn voters_at_revision(&self, revision: Revision) -> BTreeSet<StoreId> {
         let with_revision = self.promises.values().filter(|promise| promise.revision == revision);
         with_revision.map(|promise| promise.from.id).collect()
     }
 
     /// Whether all voters have promised, or the time to wait for further promises is over.
-    pub(super) fn has_waited_enough(&self, voters: &[StoreNode], now: Millis) -> bool {
+    pub(super) fn promise_wait_is_over(&self, voters: &[StoreNode], now: Millis) -> bool {
         voters.iter().all(|voter| self.has_promise(voter.id)) || now >= self.started_at + PROMISE_GRACE
     }
 }
--- a/crates/store/src/daemon/input.rs
+++ b/crates/store/src/daemon/input.rs
@@ -16,11 +16,11 @@
     Peer(Ipv4Addr, connection::Event),
     /// All writes up to this one are on the disk.
     Persisted(WriteNumber),
-    /// A write has failed and is repeated.
+    /// A write has failed and will be retried.
     WriteFailed(WriteError),
     /// All appends to the log of operations up to this one are on the disk.
     OperationsAppended(AppendNumber),
-    /// An append to the log of operations has failed and is repeated.
+    /// An append to the log of operations has failed and will be retried.
     OperationAppendFailed(AppendError),
 }
 
@@ -29,7 +29,7 @@
 pub(super) struct InputSender(pub(super) UnboundedSender<Input>);
 
 impl InputSender {
-    /// Sends an input. Inputs are dropped once the event loop has ended, because no state is left to change.
+    /// Sends an input. Inputs are dropped once the event loop has ended, because nothing processes them any more.
     pub(super) fn send(&self, input: Input) {
         drop(self.0.send(input));
     }
--- a/crates/store/tests/schedules/generators.rs
+++ b/crates/store/tests/schedules/generators.rs
@@ -1,7 +1,7 @@
 //! Named generators of schedules: at least one for each of the five points of docs/design/control-safety.md, and one
 //! for each other kind of fault.
 
-use super::random_steps::{activity, direction, loss, target, MESSAGE_KINDS};
+use super::random_steps::{activity, direction, machine_fault, target, MESSAGE_KINDS};
 use super::schedule::{Activity, Schedule, ScheduledStep, Step, Target};
 use crate::simulation::random::Random;
 use crate::simulation::Millis;
@@ -45,10 +45,10 @@
     let mut steps = vec![ScheduledStep::new(random.below(500), activity(random), partition)];
     let (other, delay, span) = (target(random), random.within(500..18_000), random.within(500..4_000));
     let all = Step::KillAll { loses_power: random.one_in(2), down: 300 + random.below(1_000) };
-    let meanwhile = if random.one_in(3) { all } else { loss(random, other, span) };
+    let meanwhile = if random.one_in(3) { all } else { machine_fault(random, other, span) };
     steps.push(ScheduledStep::new(delay, activity(random), meanwhile));
     // The partitioned machine is lost shortly after its return.
-    let returned = loss(random, Target::Last, 1_500);
+    let returned = machine_fault(random, Target::Last, 1_500);
     steps.push(ScheduledStep::new(random.within(1..4_000), activity(random), returned));
     steps
 }
@@ -58,9 +58,9 @@
     let old = target(random);
     let span = random.within(14_000..24_000);
     let direction = direction(random);
-    let after = loss(random, Target::Newcomer, 2_000);
+    let after = machine_fault(random, Target::Newcomer, 2_000);
     let third = target(random);
-    let third = loss(random, third, 2_000);
+    let third = machine_fault(random, third, 2_000);
     vec![
         ScheduledStep::new(0, None, Step::Add),
         ScheduledStep::new(
@@ -79,7 +79,7 @@
     for _ in 0..4 {
         let pending = Some(Activity::CommandInFlight);
         let span = random.within(300..3_000);
-        let lost = loss(random, Target::Leader, span);
+        let lost = machine_fault(random, Target::Leader, span);
         let fault = match random.below(4) {
             0 => Step::KillAll { loses_power: random.one_in(2), down: 400 },
             1 => Step::LoseReplies { percent: 70, span: 3_000 },
@@ -95,8 +95,8 @@
 fn second_loss_after_replacement(random: &mut Random) -> Vec<ScheduledStep> {
     let (first, second) = (target(random), target(random));
     let span = random.within(3_000..16_000);
-    let second = loss(random, second, span);
-    let third = loss(random, Target::Leader, 3_000);
+    let second = machine_fault(random, second, span);
+    let third = machine_fault(random, Target::Leader, 3_000);
     vec![
         ScheduledStep::new(random.below(1_000), activity(random), Step::Remove { target: first }),
         ScheduledStep::new(random.within(300..1_500), None, Step::Add),
@@ -112,9 +112,9 @@
 fn planned_replacement(random: &mut Random) -> Vec<ScheduledStep> {
     let (leaving, other) = (target(random), target(random));
     let span = random.within(1_000..10_000);
-    let second = loss(random, other, span);
+    let second = machine_fault(random, other, span);
     let delay = random.below(3_000);
-    let third = loss(random, Target::Newcomer, 2_000);
+    let third = machine_fault(random, Target::Newcomer, 2_000);
     vec![
         ScheduledStep::new(random.below(1_000), None, Step::Add),
         ScheduledStep::new(0, Some(Activity::NewcomerCaughtUp), Step::Terminate { target: leaving }),
@@ -127,9 +127,9 @@
 fn shutdown_during_takeover(random: &mut Random) -> Vec<ScheduledStep> {
     let leaving = target(random);
     let span = random.within(500..3_000);
-    let first = loss(random, Target::Leader, span);
+    let first = machine_fault(random, Target::Leader, span);
     let third = target(random);
-    let third = loss(random, third, 2_000);
+    let third = machine_fault(random, third, 2_000);
     vec![
         ScheduledStep::new(0, None, Step::Add),
         ScheduledStep::new(4_100, activity(random), first),
@@ -150,10 +150,10 @@
     let fault = match random.below(6) {
         0 => Step::SlowLinks { target: victim, delay: 40, bytes_per_ms: 250, span },
         1 => Step::SlowDisk { target: victim, factor: 30, span },
-        _ => loss(random, victim, span),
+        _ => machine_fault(random, victim, span),
     };
     let second = target(random);
-    let second = loss(random, second, 3_000);
+    let second = machine_fault(random, second, 3_000);
     let count = random.within(100..400);
     vec![
         ScheduledStep::new(random.below(500), activity(random), fault),
@@ -172,7 +172,7 @@
         let percent = [30, 60, 100][random.below(3) as usize];
         let span = random.within(300..2_500);
         let victim = target(random);
-        let lost = loss(random, victim, 1_500);
+        let lost = machine_fault(random, victim, 1_500);
         steps.push(ScheduledStep::new(
             random.below(800),
             activity(random),
@@ -188,7 +188,7 @@
 fn slow_and_stalled_disks(random: &mut Random) -> Vec<ScheduledStep> {
     let (slow, other, third) = (target(random), target(random), target(random));
     let stall = Step::StallDisk { target: other, span: random.within(300..5_000) };
-    let third = loss(random, third, 2_000);
+    let third = machine_fault(random, third, 2_000);
     vec![
         ScheduledStep::new(0, activity(random), Step::SlowDisk { target: slow, factor: 30, span: 12_000 }),
         ScheduledStep::new(random.below(2_000), activity(random), stall),
@@ -206,7 +206,7 @@
     let (slow, other) = (target(random), target(random));
     let span = random.within(4_000..15_000);
     let links = Step::SlowLinks { target: slow, delay: random.within(20..400), bytes_per_ms: 250, span };
-    let second = loss(random, other, 2_000);
+    let second = machine_fault(random, other, 2_000);
     vec![
         ScheduledStep::new(0, activity(random), links),
         ScheduledStep::new(200, None, Step::Changes { count: 50, padding: 20_000 }),
@@ -229,7 +229,7 @@
             kind => Step::KillAll { loses_power: kind == 1, down: random.within(200..1_200) },
         };
         steps.push(ScheduledStep::new(random.below(2_000), activity(random), all));
-        let one = loss(random, victim, 1_000);
+        let one = machine_fault(random, victim, 1_000);
         steps.push(ScheduledStep::new(random.within(100..3_000), activity(random), one));
     }
     steps
--- a/crates/store/tests/schedules/random_steps.rs
+++ b/crates/store/tests/schedules/random_steps.rs
@@ -48,8 +48,8 @@
     [Direction::Both, Direction::Both, Direction::Inbound, Direction::Outbound][random.below(4) as usize]
 }
 
-/// A temporary loss of one machine.
-pub fn loss(random: &mut Random, target: Target, span: Millis) -> Step {
+/// A temporary fault of one machine: a crash, a wiped disk, a freeze or a partition.
+pub fn machine_fault(random: &mut Random, target: Target, span: Millis) -> Step {
     match random.below(8) {
         0 | 1 => Step::Kill { target, loses_power: true, down: span },
         2 => Step::Kill { target, loses_power: false, down: span },
