--- a/crates/api/src/digest.rs
+++ b/crates/api/src/digest.rs
@@ -6,7 +6,8 @@
 use std::hash::Hasher;
 use std::io;
 
-/// A row could not be encoded, so there is no digest. If the row counted as empty, the digest would hide differences.
+/// A row could not be encoded, so there is no digest. Not treated as an empty row, because two different configurations could
+/// then have the same digest.
 #[derive(Debug, thiserror::Error)]
 #[error("a row of the configuration can't be encoded")]
 pub struct DigestError(#[from] rmp_serde::encode::Error);
