--- a/crates/proxy/src/operations/claim.rs
+++ b/crates/proxy/src/operations/claim.rs
@@ -26,16 +26,16 @@
 enum ReportOnDrop {
     /// Nothing: no store has the claim, or the end of the operation has been reported.
     None,
-    /// The request was not executed and never will be.
+    /// The request was not executed and never will be: the claim is released.
     Released,
-    /// The request may have been executed.
+    /// The request may have been executed: the operation is reported as abandoned, and its claim is not released.
     Unknown,
 }
 
 /// A claim of an operation, granted or not. Dropping it reports the end of the operation, also when the task of the request
 /// panics or is dropped at an await point.
 #[derive(Debug)]
-#[must_use = "dropping it releases the claim"]
+#[must_use = "dropping it reports the end of the operation"]
 pub(crate) struct Claim {
     pub(super) client: Rc<OperationClient>,
     pub(super) holder: ClaimHolder,
--- a/crates/proxy/src/request/operation.rs
+++ b/crates/proxy/src/request/operation.rs
@@ -55,7 +55,7 @@
 }
 
 /// Claims the operation of a request, and forwards the request if the claim is granted. In overload, the
-/// request is rejected before the claim, which would only have to be released again.
+/// request is rejected before the claim, so that no claim has to be released.
 pub(super) async fn serve_operation(
     proxy: &Rc<Proxy>,
     tenant: Option<&Tenant>,
@@ -145,21 +145,22 @@
     result: &Result<ForwardResponse, RequestError>,
 ) {
     let (Some(claim), Ok(forwarded)) = (&request.claim, result) else { return };
+    // `rest` is what remains of a response that is too large to be buffered.
     let is_complete = forwarded.rest.is_none();
     let is_recorded = is_complete && may_record_response(request, store_regions);
     claim.complete(is_recorded.then(|| recorded_response(&forwarded.response)));
 }
 
 /// Whether the response to a request may be recorded by stores in `store_regions`: each of them must be a
-/// home region of the request's route and of its tenant, where these have home regions. If the response is
-/// not recorded, repeated requests get 502.
+/// home region of the request's route and of its tenant, where these have home regions (the regions
+/// whose backends may execute the request). If the response is not recorded, repeated requests get 502.
 fn may_record_response(request: &ForwardRequest, store_regions: &[String]) -> bool {
     let contains_all_stores = |homes: &Vec<String>| store_regions.iter().all(|region| homes.contains(region));
     request.home_regions.iter().all(|homes| homes.is_empty() || contains_all_stores(homes))
 }
 
-/// The response for repeated requests: all forwarded fields except the attempt id, which is replaced by that
-/// of the repeat.
+/// The response for repeated requests: all forwarded fields except the attempt id, which is replaced by the
+/// repeated request's own id.
 fn recorded_response(response: &UpstreamResponse) -> RecordedResponse {
     let fields = response.headers.iter().filter(|(name, _)| name != header::ATTEMPT);
     RecordedResponse {
