--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -16,17 +16,17 @@
 }
 
 /// A route for any method and any class.
-fn plain(host: &str, path: &str) -> Route {
+fn unrestricted_route(host: &str, path: &str) -> Route {
     route(host, path, None, None)
 }
 
 #[test]
 fn the_most_specific_host_with_a_matching_path_wins() {
     let routes = [
-        plain("*", "/*"),
-        plain("*.example.org", "/*"),
-        plain("*.eu.example.org", "/*"),
-        plain("a.eu.example.org", "/rooms/*"),
+        unrestricted_route("*", "/*"),
+        unrestricted_route("*.example.org", "/*"),
+        unrestricted_route("*.eu.example.org", "/*"),
+        unrestricted_route("a.eu.example.org", "/rooms/*"),
     ];
     let table = RouteTable::build(&routes).unwrap();
     let find = |host, path| table.find(host, path, "GET", None);
@@ -41,11 +41,11 @@
 #[test]
 fn paths_are_compared_before_methods_and_methods_before_classes() {
     let routes = [
-        plain("h", "/*"),
-        plain("h", "/hotels/*"),
-        plain("h", "/hotels/{hotel}"),
-        plain("h", "/hotels/{hotel}/rooms"),
-        plain("h", "/hotels/all/*"),
+        unrestricted_route("h", "/*"),
+        unrestricted_route("h", "/hotels/*"),
+        unrestricted_route("h", "/hotels/{hotel}"),
+        unrestricted_route("h", "/hotels/{hotel}/rooms"),
+        unrestricted_route("h", "/hotels/all/*"),
         route("h", "/hotels/{hotel}", Some("POST"), None),
         route("h", "/hotels/{hotel}", None, Some("booking")),
         route("h", "/hotels/new", Some("PUT"), Some("booking")),
@@ -73,12 +73,12 @@
 #[test]
 fn conflicting_routes_are_reported_even_with_different_parameter_names() {
     let routes = [
-        plain("h", "/hotels/{hotel}"),
-        plain("h", "/hotels/{id}"),
-        plain("h", "/rooms/*"),
+        unrestricted_route("h", "/hotels/{hotel}"),
+        unrestricted_route("h", "/hotels/{id}"),
+        unrestricted_route("h", "/rooms/*"),
         route("h", "/rooms/*", Some("GET"), None),
-        plain("*.h", "/x"),
-        plain("*.h", "/x"),
+        unrestricted_route("*.h", "/x"),
+        unrestricted_route("*.h", "/x"),
     ];
     let conflicts = RouteTable::build(&routes).err().unwrap();
     let mut conflicts: Vec<_> =
@@ -115,8 +115,8 @@
     }
 }
 
-/// Matches one route against one request, independently of the table's code. Returns what the specificity of the route is
-/// compared by, or `None` if the route does not match.
+/// Matches one route against one request, independently of the table's code. Returns the sort key of the specificity,
+/// or `None` if the route does not match.
 fn specificity(
     route: &Route,
     host: &str,
@@ -139,6 +139,7 @@
     if segments.len() < pattern.len() || (!is_prefix && segments.len() > pattern.len()) {
         return None;
     }
+    // Literal segment 3, parameter 2, end of an exact path 1, end of a prefix 0.
     let mut rank = Vec::new();
     for (expected, segment) in pattern.iter().zip(&segments) {
         if expected.starts_with('{') {
