--- a/crates/ingress/src/backend.rs
+++ b/crates/ingress/src/backend.rs
@@ -263,7 +263,7 @@
     let headers = request.headers_mut();
     let text = |text: String| HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static(""));
     headers.insert(HOST, text(address.to_string()));
-    headers.insert(REQ_ID, forward.wire_id.clone());
+    headers.insert(REQ_ID, forward.client_request_id.clone());
     headers.insert(REQ_DEADLINE, text(format!("{time_left}u")));
     request
 }
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -22,11 +22,11 @@
 /// How long a client may take to send a complete request head: the connection has to end within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
 /// How long a new connection may stay silent before `close_idle` closes it.
-const SILENT_START_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a connection is drained after its last response before it is closed.
-const DRAIN_TIMEOUT: Duration = Duration::from_millis(5000);
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long the input of a connection is discarded after its last response before it is closed.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// The capacity member that connections count against until their first request is matched to a pool.
+/// The entry in the shared capacity pool that connections count against until their first request is matched to a pool.
 pub const UNASSIGNED: Member = 0;
 
 /// All open client connections.
@@ -49,7 +49,7 @@
     pub socket: Socket,
     stage: Cell<Stage>,
     /// When the stage began.
-    since: Cell<Instant>,
+    stage_started_at: Cell<Instant>,
     /// Bytes that had been read from the socket when the stage began.
     read_at_stage_start: Cell<u64>,
     task: RefCell<Option<TaskHandle>>,
@@ -71,7 +71,7 @@
     /// The last request has been answered and nothing of the next one has been read.
     Idle,
     /// The last response has been sent; input is discarded until the client closes.
-    Draining,
+    DiscardingInput,
     /// The task has been aborted.
     Closed,
 }
@@ -79,7 +79,7 @@
 impl ClientConnection {
     pub fn set_stage(&self, stage: Stage) {
         self.stage.set(stage);
-        self.since.set(Instant::now());
+        self.stage_started_at.set(Instant::now());
         self.read_at_stage_start.set(self.socket.bytes_read());
     }
 
@@ -104,7 +104,7 @@
     }
 
     fn is_closable(&self) -> bool {
-        matches!(self.stage.get(), Stage::AwaitingHead | Stage::Idle | Stage::Draining)
+        matches!(self.stage.get(), Stage::AwaitingHead | Stage::Idle | Stage::DiscardingInput)
     }
 
     fn close(&self) {
@@ -134,6 +134,8 @@
 impl ConnectionTable {
     /// For a process with a single pool; `sockets` is the process's limit of open sockets.
     pub fn standalone(sockets: usize) -> Rc<ConnectionTable> {
+        // Idle connections are closed above 7/16 of the sockets, and no more are accepted at 5/8. The rest is for
+        // connections to nodes (5/16, in `platform.rs`) and other uses.
         ConnectionTable::new(None, sockets * 7 / 16, sockets * 5 / 8)
     }
 
@@ -174,7 +176,7 @@
         let closable = connections
             .values()
             .filter(|connection| connection.member.get() == Some(member) && connection.is_closable());
-        let Some(longest_idle) = closable.min_by_key(|connection| connection.since.get()) else {
+        let Some(longest_idle) = closable.min_by_key(|connection| connection.stage_started_at.get()) else {
             return false;
         };
         self.release_descriptor(longest_idle);
@@ -230,7 +232,7 @@
         let connection = Rc::new(ClientConnection {
             socket,
             stage: Cell::new(Stage::AwaitingHead),
-            since: Cell::new(Instant::now()),
+            stage_started_at: Cell::new(Instant::now()),
             read_at_stage_start: Cell::new(0),
             task: RefCell::default(),
             member: Cell::new(self.descriptors.as_ref().map(|_| UNASSIGNED)),
@@ -267,7 +269,7 @@
         let idle = connections.values().filter(|connection| {
             let is_idle = match connection.stage.get() {
                 Stage::Idle => !connection.socket.is_write_blocked(),
-                Stage::AwaitingHead => connection.since.get().elapsed() >= SILENT_START_TIMEOUT,
+                Stage::AwaitingHead => connection.stage_started_at.get().elapsed() >= FIRST_BYTE_TIMEOUT,
                 _ => false,
             };
             is_idle && nothing_read(connection)
@@ -289,21 +291,21 @@
                 // `read_at_stage_start` keeps its value: `close_idle` has to see that part of a head has
                 // arrived.
                 connection.stage.set(Stage::AwaitingHead);
-                connection.since.set(now);
+                connection.stage_started_at.set(now);
             }
-            let age = now.saturating_duration_since(connection.since.get());
+            let age = now.saturating_duration_since(connection.stage_started_at.get());
             match connection.stage.get() {
                 Stage::AwaitingHead if age >= HEAD_TIMEOUT => connection.close(),
-                Stage::Draining if age >= DRAIN_TIMEOUT => connection.close(),
+                Stage::DiscardingInput if age >= DISCARD_TIMEOUT => connection.close(),
                 Stage::Idle | Stage::AwaitingHead
                     if age >= MIN_IDLE && !connection.socket.is_write_blocked() =>
                 {
-                    idle.push((connection.since.get(), connection));
+                    idle.push((connection.stage_started_at.get(), connection));
                 }
                 _ => {}
             }
         }
-        idle.sort_by_key(|(since, _)| *since);
+        idle.sort_by_key(|(stage_started_at, _)| *stage_started_at);
         let excess = connections.len().saturating_sub(self.idle_close_threshold);
         idle.into_iter().take(excess).for_each(|(_, connection)| connection.close());
     }
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -40,13 +40,17 @@
 pub struct Target {
     pub id: String,
     pub host_port: SocketAddr,
+    /// The name of its zone.
     #[serde(default)]
     pub locality: String,
+    /// The name of its kind of host; empty in a static list.
     #[serde(default)]
     pub flavor: String,
+    /// The cell inside its zone.
     #[serde(default)]
     pub cell: u16,
     pub phase: Phase,
+    /// Relative capacity.
     #[serde(default)]
     pub size: f64,
     /// The start of the node's process (Unix time in milliseconds).
@@ -88,11 +92,11 @@
                 if schedule.consecutive_failures() > 0 {
                     eprintln!("discovery {address}: answers again");
                 }
-                let (version, has_changes) = (list.revision, list.complete || !list.members.is_empty());
+                let (revision, has_changes) = (list.revision, list.complete || !list.members.is_empty());
                 if has_changes && messages.send(Message::Targets(list)).is_err() {
                     return;
                 }
-                schedule.on_answer(version, has_changes, called_at.elapsed())
+                schedule.on_answer(revision, has_changes, called_at.elapsed())
             }
             Err(error) => {
                 if schedule.consecutive_failures() == 0 {
@@ -102,7 +106,7 @@
                 schedule.on_failure(match error.downcast_ref::<ErrorStatus>() {
                     Some(_) if called_at.elapsed() < MAX_REJECTION_TIME => PollFailure::Rejected,
                     Some(_) => PollFailure::TimedOut,
-                    None => PollFailure::Lost,
+                    None => PollFailure::NoValidReply,
                 })
             }
         };
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -130,7 +130,7 @@
 pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
-    pub wire_id: HeaderValue,
+    pub client_request_id: HeaderValue,
     pub body: RequestBody,
     /// The memory reserved for the body.
     pub _reservation: Option<BytesReservation>,
--- a/crates/ingress/src/nodes.rs
+++ b/crates/ingress/src/nodes.rs
@@ -12,15 +12,16 @@
 /// Sends the nodes to the pool's driver: a static list once, or the lists of discovery from now on. Replaces the earlier
 /// source.
 pub fn watch_nodes(run: &mut RunningPool, sets: &TaskSets, set: &TaskSet) {
-    if let Some(watch) = run.watch.take() {
-        watch.abort();
+    if let Some(discovery_task) = run.discovery_task.take() {
+        discovery_task.abort();
     }
     match &run.config.nodes {
         Nodes::Discovery(address) => {
             let messages = run.pool.messages();
             // A random seed, so that processes that poll the same discovery service have different pauses.
-            let watch = PollSchedule::new(None, 1, RandomState::new().build_hasher().finish());
-            run.watch = Some(sets.spawn(set, discovery::watch_targets(watch, *address, messages)));
+            let schedule = PollSchedule::new(None, 1, RandomState::new().build_hasher().finish());
+            run.discovery_task =
+                Some(sets.spawn(set, discovery::watch_targets(schedule, *address, messages)));
         }
         nodes => {
             run.pool.send(Message::Targets(static_target_list(nodes, run.revision)));
--- a/crates/ingress/src/poll_schedule.rs
+++ b/crates/ingress/src/poll_schedule.rs
@@ -41,7 +41,7 @@
     /// Discovery accepted the call, but failed it later without an answer.
     TimedOut,
     /// There was no reply, or an invalid one.
-    Lost,
+    NoValidReply,
 }
 
 /// The poll schedule of one gateway.
@@ -96,8 +96,8 @@
         let (first, longest) = match failure {
             PollFailure::Rejected => (self.first_rejected_pause, MAX_REJECTED_PAUSE),
             PollFailure::TimedOut => (TIMED_OUT_PAUSE, TIMED_OUT_PAUSE),
-            PollFailure::Lost if doublings == 0 => return FIRST_LOST_PAUSE,
-            PollFailure::Lost => (FIRST_LOST_PAUSE, TIMED_OUT_PAUSE),
+            PollFailure::NoValidReply if doublings == 0 => return FIRST_LOST_PAUSE,
+            PollFailure::NoValidReply => (FIRST_LOST_PAUSE, TIMED_OUT_PAUSE),
         };
         let mean = (first * 2u32.pow(doublings)).min(longest);
         mean.mul_f64(MIN_JITTER_FACTOR + 2.0 * (1.0 - MIN_JITTER_FACTOR) * self.rng.random::<f64>())
--- a/crates/ingress/src/poll_schedule/tests.rs
+++ b/crates/ingress/src/poll_schedule/tests.rs
@@ -160,11 +160,11 @@
 fn a_single_lost_call_is_retried_before_the_watch_expires() {
     let mut schedule = PollSchedule::new(Some(3), 1, 1);
     schedule.on_answer(4, true, Duration::from_millis(900));
-    let pause = schedule.on_failure(PollFailure::Lost);
+    let pause = schedule.on_failure(PollFailure::NoValidReply);
     assert!(pause < Duration::from_micros(WATCH_EXPIRY), "{pause:?}");
     assert_eq!(schedule.path(), "/api/targets?index=4&wait=3000");
     // Further lost calls are retried with backoff.
-    let pauses: Duration = (0..20).map(|_| schedule.on_failure(PollFailure::Lost)).sum();
+    let pauses: Duration = (0..20).map(|_| schedule.on_failure(PollFailure::NoValidReply)).sum();
     assert!(pauses > Duration::from_secs(25), "{pauses:?}");
 }
 
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -30,7 +30,7 @@
     messages: Messages,
     next_id: Cell<RequestId>,
     /// Ids of the open requests as their clients sent them.
-    open_wire_ids: RefCell<HashSet<HeaderValue>>,
+    open_client_request_ids: RefCell<HashSet<HeaderValue>>,
     /// Whether its driver has received a list of backends.
     pub has_backend_list: Cell<bool>,
     open_count: Cell<u32>,
@@ -66,7 +66,7 @@
             rules: RefCell::new(Rc::new(rules)),
             messages,
             next_id: Cell::new(1),
-            open_wire_ids: RefCell::default(),
+            open_client_request_ids: RefCell::default(),
             has_backend_list: Cell::new(false),
             open_count: Cell::new(0),
             max_open_requests: Cell::new(max_open_requests),
@@ -139,10 +139,15 @@
 
     /// Assigns an id for the driver and registers the client's own id, which no other open request may have:
     /// the same id twice means the same request twice, and the copy could run concurrently with the first.
-    pub fn register_request(self: &Rc<Pool>, wire_id: &HeaderValue) -> Option<RegisteredRequest> {
-        self.open_wire_ids.borrow_mut().insert(wire_id.clone()).then(|| {
+    pub fn register_request(self: &Rc<Pool>, client_request_id: &HeaderValue) -> Option<RegisteredRequest> {
+        self.open_client_request_ids.borrow_mut().insert(client_request_id.clone()).then(|| {
             let id = self.next_request_id();
-            RegisteredRequest { pool: self.clone(), id, wire_id: wire_id.clone(), finished: false }
+            RegisteredRequest {
+                pool: self.clone(),
+                id,
+                client_request_id: client_request_id.clone(),
+                finished: false,
+            }
         })
     }
 
@@ -185,13 +190,13 @@
 pub struct RegisteredRequest {
     pool: Rc<Pool>,
     pub id: RequestId,
-    wire_id: HeaderValue,
+    client_request_id: HeaderValue,
     pub finished: bool,
 }
 
 impl Drop for RegisteredRequest {
     fn drop(&mut self) {
-        self.pool.open_wire_ids.borrow_mut().remove(&self.wire_id);
+        self.pool.open_client_request_ids.borrow_mut().remove(&self.client_request_id);
         if !self.finished {
             self.pool.send(Message::Abandoned(self.id));
         }
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -179,7 +179,7 @@
 /// What a request's head states, with defaults filled in.
 pub struct RequestTerms {
     /// The client's id of the request, if it gave one.
-    pub wire_id: Option<HeaderValue>,
+    pub client_request_id: Option<HeaderValue>,
     pub class: u16,
     pub plan: u16,
     pub customer: u64,
@@ -239,13 +239,13 @@
         Some(tier) => index_of(&rules.plans, tier).ok_or(bad_request("x-tier: no such plan"))?,
         None => default_plan.ok_or(bad_request("x-tier: missing"))?,
     };
-    let wire_id = single_value(headers, &REQ_ID, "req-id: doubled or not text")?;
-    if wire_id
+    let client_request_id = single_value(headers, &REQ_ID, "req-id: doubled or not text")?;
+    if client_request_id
         .is_some_and(|id| id.is_empty() || id.len() > 128 || !id.bytes().all(|byte| byte.is_ascii_graphic()))
     {
         return Err(bad_request("req-id: 1 to 128 printable characters"));
     }
-    if wire_id.is_none() && !is_service {
+    if client_request_id.is_none() && !is_service {
         return Err(bad_request("req-id: missing"));
     }
     let terms = single_value(headers, &X_CALL_TERMS, "x-call-terms: doubled or not text")?;
@@ -273,7 +273,7 @@
         return Err(bad_request("x-try: 1 to 128 characters"));
     }
     Ok(RequestTerms {
-        wire_id: headers.get(REQ_ID).cloned(),
+        client_request_id: headers.get(REQ_ID).cloned(),
         class,
         plan,
         customer: parse_customer(headers, is_service)?,
--- a/crates/ingress/src/router.rs
+++ b/crates/ingress/src/router.rs
@@ -53,8 +53,8 @@
         Rc::into_inner(self.routing.replace(Rc::new(routing)))
     }
 
-    /// Whether rejections have a text as their body; in the platform's program they have none.
-    pub fn explains_errors(&self) -> bool {
+    /// Whether rejections have their reason as the body; in a process with a single pool (the platform program) they have none.
+    pub fn includes_rejection_reason(&self) -> bool {
         matches!(**self.routing.borrow(), Routing::Table { .. })
     }
 
--- a/crates/ingress/src/running.rs
+++ b/crates/ingress/src/running.rs
@@ -25,19 +25,19 @@
 /// The member number of the rate limit service in the schedulers and capacity pools of the process.
 pub const RATE_LIMIT_MEMBER: Member = UNASSIGNED + 1;
 /// The total number of descriptors divided by this is guaranteed to connections without a request yet.
-const FRONTEND_DIVISOR: u64 = 8;
+const UNASSIGNED_DIVISOR: u64 = 8;
 
 /// The running pools and their shared resources.
 pub struct Pools {
     pub clock: Clock,
     pub sets: Rc<TaskSets>,
-    pub frontend: Rc<TaskSet>,
+    pub unassigned_tasks: Rc<TaskSet>,
     pub descriptors: SharedCapacity,
     pub bytes: SharedCapacity,
     pub counters: Rc<EmbeddedCounters>,
     running: BTreeMap<String, RunningPool>,
     pub tenants: Tenants,
-    pub next: Member,
+    pub next_member: Member,
 }
 
 /// A running pool.
@@ -47,17 +47,17 @@
     /// The indices of classes and plans in the decision module.
     pub indices: ClassPlanIndices,
     pub precheck: Rc<PoolPrecheck>,
-    pub watch: Option<TaskHandle>,
+    pub discovery_task: Option<TaskHandle>,
     pub revision: u64,
     /// The plans of tenants in this pool.
-    pub hosted: Vec<(String, Plan)>,
+    pub tenant_plans: Vec<(String, Plan)>,
 }
 
 impl Pools {
     pub fn new(
         config: &file::Service,
         sets: Rc<TaskSets>,
-        frontend: Rc<TaskSet>,
+        unassigned_tasks: Rc<TaskSet>,
         usage: UsageCounters,
     ) -> Pools {
         let capacity = |total| Rc::new(RefCell::new(CapacityPool::new(total)));
@@ -68,12 +68,12 @@
             clock: Clock::start(),
             tenants: Tenants::new(open_requests, descriptors.clone(), bytes.clone(), scheduled_sets, usage),
             sets,
-            frontend,
+            unassigned_tasks,
             descriptors,
             bytes,
             counters: Rc::default(),
             running: BTreeMap::new(),
-            next: RATE_LIMIT_MEMBER + 1,
+            next_member: RATE_LIMIT_MEMBER + 1,
         }
     }
 
@@ -84,40 +84,40 @@
         &mut self,
         config: &file::Service,
         prepared: &PreparedConfig,
-        hosted: Vec<HostedRoute>,
+        tenant_routes: Vec<HostedRoute>,
     ) -> (Routing, Option<RateLimitConfig>, (Vec<Member>, Arc<TenantDirectory>)) {
-        let frontend = config.descriptors / FRONTEND_DIVISOR;
+        let unassigned_descriptors = config.descriptors / UNASSIGNED_DIVISOR;
         self.descriptors.borrow_mut().resize(config.descriptors);
         self.descriptors.borrow_mut().set_limits(
             UNASSIGNED,
-            frontend.min(self.unreserved_descriptors(config)),
+            unassigned_descriptors.min(self.unreserved_descriptors(config)),
             config.descriptors,
         );
         self.bytes.borrow_mut().resize(config.buffered_bytes);
         let mut pools = Vec::new();
         for pool in &config.pools {
-            let hosted = prepared.plans.get(&pool.name).map_or(&[][..], Vec::as_slice);
+            let tenant_plans = prepared.plans.get(&pool.name).map_or(&[][..], Vec::as_slice);
             match self.running.remove(&pool.name) {
-                // A new name of the quota means other counters, so the pool is replaced and not updated.
+                // A renamed quota uses different counters, so the pool is replaced and not updated.
                 Some(run) if run.config.quota != pool.quota => {
-                    let new_run = self.start(config, pool, hosted);
+                    let new_run = self.start(config, pool, tenant_plans);
                     self.running.insert(format!("{} (replaced {})", pool.name, run.pool.member), run);
                     pools.push(new_run.pool.clone());
                     self.running.insert(pool.name.clone(), new_run);
                 }
                 Some(mut run) => {
-                    self.update(config, &mut run, pool, hosted);
+                    self.update(config, &mut run, pool, tenant_plans);
                     pools.push(run.pool.clone());
                     self.running.insert(pool.name.clone(), run);
                 }
                 None => {
-                    let run = self.start(config, pool, hosted);
+                    let run = self.start(config, pool, tenant_plans);
                     pools.push(run.pool.clone());
                     self.running.insert(pool.name.clone(), run);
                 }
             }
         }
-        let next = &mut self.next;
+        let next = &mut self.next_member;
         let next_member = || {
             *next += 1;
             *next - 1
@@ -135,13 +135,13 @@
             tenant: None,
         };
         let mut routes: Vec<Route> = config.routes.iter().map(route).collect();
-        routes.extend(hosted.into_iter().map(|route| Route {
+        routes.extend(tenant_routes.into_iter().map(|route| Route {
             pool: pools[route.pool].clone(),
             class: route.class,
             tenant: self.tenants.tenant(&route.tenant),
         }));
-        let asking = config.ratelimit.clone().map(|file| RateLimitConfig { file, pools });
-        (Routing::Table { table: prepared.table.clone(), routes }, asking, replaced)
+        let rate_limit = config.ratelimit.clone().map(|file| RateLimitConfig { file, pools });
+        (Routing::Table { table: prepared.table.clone(), routes }, rate_limit, replaced)
     }
 
     /// Descriptors that are not guaranteed to a pool.
@@ -159,10 +159,10 @@
         let names: Vec<String> = self.running.keys().cloned().collect();
         for name in names.into_iter().filter(|name| !config.pools.iter().any(|pool| pool.name == *name)) {
             let Some(run) = self.running.remove(&name) else { continue };
-            if let Some(watch) = run.watch {
-                watch.abort();
+            if let Some(discovery_task) = run.discovery_task {
+                discovery_task.abort();
             }
-            connections.unassign(run.pool.member, &self.frontend);
+            connections.unassign(run.pool.member, &self.unassigned_tasks);
             // Nothing is guaranteed to the pool any more, but its open requests still need connections to
             // nodes.
             self.descriptors.borrow_mut().set_limits(run.pool.member, 0, config.descriptors);
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1 server for clients: accepts connections, takes each request through its checks to the pool's
-//! driver, and shuts down on SIGTERM.
+//! The HTTP/1 server for clients: accepts connections, takes each request through its checks to the task that
+//! runs the decision module of its pool (the driver), and shuts down on SIGTERM.
 
 use super::connections::{ClientConnection, ConnectionTable, Stage};
 use super::migrating_task;
@@ -42,10 +42,10 @@
 /// Bytes of the longest request head; a longer one is answered with status 431.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of bytes of a rejected request that are read and discarded.
-const MAX_DRAINED_BYTES: u64 = 80 * 1024 * 1024;
+const MAX_DISCARDED_BYTES: u64 = 80 * 1024 * 1024;
 
 /// Set in the customer id of requests that have been counted already, to separate them from the same account's
-/// requests that are counted here.
+/// requests that are counted by this pool.
 const ALREADY_COUNTED_BIT: u64 = 1 << 63;
 
 /// State shared by all client connections.
@@ -59,7 +59,7 @@
     next_generated_id: Cell<u64>,
     /// Whether this process serves, drains, shuts down or has been taken over.
     pub serving_state: Cell<ServingState>,
-    /// Set until an older process that accepts on the same socket has been notified to leave it to this one.
+    /// Set until an older process that accepts on the same socket has been told that this one serves.
     pub awaiting_takeover: Cell<bool>,
     /// Notifies connections to close once their open request has been answered.
     closing: watch::Sender<()>,
@@ -148,7 +148,8 @@
                     shared.update_state(|state, _| state.on_taken_over());
                 }
                 shared.update_state(ServingState::shut_down);
-                // Idle connections close now: a client whose request crosses the close can still reconnect.
+                // Idle connections close now: a client whose request is sent while the
+                // connection is being closed can still reconnect.
                 if shared.serving_state.get().idle_policy(shared.clock.now()) == IdlePolicy::CloseAll {
                     shared.closing.send_replace(());
                 }
@@ -176,7 +177,7 @@
 }
 
 /// Serves one connection in a task of its own, so that its failure affects no other.
-fn open(stream: TcpStream, shared: &Rc<ServerState>, is_last_request: bool) {
+fn open(stream: TcpStream, shared: &Rc<ServerState>, closes_after_first_request: bool) {
     let mut closing = shared.closing.subscribe();
     let socket = Socket::for_client(stream);
     let shared = shared.clone();
@@ -185,13 +186,13 @@
     let (connection, unassigned_tasks) = (client.clone(), shared.unassigned_tasks.clone());
     let connection_task = async move {
         let _guard = guard;
-        let must_drain = Cell::new(false);
+        let must_discard_input = Cell::new(false);
         let broken = {
             let service = service_fn(|request| {
-                let (shared, client, must_drain) = (shared.clone(), &client, &must_drain);
+                let (shared, client, must_discard_input) = (shared.clone(), &client, &must_discard_input);
                 async move {
                     client.set_stage(Stage::Open);
-                    let answer = handle_request(&shared, client, must_drain, request).await;
+                    let answer = handle_request(&shared, client, must_discard_input, request).await;
                     if !answer.as_ref().is_ok_and(|response| response.body().is_streaming()) {
                         client.set_stage(Stage::Idle);
                     }
@@ -210,13 +211,16 @@
                     // After a bad request the connection is closed: what follows may be the rest of that
                     // request.
                     Ok::<_, Infallible>(answer.unwrap_or_else(|rejection| {
-                        must_drain.set(true);
+                        must_discard_input.set(true);
                         with_connection_close(rejection_response(&shared, rejection))
                     }))
                 }
             });
             let mut builder = http1::Builder::new();
-            builder.keep_alive(!is_last_request).auto_date_header(false).max_buf_size(MAX_HEAD_BYTES);
+            builder
+                .keep_alive(!closes_after_first_request)
+                .auto_date_header(false)
+                .max_buf_size(MAX_HEAD_BYTES);
             let mut connection = pin!(builder.serve_connection(TokioIo::new(socket), service));
             let mut shutdown_started = false;
             loop {
@@ -232,11 +236,11 @@
                 }
             }
         };
-        if broken || must_drain.get() {
-            client.set_stage(Stage::Draining);
+        if broken || must_discard_input.get() {
+            client.set_stage(Stage::DiscardingInput);
             client.socket.shutdown_write();
             tokio::select! {
-                () = client.socket.drain(MAX_DRAINED_BYTES) => {}
+                () = client.socket.drain(MAX_DISCARDED_BYTES) => {}
                 // Shutdown does not wait for clients whose request was rejected.
                 _ = closing.changed() => {}
             }
@@ -254,7 +258,7 @@
 async fn handle_request(
     shared: &Rc<ServerState>,
     client: &Rc<ClientConnection>,
-    must_drain: &Cell<bool>,
+    must_discard_input: &Cell<bool>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Rejection> {
     let (head, body) = request.into_parts();
@@ -280,7 +284,7 @@
     let Some(_open_request) = pool.open_request() else {
         return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     };
-    let _admitted = match &tenant {
+    let _open_tenant_request = match &tenant {
         None => None,
         Some(tenant) => match tenant.admit(pool.member, &account_name(&head.headers)) {
             Ok(admitted) => {
@@ -300,11 +304,11 @@
     let upload = body.upload().cloned();
     // The client's time budget starts with the last byte of its request.
     let arrived_at = shared.clock.now();
-    let wire_id = terms.wire_id.unwrap_or_else(|| generate_request_id(shared));
-    let Some(mut registered) = pool.register_request(&wire_id) else {
+    let client_request_id = terms.client_request_id.unwrap_or_else(|| generate_request_id(shared));
+    let Some(mut registered) = pool.register_request(&client_request_id) else {
         return Err(Rejection { code: StatusCode::BAD_REQUEST, reason: "req-id: that of an open request" });
     };
-    let (mut plan, mut customer, mut pass) = (terms.plan, terms.customer, None);
+    let (mut plan, mut customer, mut precheck_pass) = (terms.plan, terms.customer, None);
     if let Some(precheck) = pool.precheck(terms.attempt_name.is_some(), || plan) {
         let precheck_request = PrecheckRequest {
             source: Source::Request,
@@ -327,7 +331,7 @@
                     (plan, customer) =
                         (rules.uncounted_plan().unwrap_or(plan), customer ^ ALREADY_COUNTED_BIT);
                 }
-                pass = Some(passed);
+                precheck_pass = Some(passed);
             }
             PrecheckOutcome::OverLimit { retry_after } => {
                 registered.finished = true;
@@ -343,7 +347,7 @@
     let forward = Some(Rc::new(ForwardedRequest {
         method: head.method,
         uri,
-        wire_id,
+        client_request_id,
         body,
         _reservation: Some(reservation),
     }));
@@ -359,7 +363,7 @@
         first_gateway: terms.first_gateway,
         is_retry: terms.is_retry,
         forward,
-        claim: pass.as_ref().and_then(|pass| pass.claim),
+        claim: precheck_pass.as_ref().and_then(|precheck_pass| precheck_pass.claim),
         charged_member: tenant.as_ref().map(|_| member),
         reply,
     };
@@ -376,19 +380,19 @@
     };
     // The rest of the upload is read and discarded: a client that is still writing would not see the response.
     if upload.is_some_and(|upload| upload.ended_at().is_none()) {
-        must_drain.set(true);
+        must_discard_input.set(true);
     }
     let reply = reply.unwrap_or(Reply { answer: ClientAnswer::Failed, quota: None });
     registered.finished = true;
-    if let Some(pass) = &mut pass {
+    if let Some(precheck_pass) = &mut precheck_pass {
         // A refused request has not run on any backend.
-        pass.finish(!matches!(reply.answer, ClientAnswer::Refused { .. }));
+        precheck_pass.finish(!matches!(reply.answer, ClientAnswer::Refused { .. }));
     }
     let response = build_response(&pool, member, reply, client);
-    Ok(if must_drain.get() { with_connection_close(response) } else { response })
+    Ok(if must_discard_input.get() { with_connection_close(response) } else { response })
 }
 
-/// Generates an id for a request whose client gave none.
+/// Generates an id for a request whose client gave none: `v` and a number of 16 hexadecimal digits.
 fn generate_request_id(shared: &ServerState) -> HeaderValue {
     let name = shared.next_generated_id.replace(shared.next_generated_id.get() + 1);
     HeaderValue::from_str(&format!("v{name:016x}")).unwrap_or(HeaderValue::from_static("v"))
@@ -433,10 +437,11 @@
     response
 }
 
-/// The response to a rejected request, with the reason as its body except in the platform's program.
+/// The response to a rejected request, with the reason as its body, except in a process with a single pool
+/// (the platform's program).
 fn rejection_response(shared: &ServerState, rejection: Rejection) -> Response<ResponseBody> {
     let mut response = empty_response(rejection.code);
-    if shared.router.explains_errors() {
+    if shared.router.includes_rejection_reason() {
         *response.body_mut() = ResponseBody::new(Bytes::from(format!("{}\n", rejection.reason)), None);
     }
     response
--- a/crates/ingress/src/service.rs
+++ b/crates/ingress/src/service.rs
@@ -27,8 +27,8 @@
 const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long the task set of a removed tenant is kept, so that its tasks can move to another one.
 const SET_REMOVAL_DELAY: Duration = Duration::from_secs(1);
-/// Scheduling weight of the frontend, which accepts connections and reads the first request head of each.
-const FRONTEND_WEIGHT: u64 = 2;
+/// Scheduling weight of the unassigned tasks, which accept connections and read the first request head of each.
+const UNASSIGNED_WEIGHT: u64 = 2;
 /// Added to the longest deadline of any class in the time that open requests have to end after SIGTERM.
 const SHUTDOWN_SLACK: Duration = Duration::from_millis(500);
 
@@ -46,10 +46,10 @@
     let listener = server::listen(config.listen)?;
     let address = listener.local_addr()?;
     let (sets, is_finished) = (Rc::new(TaskSets::default()), Rc::new(Cell::new(false)));
-    let frontend = sets.add(UNASSIGNED, FRONTEND_WEIGHT);
+    let unassigned_tasks = sets.add(UNASSIGNED, UNASSIGNED_WEIGHT);
     let running = FairExecutor::new(sets.clone(), is_finished.clone());
     let usage = UsageCounters::default();
-    let mut pools = Pools::new(&config, sets.clone(), frontend.clone(), usage.clone());
+    let mut pools = Pools::new(&config, sets.clone(), unassigned_tasks.clone(), usage.clone());
     let config = Arc::new(config);
     // Until the control plane responds, the tenants of the last good snapshot are in force.
     let directory = Arc::new(config.control.as_ref().map(follow::last_good).unwrap_or_default());
@@ -63,7 +63,7 @@
     let mut prepared = prepared.map_err(io::Error::other)?;
     let routes = std::mem::take(&mut prepared.routes);
     let (routing, rate_limits, _) = pools.apply(&config, &prepared, routes);
-    let questions = rate_limits.map(|rate_limits| {
+    let rate_limit_server = rate_limits.map(|rate_limits| {
         RateLimitServer::new(rate_limits, pools.clock, pools.descriptors.clone(), RATE_LIMIT_MEMBER)
     });
     let connections = ConnectionTable::with_shared_capacity(pools.descriptors.clone());
@@ -71,13 +71,15 @@
         Router::new(routing),
         pools.clock,
         connections,
-        Some(frontend.clone()),
+        Some(unassigned_tasks.clone()),
     ));
     let drain_timeout =
         config.pools.iter().flat_map(|pool| &pool.classes).map(|class| class.class.deadline).max();
     let drain_timeout = Duration::from_micros(drain_timeout.unwrap_or(0)) + SHUTDOWN_SLACK;
-    let rate_limit_listener = match &questions {
-        Some(questions) => Some((questions.clone(), questions.listen()?, signal(SignalKind::terminate())?)),
+    let rate_limit_listener = match &rate_limit_server {
+        Some(rate_limit_server) => {
+            Some((rate_limit_server.clone(), rate_limit_server.listen()?, signal(SignalKind::terminate())?))
+        }
         None => None,
     };
     let weight = config.ratelimit.as_ref().map_or(1, |ratelimit| ratelimit.weight);
@@ -86,9 +88,12 @@
     let (update_sender, updates) = mpsc::channel(1);
     if let Some(control) = config.control.clone() {
         let directory = pools.tenants.directory.clone();
-        sets.spawn(&frontend, follow::follow(control, directory, config_receiver, update_sender));
+        sets.spawn(&unassigned_tasks, follow::follow(control, directory, config_receiver, update_sender));
     }
-    sets.spawn(&frontend, watch(path, config_sender, pools, shared.clone(), questions, reload, updates));
+    sets.spawn(
+        &unassigned_tasks,
+        watch(path, config_sender, pools, shared.clone(), rate_limit_server, reload, updates),
+    );
     let result = Rc::new(RefCell::new(Ok(())));
     // The process ends once both servers have responded to all requests that they accepted.
     let open_servers = Rc::new(Cell::new(1 + usize::from(rate_limit_listener.is_some())));
@@ -102,13 +107,13 @@
         open_servers.set(open_servers.get() - 1);
         finished_flag.set(open_servers.get() == 0);
     };
-    if let Some((questions, listener, terminate)) = rate_limit_listener {
+    if let Some((rate_limit_server, listener, terminate)) = rate_limit_listener {
         let set = sets.add(RATE_LIMIT_MEMBER, weight);
         let (result, open_servers, is_finished, rate_limit_address) =
             (result.clone(), open_servers.clone(), is_finished.clone(), listener.local_addr()?);
         sets.spawn(&set, async move {
             on_server_end(
-                questions.serve(listener, terminate, drain_timeout).await,
+                rate_limit_server.serve(listener, terminate, drain_timeout).await,
                 &result,
                 &open_servers,
                 &is_finished,
@@ -117,7 +122,7 @@
         eprintln!("violetyoke: answering rate limit questions on {rate_limit_address}");
     }
     let (ended, finished_flag) = (result.clone(), is_finished.clone());
-    sets.spawn(&frontend, async move {
+    sets.spawn(&unassigned_tasks, async move {
         on_server_end(
             server::serve(listener, None, shared, terminate, || drain_timeout).await,
             &ended,
@@ -148,7 +153,7 @@
     in_force: watch_channel::Sender<Arc<file::Service>>,
     mut pools: Pools,
     shared: Rc<server::ServerState>,
-    questions: Option<Rc<RateLimitServer>>,
+    rate_limit_server: Option<Rc<RateLimitServer>>,
     mut reload: tokio::signal::unix::Signal,
     mut updates: mpsc::Receiver<follow::PreparedUpdate>,
 ) {
@@ -174,7 +179,7 @@
                 match prepared {
                     Ok(prepared) => {
                         let revision = prepared.directory.revision;
-                        put_in_force(&mut pools, &config, prepared, &shared, questions.as_ref());
+                        put_in_force(&mut pools, &config, prepared, &shared, rate_limit_server.as_ref());
                         eprintln!("violetyoke: tenants at revision {revision} are in force");
                         let _ = in_force_sender.send(());
                     }
@@ -207,7 +212,7 @@
         };
         match prepared {
             Ok((new, prepared)) => {
-                put_in_force(&mut pools, &new, prepared, &shared, questions.as_ref());
+                put_in_force(&mut pools, &new, prepared, &shared, rate_limit_server.as_ref());
                 config = new.clone();
                 in_force.send_replace(new);
                 eprintln!("violetyoke: {} is in force", path.display());
@@ -227,8 +232,8 @@
     prepared.unwrap_or_else(|_| Err("the check failed".into()))
 }
 
-fn set_rate_limit_weight(pools: &Pools, asking: &RateLimitConfig) {
-    pools.sets.set_weight(RATE_LIMIT_MEMBER, asking.file.weight);
+fn set_rate_limit_weight(pools: &Pools, rate_limit: &RateLimitConfig) {
+    pools.sets.set_weight(RATE_LIMIT_MEMBER, rate_limit.file.weight);
 }
 
 /// Puts a file and tenants in force that were checked together. The replaced ones are dropped on another
@@ -238,25 +243,25 @@
     config: &file::Service,
     mut prepared: PreparedConfig,
     shared: &Rc<server::ServerState>,
-    questions: Option<&Rc<RateLimitServer>>,
+    rate_limit_server: Option<&Rc<RateLimitServer>>,
 ) {
     let routes = std::mem::take(&mut prepared.routes);
-    let (routing, asking, (removed, directory)) = pools.apply(config, &prepared, routes);
+    let (routing, rate_limit, (removed, directory)) = pools.apply(config, &prepared, routes);
     let old = match shared.router.replace(routing) {
         Some(Routing::Table { table, .. }) => Some(table),
         _ => None,
     };
-    if let (Some(questions), Some(asking)) = (questions, asking) {
-        set_rate_limit_weight(pools, &asking);
-        questions.update_config(asking);
+    if let (Some(rate_limit_server), Some(rate_limit)) = (rate_limit_server, rate_limit) {
+        set_rate_limit_weight(pools, &rate_limit);
+        rate_limit_server.update_config(rate_limit);
     }
     pools.retire(config, &shared.connections);
     for member in removed {
-        shared.connections.unassign(member, &pools.frontend);
+        shared.connections.unassign(member, &pools.unassigned_tasks);
         if config.schedules_by_weight {
-            // The tasks of its connections move to the frontend with their next poll, which is soon.
+            // The tasks of its connections move to the unassigned task set with their next poll, which is soon.
             let sets = pools.sets.clone();
-            pools.sets.spawn(&pools.frontend, async move {
+            pools.sets.spawn(&pools.unassigned_tasks, async move {
                 sleep(SET_REMOVAL_DELAY).await;
                 sets.remove(member);
             });
--- a/crates/ingress/src/starting.rs
+++ b/crates/ingress/src/starting.rs
@@ -30,15 +30,15 @@
         &mut self,
         config: &file::Service,
         file: &file::Pool,
-        hosted: &[(String, Plan)],
+        tenant_plans: &[(String, Plan)],
     ) -> RunningPool {
-        let member = self.next;
-        self.next += 1;
+        let member = self.next_member;
+        self.next_member += 1;
         self.set_limits(config, member, file);
         let pool_set = config.schedules_by_weight.then(|| self.sets.add(member, file.weight));
-        let set = pool_set.clone().unwrap_or_else(|| self.frontend.clone());
+        let set = pool_set.clone().unwrap_or_else(|| self.unassigned_tasks.clone());
         let mut indices = ClassPlanIndices::default();
-        indices.update(file, hosted);
+        indices.update(file, tenant_plans);
         let (messages, inbox) = mpsc::unbounded_channel();
         let bytes = Some(self.bytes.clone());
         let pool = Pool::new(
@@ -79,8 +79,9 @@
         });
         let precheck = Rc::new(PoolPrecheck::new(pool.messages()));
         pool.set_precheck(precheck.clone());
-        let (config, hosted) = (file.clone(), hosted.to_vec());
-        let mut run = RunningPool { pool, config, indices, precheck, watch: None, revision: 1, hosted };
+        let (config, tenant_plans) = (file.clone(), tenant_plans.to_vec());
+        let mut run =
+            RunningPool { pool, config, indices, precheck, discovery_task: None, revision: 1, tenant_plans };
         self.update_external_limiter(&run, file);
         watch_nodes(&mut run, &self.sets, &set);
         run
@@ -96,7 +97,7 @@
                 existing
             }
             _ => {
-                let set = run.pool.set.clone().unwrap_or_else(|| self.frontend.clone());
+                let set = run.pool.set.clone().unwrap_or_else(|| self.unassigned_tasks.clone());
                 let (descriptors, name) = (self.descriptors.clone(), file.name.clone());
                 ExternalLimiterClient::new(consult, self.clock, descriptors, run.pool.member, set, name)
             }
@@ -108,15 +109,15 @@
         config: &file::Service,
         run: &mut RunningPool,
         file: &file::Pool,
-        hosted: &[(String, Plan)],
+        tenant_plans: &[(String, Plan)],
     ) {
         self.set_limits(config, run.pool.member, file);
-        if run.config == *file && run.hosted == hosted {
+        if run.config == *file && run.tenant_plans == tenant_plans {
             return;
         }
-        run.hosted = hosted.to_vec();
+        run.tenant_plans = tenant_plans.to_vec();
         self.sets.set_weight(run.pool.member, file.weight);
-        run.indices.update(file, hosted);
+        run.indices.update(file, tenant_plans);
         run.pool.update(run.indices.rules(file), file.open_requests);
         run.pool.quota_headers.set(file.quota_headers);
         let settings = run.indices.settings(file);
@@ -129,7 +130,7 @@
         run.config = file.clone();
         if nodes_changed {
             run.revision += 1;
-            let set = run.pool.set.clone().unwrap_or_else(|| self.frontend.clone());
+            let set = run.pool.set.clone().unwrap_or_else(|| self.unassigned_tasks.clone());
             watch_nodes(run, &self.sets, &set);
         }
     }
