--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// The time between the two parts of a [`Reply::Later`].
-const LATER: Duration = Duration::from_millis(5);
+/// The time between the two parts of a [`Reply::Split`].
+const SPLIT_DELAY: Duration = Duration::from_millis(5);
 
 /// What a scripted node does with a request.
 #[derive(Clone)]
@@ -20,7 +20,7 @@
     /// Writes these bytes and closes.
     Close(Vec<u8>),
     /// Writes the first part, and the second part 5 ms later.
-    Later(Vec<u8>, Vec<u8>),
+    Split(Vec<u8>, Vec<u8>),
     /// Writes these pieces one by one, with a pause after each.
     Pieces {
         /// The bytes to write.
@@ -31,7 +31,7 @@
         closes: bool,
     },
     /// Writes nothing, and keeps the connection open until the peer closes it or sends more.
-    Hold,
+    NeverReply,
 }
 
 /// A complete response with status 200 and this body.
@@ -89,7 +89,7 @@
                 shared.connections.fetch_add(1, Ordering::SeqCst);
                 let shared = Arc::clone(&shared);
                 thread::spawn(move || {
-                    // Errors are ignored: only the end of the connection is counted.
+                    // Errors are ignored: for a connection, only that it ended matters.
                     shared.serve(stream).unwrap_or_default();
                     shared.ended_connections.fetch_add(1, Ordering::SeqCst);
                 });
@@ -113,7 +113,7 @@
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    /// How often the second part of a [`Reply::Later`] has been written.
+    /// How often the second part of a [`Reply::Split`] has been written.
     pub fn late_replies(&self) -> u32 {
         self.state.late_replies.load(Ordering::SeqCst)
     }
@@ -139,9 +139,9 @@
             match reply {
                 Reply::Raw(bytes) => stream.write_all(&bytes).unwrap_or_default(),
                 Reply::Close(bytes) => return stream.write_all(&bytes),
-                Reply::Later(first, second) => {
+                Reply::Split(first, second) => {
                     stream.write_all(&first).unwrap_or_default();
-                    thread::sleep(LATER);
+                    thread::sleep(SPLIT_DELAY);
                     stream.write_all(&second).unwrap_or_default();
                     self.late_replies.fetch_add(1, Ordering::SeqCst);
                 }
@@ -154,7 +154,7 @@
                         return Ok(());
                     }
                 }
-                Reply::Hold => return reader.read(&mut [0; 16]).map(drop),
+                Reply::NeverReply => return reader.read(&mut [0; 16]).map(drop),
             }
         }
         Ok(())
--- a/crates/violetyoke/tests/platform.rs
+++ b/crates/violetyoke/tests/platform.rs
@@ -121,9 +121,9 @@
 
 #[test]
 fn backend_that_stops_responding_is_ejected() {
-    let good = || Reply::Later(b"HTTP/1.1 200 OK\r\n".to_vec(), b"Content-Length: 1\r\n\r\nx".to_vec());
+    let good = || Reply::Split(b"HTTP/1.1 200 OK\r\n".to_vec(), b"Content-Length: 1\r\n\r\nx".to_vec());
     let mut backends: Vec<_> = (0..2).map(|_| Backend::start(move |_| good())).collect();
-    backends.push(Backend::start(|_| Reply::Hold));
+    backends.push(Backend::start(|_| Reply::NeverReply));
     // The ejection lasts twice as long as this.
     let adjust = |config: &mut serde_json::Value| {
         config["settings"]["bounds"]["connect-timeout-us"] = json!(2_000_000)
@@ -187,7 +187,7 @@
         if is_broken.load(SeqCst) {
             return Reply::Close(Vec::new());
         }
-        Reply::Later(b"HTTP/1.1 200 OK\r\n".to_vec(), b"Content-Length: 1\r\n\r\nx".to_vec())
+        Reply::Split(b"HTTP/1.1 200 OK\r\n".to_vec(), b"Content-Length: 1\r\n\r\nx".to_vec())
     });
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let mut clients: Vec<_> = (0..8).map(|_| ingress.client()).collect();
@@ -317,7 +317,7 @@
     let backend = Backend::start(move |_| {
         number += 1;
         match ok(b"mine") {
-            Reply::Raw(bytes) if number % 2 == 1 => Reply::Later(bytes, late.as_bytes().to_vec()),
+            Reply::Raw(bytes) if number % 2 == 1 => Reply::Split(bytes, late.as_bytes().to_vec()),
             reply => reply,
         }
     });
@@ -389,7 +389,7 @@
 
 #[test]
 fn attempt_at_a_hanging_backend_is_closed_before_the_deadline() {
-    let backend = Backend::start(|_| Reply::Hold);
+    let backend = Backend::start(|_| Reply::NeverReply);
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let start = Instant::now();
     let response = ingress.client().call(booking("x"));
@@ -401,7 +401,7 @@
 
 #[test]
 fn attempt_of_a_client_that_disconnects_is_cancelled() {
-    let backend = Backend::start(|_| Reply::Hold);
+    let backend = Backend::start(|_| Reply::NeverReply);
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let mut client = ingress.client();
     let start = Instant::now();
@@ -741,7 +741,7 @@
 
 #[test]
 fn request_with_the_id_of_an_open_one_is_rejected() {
-    let backend = Backend::start(|_| Reply::Hold);
+    let backend = Backend::start(|_| Reply::NeverReply);
     let (_counter, _discovery, ingress) = one_backend(&backend);
     let (mut first, mut second) = (ingress.client(), ingress.client());
     let request = booking("x");
--- a/crates/violetyoke/tests/takeover.rs
+++ b/crates/violetyoke/tests/takeover.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn keep_alive_connection_is_served_and_closed_by_the_old_process() {
-    let a = Backend::start(|_| Reply::Later(ok_start(), b"x".to_vec()));
+    let a = Backend::start(|_| Reply::Split(ok_start(), b"x".to_vec()));
     let socket = SharedSocket::new(&[&a]);
     let mut old = socket.start();
     let mut keep_alive = old.ingress.client();
