--- a/crates/violetyoke/tests/duties.rs
+++ b/crates/violetyoke/tests/duties.rs
@@ -58,14 +58,14 @@
 
 /// One request of a holder, which echoes the token of its last response.
 fn renew(api: &Api, mut body: Value) -> Value {
-    static ECHOES: Mutex<BTreeMap<String, Value>> = Mutex::new(BTreeMap::new());
+    static LAST_TOKENS: Mutex<BTreeMap<String, Value>> = Mutex::new(BTreeMap::new());
     let holder = format!("{} {}", api.address, body["holder"]);
-    if let Some(token) = ECHOES.lock().unwrap().get(&holder) {
+    if let Some(token) = LAST_TOKENS.lock().unwrap().get(&holder) {
         body["echo"] = token.clone();
     }
     let response = api.post("/v1/leases", body);
     assert_eq!(response.status, 200, "{response:?}");
-    ECHOES.lock().unwrap().insert(holder, response.body["token"].clone());
+    LAST_TOKENS.lock().unwrap().insert(holder, response.body["token"].clone());
     response.body
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// The grants of all shards of the report.
-fn gain_all(api: &Api, holder: &str) -> Vec<Value> {
+fn acquire_all_shards(api: &Api, holder: &str) -> Vec<Value> {
     let mut granted = Vec::new();
     until("all shards are granted", || {
         let response = renew(api, json!({ "holder": holder, "duties": ["report"] }));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn invalid_renew_requests_are_rejected_by_field() {
+fn invalid_renew_requests_are_rejected_with_the_field_name() {
     let file = StoreFile::new();
     let declared = Declarations::new(&file, DUTIES);
     let control = declared.start(&file);
@@ -150,7 +150,7 @@
     let control = declared.start(&file);
     let operator = control.operator();
     let api = ingress_key(&operator);
-    gain_all(&api, "a");
+    acquire_all_shards(&api, "a");
     let record = |epoch: u64, mark: u64| {
         api.post(
             "/v1/leases/mark",
@@ -159,7 +159,7 @@
     };
     let shard = operator.get("/v1/duties/report/shards/3");
     let epoch = shard.body["epoch"].as_u64().unwrap();
-    // A watermark is not a change for ingresses and does not increase the revision.
+    // Recording a watermark doesn't change what ingresses receive, so it does not increase the revision.
     let announced = || operator.get("/v1/ingresses").body["revision"].clone();
     let before = announced();
     assert_eq!(record(epoch, 7).status, 204);
@@ -176,9 +176,12 @@
     let control = declared.start(&file);
     let operator = control.operator();
     let api = ingress_key(&operator);
-    gain_all(&api, "a");
-    let usage = |path: &str| api.get(path).status;
-    assert_eq!((usage("/v1/use/nothing/0?after=0"), usage("/v1/use/report/8?after=0")), (404, 422));
+    acquire_all_shards(&api, "a");
+    let usage_status = |path: &str| api.get(path).status;
+    assert_eq!(
+        (usage_status("/v1/use/nothing/0?after=0"), usage_status("/v1/use/report/8?after=0")),
+        (404, 422)
+    );
     for (path, body, field) in [
         ("/v1/duties/report/shards/8", json!({}), "shard"),
         ("/v1/duties/report/shards/1", json!({"next": "nobody"}), "next"),
@@ -199,8 +202,8 @@
     let control = declared.start(&file);
     let operator = control.operator();
     let api = ingress_key(&operator);
-    let granted = gain_all(&api, "a#1");
-    // The first response has the token to echo: it is a candidate from the second request on.
+    let granted = acquire_all_shards(&api, "a#1");
+    // A holder becomes a candidate only after it has echoed the token from its first response, so b renews twice.
     renew(&api, json!({"holder": "b#1", "duties": ["report"]}));
     renew(&api, json!({"holder": "b#1", "duties": ["report"]}));
     let path = "/v1/duties/report/shards/5";
@@ -236,7 +239,7 @@
     let mut control = declared.start(&file);
     let operator = control.operator();
     let api = ingress_key(&operator);
-    gain_all(&api, "a#1");
+    acquire_all_shards(&api, "a#1");
     control.kill();
     let other = "[[duty]]\nname = \"second\"\nkind = \"report\"\nlength_ms = 0\n";
     fs::write(&declared.0, DUTIES.replace("shards = 8", "shards = 12") + other).unwrap();
@@ -246,11 +249,7 @@
     let names: Vec<(&str, u64)> = (roles["items"].as_array().unwrap().iter())
         .map(|role| (role["name"].as_str().unwrap(), role["shards"].as_u64().unwrap()))
         .collect();
-    assert_eq!(
-        names,
-        [("report", 8), ("upkeep", 1)],
-        "neither the twelve shards nor the lease of no duration is in force"
-    );
+    assert_eq!(names, [("report", 8), ("upkeep", 1)], "both invalid changes are ignored");
 }
 
 /// The holder of the upkeep's lease, and its epoch.
