--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -159,7 +159,8 @@
 /// Health of the counter service, by its calls.
 #[derive(Clone, Default, serde::Deserialize, serde::Serialize)]
 pub(crate) struct CounterHealth {
-    /// Time between a customer's calls from which on each of its requests makes one (us); 0: each does.
+    /// Time after the last counter call from which a customer at its limit queries the counter with its next
+    /// request (us); before it, requests query at random. 0: every request queries.
     pub(crate) query_interval: DecayingSum,
     /// Time at which the interval was last raised.
     pub(crate) interval_raised_at: Micros,
